--- /dev/null
+++ b/crates/gateway/tests/encodings.rs
@@ -0,0 +1,305 @@
+//! Guards what other processes and later versions have to read: every message between gateways and every record that
+//! stays on disk, as bytes that were recorded. Each value is encoded to exactly these bytes, and the bytes decode to it.
+//!
+//! The bytes follow from the order and the types of fields and variants (postcard), or from names (JSON). Renaming a
+//! field changes the first kind nowhere and must not change the second.
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::path::Path;
+
+use fernscale_mesh::carry::{Carried, Kind};
+use fernscale_mesh::packet::{Full, News, Packet, Peer, State, Stream, Sum, Told, View, Viewed, Word};
+use fernscale_mesh::seal::{Key, Sealer};
+use fernscale_owner::message::{Ask, Hello, Known, Letter, Refusal, Say};
+use fernscale_owner::told::{Entry, Note, Piece, Version};
+use fernscale_owner::voter::{Head, Other};
+use fernscale_owner::{view as jobs, Fence, Name, Run, Set};
+use fernscale_signals::{view as servers, Level};
+use fernscale_subset::{loads, view as subsets};
+use fernscale_tally::rumour;
+use fernscale_tally::vectors::{Instance, Part};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+fn recorded(name: &str) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/encodings").join(name);
+    std::fs::read(&path).unwrap_or_else(|why| panic!("{} can't be read: {why}", path.display()))
+}
+
+/// The values of a list stand in one file, one behind the other, each after its length.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[T]) {
+    let mut encoded = Vec::new();
+    for value in values {
+        let bytes = postcard::to_stdvec(value).expect("plain data is encoded");
+        let back: T = postcard::from_bytes(&bytes).expect("what was encoded is decoded");
+        assert_eq!(back, *value);
+        encoded.extend((bytes.len() as u32).to_le_bytes());
+        encoded.extend(bytes);
+    }
+    let recorded = recorded(name);
+    assert_eq!(encoded, recorded, "'{name}' is encoded in another way than it was");
+    let mut rest = recorded.as_slice();
+    for value in values {
+        let (length, behind) = rest.split_at(4);
+        let (bytes, behind) =
+            behind.split_at(u32::from_le_bytes(length.try_into().expect("four bytes")) as usize);
+        assert_eq!(
+            postcard::from_bytes::<T>(bytes).expect("it is decoded"),
+            *value,
+            "'{name}' is decoded in another way"
+        );
+        rest = behind;
+    }
+    assert!(rest.is_empty());
+}
+
+fn peer(number: u64) -> Peer {
+    let address = format!("127.0.0.{number}:7{number:03}").parse().expect("an address");
+    Peer { name: format!("gateway-{number}"), instance: Instance(0x0102_0304_0506_0700 + number), address }
+}
+
+fn news() -> Vec<News> {
+    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
+    (1..).zip(states).map(|(at, state)| News { of: peer(at), incarnation: at as u32 * 7, state }).collect()
+}
+
+fn counts() -> Vec<Told> {
+    let told = |count: &str, plus, minus| {
+        let part = Part { plus, minus };
+        Told { count: count.into(), of: Instance(9), part, left_ms: 59_000 }
+    };
+    vec![told("q60000000:tenant-1", 12.25, 0.0), told("o5:tenant-2", 3.0, 2.0)]
+}
+
+fn carried(kind: Kind) -> Carried {
+    Carried { kind, body: vec![1, 2, 3, 255] }
+}
+
+const KINDS: [Kind; 4] = [Kind::Owners, Kind::List, Kind::Subsets, Kind::Signals];
+
+fn packets() -> Vec<Packet> {
+    let mut words = vec![Word::Ping(7), Word::Ack(300), Word::PingFor(9, peer(3)), Word::Nothing];
+    words.extend(KINDS.map(|kind| Word::Carry(carried(kind))));
+    let packet = |word| Packet { from: peer(1), incarnation: 2, word, news: news(), counts: counts() };
+    words.into_iter().map(packet).collect()
+}
+
+#[test]
+fn membership_packets() {
+    check("membership-packets.bin", &packets());
+}
+
+#[test]
+fn membership_streams() {
+    let full = Full { from: peer(2), incarnation: 1, news: news(), counts: counts() };
+    let viewed = |news: News| Viewed { peer: news.of, state: news.state, incarnation: 5, heard_ms: 250 };
+    let members = news().into_iter().map(viewed).collect();
+    let view = View { me: peer(1), members, gateways: 3, counts: 2, counter: "good".into() };
+    let sum = Sum { count: "q1:tenant".into(), total: 17.5, left_ms: 1_000 };
+    let mut streams = vec![Stream::Full(full), Stream::Who, Stream::View(view), Stream::Counts];
+    streams.push(Stream::Sums(vec![sum]));
+    streams.extend(KINDS.map(|kind| Stream::Carry(peer(1), carried(kind))));
+    streams.extend(KINDS.map(|kind| Stream::Ask(kind, vec![4, 5])));
+    streams.push(Stream::Answer(vec![6]));
+    check("membership-streams.bin", &streams);
+}
+
+#[test]
+fn sealed_packets() {
+    let key = Key::parse("00112233445566778899aabbccddeeff").expect("a key");
+    let (unix, instance) = (1_700_000_000_000_000, Instance(0x1122_3344_5566_7788));
+    let mut sealer = Sealer::new(vec![key.clone()], instance).expect("a ring of one key");
+    let sealed: Vec<Vec<u8>> = packets().iter().map(|packet| sealer.seal(unix, packet)).collect();
+    check("sealed-packets.bin", &sealed);
+    let mut opener = Sealer::new(vec![key], Instance(1)).expect("a ring of one key");
+    for (bytes, packet) in sealed.iter().zip(packets()) {
+        assert_eq!(opener.open::<Packet>(unix, bytes), Ok((instance, packet)));
+    }
+}
+
+fn fence(term: u64) -> Fence {
+    Fence { term, run: Run(0xfeed_0000 + term) }
+}
+
+fn set() -> Set {
+    Set { number: 3, mark: 0xabcd_ef01_2345 }
+}
+
+fn lives() -> BTreeMap<Name, u64> {
+    [("gateway-1".into(), 4), ("gateway-2".into(), 700)].into()
+}
+
+#[test]
+fn lease_messages() {
+    let job: Name = "list".into();
+    let (of, start): (Name, Run) = ("gateway-3".into(), Run(77));
+    let refusals = [
+        Refusal::Held { left: 1_500_000, by: fence(8) },
+        Refusal::Higher(fence(9)),
+        Refusal::Silent,
+        Refusal::Busy,
+        Refusal::Full,
+        Refusal::Set(set()),
+    ];
+    let granted = Say::Granted { job: job.clone(), fence: fence(5), number: 6, life: 7, lives: lives() };
+    let known = Known {
+        of: of.clone(),
+        writes: 12,
+        life: 2,
+        founded: true,
+        forgot: false,
+        pristine: true,
+        set: set(),
+        frozen: 1,
+        promises: [(job.clone(), fence(5)), ("billing".into(), fence(6))].into(),
+    };
+    let hello = Hello { of: of.clone(), start, writes: 11, life: 3, forgot: true, empty: false };
+    let mut letters = vec![
+        Letter::Ask(Ask::Claim { job: job.clone(), fence: fence(5), number: 6, set: set() }),
+        Letter::Ask(Ask::Release { job: job.clone(), fence: fence(5) }),
+        Letter::Ask(Ask::Hello(hello)),
+        Letter::Ask(Ask::Wrote { of, writes: 13, life: 3 }),
+        Letter::Say(granted),
+        Letter::Say(Say::Known(known)),
+        Letter::Free { job: job.clone(), fence: fence(5) },
+        Letter::Offer { job: job.clone() },
+    ];
+    letters.extend(refusals.map(|why| {
+        let (job, fence) = (job.clone(), fence(4));
+        Letter::Say(Say::Refused { job, fence, number: 2, why })
+    }));
+    check("lease-messages.bin", &letters);
+}
+
+#[test]
+fn lease_records_in_the_store() {
+    let other =
+        |writes, life, start: Option<u64>| Other { writes, life, start: start.map(Run), ..Other::default() };
+    let others = [("gateway-1".into(), other(1, 2, None)), ("gateway-2".into(), other(3, 4, Some(5)))];
+    let head = Head { founded: true, life: 2, writes: 30, others: others.into(), set: set(), frozen: 2 };
+    check("lease-heads.bin", &[Head::default(), head]);
+    let promises: [(Name, Fence); 2] = [("list".into(), fence(5)), ("billing".into(), fence(600))];
+    check("lease-promises.bin", &promises);
+}
+
+#[test]
+fn list_fragments() {
+    let entry =
+        |name: &str, gone| Entry { name: name.into(), gone, text: format!("{{\"name\":\"{name}\"}}") };
+    let entries = vec![entry("10.0.0.1:80", false), entry("10.0.0.2:80", true)];
+    let version = Version { numbering: 5, index: 1_000 };
+    let piece = Piece { version, since: Some(900), age_ms: 40, part: 1, parts: 3, entries };
+    let complete = Piece { since: None, part: 0, parts: 1, entries: Vec::new(), ..piece.clone() };
+    let notes = [
+        Note::Piece(Some(fence(5)), piece),
+        Note::Piece(None, complete),
+        Note::Lack,
+        Note::Refused(fence(6)),
+    ];
+    check("list-fragments.bin", &notes);
+}
+
+#[test]
+fn lease_questions_and_answers() {
+    let questions = [
+        jobs::Question::Jobs,
+        jobs::Question::Release("list".into()),
+        jobs::Question::Cordon(true),
+        jobs::Question::Cordon(false),
+    ];
+    check("lease-questions.bin", &questions);
+    let job = |place, owns, last| jobs::Job { job: "list".into(), place, owns, refusals: 2, last };
+    let view = |votes| jobs::View {
+        gateway: "gateway-1".into(),
+        votes,
+        cordoned: true,
+        jobs: vec![job(0, Some((fence(5), 100, 900)), None), job(1, None, Some("no".into()))],
+        held: vec![jobs::Held { job: "list".into(), by: fence(5), left_ms: 800 }],
+        runs: vec![("gateway-1".into(), 9)],
+    };
+    let mut answers = vec![jobs::Answer::Released(true), jobs::Answer::Cordoned(false)];
+    let votes = [None, Some(jobs::Votes::Yes), Some(jobs::Votes::Waits), Some(jobs::Votes::Not)];
+    answers.extend(votes.map(|votes| jobs::Answer::Jobs(view(votes))));
+    check("lease-answers.bin", &answers);
+}
+
+#[test]
+fn load_reports_for_subsets() {
+    let word = |step, leaves| loads::Word {
+        name: "gateway-1".into(),
+        run: 0x55,
+        version: 3,
+        step,
+        zone: "north".into(),
+        leaves,
+    };
+    check(
+        "subset-reports.bin",
+        &[rumour::Note::Words(vec![word(0, false), word(31, true)]), rumour::Note::Ask],
+    );
+    let view = subsets::View {
+        gateway: "gateway-1".into(),
+        least: 12,
+        zones: true,
+        gateways: vec![subsets::Seen { name: "gateway-2".into(), load: 1.5, zone: 1 }],
+        servers: vec![subsets::Taken { name: "10.0.0.1:80".into(), weight: 2.0, zone: 0 }],
+        uses: vec![("10.0.0.1:80".into(), 0.75)],
+        avoids: vec!["10.0.0.2:80".into()],
+    };
+    check("subset-views.bin", &[view]);
+}
+
+#[test]
+fn outlier_reports() {
+    let level = Level { bad: 3, slow: 1, seen: 4 };
+    let word = fernscale_signals::Word {
+        run: 0x66,
+        server: "10.0.0.1:80".into(),
+        started: 1_700_000_000_000_000,
+        version: 2,
+        zone: String::new(),
+        level,
+        speaks_for: 5,
+    };
+    check("outlier-reports.bin", &[fernscale_signals::Note::Words(vec![word]), fernscale_signals::Note::Ask]);
+    let standings = [
+        servers::Standing::Fine,
+        servers::Standing::BadHere,
+        servers::Standing::BadForZone,
+        servers::Standing::BadForAll,
+        servers::Standing::Spared,
+        servers::Standing::Returns,
+    ];
+    let seen = |standing| servers::Seen {
+        server: "10.0.0.1:80".into(),
+        standing,
+        here: Some(level),
+        against: 2.5,
+        for_it: 1.0,
+        by: 3,
+        out_ms: Some(1_200),
+        next: Some("gateway-2".into()),
+    };
+    let seen = standings.map(seen).to_vec();
+    check(
+        "outlier-views.bin",
+        &[servers::View { gateway: "gateway-1".into(), out: 0.1, most_out: 0.25, servers: seen }],
+    );
+}
+
+/// JSON: here names are the encoding.
+#[test]
+fn records_that_two_processes_share() {
+    use fernscale_handover::core::{Record, Word};
+    let word = |stamp, out| Word { stamp, by: 1_700_000_000_000_001, at: 1_700_000_000_000_002, out };
+    let record = Record {
+        version: 3,
+        words: [("10.0.0.1:80".into(), word(2, true)), ("10.0.0.2:80".into(), word(3, false))].into(),
+        heard: [(1_700_000_000_000_001, 2)].into(),
+        sockets: 400,
+    };
+    let recorded = recorded("process-record.json");
+    assert_eq!(serde_json::to_string(&record).expect("it is encoded").as_bytes(), recorded);
+    assert_eq!(serde_json::from_slice::<Record>(&recorded).expect("it is decoded"), record);
+}
--- /dev/null
+++ b/crates/store/tests/first_version.rs
@@ -0,0 +1,73 @@
+//! Guards stored data: a folder that the first version wrote opens with all that it held, and what this version writes
+//! is the same bytes.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use fernscale_store::files::Folder;
+use fernscale_store::{Batch, Durability, Options, Store};
+
+const NOW: u64 = 1_700_000_000_000;
+const SEGMENTS: usize = 6;
+
+fn recorded() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/first_version")
+}
+
+fn options() -> Options {
+    Options { segment: 400, ..Options::default() }
+}
+
+fn opened(folder: &Path) -> Store<Folder> {
+    let files = Folder::new(folder).expect("a folder");
+    Store::open(files, options(), NOW).expect("it opens").0
+}
+
+/// The segments of a folder, by their names.
+fn segments(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let files = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("a file").path());
+    let logs = files.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
+    let named = |path: PathBuf| path.file_name().expect("a name").to_string_lossy().into_owned();
+    logs.map(|path| (named(path.clone()), std::fs::read(path).expect("read"))).collect()
+}
+
+/// Keys of the lease's space and others: replaced, deleted, ended, and such that end later.
+fn write(folder: &Path) {
+    let mut store = opened(folder);
+    for step in 0..12u64 {
+        let batch = Batch::new()
+            .put(b"owner/head", &[step as u8; 20])
+            .put(format!("owner/promise/job-{}", step % 5).as_bytes(), &step.to_le_bytes())
+            .put_until(format!("span/{step}").as_bytes(), b"ends", NOW + 1_000 * (step % 2) + 1)
+            .delete(format!("owner/promise/job-{}", (step + 3) % 5).as_bytes());
+        store.write(&batch, Durability::Now, NOW + step).expect("written");
+    }
+}
+
+#[test]
+fn a_folder_of_the_first_version_opens_with_all_it_held() {
+    let copy = tempfile::tempdir().expect("a folder");
+    let segments = segments(&recorded());
+    assert_eq!(segments.len(), SEGMENTS);
+    for (name, bytes) in &segments {
+        std::fs::write(copy.path().join(name), bytes).expect("copied");
+    }
+    let store = opened(copy.path());
+    assert_eq!((store.numbers(), store.len()), ((12, 12), 15));
+    let promise =
+        |job: u64| store.get(format!("owner/promise/job-{job}").as_bytes(), NOW + 20).expect("read");
+    assert_eq!(store.get(b"owner/head", NOW + 20).expect("read"), Some(vec![11; 20]));
+    let promises: Vec<Option<Vec<u8>>> = (0..5).map(promise).collect();
+    let written = |step: u64| Some(step.to_le_bytes().to_vec());
+    assert_eq!(promises, [written(10), written(11), None, None, None]);
+    let spans = store.scan(b"span/", None, usize::MAX, NOW + 20).expect("read");
+    assert!(spans.iter().all(|(_, value)| value == b"ends"));
+    assert_eq!(spans.len(), 6);
+}
+
+#[test]
+fn what_is_written_is_the_same_bytes_as_by_the_first_version() {
+    let folder = tempfile::tempdir().expect("a folder");
+    write(folder.path());
+    assert_eq!(segments(folder.path()), segments(&recorded()));
+}
--- a/crates/wirehost/tests/batches.rs
+++ b/crates/wirehost/tests/batches.rs
@@ -1,7 +1,8 @@
 //! The binary on literal batches.
 
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
+
+use common::{replies, run};
 
 const BORN: &str = "born who=gateway-0 prng=7 balancers=1 me=0 discovery=pushed lanes.count=1 \
     lanes.0.effect=read_like lanes.0.onTimeMs=750.0 lanes.0.value=2.0 tiersOfService.count=1 \
@@ -18,24 +19,6 @@
     format!("begin_batch atTimeMs={at} turn={turn}\n{events}your_turn\n\n")
 }
 
-fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_fernscale-wirehost"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the binary starts");
-    // A line that can't be understood ends the process, which may then read no further.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the binary ends")
-}
-
-fn replies(input: &str) -> String {
-    let output = run(input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    String::from_utf8(output.stdout).expect("text")
-}
-
 #[test]
 fn empty_batches_and_the_end_of_input() {
     assert_eq!(replies(&(batch(1, 5.0, &[]) + &batch(2, 6.5, &[]))), "done turn=1\ndone turn=2\n");
