--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -7,10 +7,10 @@
 use clap::Subcommand;
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::{Config, Source};
-use fernscale_mesh::carry::Kind;
-use fernscale_mesh::seal::Key;
-use fernscale_owner::view::{Answer, Question, View, Votes};
-use fernscale_owner::{majority, Fence, Name};
+use fernscale_lease::view::{Answer, Question, View, Votes};
+use fernscale_lease::{majority, Fence, Name};
+use fernscale_membership::carry::Kind;
+use fernscale_membership::seal::Key;
 use serde_json::json;
 
 #[derive(Subcommand)]
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -4,8 +4,8 @@
 
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::Source;
-use fernscale_mesh::carry::Kind;
-use fernscale_signals::view::{Seen, View};
+use fernscale_membership::carry::Kind;
+use fernscale_outlier_detection::view::{Seen, View};
 use serde_json::json;
 
 pub fn servers(own: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -7,9 +7,9 @@
 use clap::Args;
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::Source;
-use fernscale_mesh::carry::Kind;
-use fernscale_subset::view::View;
-use fernscale_subset::{deal, moved, picture, Deal, Gateway, Server, Settings, FLOOR};
+use fernscale_membership::carry::Kind;
+use fernscale_subsetting::view::View;
+use fernscale_subsetting::{deal, moved, picture, Deal, Gateway, Server, Settings, FLOOR};
 use serde_json::{json, Value};
 
 /// More of either than anybody has.
--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/mesh.rs
@@ -11,14 +11,14 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use event_listener::Event as Wake;
-use fernscale::interface::Micros;
-use fernscale_mesh::carry::{Came, Kind, Refused};
-use fernscale_mesh::node::{Config, Event, Node, Output};
-use fernscale_mesh::packet::{Packet, Peer, Stream, Sum, View, Viewed, MOST_BYTES, MOST_FULL};
-use fernscale_mesh::seal::{Key, Sealer};
-use fernscale_tally::rumour::Live;
-use fernscale_tally::tally;
-use fernscale_tally::vectors::Instance;
+use fernscale_membership::carry::{Came, Kind, Refused};
+use fernscale_membership::node::{Config, Event, Node, Output};
+use fernscale_membership::packet::{Packet, Peer, Stream, Sum, View, Viewed, MOST_BYTES, MOST_FULL};
+use fernscale_membership::seal::{Key, Sealer};
+use fernscale_policy::interface::Micros;
+use fernscale_shared_counter::rumour::Live;
+use fernscale_shared_counter::tally;
+use fernscale_shared_counter::vectors::Instance;
 use futures_lite::{future, StreamExt};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -424,7 +424,7 @@
 
     fn view(&self) -> View {
         let (node, now) = (self.node.borrow(), self.shared.clock.now());
-        let member = |member: &fernscale_mesh::node::Member| Viewed {
+        let member = |member: &fernscale_membership::node::Member| Viewed {
             peer: member.peer.clone(),
             state: member.state,
             incarnation: member.incarnation,
--- a/crates/gateway/src/fleet/signals.rs
+++ b/crates/gateway/src/fleet/signals.rs
@@ -7,11 +7,11 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use fernscale::interface::{Id, Listed, Micros, State};
-use fernscale_mesh::carry::{Came, Kind};
-use fernscale_signals::signals::{Change, Me, Met, Server, Signals as Core};
-use fernscale_signals::view::View;
-use fernscale_signals::Note;
+use fernscale_membership::carry::{Came, Kind};
+use fernscale_outlier_detection::signals::{Change, Me, Met, Server, Signals as Core};
+use fernscale_outlier_detection::view::View;
+use fernscale_outlier_detection::Note;
+use fernscale_policy::interface::{Id, Listed, Micros, State};
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsets.rs
@@ -7,12 +7,12 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use fernscale::interface::{Id, Listed, Micros, State, Subset};
-use fernscale_mesh::carry::{Came, Kind};
-use fernscale_subset::loads::{Known, Live, Loads, Note};
-use fernscale_subset::own::{Own, View};
-use fernscale_subset::view::{Seen, Taken, View as Shown};
-use fernscale_subset::{Gateway, Server};
+use fernscale_membership::carry::{Came, Kind};
+use fernscale_policy::interface::{Id, Listed, Micros, State, Subset};
+use fernscale_subsetting::loads::{Known, Live, Loads, Note};
+use fernscale_subsetting::own::{Own, View};
+use fernscale_subsetting::view::{Seen, Taken, View as Shown};
+use fernscale_subsetting::{Gateway, Server};
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
@@ -82,7 +82,7 @@
         let run = mesh.map(|mesh| mesh.me().instance.0);
         let own = Live { name: me.name.clone(), run: run.unwrap_or(0) };
         let name = mesh.map_or(me.number.to_string(), |_| me.name.clone());
-        let dealt = fernscale_subset::Settings { least: settings.least, zones: settings.zone.is_some() };
+        let dealt = fernscale_subsetting::Settings { least: settings.least, zones: settings.zone.is_some() };
         let core = Core {
             own: Own::new(&name, dealt, rand::random()),
             loads: mesh.map(|_| Loads::new(own, &zone, rand::random(), now)),
--- a/crates/gateway/src/fleet/trial.rs
+++ b/crates/gateway/src/fleet/trial.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fernscale::interface::Micros;
-use fernscale_owner::claimer::Effect;
-use fernscale_owner::{Fence, Name, Run};
+use fernscale_lease::claimer::Effect;
+use fernscale_lease::{Fence, Name, Run};
+use fernscale_policy::interface::Micros;
 use futures_lite::io::BufReader;
 use futures_lite::{future, AsyncBufReadExt, AsyncWriteExt};
 use serde_json::{json, Value};
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -5,8 +5,8 @@
 use std::os::fd::RawFd;
 use std::path::{Path, PathBuf};
 
-use fernscale::interface::Settings;
-use fernscale::settings::{self, Fields, Outside};
+use fernscale_policy::interface::Settings;
+use fernscale_policy::settings::{self, Fields, Outside};
 use serde_json::value::RawValue;
 use serde_json::Value;
 
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -7,9 +7,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use fernscale::interface::Micros;
-use fernscale_mesh::seal::Key;
-use fernscale_owner::{Terms, Voters, LONGEST_NAME, MOST_VOTERS};
+use fernscale_lease::{Terms, Voters, LONGEST_NAME, MOST_VOTERS};
+use fernscale_membership::seal::Key;
+use fernscale_policy::interface::Micros;
 use serde_json::{json, Map, Value};
 use toml::de::DeTable;
 
@@ -373,8 +373,8 @@
 const MOST_LEAST: u64 = 10_000;
 
 fn subsets_section(section: &mut Section, zones: &[String]) -> subsets::Settings {
-    let usual = fernscale_subset::Settings::default().least;
-    let least = section.count("least", fernscale_subset::FLOOR as u64..=MOST_LEAST);
+    let usual = fernscale_subsetting::Settings::default().least;
+    let least = section.count("least", fernscale_subsetting::FLOOR as u64..=MOST_LEAST);
     let least = least.map_or(usual, |least| least.value as usize);
     subsets::Settings { least, zone: own_zone(section, zones) }
 }
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use fernscale::interface::Micros;
+use fernscale_policy::interface::Micros;
 use futures_lite::StreamExt;
 use rustix::event::{self, PollFd, PollFlags, Timespec};
 use serde_json::Value;
--- a/crates/gateway/src/protocol/call.rs
+++ b/crates/gateway/src/protocol/call.rs
@@ -4,8 +4,8 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use fernscale::interface::{Id, Load, Micros, Transaction};
-use fernscale::settings::{self, Outside};
+use fernscale_policy::interface::{Id, Load, Micros, Transaction};
+use fernscale_policy::settings::{self, Outside};
 
 use super::resp::{self, write_bulk, write_command, Opening, Reply};
 use super::Scanned;
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use fernscale::interface::{Id, Listed, State};
-use fernscale::settings::Outside;
+use fernscale_policy::interface::{Id, Listed, State};
+use fernscale_policy::settings::Outside;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
--- a/crates/gateway/src/routing/client.rs
+++ b/crates/gateway/src/routing/client.rs
@@ -8,7 +8,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use fernscale::interface::Id;
+use fernscale_policy::interface::Id;
 use futures_lite::{future, StreamExt};
 use slog::{debug, warn};
 
--- a/crates/gateway/src/routing/counter.rs
+++ b/crates/gateway/src/routing/counter.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
-use fernscale::interface::Micros;
+use fernscale_policy::interface::Micros;
 use futures_lite::future::{self, BoxedLocal};
 use slog::{info, warn};
 
--- a/crates/gateway/src/routing/handover.rs
+++ b/crates/gateway/src/routing/handover.rs
@@ -7,9 +7,9 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use fernscale::interface::Id;
-use fernscale_handover::core::{Change, Handover, Micros, Part, Record};
-use fernscale_handover::shell::Shell;
+use fernscale_hot_restart::core::{Change, Handover, Micros, Part, Record};
+use fernscale_hot_restart::shell::Shell;
+use fernscale_policy::interface::Id;
 use slog::{debug, info, warn};
 
 use super::operator::Order;
@@ -56,7 +56,7 @@
         directory: &Path,
         sockets: usize,
         orders: Sender<Order>,
-    ) -> Result<Self, fernscale_handover::shell::Error> {
+    ) -> Result<Self, fernscale_hot_restart::shell::Error> {
         let shell = Shell::open(directory)?;
         let core = RefCell::new(Handover::new(shell.me(), sockets));
         let link = Link {
--- a/crates/gateway/src/routing/host.rs
+++ b/crates/gateway/src/routing/host.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use fernscale::interface::{Host, Id, Micros};
-use fernscale::refusal::Refusal;
+use fernscale_policy::interface::{Host, Id, Micros};
+use fernscale_policy::refusal::Refusal;
 use slog::{info, Logger};
 
 use super::counter::Add;
--- a/crates/gateway/src/routing/leavers.rs
+++ b/crates/gateway/src/routing/leavers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use fernscale::interface::{Id, Listed, Micros, State};
+use fernscale_policy::interface::{Id, Listed, Micros, State};
 
 use crate::protocol::catalog::Members;
 
--- a/crates/gateway/src/routing/mod.rs
+++ b/crates/gateway/src/routing/mod.rs
@@ -23,8 +23,8 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use fernscale::interface::{Id, Load, Micros};
-use fernscale::settings::Outside;
+use fernscale_policy::interface::{Id, Load, Micros};
+use fernscale_policy::settings::Outside;
 use slog::Logger;
 
 use crate::fleet::{mesh, owners, signals, subsets};
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/routing/module.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender, TrySendError};
-use fernscale::interface::{Id, Listed, Load, Micros, Outcome, Returned, Settings, State};
-use fernscale::policy::Gateway;
+use fernscale_policy::interface::{Id, Listed, Load, Micros, Outcome, Returned, Settings, State};
+use fernscale_policy::policy::Gateway;
 use futures_lite::{future, StreamExt};
 use slog::{debug, info, warn};
 
-use fernscale_tally::tally::{self, End, Step, Tally};
+use fernscale_shared_counter::tally::{self, End, Step, Tally};
 
 use super::counter::Add;
 use super::figures::Pool;
--- a/crates/gateway/src/routing/outcome.rs
+++ b/crates/gateway/src/routing/outcome.rs
@@ -1,7 +1,7 @@
 //! What the end of a connection means for what was asked on it. Nowhere else is this decided.
 
-use fernscale::interface::{Micros, Outcome};
-use fernscale_signals::signals::Met;
+use fernscale_outlier_detection::signals::Met;
+use fernscale_policy::interface::{Micros, Outcome};
 
 use crate::protocol::call::Said;
 use crate::transport::ending::Ending;
--- a/crates/gateway/src/routing/peer.rs
+++ b/crates/gateway/src/routing/peer.rs
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
-use fernscale::interface::{Id, Load, Micros};
+use fernscale_policy::interface::{Id, Load, Micros};
 use futures_lite::{future, StreamExt};
 
 use super::outcome::Lost;
--- a/crates/gateway/src/routing/starts.rs
+++ b/crates/gateway/src/routing/starts.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use fernscale::interface::{Id, Listed, Micros};
+use fernscale_policy::interface::{Id, Listed, Micros};
 
 use crate::protocol::catalog::Members;
 
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -10,8 +10,6 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use fernscale::interface::Outcome;
-use fernscale::settings::Outside;
 use fernscale_gateway::protocol::call::{self, Request};
 use fernscale_gateway::protocol::catalog::{self, Members};
 use fernscale_gateway::routing::counter::{Add, Counter};
@@ -26,6 +24,8 @@
 use fernscale_gateway::transport::connection::Connection;
 use fernscale_gateway::transport::ending::Ending;
 use fernscale_gateway::transport::limits::Limits;
+use fernscale_policy::interface::Outcome;
+use fernscale_policy::settings::Outside;
 
 fn shared() -> Rc<Shared> {
     shared_with(false)
@@ -412,14 +412,14 @@
         (&ended, listed(9, true, false, &[("s", up, 7)]), false),
         (&ended, listed(9, true, false, &[("s", up, 8)]), true),
     ] {
-        let (mut leavers, s) = (Leavers::default(), fernscale::interface::Id::from("s"));
+        let (mut leavers, s) = (Leavers::default(), fernscale_policy::interface::Id::from("s"));
         for members in known {
             leavers.read(&mut members.clone());
         }
         assert!(leavers.contains(&s));
         let mut next = next;
         leavers.read(&mut next);
-        let usable = next.servers[0].0.state == fernscale::interface::State::Ready;
+        let usable = next.servers[0].0.state == fernscale_policy::interface::State::Ready;
         assert_eq!((usable, !leavers.contains(&s)), (back, back), "{next:?}");
         if next.moved && !back {
             // A later whole list there says nothing new of it, a change does.
@@ -546,7 +546,7 @@
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", b"t1", b"c=read,t=team,d=900"];
     let Ok(Request::Call(call)) = call::request(&words, &outside) else { panic!("a call") };
     let (events, told) = async_channel::bounded(4);
-    let name: fernscale::interface::Id = "s0".into();
+    let name: fernscale_policy::interface::Id = "s0".into();
     let orders = peer::start(&shared, &events, &name, address);
     let order = Order::Trip { call: Rc::new(call), trip: 0, limit: 900_000, made: Instant::now() };
     let outcome = async {
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -8,17 +8,17 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use fernscale_mesh::carry::{Carried, Kind};
-use fernscale_mesh::packet::{Full, News, Packet, Peer, State, Stream, Sum, Told, View, Viewed, Word};
-use fernscale_mesh::seal::{Key, Sealer};
-use fernscale_owner::message::{Ask, Hello, Known, Letter, Refusal, Say};
-use fernscale_owner::told::{Entry, Note, Piece, Version};
-use fernscale_owner::voter::{Head, Other};
-use fernscale_owner::{view as jobs, Fence, Name, Run, Set};
-use fernscale_signals::{view as servers, Level};
-use fernscale_subset::{loads, view as subsets};
-use fernscale_tally::rumour;
-use fernscale_tally::vectors::{Instance, Part};
+use fernscale_lease::message::{Ask, Hello, Known, Letter, Refusal, Say};
+use fernscale_lease::told::{Entry, Note, Piece, Version};
+use fernscale_lease::voter::{Head, Other};
+use fernscale_lease::{view as jobs, Fence, Name, Run, Set};
+use fernscale_membership::carry::{Carried, Kind};
+use fernscale_membership::packet::{Full, News, Packet, Peer, State, Stream, Sum, Told, View, Viewed, Word};
+use fernscale_membership::seal::{Key, Sealer};
+use fernscale_outlier_detection::{view as servers, Level};
+use fernscale_shared_counter::rumour;
+use fernscale_shared_counter::vectors::{Instance, Part};
+use fernscale_subsetting::{loads, view as subsets};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -253,7 +253,7 @@
 #[test]
 fn outlier_reports() {
     let level = Level { bad: 3, slow: 1, seen: 4 };
-    let word = fernscale_signals::Word {
+    let word = fernscale_outlier_detection::Word {
         run: 0x66,
         server: "10.0.0.1:80".into(),
         started: 1_700_000_000_000_000,
@@ -262,7 +262,10 @@
         level,
         speaks_for: 5,
     };
-    check("outlier-reports.bin", &[fernscale_signals::Note::Words(vec![word]), fernscale_signals::Note::Ask]);
+    check(
+        "outlier-reports.bin",
+        &[fernscale_outlier_detection::Note::Words(vec![word]), fernscale_outlier_detection::Note::Ask],
+    );
     let standings = [
         servers::Standing::Fine,
         servers::Standing::BadHere,
@@ -291,7 +294,7 @@
 /// JSON: here names are the encoding.
 #[test]
 fn records_that_two_processes_share() {
-    use fernscale_handover::core::{Record, Word};
+    use fernscale_hot_restart::core::{Record, Word};
     let word = |stamp, out| Word { stamp, by: 1_700_000_000_000_001, at: 1_700_000_000_000_002, out };
     let record = Record {
         version: 3,
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -3,10 +3,10 @@
 
 use std::time::{Duration, Instant};
 
-use fernscale::settings::Outside;
 use fernscale_gateway::protocol::catalog::{members, Known, Refused, SlicedReader};
 use fernscale_gateway::protocol::http;
 use fernscale_gateway::routing::leavers::Leavers;
+use fernscale_policy::settings::Outside;
 
 const GOOD: &str = r#"{"name":"a","address":"127.0.0.1:1","zone":"z","group":2,"status":"in_service","weight":2.5,"since_ms":7}"#;
 const DRAINS: &str = r#"{ "name" : "b", "address" : "127.0.0.1:2", "status" : "terminating" }"#;
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -6,8 +6,8 @@
 use fernscale_gateway::transport::ending::Ending;
 use fernscale_gateway::transport::limits::Places;
 
-use fernscale::interface::Load;
-use fernscale::settings::Outside;
+use fernscale_policy::interface::Load;
+use fernscale_policy::settings::Outside;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use resp::Reply;
 
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -1,9 +1,9 @@
 //! When servers started, while the wall clock is set to other times.
 
-use fernscale::interface::{Id, Listed, Micros, State};
 use fernscale_gateway::protocol::catalog::Members;
 use fernscale_gateway::routing::starts::StartTimes;
 use fernscale_gateway::transport::wall::WallClock;
+use fernscale_policy::interface::{Id, Listed, Micros, State};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_handover::core::{Change, Generation, Handover, Other, Part, Record};
+use fernscale_hot_restart::core::{Change, Generation, Handover, Other, Part, Record};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/hot-restart/tests/shell.rs
+++ b/crates/hot-restart/tests/shell.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::Path;
 
-use fernscale_handover::core::{Handover, Record};
-use fernscale_handover::shell::Shell;
+use fernscale_hot_restart::core::{Handover, Record};
+use fernscale_hot_restart::shell::Shell;
 
 fn record(server: &str) -> Record {
     let mut core = Handover::new(1, 100);
--- a/crates/lab/src/jobs.rs
+++ b/crates/lab/src/jobs.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use fernscale_owner::claimer::{Claimer, Output as Wants};
-use fernscale_owner::message::{Letter, Say};
-use fernscale_owner::order::Candidate;
-use fernscale_owner::roster::Roster;
-use fernscale_owner::voter::{Durable, Output, Voter};
-use fernscale_owner::{Name, Run, Terms, Voters, MILLISECOND, SECOND};
+use fernscale_lease::claimer::{Claimer, Output as Wants};
+use fernscale_lease::message::{Letter, Say};
+use fernscale_lease::order::Candidate;
+use fernscale_lease::roster::Roster;
+use fernscale_lease::voter::{Durable, Output, Voter};
+use fernscale_lease::{Name, Run, Terms, Voters, MILLISECOND, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
--- a/crates/lab/src/live/ask.rs
+++ b/crates/lab/src/live/ask.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::net::SocketAddr;
 
-use fernscale_mesh::packet::{State, Stream as Said};
-use fernscale_mesh::seal::{Key, Sealer};
-use fernscale_tally::vectors::Instance;
+use fernscale_membership::packet::{State, Stream as Said};
+use fernscale_membership::seal::{Key, Sealer};
+use fernscale_shared_counter::vectors::Instance;
 use futures_lite::future;
 
 use super::stream::Stream;
--- a/crates/lab/src/mesh.rs
+++ b/crates/lab/src/mesh.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use fernscale_mesh::node::{Config, Event, Node, Output};
-use fernscale_mesh::packet::{Full, Packet, Peer, State};
-use fernscale_tally::vectors::Instance;
+use fernscale_membership::node::{Config, Event, Node, Output};
+use fernscale_membership::packet::{Full, Packet, Peer, State};
+use fernscale_shared_counter::vectors::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
--- a/crates/lab/src/owners.rs
+++ b/crates/lab/src/owners.rs
@@ -5,11 +5,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fernscale_owner::claimer::{Claimer, Event, Output as Wants};
-use fernscale_owner::guard::{Admit, Guard};
-use fernscale_owner::message::{Ask, Say};
-use fernscale_owner::voter::{Change, Durable, Output, Voter};
-use fernscale_owner::{Fence, Micros, Name, Run, Set, Terms, Voters, MILLISECOND};
+use fernscale_lease::claimer::{Claimer, Event, Output as Wants};
+use fernscale_lease::guard::{Admit, Guard};
+use fernscale_lease::message::{Ask, Say};
+use fernscale_lease::voter::{Change, Durable, Output, Voter};
+use fernscale_lease::{Fence, Micros, Name, Run, Set, Terms, Voters, MILLISECOND};
 
 use crate::explore::System;
 
--- a/crates/lab/src/quotas.rs
+++ b/crates/lab/src/quotas.rs
@@ -6,9 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
 
-use fernscale::interface::{self as module, Host, Id, Listed, Load, Outcome, Returned, State, Transaction};
-use fernscale::policy::Gateway;
-use fernscale::refusal::Refusal;
+use fernscale_policy::interface::{
+    self as module, Host, Id, Listed, Load, Outcome, Returned, State, Transaction,
+};
+use fernscale_policy::policy::Gateway;
+use fernscale_policy::refusal::Refusal;
 use serde_json::{json, Value};
 
 use crate::model::counter::{Counter, Said, Spec};
--- a/crates/lab/src/signals.rs
+++ b/crates/lab/src/signals.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fernscale_signals::signals::{Me, Met, Server, Signals};
-use fernscale_signals::{Level, Note, Word};
-use fernscale_tally::rumour::Live;
+use fernscale_outlier_detection::signals::{Me, Met, Server, Signals};
+use fernscale_outlier_detection::{Level, Note, Word};
+use fernscale_shared_counter::rumour::Live;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use fernscale_subset::dealer::Dealer;
-use fernscale_subset::{baselines, deal, moved, picture, Deal, Gateway, Server, Settings};
+use fernscale_subsetting::dealer::Dealer;
+use fernscale_subsetting::{baselines, deal, moved, picture, Deal, Gateway, Server, Settings};
 use serde_json::{json, Value};
 
 /// Loads as they are seen: a quarter of the gateways carries most.
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-use fernscale_mesh::node::Event as Told;
-use fernscale_mesh::packet::State;
+use fernscale_membership::node::Event as Told;
+use fernscale_membership::packet::State;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -6,11 +6,11 @@
 use fernscale_lab::mesh::Mesh;
 use fernscale_lab::model::counter::{Counter, Said, Spec};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
-use fernscale_mesh::carry::{Kind, Refused, MOST_ON_DATAGRAM};
-use fernscale_mesh::node::{Config, Node, Output};
-use fernscale_mesh::packet::{Peer, State, Word};
-use fernscale_owner::order::{first, Candidate};
-use fernscale_tally::vectors::Instance;
+use fernscale_lease::order::{first, Candidate};
+use fernscale_membership::carry::{Kind, Refused, MOST_ON_DATAGRAM};
+use fernscale_membership::node::{Config, Node, Output};
+use fernscale_membership::packet::{Peer, State, Word};
+use fernscale_shared_counter::vectors::Instance;
 
 /// Whoever adds the first one to a term's name has the lock of that term.
 fn locks(counter: &mut Counter, now: Micros, term: u64) -> bool {
--- a/crates/lab/tests/mesh.rs
+++ b/crates/lab/tests/mesh.rs
@@ -2,10 +2,10 @@
 
 use fernscale_lab::mesh::{Mesh, Weather};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
-use fernscale_mesh::node::Event;
-use fernscale_mesh::packet::{Packet, Peer, Word};
-use fernscale_mesh::seal::{Key, Refused, Sealer};
-use fernscale_tally::vectors::Instance;
+use fernscale_membership::node::Event;
+use fernscale_membership::packet::{Packet, Peer, Word};
+use fernscale_membership::seal::{Key, Refused, Sealer};
+use fernscale_shared_counter::vectors::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lab/tests/signals.rs
+++ b/crates/lab/tests/signals.rs
@@ -2,7 +2,7 @@
 
 use fernscale_lab::signals::{Does, Fleet};
 use fernscale_lab::SECOND;
-use fernscale_signals::signals::MOST_OUT;
+use fernscale_outlier_detection::signals::MOST_OUT;
 
 #[test]
 fn while_all_is_well_nobody_says_anything() {
--- a/crates/lease/tests/owner.rs
+++ b/crates/lease/tests/owner.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use fernscale_owner::claimer::{Claimer, Event, Output as Wants};
-use fernscale_owner::guard::{Admit, Guard};
-use fernscale_owner::message::{Ask, Known, Refusal, Say};
-use fernscale_owner::order::{first, place, Candidate};
-use fernscale_owner::voter::{Change, Durable, Event as Told, Output, Voter};
-use fernscale_owner::{Fence, Micros, Name, Run, Terms, Voters, MILLISECOND, SECOND};
+use fernscale_lease::claimer::{Claimer, Event, Output as Wants};
+use fernscale_lease::guard::{Admit, Guard};
+use fernscale_lease::message::{Ask, Known, Refusal, Say};
+use fernscale_lease::order::{first, place, Candidate};
+use fernscale_lease::voter::{Change, Durable, Event as Told, Output, Voter};
+use fernscale_lease::{Fence, Micros, Name, Run, Terms, Voters, MILLISECOND, SECOND};
 
 const TERMS: Terms = Terms { lease: 2 * SECOND, drift: 20_000 };
 
--- a/crates/lease/tests/roster.rs
+++ b/crates/lease/tests/roster.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fernscale_owner::claimer::{Claimer, Output as Wants};
-use fernscale_owner::message::{Letter, Say};
-use fernscale_owner::order::{in_order, Candidate};
-use fernscale_owner::roster::Roster;
-use fernscale_owner::voter::{Durable, Output, Voter};
-use fernscale_owner::{Micros, Name, Run, Terms, Voters, MILLISECOND, SECOND};
+use fernscale_lease::claimer::{Claimer, Output as Wants};
+use fernscale_lease::message::{Letter, Say};
+use fernscale_lease::order::{in_order, Candidate};
+use fernscale_lease::roster::Roster;
+use fernscale_lease::voter::{Durable, Output, Voter};
+use fernscale_lease::{Micros, Name, Run, Terms, Voters, MILLISECOND, SECOND};
 
 const TERMS: Terms = Terms { lease: SECOND, drift: 10_000 };
 const LOOK: Micros = 100 * MILLISECOND;
--- a/crates/lease/tests/told.rs
+++ b/crates/lease/tests/told.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_owner::told::{Answer, Entry, Note, Output, Piece, Told, Version};
-use fernscale_owner::{Fence, Micros, Name, Run, MILLISECOND, SECOND};
+use fernscale_lease::told::{Answer, Entry, Note, Output, Piece, Told, Version};
+use fernscale_lease::{Fence, Micros, Name, Run, MILLISECOND, SECOND};
 
 const WITHIN: Micros = 3 * SECOND;
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fernscale_tally::vectors::{Change, Instance, Vectors, LONGEST_NAME};
-use fernscale_tally::{Micros, MILLISECOND, SECOND};
+use fernscale_shared_counter::vectors::{Change, Instance, Vectors, LONGEST_NAME};
+use fernscale_shared_counter::{Micros, MILLISECOND, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use fernscale_tally::vectors::{Instance, Part};
+use fernscale_shared_counter::vectors::{Instance, Part};
 use serde::{Deserialize, Serialize};
 
 use crate::carry::{Carried, Kind};
--- a/crates/membership/src/recent.rs
+++ b/crates/membership/src/recent.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use fernscale_tally::vectors::Instance;
-use fernscale_tally::{Micros, SECOND};
+use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::{Micros, SECOND};
 
 /// A part that has not changed for so long is told once more: both of its tellings may be on datagrams that were lost in one
 /// moment, and a part that changes on and on is told with each change anyway.
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-use fernscale_tally::vectors::Instance;
-use fernscale_tally::{Micros, SECOND};
+use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::{Micros, SECOND};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use siphasher::sip128::{Hasher128, SipHasher24};
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -16,7 +16,7 @@
 
 use std::hash::Hasher;
 
-use fernscale_tally::rumour;
+use fernscale_shared_counter::rumour;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
--- a/crates/outlier-detection/src/signals.rs
+++ b/crates/outlier-detection/src/signals.rs
@@ -7,7 +7,7 @@
 use crate::turns;
 use crate::view::{Seen, Standing, View};
 use crate::{chance, drawn, Level, Micros, Note, Word, MILLISECOND, SECOND};
-use fernscale_tally::rumour::{Live, Manner, Rumour};
+use fernscale_shared_counter::rumour::{Live, Manner, Rumour};
 
 /// Words go out fast, as each tenth of a second is some trips hurt at a bad server; with at most some ten words for each server
 /// of a large list that somebody speaks of.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use fernscale::interface::*;
-use fernscale::policy::Gateway;
-use fernscale::refusal::Refusal;
+use fernscale_policy::interface::*;
+use fernscale_policy::policy::Gateway;
+use fernscale_policy::refusal::Refusal;
 
 pub const MS: Micros = 1_000;
 
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use common::*;
-use fernscale::interface::*;
+use fernscale_policy::interface::*;
 
 fn adds(did: &[Did]) -> Vec<(String, f64)> {
     let added = |did: &Did| match did {
--- a/crates/policy/tests/operations.rs
+++ b/crates/policy/tests/operations.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernscale::interface::*;
+use fernscale_policy::interface::*;
 
 /// Asks so often, 20 ms apart, answers all, and counts what went to this server.
 fn sent_to(bed: &mut Bed, server: &str, asks: usize) -> usize {
--- a/crates/policy/tests/refusals.rs
+++ b/crates/policy/tests/refusals.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use fernscale::interface::*;
-use fernscale::refusal::Refusal;
+use fernscale_policy::interface::*;
+use fernscale_policy::refusal::Refusal;
 
 const LEFT: Micros = 300 * MS;
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use fernscale::interface::*;
+use fernscale_policy::interface::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 #[derive(Clone, Debug)]
@@ -254,7 +254,7 @@
                 let now = bed.now();
                 bed = Bed::new(Settings { may_cancel, ..settings(kind, plan.clone()) }, 6);
                 bed.notes.0.borrow_mut().now = now;
-                bed.gateway = fernscale::policy::Gateway::start(
+                bed.gateway = fernscale_policy::policy::Gateway::start(
                     Settings { may_cancel, ..settings(kind, plan.clone()) },
                     bed.notes.clone(),
                 );
--- a/crates/shared-counter/tests/tally.rs
+++ b/crates/shared-counter/tests/tally.rs
@@ -1,8 +1,8 @@
 //! What the tally makes of a counter that is lost, emptied, apart or merely late; and that it adds nothing twice.
 
-use fernscale_tally::tally::{End, Mesh, Standing, Step, Tally, Told};
-use fernscale_tally::vectors::{Instance, Part, Vectors};
-use fernscale_tally::{Micros, MILLISECOND, SECOND};
+use fernscale_shared_counter::tally::{End, Mesh, Standing, Step, Tally, Told};
+use fernscale_shared_counter::vectors::{Instance, Part, Vectors};
+use fernscale_shared_counter::{Micros, MILLISECOND, SECOND};
 use quickcheck::{quickcheck, TestResult};
 
 const LIFE: Micros = 60 * SECOND;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use fernscale::interface::{Host, Id, Micros};
-use fernscale::refusal::Refusal;
+use fernscale_policy::interface::{Host, Id, Micros};
+use fernscale_policy::refusal::Refusal;
 
 use crate::wire::{base64, millis};
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -10,9 +10,9 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use fernscale::interface::{Listed, Micros, State};
-use fernscale::policy::Gateway;
-use fernscale::settings::{self, Fields, Parsed};
+use fernscale_policy::interface::{Listed, Micros, State};
+use fernscale_policy::policy::Gateway;
+use fernscale_policy::settings::{self, Fields, Parsed};
 
 use host::{Desk, WireHost};
 use wire::{from_base64, Line};
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use fernscale::interface::{Id, Load, Micros, Outcome, Returned, Transaction};
-use fernscale::settings::{self, Fields, Parsed};
+use fernscale_policy::interface::{Id, Load, Micros, Outcome, Returned, Transaction};
+use fernscale_policy::settings::{self, Fields, Parsed};
 
 /// One line: its name and its `name=value` parts.
 pub struct Line<'a> {
--- a/crates/simulator-adapter/tests/common/mod.rs
+++ b/crates/simulator-adapter/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 pub fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_fernscale-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_fernscale-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/subsetting/src/loads.rs
+++ b/crates/subsetting/src/loads.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-pub use fernscale_tally::rumour::Live;
-use fernscale_tally::rumour::{self, Manner, Rumour};
+pub use fernscale_shared_counter::rumour::Live;
+use fernscale_shared_counter::rumour::{self, Manner, Rumour};
 use serde::{Deserialize, Serialize};
 
 use crate::{Micros, SECOND};
--- a/crates/subsetting/tests/fleet.rs
+++ b/crates/subsetting/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fernscale_subset::loads::{Live, Loads, Note, Word};
-use fernscale_subset::own::{Own, View};
-use fernscale_subset::{Gateway, Micros, Server, Settings, FLOOR};
+use fernscale_subsetting::loads::{Live, Loads, Note, Word};
+use fernscale_subsetting::own::{Own, View};
+use fernscale_subsetting::{Gateway, Micros, Server, Settings, FLOOR};
 
 const SECOND: Micros = 1_000_000;
 const TURN: Micros = 50_000;
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -1,7 +1,7 @@
 //! What must hold of a deal, for few and many gateways and servers, equal and unequal; and for views that differ.
 
-use fernscale_subset::dealer::Dealer;
-use fernscale_subset::{
+use fernscale_subsetting::dealer::Dealer;
+use fernscale_subsetting::{
     baselines, deal, moved, picture, together, Deal, Gateway, Part, Server, Settings, FLOOR,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -65,7 +65,7 @@
         let mut named: Vec<(String, String, i64)> = Vec::new();
         for (gateway, parts) in all.iter().zip(&deal.parts) {
             let share = |share: f64| (share * 1e6).round() as i64;
-            let of = |part: &fernscale_subset::Part| {
+            let of = |part: &fernscale_subsetting::Part| {
                 (gateway.name.clone(), taken[part.server].name.clone(), share(part.share))
             };
             named.extend(parts.iter().map(of));
