--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -15,8 +15,8 @@
     println!(
         "{shown}: good; gateway '{}' of {}, {} lanes, {} plans, {} servers known",
         config.name,
-        config.settings.gateways,
-        config.settings.lanes.len(),
+        config.settings.gateway_count,
+        config.settings.classes.len(),
         config.settings.plans.len(),
         config.known.map_or(0, |known| known.servers.len()),
     );
--- a/crates/gateway/src/fleet/list.rs
+++ b/crates/gateway/src/fleet/list.rs
@@ -11,7 +11,7 @@
 use fernscale_lease::told::{Answer, Entry, Note, Output, Piece, Told};
 use fernscale_lease::Name;
 use fernscale_membership::carry::{Came, Kind};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use futures_lite::{future, StreamExt};
 use serde_json::{json, Value};
 use slog::{info, warn};
--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/mesh.rs
@@ -15,7 +15,7 @@
 use fernscale_membership::node::{Config, Event, Node, Output};
 use fernscale_membership::packet::{Packet, Peer, Stream, Sum, View, Viewed, MOST_BYTES, MOST_FULL};
 use fernscale_membership::seal::{Key, Sealer};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use fernscale_shared_counter::rumour::Live;
 use fernscale_shared_counter::tally;
 use fernscale_shared_counter::vectors::Instance;
--- a/crates/gateway/src/fleet/owners.rs
+++ b/crates/gateway/src/fleet/owners.rs
@@ -18,7 +18,7 @@
 use fernscale_lease::voter::{Change, Durable as Promises, Event as Voted, Head, Output, Voter};
 use fernscale_lease::{Fence, Name, Run, Terms, Voters};
 use fernscale_membership::carry::{Came, Kind};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use fernscale_shared_counter::vectors::Instance;
 use fernscale_store::{Batch, Error};
 use futures_lite::{future, StreamExt};
--- a/crates/gateway/src/fleet/signals.rs
+++ b/crates/gateway/src/fleet/signals.rs
@@ -11,7 +11,7 @@
 use fernscale_outlier_detection::signals::{Change, Me, Met, Server, Signals as Core};
 use fernscale_outlier_detection::view::View;
 use fernscale_outlier_detection::Note;
-use fernscale_policy::interface::{Id, Listed, Micros, State};
+use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
@@ -68,15 +68,15 @@
     }
 
     /// Looks at the list and at what was said: which servers are to be left from now on, and which are not any more.
-    pub fn turn<'l>(&self, listed: impl Iterator<Item = &'l Listed>) -> Vec<Change> {
+    pub fn turn<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<Change> {
         let zone = |zone: u32| self.shared.outside.zones.get(zone as usize).cloned().unwrap_or_default();
-        let server = |listed: &Listed| Server {
+        let server = |listed: &Endpoint| Server {
             name: listed.server.to_string(),
-            weight: listed.rating,
+            weight: listed.weight,
             zone: zone(listed.zone),
-            started: listed.told_start.unwrap_or(0),
+            started: listed.listed_start.unwrap_or(0),
         };
-        let servers = listed.filter(|listed| listed.state == State::Ready).map(server).collect();
+        let servers = listed.filter(|listed| listed.state == EndpointState::Ready).map(server).collect();
         let (now, shared) = (awake_or_not(), self.shared.clock.now());
         let changes = self.core.borrow_mut().tick(now, shared, &self.mesh.live_runs(), servers);
         self.carry();
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsets.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use fernscale_membership::carry::{Came, Kind};
-use fernscale_policy::interface::{Id, Listed, Micros, State, Subset};
+use fernscale_policy::{Endpoint, EndpointState, Id, Micros, Subset};
 use fernscale_subsetting::loads::{Known, Live, Loads, Note};
 use fernscale_subsetting::own::{Own, View};
 use fernscale_subsetting::view::{Seen, Taken, View as Shown};
@@ -66,7 +66,7 @@
 }
 
 /// A server of the list, and whether this gateway avoids it now.
-pub type Place<'l> = (&'l Listed, bool);
+pub type Place<'l> = (&'l Endpoint, bool);
 
 impl Subsets {
     /// Takes part from now on. `events`: the module's, who is asked to look at its servers now and then.
@@ -184,15 +184,15 @@
     pub fn turn<'l>(&self, places: impl Iterator<Item = Place<'l>>) -> Change {
         let (now, shared_now) = (awake_or_not(), self.shared.clock.now());
         let (mut servers, mut avoided, mut cold) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
-        for (listed, avoids) in places.filter(|(listed, _)| listed.state == State::Ready) {
+        for (listed, avoids) in places.filter(|(listed, _)| listed.state == EndpointState::Ready) {
             let name = listed.server.to_string();
             if avoids {
                 avoided.insert(name.clone());
             }
-            if listed.started.is_some_and(|at| shared_now < at + self.me.warm_up) {
+            if listed.started_at.is_some_and(|at| shared_now < at + self.me.warm_up) {
                 cold.insert(name.clone());
             }
-            servers.push(Server { name, weight: listed.rating, zone: listed.zone });
+            servers.push(Server { name, weight: listed.weight, zone: listed.zone });
         }
         let live = self.live();
         let core = &mut *self.core.borrow_mut();
@@ -225,7 +225,7 @@
         // Beside the others' mean, as ratings are.
         let count = used.shares.len() as f64;
         let parts = used.shares.iter().map(|(name, share)| (Id::from(&**name), share * count));
-        change.subset = Some(Subset { parts: parts.collect(), shared_by: used.shared_by });
+        change.subset = Some(Subset { weights: parts.collect(), gateways_per_server: used.shared_by });
         core.used = names;
         change
     }
--- a/crates/gateway/src/fleet/trial.rs
+++ b/crates/gateway/src/fleet/trial.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use fernscale_lease::claimer::Effect;
 use fernscale_lease::{Fence, Name, Run};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use futures_lite::io::BufReader;
 use futures_lite::{future, AsyncBufReadExt, AsyncWriteExt};
 use serde_json::{json, Value};
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -5,8 +5,8 @@
 use std::os::fd::RawFd;
 use std::path::{Path, PathBuf};
 
-use fernscale_policy::interface::Settings;
-use fernscale_policy::settings::{self, Fields, Outside};
+use fernscale_policy::settings::{self, Fields, PlatformSettings};
+use fernscale_policy::Settings;
 use serde_json::value::RawValue;
 use serde_json::Value;
 
@@ -36,7 +36,7 @@
     pub sockets: usize,
     pub memory_mb: usize,
     pub settings: Settings,
-    pub outside: Outside,
+    pub outside: PlatformSettings,
     pub logging: Logging,
     /// The way to other gateways; absent, there is none.
     pub mesh: Option<mesh::Settings>,
@@ -182,9 +182,9 @@
     let mut flat = Flat(HashMap::from([("prng".into(), seed.to_string())]));
     let nested = config.get("settings").filter(|settings| settings.is_object());
     flat.flatten("", nested.ok_or("'settings' is missing, or no object")?);
-    let outside = settings::outside(&flat)?;
-    let settings = settings::settings(&flat)?;
-    if settings.lanes.is_empty() || settings.plans.is_empty() {
+    let outside = settings::platform_settings(&flat)?;
+    let settings = settings::policy_settings(&flat)?;
+    if settings.classes.is_empty() || settings.plans.is_empty() {
         return Err("'settings' has no 'lanes' or no 'tiersOfService'".into());
     }
     let operator = match (config.get("operator"), std::env::var(OPERATOR)) {
@@ -212,7 +212,7 @@
         if own.mesh.is_none() {
             return Err("[owner] needs [mesh], by which gateways speak with each other".into());
         }
-        if owner.list && settings.list_on_request.unwrap_or(0) == 0 {
+        if owner.list && settings.list_poll_interval.unwrap_or(0) == 0 {
             return Err(
                 "'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'".into()
             );
@@ -253,7 +253,7 @@
         name: text("name")?.into(),
         listen: address("listen")?,
         discovery: address("discovery")?,
-        counter: if settings.counter { Some(address("counter")?) } else { None },
+        counter: if settings.has_shared_counter { Some(address("counter")?) } else { None },
         operator,
         passed,
         sockets,
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -9,7 +9,7 @@
 
 use fernscale_lease::{Terms, Voters, LONGEST_NAME, MOST_VOTERS};
 use fernscale_membership::seal::Key;
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use serde_json::{json, Map, Value};
 use toml::de::DeTable;
 
--- a/crates/gateway/src/program/reader.rs
+++ b/crates/gateway/src/program/reader.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
 
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use futures_lite::StreamExt;
 use rustix::event::{self, PollFd, PollFlags, Timespec};
 use serde_json::Value;
@@ -89,7 +89,7 @@
             config.memory_mb,
             operators.as_ref().map_or(0, |_| OPERATORS + 1),
         ),
-        figures: Figures::new(&config.outside.lanes),
+        figures: Figures::new(&config.outside.class_names),
         cordoned: RefCell::default(),
         starts: RefCell::default(),
         left: RefCell::default(),
@@ -117,14 +117,18 @@
         trial: config.trial,
         signals: config.signals,
         subsets: config.subsets.map(|settings| {
-            let (number, gateways) = (config.settings.me, config.settings.gateways);
-            let me =
-                subsets::Me { name: config.name.clone(), number, gateways, warm_up: config.settings.warm_up };
+            let (number, gateways) = (config.settings.gateway_index, config.settings.gateway_count);
+            let me = subsets::Me {
+                name: config.name.clone(),
+                number,
+                gateways,
+                warm_up: config.settings.slow_start_duration,
+            };
             (settings, me)
         }),
         events: events.clone(),
         list: fleet_list::Needs {
-            within: config.settings.list_on_request.unwrap_or(0),
+            within: config.settings.list_poll_interval.unwrap_or(0),
             known: index,
             orders: list.clone(),
             events: events.clone(),
@@ -133,7 +137,7 @@
     if config.mesh.is_none() {
         fleet.starts_alone(&shared);
     } else if let Some(settings) = &config.mesh {
-        match Mesh::start(&shared, &config.name, config.settings.gateways, settings) {
+        match Mesh::start(&shared, &config.name, config.settings.gateway_count, settings) {
             Ok(mesh) => fleet.starts(&shared, mesh),
             // The other process of this gateway speaks for it until it ends.
             Err(error) if error.kind() == ErrorKind::AddrInUse && config.passed.is_some() => {
@@ -142,7 +146,7 @@
                 let later = speaks_later(
                     shared.clone(),
                     config.name.clone(),
-                    config.settings.gateways,
+                    config.settings.gateway_count,
                     settings.clone(),
                     fleet,
                 );
@@ -153,7 +157,7 @@
     }
     let counter = config.counter.map(|address| Counter::start(&shared, &events, address));
     executor.spawn(List::new(&shared, &events, config.discovery, index).run(orders)).detach();
-    if config.settings.list_on_request.is_none() {
+    if config.settings.list_poll_interval.is_none() {
         let _ = list.try_send(list::Order::Follow(true));
     }
     let module = Module::new(&shared, config.settings, &events, counter, list.clone());
@@ -353,7 +357,7 @@
     }
     stay.close();
     let mut stays_in_mesh = true;
-    let most = STILL_COMING + Duration::from_micros(shared.outside.longest);
+    let most = STILL_COMING + Duration::from_micros(shared.outside.max_client_wait);
     loop {
         Timer::after(LOOK).await;
         let over = began.elapsed();
--- a/crates/gateway/src/protocol/call.rs
+++ b/crates/gateway/src/protocol/call.rs
@@ -4,15 +4,15 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use fernscale_policy::interface::{Id, Load, Micros, Transaction};
-use fernscale_policy::settings::{self, Outside};
+use fernscale_policy::settings::{self, PlatformSettings};
+use fernscale_policy::{Id, LoadReport, Micros, Request};
 
 use super::resp::{self, write_bulk, write_command, Opening, Reply};
 use super::Scanned;
 
 /// What a client asks of a gateway.
 #[derive(Debug)]
-pub enum Request {
+pub enum Command {
     Ping,
     /// Something about the connection that needs no more than a yes.
     Courtesy,
@@ -22,7 +22,7 @@
 /// A transaction as it came in, kept in the form in which it is passed on.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub transaction: Transaction,
+    pub transaction: Request,
     verb: Box<[u8]>,
     /// The names and values, in two halves: between them stands how long the answer is waited for.
     before: Box<str>,
@@ -63,21 +63,21 @@
 const POST: &[u8] = b"CALL.POST";
 
 /// Reads a command; else what is wrong with it, for the client to read.
-pub fn request(words: &[&[u8]], outside: &Outside) -> Result<Request, String> {
+pub fn command(words: &[&[u8]], outside: &PlatformSettings) -> Result<Command, String> {
     let is = |name: &[u8]| words[0].eq_ignore_ascii_case(name);
     if is(GET) || is(POST) {
-        return call(words, outside).map(Request::Call);
+        return call(words, outside).map(Command::Call);
     }
     if is(b"PING") {
-        return Ok(Request::Ping);
+        return Ok(Command::Ping);
     }
     if is(b"CLIENT") || is(b"SELECT") {
-        return Ok(Request::Courtesy);
+        return Ok(Command::Courtesy);
     }
     Err(format!("unknown command '{}'", shown(words[0])))
 }
 
-fn call(words: &[&[u8]], outside: &Outside) -> Result<Call, String> {
+fn call(words: &[&[u8]], outside: &PlatformSettings) -> Result<Call, String> {
     let (verb, customer, id, list, body) = match *words {
         [verb, customer, id, list] => (verb, customer, id, list, None),
         [verb, customer, id, list, body] => (verb, customer, id, list, Some(body)),
@@ -108,16 +108,16 @@
             |range: Range<u32>| value.parse::<u32>().ok().filter(|number| plain && range.contains(number));
         // A name that comes twice would be read here in one way and by servers in the other.
         let again = match name {
-            "c" => lane.replace(known(&outside.lanes).ok_or_else(wrong)?).is_some(),
-            "t" => plan.replace(known(&outside.plans).ok_or_else(wrong)?).is_some(),
+            "c" => lane.replace(known(&outside.class_names).ok_or_else(wrong)?).is_some(),
+            "t" => plan.replace(known(&outside.plan_names).ok_or_else(wrong)?).is_some(),
             "d" => {
                 place = value_at..value_at + value.len();
-                let time = number().ok_or_else(wrong)?.min(outside.longest as f64 / 1000.0);
+                let time = number().ok_or_else(wrong)?.min(outside.max_client_wait as f64 / 1000.0);
                 left.replace((time * 1000.0) as Micros).is_some()
             }
             "units" => units.replace(number().filter(|units| *units > 0.0).ok_or_else(wrong)?).is_some(),
-            "spread" => spread.replace(whole(1..outside.gateways + 1).ok_or_else(wrong)?).is_some(),
-            "first" => first.replace(whole(0..outside.gateways).ok_or_else(wrong)?).is_some(),
+            "spread" => spread.replace(whole(1..outside.gateway_count + 1).ok_or_else(wrong)?).is_some(),
+            "first" => first.replace(whole(0..outside.gateway_count).ok_or_else(wrong)?).is_some(),
             _ => false,
         };
         if again {
@@ -126,19 +126,19 @@
     }
     let (plan, units) = (plan.ok_or("the list has no 't'")?, units.unwrap_or(1.0));
     // Were it believed, one such command would use up what a customer has for a long time.
-    if units > outside.units {
+    if units > outside.max_units {
         return Err("no transaction takes so many units".into());
     }
     Ok(Call {
-        transaction: Transaction {
+        transaction: Request {
             id: Id::from(id),
-            lane: lane.ok_or("the list has no 'c'")?,
+            class: lane.ok_or("the list has no 'c'")?,
             plan,
-            customer: Id::from(customer),
+            tenant: Id::from(customer),
             units,
-            first: first.unwrap_or(0),
-            spread: spread.unwrap_or(1),
-            left: left.ok_or("the list has no 'd'")?,
+            first_gateway: first.unwrap_or(0),
+            gateway_spread: spread.unwrap_or(1),
+            time_left: left.ok_or("the list has no 'd'")?,
         },
         verb: verb.into(),
         before: list[..place.start].into(),
@@ -167,7 +167,7 @@
     pub fn command(&self, limit: Micros) -> Vec<u8> {
         let list = format!("{}{}{}", self.before, limit.div_ceil(1000).max(1), self.after);
         let asked = &self.transaction;
-        let mut words = vec![&*self.verb, asked.customer.as_bytes(), asked.id.as_bytes(), list.as_bytes()];
+        let mut words = vec![&*self.verb, asked.tenant.as_bytes(), asked.id.as_bytes(), list.as_bytes()];
         words.extend(self.body.as_deref());
         write_command(&words)
     }
@@ -202,7 +202,7 @@
 
 /// What a server's reply says, and the load it reports. A value that has come whole is good, whatever stands behind
 /// it: where that can't be read, or `ended` says that it won't come, the value goes without.
-pub fn said(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<(Said, Load)> {
+pub fn said(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<(Said, LoadReport)> {
     match resp::reply(bytes) {
         Ok(Some((reply, length))) => Ok(Some((meaning(&reply, names)?, length))),
         Ok(None) if !ended && bytes.starts_with(b"*") => Ok(resp::first(bytes)?.and(None)),
@@ -210,7 +210,7 @@
         other => match resp::first(bytes)? {
             Some((value, _)) if ended => {
                 let settled = Said::Settled { value: value.into(), units: None };
-                Ok(Some(((settled, Load::default()), bytes.len())))
+                Ok(Some(((settled, LoadReport::default()), bytes.len())))
             }
             _ => other.map(|_| None),
         },
@@ -219,7 +219,7 @@
 
 /// What has come of a server's reply.
 pub enum Came {
-    Whole((Said, Load)),
+    Whole((Said, LoadReport)),
     Opens(Opening),
 }
 
@@ -235,8 +235,8 @@
 
 /// What stands behind a value that has been passed on: its line end, and the rest of the array. Where only the former
 /// can be read, the value goes without the rest.
-pub fn behind(bytes: &[u8], rest: usize, ended: bool, names: &[String]) -> Scanned<(Said, Load)> {
-    let plain = (Said::Passed { units: None }, Load::default());
+pub fn behind(bytes: &[u8], rest: usize, ended: bool, names: &[String]) -> Scanned<(Said, LoadReport)> {
+    let plain = (Said::Passed { units: None }, LoadReport::default());
     match bytes {
         [b'\r', b'\n', behind @ ..] => match resp::items(behind, rest) {
             Ok(Some((items, length))) => {
@@ -252,7 +252,7 @@
 }
 
 /// The units and the load, from what stands behind a value.
-fn report(items: &[Reply], names: &[String]) -> (Option<f64>, Load) {
+fn report(items: &[Reply], names: &[String]) -> (Option<f64>, LoadReport) {
     let text = |at: usize| match items.get(at) {
         Some(Reply::Bulk(Some(text))) => std::str::from_utf8(text).unwrap_or_default(),
         _ => "",
@@ -262,7 +262,7 @@
     (units, load(text(1), names))
 }
 
-fn meaning(reply: &Reply, names: &[String]) -> Result<(Said, Load), &'static str> {
+fn meaning(reply: &Reply, names: &[String]) -> Result<(Said, LoadReport), &'static str> {
     match reply {
         Reply::Array(Some(items)) => {
             let Some(Reply::Bulk(Some(value))) = items.first() else { return Err("no value in an answer") };
@@ -280,10 +280,10 @@
 }
 
 /// A load report in the fields that the settings name; what can't be read is left out.
-pub fn load(text: &str, names: &[String]) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str, names: &[String]) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in fields(text).filter(|(name, _)| names.iter().any(|known| known == name)) {
-        let _ = settings::load(&mut load, name, value);
+        let _ = settings::parse_load_field(&mut load, name, value);
     }
     load
 }
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use fernscale_policy::interface::{Id, Listed, State};
-use fernscale_policy::settings::Outside;
+use fernscale_policy::settings::PlatformSettings;
+use fernscale_policy::{Endpoint, EndpointState, Id};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -17,7 +17,7 @@
     /// The first from another discovery than the one before: its versions are of another row.
     pub moved: bool,
     /// Each server, and where this gateway finds it.
-    pub servers: Vec<(Listed, SocketAddr)>,
+    pub servers: Vec<(Endpoint, SocketAddr)>,
 }
 
 /// Why an answer is refused whole: nothing in it is taken for known. But what it says to leave is left all the same. Danger: a
@@ -41,7 +41,7 @@
 }
 
 /// Reads an answer that has been parsed whole.
-pub fn members(from: &Value, outside: &Outside) -> Result<Members, Refused> {
+pub fn members(from: &Value, outside: &PlatformSettings) -> Result<Members, Refused> {
     let mut reading = Reading::default();
     let entries = from.get("endpoints").and_then(Value::as_array);
     match entries {
@@ -66,7 +66,7 @@
 }
 
 /// A server as an entry told of it.
-type Entry = (Listed, SocketAddr);
+type Entry = (Endpoint, SocketAddr);
 
 /// Entries of the last whole list by their texts: most of the next one are the same to the letter, and are not parsed again.
 #[derive(Default)]
@@ -87,7 +87,7 @@
 
 impl Reading {
     /// Reads an entry that has been parsed.
-    fn take(&mut self, entry: &Value, outside: &Outside) {
+    fn take(&mut self, entry: &Value, outside: &PlatformSettings) {
         let text = |name: &str| entry.get(name).and_then(Value::as_str);
         if matches!(text("status"), Some("terminating" | "terminated")) {
             self.leaving.extend(text("name").map(Id::from));
@@ -99,9 +99,9 @@
     }
 
     /// Reads an entry by its text.
-    fn take_text(&mut self, text: &RawValue, known: &Known, outside: &Outside) {
+    fn take_text(&mut self, text: &RawValue, known: &Known, outside: &PlatformSettings) {
         if let Some(entry) = known.0.get(text.get()).cloned() {
-            if entry.0.state != State::Ready {
+            if entry.0.state != EndpointState::Ready {
                 self.leaving.push(entry.0.server.clone());
             }
             self.texts.insert(text.get().into(), entry.clone());
@@ -172,7 +172,7 @@
     }
 
     /// Reads the next entries; whether there are more behind them.
-    pub fn read_slice(&mut self, known: &Known, outside: &Outside) -> bool {
+    pub fn read_slice(&mut self, known: &Known, outside: &PlatformSettings) -> bool {
         let entries = self.outline.endpoints.as_deref().unwrap_or_default();
         let rest = entries.get(self.next..).unwrap_or_default();
         let slice = &rest[..rest.len().min(ENTRIES_A_SLICE)];
@@ -197,7 +197,7 @@
     }
 }
 
-fn server(entry: &Value, outside: &Outside) -> Result<(Listed, SocketAddr), String> {
+fn server(entry: &Value, outside: &PlatformSettings) -> Result<(Endpoint, SocketAddr), String> {
     let text = |name: &str| entry.get(name).and_then(Value::as_str);
     let server = text("name").filter(|name| !name.is_empty()).ok_or("a server without 'name'")?;
     let address = text("address").and_then(|address| address.parse().ok());
@@ -209,23 +209,23 @@
     let told_start = (entry.get("since_ms").and_then(Value::as_f64))
         .filter(|at| *at > 0.0 && *at < LATEST)
         .map(|at| (at * 1000.0) as u64);
-    let listed = Listed {
+    let listed = Endpoint {
         server: Id::from(server),
         zone: place(&outside.zones, "zone"),
-        kind: place(&outside.kinds, "type"),
+        hardware_type: place(&outside.hardware_types, "type"),
         cell: entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u32,
         state: match text("status") {
-            Some("in_service") => State::Ready,
-            Some("terminating") => State::Draining,
-            Some("terminated") => State::Gone,
+            Some("in_service") => EndpointState::Ready,
+            Some("terminating") => EndpointState::Draining,
+            Some("terminated") => EndpointState::Removed,
             Some(other) => {
                 return Err(format!("server '{server}' has a 'status' that is not known: '{other}'"))
             }
             None => return Err(format!("server '{server}' has no 'status'")),
         },
-        rating: entry.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-        started: told_start,
-        told_start,
+        weight: entry.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
+        started_at: told_start,
+        listed_start: told_start,
     };
     Ok((listed, address))
 }
--- a/crates/gateway/src/protocol/operator.rs
+++ b/crates/gateway/src/protocol/operator.rs
@@ -1,6 +1,6 @@
 //! What operators ask, over HTTP/1.1: one call to a connection.
 
-use fernscale_policy::interface::Id;
+use fernscale_policy::Id;
 
 /// Longest head of a call, and longest body: an id has some tens of bytes.
 const MOST_HEAD: usize = 8 * 1024;
--- a/crates/gateway/src/routing/client.rs
+++ b/crates/gateway/src/routing/client.rs
@@ -8,14 +8,14 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use fernscale_policy::interface::Id;
+use fernscale_policy::Id;
 use futures_lite::{future, StreamExt};
 use slog::{debug, warn};
 
 use super::figures::Result as Figure;
 use super::not_taken::NotTaken;
 use super::{Asked, Event, Final, Flow, Piece, Places, Reply, Shared};
-use crate::protocol::call::{self, Answer, Request};
+use crate::protocol::call::{self, Answer, Command};
 use crate::protocol::resp;
 use crate::transport::buffer::Buffer;
 use crate::transport::calls::NotAccepted;
@@ -327,7 +327,7 @@
                 Step::Read(Err(Ending::NoMemory)) => {
                     // Nothing has been done with it, and it may well come again.
                     NotTaken::NoMemory.record(&self.shared.log, None);
-                    let wait = self.shared.outside.wait;
+                    let wait = self.shared.outside.max_retry_after;
                     self.say(Answer::Nacked(wait).write(), None);
                     self.last = true;
                 }
@@ -404,7 +404,7 @@
         while self.waiting.len() < DEPTH && !self.last {
             let command = match resp::command(self.connection.buffer.filled()) {
                 Ok(None) => return Ok(()),
-                Ok(Some((words, length))) => Ok((call::request(&words, &self.shared.outside), length)),
+                Ok(Some((words, length))) => Ok((call::command(&words, &self.shared.outside), length)),
                 Err(why) => Err(why),
             };
             match command {
@@ -418,9 +418,9 @@
         Ok(())
     }
 
-    async fn request(&mut self, request: Result<Request, String>) -> Result<(), Ending> {
+    async fn request(&mut self, request: Result<Command, String>) -> Result<(), Ending> {
         let answer = match request {
-            Ok(Request::Call(call)) => {
+            Ok(Command::Call(call)) => {
                 let limits = &self.shared.limits;
                 let places = limits.open.take(1).zip(limits.bytes.take(call.weight()));
                 let stays = self.shared.stopping.get().is_none_or(|since| since.elapsed() < STILL_COMING);
@@ -434,8 +434,8 @@
                 }) else {
                     // No room to take it, or no time: nothing has been done, and it may well come again. Danger: who writes
                     // on a busy connection without end would hold a gateway that ends until it is killed.
-                    let figure = Some((call.transaction.lane, Figure::Nacked));
-                    self.say(Answer::Nacked(self.shared.outside.wait).write(), figure);
+                    let figure = Some((call.transaction.class, Figure::Nacked));
+                    self.say(Answer::Nacked(self.shared.outside.max_retry_after).write(), figure);
                     return Ok(());
                 };
                 let number = self.next;
@@ -443,18 +443,18 @@
                 let ticket = self.shared.tickets.get();
                 self.shared.tickets.set(ticket + 1);
                 let open_as = Some((call.transaction.id.clone(), ticket, call.gone.clone()));
-                let figure = Some((call.transaction.lane, Figure::Failed));
+                let figure = Some((call.transaction.class, Figure::Failed));
                 self.waiting.push_back(Waiting { number, open: open_as, answer: None, figure });
                 let reply = Reply { ticket, number, to: self.answered.clone(), places: [open, bytes] };
                 let asked = Asked { call, reply, came: Instant::now() };
                 drop(self.events.send(Event::Asked(asked)).await);
                 return Ok(());
             }
-            Ok(Request::Ping) if self.shared.ready.get() && self.shared.stopping.get().is_none() => {
+            Ok(Command::Ping) if self.shared.ready.get() && self.shared.stopping.get().is_none() => {
                 b"+PONG\r\n".to_vec()
             }
-            Ok(Request::Ping) => call::error("not able to serve"),
-            Ok(Request::Courtesy) => b"+OK\r\n".to_vec(),
+            Ok(Command::Ping) => call::error("not able to serve"),
+            Ok(Command::Courtesy) => b"+OK\r\n".to_vec(),
             Err(why) => {
                 self.wrong += 1;
                 if self.wrong > MOST_WRONG {
--- a/crates/gateway/src/routing/counter.rs
+++ b/crates/gateway/src/routing/counter.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use futures_lite::future::{self, BoxedLocal};
 use slog::{info, warn};
 
@@ -85,7 +85,7 @@
             shared: shared.clone(),
             events: events.clone(),
             address,
-            wait: Duration::from_micros(shared.outside.call) + SLACK,
+            wait: Duration::from_micros(shared.outside.counter_timeout) + SLACK,
             line: Line::Down,
             waiting: VecDeque::new(),
             out: VecDeque::new(),
--- a/crates/gateway/src/routing/handover.rs
+++ b/crates/gateway/src/routing/handover.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use fernscale_hot_restart::core::{Change, Handover, Micros, Part, Record};
 use fernscale_hot_restart::shell::Shell;
-use fernscale_policy::interface::Id;
+use fernscale_policy::Id;
 use slog::{debug, info, warn};
 
 use super::operator::Order;
--- a/crates/gateway/src/routing/host.rs
+++ b/crates/gateway/src/routing/host.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use fernscale_policy::interface::{Host, Id, Micros};
-use fernscale_policy::refusal::Refusal;
+use fernscale_policy::RejectReason;
+use fernscale_policy::{Host, Id, Micros};
 use slog::{info, Logger};
 
 use super::counter::Add;
@@ -18,7 +18,7 @@
 pub enum Action {
     Send { transaction: Id, server: Id, limit: Micros },
     Cancel { transaction: Id, trip: usize },
-    Refuse { transaction: Id, answer: Answer, why: Refusal },
+    Refuse { transaction: Id, answer: Answer, why: RejectReason },
     Alarm(Micros, Box<str>),
     Server(Id, peer::Order),
     Add(Add),
@@ -45,41 +45,41 @@
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
-    fn send(&mut self, transaction: &Id, server: &Id, limit: Micros) {
+    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
         self.note(Action::Send { transaction: transaction.clone(), server: server.clone(), limit });
     }
     fn cancel(&mut self, transaction: &Id, trip: usize) {
         self.note(Action::Cancel { transaction: transaction.clone(), trip });
     }
-    fn nack(&mut self, transaction: &Id, wait: Micros, why: Refusal) {
+    fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
         self.note(Action::Refuse { transaction: transaction.clone(), answer: Answer::Nacked(wait), why });
     }
-    fn abandon(&mut self, transaction: &Id, why: Refusal) {
+    fn fail(&mut self, transaction: &Id, why: RejectReason) {
         self.note(Action::Refuse { transaction: transaction.clone(), answer: Answer::Abandoned, why });
     }
-    fn set_alarm(&mut self, delay: Micros, token: &str) {
+    fn set_timer(&mut self, delay: Micros, token: &str) {
         let at = self.now() + delay;
         self.note(Action::Alarm(at, token.into()));
     }
-    fn probe(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         self.note(Action::Server(server.clone(), peer::Order::Probe));
     }
-    fn close_idle(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.note(Action::Server(server.clone(), peer::Order::CloseIdle));
     }
-    fn add(&mut self, count: &str, amount: f64, life: Micros) {
+    fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
         self.note(Action::Add(Add { count: count.into(), amount, life, made: Instant::now() }));
     }
-    fn follow_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.note(Action::List(list::Order::Follow(on)));
     }
-    fn fetch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.note(Action::List(list::Order::Fetch));
     }
-    fn tell(&mut self, _gateway: Option<u32>, _data: &[u8]) {
+    fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
         // Gateways have no way to each other here, as where a message is lost.
     }
-    fn report(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         info!(self.0.borrow().log, #"module.says", "module"; "text" => text);
     }
 }
--- a/crates/gateway/src/routing/leavers.rs
+++ b/crates/gateway/src/routing/leavers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use fernscale_policy::interface::{Id, Listed, Micros, State};
+use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 
 use crate::protocol::catalog::Members;
 
@@ -47,17 +47,17 @@
             gone.into_iter().for_each(|id| self.leaves(&id, None));
         }
         for (listed, _) in &mut members.servers {
-            if listed.state != State::Ready {
-                self.leaves(&listed.server, listed.started);
+            if listed.state != EndpointState::Ready {
+                self.leaves(&listed.server, listed.started_at);
             } else if self
                 .left
                 .get(&listed.server)
                 .is_some_and(|left| !left.returns(listed, self.index, members.full))
             {
-                listed.state = State::Draining;
+                listed.state = EndpointState::Draining;
             } else {
                 self.left.remove(&listed.server);
-                self.used.insert(listed.server.clone(), listed.started);
+                self.used.insert(listed.server.clone(), listed.started_at);
             }
         }
         if self.left.len() > MOST_LEFT {
@@ -100,7 +100,7 @@
 
 impl Left {
     /// Whether a list of this version has the server back. A whole list repeats old words, changes are new ones.
-    fn returns(&self, listed: &Listed, index: u64, full: bool) -> bool {
-        listed.started > self.started || index > self.index && !(full && self.elsewhere)
+    fn returns(&self, listed: &Endpoint, index: u64, full: bool) -> bool {
+        listed.started_at > self.started || index > self.index && !(full && self.elsewhere)
     }
 }
--- a/crates/gateway/src/routing/list.rs
+++ b/crates/gateway/src/routing/list.rs
@@ -148,12 +148,12 @@
 
     /// How long the next call may wait for something new, and how much longer for its answer.
     fn wait(&self) -> Duration {
-        let spread = if self.shared.outside.agent { Duration::ZERO } else { WAIT - LEAST_WAIT };
+        let spread = if self.shared.outside.list_is_pushed { Duration::ZERO } else { WAIT - LEAST_WAIT };
         self.least_wait() + spread.mul_f64(rand::random())
     }
 
     fn least_wait(&self) -> Duration {
-        if self.shared.outside.agent {
+        if self.shared.outside.list_is_pushed {
             AGENT_WAIT
         } else {
             LEAST_WAIT
@@ -161,7 +161,7 @@
     }
 
     fn grace(&self) -> Duration {
-        if self.shared.outside.agent {
+        if self.shared.outside.list_is_pushed {
             AGENT_GRACE
         } else {
             GRACE
@@ -235,7 +235,7 @@
     async fn ask(&mut self, since: Option<u64>, wait: Duration) -> Result<Vec<u8>, String> {
         let path = catalog::path(since.map(|since| (since, wait.as_millis() as u64)));
         let request = http::get(&self.discovery.to_string(), &path);
-        let turn = if self.shared.outside.agent { AGENT_GRACE } else { TURN };
+        let turn = if self.shared.outside.list_is_pushed { AGENT_GRACE } else { TURN };
         let until = Instant::now() + if wait.is_zero() { turn } else { wait + self.grace() };
         let reused = self.connection.is_some();
         let mut response = self.exchange(&request, until).await;
@@ -282,7 +282,7 @@
         let response = answer(&mut connection, until).await;
         match &response {
             Ok(response) => self.connection = Some(connection).filter(|_| response.keep),
-            Err(Ending::Silent) if self.shared.outside.agent => {
+            Err(Ending::Silent) if self.shared.outside.list_is_pushed => {
                 self.late = Some((connection, Instant::now() + TURN));
             }
             Err(_) => {}
--- a/crates/gateway/src/routing/mod.rs
+++ b/crates/gateway/src/routing/mod.rs
@@ -23,8 +23,8 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use fernscale_policy::interface::{Id, Load, Micros};
-use fernscale_policy::settings::Outside;
+use fernscale_policy::settings::PlatformSettings;
+use fernscale_policy::{Id, LoadReport, Micros};
 use slog::Logger;
 
 use crate::fleet::{mesh, owners, signals, subsets};
@@ -47,7 +47,7 @@
     pub limits: Limits,
     /// There are fewer places than before: idle clients make room.
     pub tightened: event_listener::Event,
-    pub outside: Outside,
+    pub outside: PlatformSettings,
     pub figures: figures::Figures,
     /// Servers that the operators have taken out of use: no trip to one of them begins.
     pub cordoned: RefCell<BTreeSet<Id>>,
@@ -119,7 +119,7 @@
     Returned(Return),
     Probed {
         server: Id,
-        end: Result<Load, Lost>,
+        end: Result<LoadReport, Lost>,
     },
     Counted {
         count: Box<str>,
@@ -206,6 +206,6 @@
     pub transaction: Id,
     pub trip: usize,
     pub server: Id,
-    pub end: Result<(Said, Load), Lost>,
+    pub end: Result<(Said, LoadReport), Lost>,
     pub took: Micros,
 }
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/routing/module.rs
@@ -7,8 +7,10 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender, TrySendError};
-use fernscale_policy::interface::{Id, Listed, Load, Micros, Outcome, Returned, Settings, State};
-use fernscale_policy::policy::Gateway;
+use fernscale_policy::Engine;
+use fernscale_policy::{
+    AttemptCompleted, Endpoint, EndpointState, Id, LoadReport, Micros, Outcome, Settings,
+};
 use futures_lite::{future, StreamExt};
 use slog::{debug, info, warn};
 
@@ -45,7 +47,7 @@
     /// Its actor, once there was something for it to do.
     orders: Option<Sender<peer::Order>>,
     address: SocketAddr,
-    listed: Listed,
+    listed: Endpoint,
 }
 
 /// What the actor turns to next.
@@ -57,7 +59,7 @@
 
 pub struct Module {
     shared: Rc<Shared>,
-    gateway: Gateway<Hands>,
+    gateway: Engine<Hands>,
     desk: Rc<RefCell<Desk>>,
     events: Sender<Event>,
     counter: Option<Sender<Add>>,
@@ -71,7 +73,7 @@
     /// What is to be told to the module before anything else, as it follows from what it did.
     follows: VecDeque<Event>,
     /// What lists have said and the module has not been told yet, in its order.
-    news: VecDeque<Listed>,
+    news: VecDeque<Endpoint>,
 }
 
 impl Module {
@@ -85,7 +87,7 @@
         let desk = Desk { now: shared.clock.now(), actions: VecDeque::new(), log: shared.log.clone() };
         let desk = Rc::new(RefCell::new(desk));
         Module {
-            gateway: Gateway::start(settings, Hands(desk.clone())),
+            gateway: Engine::new(settings, Hands(desk.clone())),
             shared: shared.clone(),
             desk,
             events: events.clone(),
@@ -171,7 +173,7 @@
             let token = alarm.remove();
             self.look_at_clock();
             let timed = Timed::begin("alarm");
-            self.gateway.alarm(&token);
+            self.gateway.timer_fired(&token);
             timed.end(&self.shared.log);
             self.act().await;
         }
@@ -181,7 +183,7 @@
         self.look_at_clock();
         match order {
             operator::Order::Pool(told) => {
-                let avoided = self.peers.keys().filter(|server| self.gateway.avoids(server)).count();
+                let avoided = self.peers.keys().filter(|server| self.gateway.is_avoided(server)).count();
                 let pool = Pool { size: self.peers.len(), avoided };
                 let _ = told.try_send(pool);
             }
@@ -195,7 +197,7 @@
                 let _ = done.try_send(known);
             }
             operator::Order::Heard { server, back } => self.cordon(&server, back),
-            operator::Order::Part(part) => self.gateway.part(part),
+            operator::Order::Part(part) => self.gateway.set_process_share(part),
         }
     }
 
@@ -227,7 +229,7 @@
                 let its = |reply: &mut Reply| reply.ticket == ticket;
                 if self.held.get_mut(&id).is_some_and(|held| held.reply.take_if(its).is_some()) {
                     debug!(self.shared.log, #"request.cancelled", "its client has left"; "id" => &*id);
-                    self.gateway.dropped(&id);
+                    self.gateway.client_disconnected(&id);
                     self.forget(&id);
                 }
             }
@@ -235,21 +237,21 @@
                 if let Some(reply) = self.held.get_mut(&transaction).and_then(|held| held.reply.take()) {
                     debug!(self.shared.log, #"request.answered", "served, as it comes"; "id" => &*transaction, "as" => "served");
                     finish(reply, Final::Flow(flow));
-                    self.gateway.flowing(&transaction, trip);
+                    self.gateway.response_started(&transaction, trip);
                 }
             }
             Event::Returned(end) => self.returned(end),
             Event::Probed { server, end } => {
                 let outcome = outcome::of_probe(&end);
-                self.gateway.probed(&server, outcome, end.unwrap_or_default());
+                self.gateway.health_check_completed(&server, outcome, end.unwrap_or_default());
             }
             Event::Counted { count, end, took } => {
                 let (outcome, total) = self.counted(&count, outcome::of_call(&end), took);
-                self.gateway.counted(&count, outcome, total, took);
+                self.gateway.counter_replied(&count, outcome, total, took);
             }
             Event::Known { count, end } => {
                 let (outcome, total) = outcome::of_call(&end);
-                self.gateway.counted(&count, outcome, total, 0);
+                self.gateway.counter_replied(&count, outcome, total, 0);
             }
             Event::Counter(counter) => self.counter = counter,
             Event::List(members) => {
@@ -262,7 +264,7 @@
             Event::ListLate => self.look_ready(),
             Event::ListFailed => {
                 self.look_ready();
-                self.gateway.list_failed();
+                self.gateway.endpoints_unavailable();
             }
         }
     }
@@ -275,14 +277,14 @@
         }
         let mut transaction = call.transaction.clone();
         let waited = came.elapsed().as_micros() as Micros;
-        transaction.left = transaction.left.saturating_sub(waited);
-        let hard_stop = self.desk.borrow().now + transaction.left;
+        transaction.time_left = transaction.time_left.saturating_sub(waited);
+        let hard_stop = self.desk.borrow().now + transaction.time_left;
         debug!(self.shared.log, #"request.accepted", "a request"; "id" => &*transaction.id,
-            "tenant" => &*transaction.customer, "class" => transaction.lane, "left_us" => transaction.left);
+            "tenant" => &*transaction.tenant, "class" => transaction.class, "left_us" => transaction.time_left);
         let (call, trips) = (Rc::new(call), Vec::new());
         let held = Held { call, reply: Some(reply), hard_stop, trips, out: 0 };
         self.held.insert(transaction.id.clone(), held);
-        self.gateway.transaction(transaction);
+        self.gateway.request_received(transaction);
     }
 
     fn returned(&mut self, end: Return) {
@@ -292,7 +294,7 @@
         let Some(held) = self.held.get_mut(&end.transaction) else { return };
         held.out -= 1;
         let met = outcome::met(end.took, &end.end);
-        let (mut units, mut load) = (None, Load::default());
+        let (mut units, mut load) = (None, LoadReport::default());
         if let Ok((said, told)) = end.end {
             load = told;
             match said {
@@ -308,16 +310,16 @@
             }
         }
         if let (Some(signals), Some(met)) = (self.shared.signals.get(), met) {
-            signals.met(&end.server, held.call.transaction.lane, met);
+            signals.met(&end.server, held.call.transaction.class, met);
         }
         let finished = held.reply.is_none();
-        self.gateway.returned(Returned {
-            transaction: end.transaction.clone(),
-            trip: end.trip,
+        self.gateway.attempt_completed(AttemptCompleted {
+            request: end.transaction.clone(),
+            attempt: end.trip,
             server: end.server,
             outcome,
-            took: end.took,
-            finished,
+            elapsed: end.took,
+            is_final: finished,
             units,
             load,
         });
@@ -335,7 +337,7 @@
     fn learn(&mut self, members: Members) {
         let mut changed = if members.full { self.drop_unlisted(&members) } else { Vec::new() };
         for (listed, address) in members.servers {
-            if listed.state == State::Gone {
+            if listed.state == EndpointState::Removed {
                 self.peers.remove(&listed.server);
                 changed.push(listed);
             } else if self.note(&listed, address) {
@@ -344,7 +346,7 @@
         }
         // Who leaves comes first: to send there is in vain from now on.
         let (ready, leaving): (Vec<_>, Vec<_>) =
-            changed.into_iter().partition(|listed| listed.state == State::Ready);
+            changed.into_iter().partition(|listed| listed.state == EndpointState::Ready);
         self.news.extend(leaving.into_iter().chain(ready));
         self.tell_news();
     }
@@ -352,19 +354,19 @@
     /// Tells the module the next of what lists have said: so much that a turn stays short.
     fn tell_news(&mut self) {
         let count = self.news.len().min(NEWS_A_SLICE);
-        let news: Vec<Listed> = self.news.drain(..count).collect();
-        self.gateway.list(false, &news);
+        let news: Vec<Endpoint> = self.news.drain(..count).collect();
+        self.gateway.endpoints_updated(false, &news);
     }
 
     /// Drops the servers that a whole list does not have, and gives the word on each that it has gone.
-    fn drop_unlisted(&mut self, members: &Members) -> Vec<Listed> {
+    fn drop_unlisted(&mut self, members: &Members) -> Vec<Endpoint> {
         let listed: HashSet<&Id> = members.servers.iter().map(|(server, _)| &server.server).collect();
         let mut gone = Vec::new();
         // Trips that are out know their server's mailbox, and are ended as any other.
         self.peers.retain(|id, peer| {
             let stays = listed.contains(id);
             if !stays {
-                gone.push(Listed { state: State::Gone, ..peer.listed.clone() });
+                gone.push(Endpoint { state: EndpointState::Removed, ..peer.listed.clone() });
             }
             stays
         });
@@ -372,7 +374,7 @@
     }
 
     /// Notes what the list says of a server that is there; whether that is new.
-    fn note(&mut self, listed: &Listed, address: SocketAddr) -> bool {
+    fn note(&mut self, listed: &Endpoint, address: SocketAddr) -> bool {
         let Some(peer) = self.peers.get_mut(&listed.server) else {
             let peer = Peer { orders: None, address, listed: listed.clone() };
             self.peers.insert(listed.server.clone(), peer);
@@ -405,8 +407,9 @@
     fn leave(&mut self, servers: &[Id]) {
         let index = self.shared.left.borrow().index();
         let used = servers.iter().filter_map(|id| self.peers.get(id));
-        let used = used.filter(|peer| peer.listed.state == State::Ready);
-        let drains = |peer: &Peer| (Listed { state: State::Draining, ..peer.listed.clone() }, peer.address);
+        let used = used.filter(|peer| peer.listed.state == EndpointState::Ready);
+        let drains =
+            |peer: &Peer| (Endpoint { state: EndpointState::Draining, ..peer.listed.clone() }, peer.address);
         let servers: Vec<_> = used.map(drains).collect();
         // Where all leave already nothing is new, and the pauses before the list is asked anew go on growing.
         if !servers.is_empty() {
@@ -417,10 +420,10 @@
     /// Which servers this gateway is to use from now on, where they are dealt out among all.
     fn look_at_subset(&mut self) {
         let Some(subsets) = self.shared.subsets.get() else { return };
-        let places = self.peers.iter().map(|(id, peer)| (&peer.listed, self.gateway.avoids(id)));
+        let places = self.peers.iter().map(|(id, peer)| (&peer.listed, self.gateway.is_avoided(id)));
         let Change { subset, opens, leaves } = subsets.turn(places);
         if subset.is_some() {
-            self.gateway.subset(subset);
+            self.gateway.set_subset(subset);
         }
         let opens = opens.into_iter().map(|server| Action::Server(server, peer::Order::Probe));
         let leaves = leaves.into_iter().map(|server| Action::Server(server, peer::Order::CloseIdle));
@@ -431,13 +434,13 @@
     fn look_at_signals(&mut self) {
         let Some(signals) = self.shared.signals.get() else { return };
         for change in signals.turn(self.peers.values().map(|peer| &peer.listed)) {
-            self.gateway.bar(&signals::id(&change), change.barred);
+            self.gateway.set_ejected(&signals::id(&change), change.barred);
         }
     }
 
     /// Able to serve once discovery has been asked and a server is known, be it from before the start.
     fn look_ready(&self) {
-        self.shared.ready.set(self.peers.values().any(|peer| peer.listed.state == State::Ready));
+        self.shared.ready.set(self.peers.values().any(|peer| peer.listed.state == EndpointState::Ready));
     }
 
     /// Does what the module has said, and tells it what follows at once.
@@ -505,7 +508,7 @@
             subsets.sent();
         }
         if self.shared.signals.get().is_some_and(|signals| signals.sends(&server)) {
-            self.gateway.bar(&server, true);
+            self.gateway.set_ejected(&server, true);
         }
         let trip = held.trips.len();
         held.trips.push(orders.clone());
--- a/crates/gateway/src/routing/operator.rs
+++ b/crates/gateway/src/routing/operator.rs
@@ -8,7 +8,7 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use fernscale_policy::interface::{Id, Micros};
+use fernscale_policy::{Id, Micros};
 use futures_lite::{future, StreamExt};
 use slog::{info, warn};
 
--- a/crates/gateway/src/routing/outcome.rs
+++ b/crates/gateway/src/routing/outcome.rs
@@ -1,7 +1,7 @@
 //! What the end of a connection means for what was asked on it. Nowhere else is this decided.
 
 use fernscale_outlier_detection::signals::Met;
-use fernscale_policy::interface::{Micros, Outcome};
+use fernscale_policy::{Micros, Outcome};
 
 use crate::protocol::call::Said;
 use crate::transport::ending::Ending;
@@ -52,7 +52,7 @@
     match end {
         Ok((Said::Settled { .. } | Said::Passed { .. }, _)) => Outcome::Ok,
         Ok((Said::Failed, _)) => Outcome::Error,
-        Ok((Said::Full, _)) => Outcome::Full,
+        Ok((Said::Full, _)) => Outcome::Overloaded,
         Err(lost) => lost.outcome(),
     }
 }
@@ -64,7 +64,7 @@
         (Outcome::Ok, Ok((Said::Passed { .. }, _))) => Some(Met::Passed),
         (Outcome::Ok, _) => Some(Met::Answered(took)),
         (Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::NotConnected, _) => Some(Met::Bad),
-        (Outcome::Full | Outcome::Cancelled | Outcome::NeverSent, _) => None,
+        (Outcome::Overloaded | Outcome::Cancelled | Outcome::NeverSent, _) => None,
     }
 }
 
@@ -77,7 +77,7 @@
 pub fn of_call(end: &Result<Told, Lost>) -> (Outcome, f64) {
     match end {
         Ok(Told::Total(total)) => (Outcome::Ok, *total),
-        Ok(Told::Full | Told::Error) => (Outcome::Full, 0.0),
+        Ok(Told::Full | Told::Error) => (Outcome::Overloaded, 0.0),
         Err(Lost { how: Ending::Silent, written: true }) => (Outcome::TimedOut, 0.0),
         Err(lost) if lost.written => (Outcome::Error, 0.0),
         Err(lost) => (lost.outcome(), 0.0),
--- a/crates/gateway/src/routing/peer.rs
+++ b/crates/gateway/src/routing/peer.rs
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
-use fernscale_policy::interface::{Id, Load, Micros};
+use fernscale_policy::{Id, LoadReport, Micros};
 use futures_lite::{future, StreamExt};
 
 use super::outcome::Lost;
@@ -83,7 +83,7 @@
 
 /// How long a connection is kept idle where nothing speaks against it.
 fn longest(shared: &Shared) -> Duration {
-    Duration::from_micros((KEPT * shared.outside.idle as f64) as Micros)
+    Duration::from_micros((KEPT * shared.outside.idle_timeout as f64) as Micros)
 }
 
 impl Peer {
@@ -192,11 +192,11 @@
         drop(self.events.send(Event::Returned(returned)).await);
     }
 
-    async fn probe(&self) -> Result<Load, Lost> {
-        let until = Instant::now() + Duration::from_micros(self.shared.outside.dial);
+    async fn probe(&self) -> Result<LoadReport, Lost> {
+        let until = Instant::now() + Duration::from_micros(self.shared.outside.connect_timeout);
         let command = resp::write_command(&[b"PING"]);
         let said = |bytes: &[u8], _: bool| match resp::reply(bytes)? {
-            Some((Reply::Simple(_), length)) => Ok(Some((Load::default(), length))),
+            Some((Reply::Simple(_), length)) => Ok(Some((LoadReport::default(), length))),
             Some(_) => Err("no good word"),
             None => Ok(None),
         };
@@ -206,7 +206,7 @@
     }
 
     fn load(&self) -> &[String] {
-        &self.shared.outside.load
+        &self.shared.outside.load_fields
     }
 
     /// Passes a long value on as it comes, and reads what stands behind it.
@@ -216,7 +216,7 @@
         mut connection: Connection,
         transaction: Id,
         trip: usize,
-    ) -> Result<(Said, Load), Lost> {
+    ) -> Result<(Said, LoadReport), Lost> {
         let (pass, pieces) = async_channel::bounded(1);
         let flow = Flow { length: opening.length, pieces };
         drop(self.events.send(Event::Flowing { transaction, trip, flow }).await);
@@ -231,7 +231,7 @@
             pass.send(Piece::Bytes(piece)).await.map_err(given_up)?;
         }
         let (rest, until) = (opening.items - 1, Instant::now() + STALLED);
-        let piece = Duration::from_micros(self.shared.outside.dial);
+        let piece = Duration::from_micros(self.shared.outside.connect_timeout);
         // The value is whole as soon as its line end is there, and its client does not wait for what is behind that.
         let line_end = |bytes: &[u8]| match bytes {
             [b'\r', b'\n', ..] => Ok(Some(((), 0))),
@@ -316,7 +316,7 @@
         within(until, Ending::Silent, connection.write(command)).await.map_err(Lost::unsent)?;
         sent();
         // An answer that has begun comes in one piece: its end is not longer in coming than a connection is.
-        let piece = Duration::from_micros(self.shared.outside.dial);
+        let piece = Duration::from_micros(self.shared.outside.connect_timeout);
         let said = match connection.message(|bytes| scan(bytes, false), until, piece).await {
             Ok(said) => said,
             Err(how) => match scan(connection.buffer.filled(), true) {
@@ -360,7 +360,7 @@
 
     async fn dial(&self) -> Result<Connection, Ending> {
         let place = self.shared.limits.servers.take(1).ok_or(Ending::NoSocket)?;
-        let limit = Duration::from_micros(self.shared.outside.dial);
+        let limit = Duration::from_micros(self.shared.outside.connect_timeout);
         let buffer = Buffer::new(resp::MOST_MESSAGE, Some(self.shared.limits.from_servers.clone()));
         Connection::dial(self.address.get(), limit, buffer, Some(place)).await
     }
--- a/crates/gateway/src/routing/starts.rs
+++ b/crates/gateway/src/routing/starts.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use fernscale_policy::interface::{Id, Listed, Micros};
+use fernscale_policy::{Endpoint, Id, Micros};
 
 use crate::protocol::catalog::Members;
 
@@ -38,7 +38,7 @@
     /// cold too long is used less for some seconds.
     pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, members: &mut Members) {
         for (listed, _) in &mut members.servers {
-            listed.started = self.of_server(now, &least_age, listed);
+            listed.started_at = self.of_server(now, &least_age, listed);
         }
         if members.full && self.starts.len() > MOST_SERVERS {
             let named: HashSet<&Id> = members.servers.iter().map(|(listed, _)| &listed.server).collect();
@@ -56,9 +56,9 @@
         &mut self,
         now: Micros,
         least_age: impl Fn(Micros) -> Micros,
-        listed: &Listed,
+        listed: &Endpoint,
     ) -> Option<Micros> {
-        let told = listed.told_start?;
+        let told = listed.listed_start?;
         let known = self.starts.get(&listed.server).copied();
         if let Some(known) = known.filter(|known| known.told == told) {
             return Some(known.own);
--- a/crates/gateway/src/transport/clock.rs
+++ b/crates/gateway/src/transport/clock.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use async_io::Timer;
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 use futures_lite::future;
 
 use super::wall::WallClock;
--- a/crates/gateway/src/transport/wall.rs
+++ b/crates/gateway/src/transport/wall.rs
@@ -3,7 +3,7 @@
 //! Other machines tell times by the wall clock. It may be set to another time, here or on all of them, while this process
 //! runs: the same Unix time then says another age before and after.
 
-use fernscale_policy::interface::Micros;
+use fernscale_policy::Micros;
 
 /// A wall clock that is further from where it stood has been set; less is the clocks' own unevenness.
 const STEP: i64 = 100_000;
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -10,7 +10,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use fernscale_gateway::protocol::call::{self, Request};
+use fernscale_gateway::protocol::call::{self, Command};
 use fernscale_gateway::protocol::catalog::{self, Members};
 use fernscale_gateway::routing::counter::{Add, Counter};
 use fernscale_gateway::routing::figures::Figures;
@@ -24,8 +24,8 @@
 use fernscale_gateway::transport::connection::Connection;
 use fernscale_gateway::transport::ending::Ending;
 use fernscale_gateway::transport::limits::Limits;
-use fernscale_policy::interface::Outcome;
-use fernscale_policy::settings::Outside;
+use fernscale_policy::settings::PlatformSettings;
+use fernscale_policy::Outcome;
 
 fn shared() -> Rc<Shared> {
     shared_with(false)
@@ -38,13 +38,13 @@
         log: slog::Logger::root(slog::Discard, slog::o!()),
         clock: Clock::start(),
         limits: Limits::new(1024, 192, 0),
-        outside: Outside {
-            call: 50_000,
-            dial: 250_000,
-            longest: 1_000_000,
-            units: 1e6,
-            agent,
-            ..Outside::default()
+        outside: PlatformSettings {
+            counter_timeout: 50_000,
+            connect_timeout: 250_000,
+            max_client_wait: 1_000_000,
+            max_units: 1e6,
+            list_is_pushed: agent,
+            ..PlatformSettings::default()
         },
         figures: Figures::new(&[]),
         cordoned: RefCell::default(),
@@ -142,7 +142,10 @@
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     assert_eq!(outcomes(nobody, &["a"]), [told("a", Outcome::NotConnected, 0.0)]);
     let full = counter(vec![(0, b"-BUSY\r\n-ERR no\r\n")]);
-    assert_eq!(outcomes(full, &["a", "b"]), [told("a", Outcome::Full, 0.0), told("b", Outcome::Full, 0.0)]);
+    assert_eq!(
+        outcomes(full, &["a", "b"]),
+        [told("a", Outcome::Overloaded, 0.0), told("b", Outcome::Overloaded, 0.0)]
+    );
     // Each call is told of, also that to which something came that can't be understood.
     let garbled = counter(vec![(30, b"$1\r\nx\r\n")]);
     let all = outcomes(garbled, &["a", "b"]);
@@ -384,7 +387,7 @@
     let entries: Vec<String> = servers.iter().map(entry).collect();
     let body = format!(r#"{{"index":{index},"snapshot":{full},"endpoints":[{}]}}"#, entries.join(","));
     let body = serde_json::from_str(&body).expect("a list");
-    let members = catalog::members(&body, &Outside::default()).expect("a list that is understood");
+    let members = catalog::members(&body, &PlatformSettings::default()).expect("a list that is understood");
     Members { moved, ..members }
 }
 
@@ -412,14 +415,14 @@
         (&ended, listed(9, true, false, &[("s", up, 7)]), false),
         (&ended, listed(9, true, false, &[("s", up, 8)]), true),
     ] {
-        let (mut leavers, s) = (Leavers::default(), fernscale_policy::interface::Id::from("s"));
+        let (mut leavers, s) = (Leavers::default(), fernscale_policy::Id::from("s"));
         for members in known {
             leavers.read(&mut members.clone());
         }
         assert!(leavers.contains(&s));
         let mut next = next;
         leavers.read(&mut next);
-        let usable = next.servers[0].0.state == fernscale_policy::interface::State::Ready;
+        let usable = next.servers[0].0.state == fernscale_policy::EndpointState::Ready;
         assert_eq!((usable, !leavers.contains(&s)), (back, back), "{next:?}");
         if next.moved && !back {
             // A later whole list there says nothing new of it, a change does.
@@ -436,7 +439,7 @@
     let two = r#"{"index":4,"snapshot":false,"endpoints":[
         {"name":"s","address":"127.0.0.1:1","status":"terminating"},
         {"name":"s","address":"127.0.0.1:1","status":"in_service"}]}"#;
-    let refused = catalog::members(&serde_json::from_str(two).expect("json"), &Outside::default());
+    let refused = catalog::members(&serde_json::from_str(two).expect("json"), &PlatformSettings::default());
     let refused = refused.expect_err("two words");
     assert_eq!((refused.why.as_str(), &refused.leaving[..]), ("server 's' comes twice", &["s".into()][..]));
 }
@@ -537,16 +540,16 @@
         came
     });
     let shared = shared();
-    let outside = Outside {
-        lanes: vec!["read".into()],
-        plans: vec!["team".into()],
-        gateways: 1,
+    let outside = PlatformSettings {
+        class_names: vec!["read".into()],
+        plan_names: vec!["team".into()],
+        gateway_count: 1,
         ..shared.outside.clone()
     };
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", b"t1", b"c=read,t=team,d=900"];
-    let Ok(Request::Call(call)) = call::request(&words, &outside) else { panic!("a call") };
+    let Ok(Command::Call(call)) = call::command(&words, &outside) else { panic!("a call") };
     let (events, told) = async_channel::bounded(4);
-    let name: fernscale_policy::interface::Id = "s0".into();
+    let name: fernscale_policy::Id = "s0".into();
     let orders = peer::start(&shared, &events, &name, address);
     let order = Order::Trip { call: Rc::new(call), trip: 0, limit: 900_000, made: Instant::now() };
     let outcome = async {
@@ -572,15 +575,15 @@
 
 /// A call for one second.
 fn one_call(shared: &Shared) -> Rc<call::Call> {
-    let outside = Outside {
-        lanes: vec!["read".into()],
-        plans: vec!["team".into()],
-        gateways: 1,
-        longest: 9_000_000,
+    let outside = PlatformSettings {
+        class_names: vec!["read".into()],
+        plan_names: vec!["team".into()],
+        gateway_count: 1,
+        max_client_wait: 9_000_000,
         ..shared.outside.clone()
     };
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", b"t1", b"c=read,t=team,d=9000"];
-    let Ok(Request::Call(call)) = call::request(&words, &outside) else { panic!("a call") };
+    let Ok(Command::Call(call)) = call::command(&words, &outside) else { panic!("a call") };
     Rc::new(call)
 }
 
@@ -595,7 +598,7 @@
     assert!((1..8).contains(&waiting.len()), "the dial has to wait");
     let shared = shared();
     let shared = Rc::try_unwrap(shared).unwrap_or_else(|_| panic!("one owner"));
-    let outside = Outside { dial: 8_000_000, ..shared.outside.clone() };
+    let outside = PlatformSettings { connect_timeout: 8_000_000, ..shared.outside.clone() };
     let shared = Rc::new(Shared { outside, ..shared });
     let (events, told) = async_channel::bounded(4);
     let orders = peer::start(&shared, &events, &"s0".into(), address);
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -6,14 +6,14 @@
 use fernscale_gateway::protocol::catalog::{members, Known, Refused, SlicedReader};
 use fernscale_gateway::protocol::http;
 use fernscale_gateway::routing::leavers::Leavers;
-use fernscale_policy::settings::Outside;
+use fernscale_policy::settings::PlatformSettings;
 
 const GOOD: &str = r#"{"name":"a","address":"127.0.0.1:1","zone":"z","group":2,"status":"in_service","weight":2.5,"since_ms":7}"#;
 const DRAINS: &str = r#"{ "name" : "b", "address" : "127.0.0.1:2", "status" : "terminating" }"#;
 const GONE: &str = r#"{"name":"c","address":"127.0.0.1:3","status":"terminated","more":[{}]}"#;
 
-fn outside() -> Outside {
-    Outside { zones: vec!["z".into()], ..Outside::default() }
+fn outside() -> PlatformSettings {
+    PlatformSettings { zones: vec!["z".into()], ..PlatformSettings::default() }
 }
 
 fn read_in_slices(body: &str, known: &mut Known) -> Result<String, Refused> {
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,13 +1,13 @@
 //! The parsers on every split of their input, on generated input, and on input that means harm.
 
-use fernscale_gateway::protocol::call::{self, Answer, Request, Said};
+use fernscale_gateway::protocol::call::{self, Answer, Command, Said};
 use fernscale_gateway::protocol::{http, resp, Scanned};
 use fernscale_gateway::transport::buffer::Buffer;
 use fernscale_gateway::transport::ending::Ending;
 use fernscale_gateway::transport::limits::Places;
 
-use fernscale_policy::interface::Load;
-use fernscale_policy::settings::Outside;
+use fernscale_policy::settings::PlatformSettings;
+use fernscale_policy::LoadReport;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use resp::Reply;
 
@@ -173,20 +173,20 @@
     }
 }
 
-fn outside() -> Outside {
+fn outside() -> PlatformSettings {
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    Outside {
-        lanes: names(&["lookup", "order"]),
-        plans: names(&["team"]),
-        longest: 3_000_000,
-        gateways: 3,
-        units: 10.0,
-        ..Outside::default()
+    PlatformSettings {
+        class_names: names(&["lookup", "order"]),
+        plan_names: names(&["team"]),
+        max_client_wait: 3_000_000,
+        gateway_count: 3,
+        max_units: 10.0,
+        ..PlatformSettings::default()
     }
 }
 
-fn request(list: &str) -> Result<Request, String> {
-    call::request(&[b"CALL.GET", b"00000000b4d65521", b"9b1f", list.as_bytes()], &outside())
+fn request(list: &str) -> Result<Command, String> {
+    call::command(&[b"CALL.GET", b"00000000b4d65521", b"9b1f", list.as_bytes()], &outside())
 }
 
 #[test]
@@ -194,10 +194,10 @@
     let list = "c=order,x=unknown,t=team,d=480,k=5c0f,units=2,spread=3,first=1";
     let words: [&[u8]; 5] =
         [b"CALL.POST", b"00000000b4d65521", b"9b1f03aa5c7e2d41", list.as_bytes(), b"BO\r\nDY"];
-    let Ok(Request::Call(call)) = call::request(&words, &outside()) else { panic!("no call") };
+    let Ok(Command::Call(call)) = call::command(&words, &outside()) else { panic!("no call") };
     let asked = &call.transaction;
-    assert_eq!((asked.lane, asked.plan, asked.left), (1, 0, 480_000));
-    assert_eq!((asked.units, asked.spread, asked.first), (2.0, 3, 1));
+    assert_eq!((asked.class, asked.plan, asked.time_left), (1, 0, 480_000));
+    assert_eq!((asked.units, asked.gateway_spread, asked.first_gateway), (2.0, 3, 1));
     let sent = call.command(77_001);
     let (sent, _) = resp::command(&sent).expect("good").expect("whole");
     assert_eq!(sent[3], list.replace("d=480", "d=78").as_bytes());
@@ -206,12 +206,12 @@
 
 #[test]
 fn calls_that_are_asked_wrongly_are_told_so() {
-    assert!(matches!(request("c=lookup,t=team,d=480"), Ok(Request::Call(_))));
+    assert!(matches!(request("c=lookup,t=team,d=480"), Ok(Command::Call(_))));
     // A wait longer than any client's is cut: no clock could hold it, and it would hold its place for ever.
-    let Ok(Request::Call(call)) = request("c=lookup,t=team,d=99999999999999999999") else {
+    let Ok(Command::Call(call)) = request("c=lookup,t=team,d=99999999999999999999") else {
         panic!("no call")
     };
-    assert_eq!(call.transaction.left, 3_000_000);
+    assert_eq!(call.transaction.time_left, 3_000_000);
     for list in [
         "t=team,d=480",
         "c=lookup,d=480",
@@ -244,7 +244,7 @@
     }
     for customer in ["b4d65521", "+0000000b4d65521", "0000000200000000", "00000000b4d6552g"] {
         let words: [&[u8]; 4] = [b"CALL.GET", customer.as_bytes(), b"9b1f", b"c=lookup,t=team,d=480"];
-        assert!(call::request(&words, &outside()).is_err(), "{customer}");
+        assert!(call::command(&words, &outside()).is_err(), "{customer}");
     }
 }
 
@@ -353,10 +353,10 @@
         let ended = call::behind(&end[..cut], 2, true, &names);
         match cut {
             0 | 1 => assert!(ended.is_err()),
-            _ => assert_eq!(ended, Ok(Some(((Said::Passed { units: None }, Load::default()), cut)))),
+            _ => assert_eq!(ended, Ok(Some(((Said::Passed { units: None }, LoadReport::default()), cut)))),
         }
     }
-    let load = Load { waiting: Some(7.0), ..Load::default() };
+    let load = LoadReport { queued: Some(7.0), ..LoadReport::default() };
     let passed = (Said::Passed { units: Some(2.5) }, load);
     assert_eq!(call::behind(end, 2, false, &names), Ok(Some((passed, end.len()))));
     assert!(call::behind(b"vv$-1\r\n$-1\r\n", 2, false, &names).is_err());
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -3,7 +3,7 @@
 use fernscale_gateway::protocol::catalog::Members;
 use fernscale_gateway::routing::starts::StartTimes;
 use fernscale_gateway::transport::wall::WallClock;
-use fernscale_policy::interface::{Id, Listed, Micros, State};
+use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -15,15 +15,15 @@
 fn list(servers: &[(&str, Micros)]) -> Members {
     let listed = |(server, told): &(&str, Micros)| {
         let (server, start) = (Id::from(*server), Some(*told));
-        let listed = Listed {
+        let listed = Endpoint {
             server,
             zone: 0,
-            kind: 0,
+            hardware_type: 0,
             cell: 0,
-            state: State::Ready,
-            rating: 1.0,
-            started: start,
-            told_start: start,
+            state: EndpointState::Ready,
+            weight: 1.0,
+            started_at: start,
+            listed_start: start,
         };
         (listed, ([127, 0, 0, 1], 1).into())
     };
@@ -34,7 +34,7 @@
 fn read(starts: &mut StartTimes, now: Micros, age: Micros, servers: &[(&str, Micros)]) -> Option<Micros> {
     let mut members = list(servers);
     starts.read_news(now, |_| age, &mut members);
-    members.servers[0].0.started
+    members.servers[0].0.started_at
 }
 
 #[test]
--- a/crates/lab/src/quotas.rs
+++ b/crates/lab/src/quotas.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
 
-use fernscale_policy::interface::{
-    self as module, Host, Id, Listed, Load, Outcome, Returned, State, Transaction,
+use fernscale_policy::Engine;
+use fernscale_policy::RejectReason;
+use fernscale_policy::{
+    self as module, AttemptCompleted, Endpoint, EndpointState, Host, Id, LoadReport, Outcome, Request,
 };
-use fernscale_policy::policy::Gateway;
-use fernscale_policy::refusal::Refusal;
 use serde_json::{json, Value};
 
 use crate::model::counter::{Counter, Said, Spec};
@@ -197,28 +197,28 @@
     fn now(&self) -> Micros {
         self.0.borrow().0
     }
-    fn send(&mut self, transaction: &Id, server: &Id, _limit: Micros) {
+    fn forward(&mut self, transaction: &Id, server: &Id, _limit: Micros) {
         self.note(Act::Send(transaction.clone(), server.clone()));
     }
     fn cancel(&mut self, _transaction: &Id, _trip: usize) {}
-    fn nack(&mut self, transaction: &Id, _wait: Micros, _why: Refusal) {
+    fn reject(&mut self, transaction: &Id, _wait: Micros, _why: RejectReason) {
         self.note(Act::Refuse(transaction.clone()));
     }
-    fn abandon(&mut self, transaction: &Id, _why: Refusal) {
+    fn fail(&mut self, transaction: &Id, _why: RejectReason) {
         self.note(Act::Refuse(transaction.clone()));
     }
-    fn set_alarm(&mut self, delay: Micros, token: &str) {
+    fn set_timer(&mut self, delay: Micros, token: &str) {
         self.note(Act::Alarm(delay, token.into()));
     }
-    fn probe(&mut self, _server: &Id) {}
-    fn close_idle(&mut self, _server: &Id) {}
-    fn add(&mut self, count: &str, amount: f64, life: Micros) {
+    fn check_health(&mut self, _server: &Id) {}
+    fn close_idle_connections(&mut self, _server: &Id) {}
+    fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
         self.note(Act::Add(count.into(), amount, life));
     }
-    fn follow_list(&mut self, _on: bool) {}
-    fn fetch_list(&mut self) {}
-    fn tell(&mut self, _gateway: Option<u32>, _data: &[u8]) {}
-    fn report(&mut self, _text: &str) {}
+    fn watch_endpoints(&mut self, _on: bool) {}
+    fn poll_endpoints(&mut self) {}
+    fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {}
+    fn log(&mut self, _text: &str) {}
 }
 
 enum Due {
@@ -230,7 +230,7 @@
 
 struct Fleet {
     now: Micros,
-    gateways: Vec<(Gateway<Hands>, Hands)>,
+    gateways: Vec<(Engine<Hands>, Hands)>,
     counter: Counter,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Due>,
@@ -247,7 +247,7 @@
     }
 
     /// Tells one gateway something, and does what it says.
-    fn tell(&mut self, gateway: usize, event: impl FnOnce(&mut Gateway<Hands>)) {
+    fn tell(&mut self, gateway: usize, event: impl FnOnce(&mut Engine<Hands>)) {
         let (module, hands) = &mut self.gateways[gateway];
         hands.0.borrow_mut().0 = SHARED + self.now;
         event(module);
@@ -272,7 +272,7 @@
                     let (said, at) = self.counter.add(now, &count, amount, life);
                     let (outcome, total) = match said {
                         Said::Total(total) if at <= now + CALL => (Outcome::Ok, total),
-                        Said::Busy => (Outcome::Full, 0.0),
+                        Said::Busy => (Outcome::Overloaded, 0.0),
                         _ => (Outcome::TimedOut, 0.0),
                     };
                     let at = at.min(now + CALL);
@@ -293,36 +293,36 @@
                 let Some(ask) = ask else { return };
                 let (inside, _) = self.truth.asked(&ask);
                 let id = Id::from(format!("{:x}", ask.id));
-                let asked = Transaction {
+                let asked = Request {
                     id: id.clone(),
-                    lane: ask.lane,
+                    class: ask.lane,
                     plan: ask.plan,
-                    customer: Id::from(format!("{:x}", ask.customer)),
+                    tenant: Id::from(format!("{:x}", ask.customer)),
                     units: ask.units as f64,
-                    first: ask.first,
-                    spread: ask.spread,
-                    left: self.truth.lanes[ask.lane].hard_stop,
+                    first_gateway: ask.first,
+                    gateway_spread: ask.spread,
+                    time_left: self.truth.lanes[ask.lane].hard_stop,
                 };
                 let gateway = ask.gateway as usize;
                 self.open.insert(id, (ask, inside));
-                self.tell(gateway, |module| module.transaction(asked));
+                self.tell(gateway, |module| module.request_received(asked));
             }
-            Due::Alarm(gateway, token) => self.tell(gateway, |module| module.alarm(&token)),
+            Due::Alarm(gateway, token) => self.tell(gateway, |module| module.timer_fired(&token)),
             Due::Counted(gateway, count, outcome, total, took) => {
-                self.tell(gateway, |module| module.counted(&count, outcome, total, took));
+                self.tell(gateway, |module| module.counter_replied(&count, outcome, total, took));
             }
             Due::Returned(gateway, transaction, server) => {
-                let end = Returned {
-                    transaction,
-                    trip: 0,
+                let end = AttemptCompleted {
+                    request: transaction,
+                    attempt: 0,
                     server,
                     outcome: Outcome::Ok,
-                    took: TRIP,
-                    finished: true,
+                    elapsed: TRIP,
+                    is_final: true,
                     units: None,
-                    load: Load::default(),
+                    load: LoadReport::default(),
                 };
-                self.tell(gateway, |module| module.returned(end));
+                self.tell(gateway, |module| module.attempt_completed(end));
             }
         }
     }
@@ -388,26 +388,26 @@
     let gateway = |me: u32| {
         let settings = module::Settings {
             seed: crate::seed_of(day.seed, &me.to_string()),
-            me,
-            gateways: day.gateways,
-            lanes: vec![module::Lane {
-                kind: module::Kind::Redoable,
-                agreed: lanes[0].agreed,
-                importance: 1.0,
+            gateway_index: me,
+            gateway_count: day.gateways,
+            classes: vec![module::RequestClass {
+                idempotency: module::Idempotency::Idempotent,
+                latency_objective: lanes[0].agreed,
+                priority_weight: 1.0,
             }],
             plans: plans.iter().map(module_plan).collect(),
-            most_trips: 6,
-            may_cancel: true,
-            longest_wait: 500 * MS,
-            counter: true,
-            list_on_request: None,
-            cold_share: 0.3,
-            warm_up: 10 * SECOND,
-            fall_multiple: 3.0,
-            fall_window: 1_500 * MS,
+            max_attempts: 6,
+            can_cancel: true,
+            max_retry_after: 500 * MS,
+            has_shared_counter: true,
+            list_poll_interval: None,
+            slow_start_share: 0.3,
+            slow_start_duration: 10 * SECOND,
+            overload_factor: 3.0,
+            overload_window: 1_500 * MS,
         };
         let hands = Hands(Rc::new(RefCell::new((SHARED, Vec::new()))));
-        (Gateway::start(settings, hands.clone()), hands)
+        (Engine::new(settings, hands.clone()), hands)
     };
     let mut fleet = Fleet {
         now: 0,
@@ -420,18 +420,19 @@
         truth: Truth::new(&plans, &lanes),
     };
     let servers = (day.gateways * 2 / 3).max(12);
-    let listed = |number: u32| Listed {
+    let listed = |number: u32| Endpoint {
         server: Id::from(format!("s{number}")),
         zone: 0,
-        kind: 0,
+        hardware_type: 0,
         cell: 0,
-        state: State::Ready,
-        rating: 1.0,
-        started: None,
-        told_start: None,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_at: None,
+        listed_start: None,
     };
-    let list: Vec<Listed> = (0..servers).map(listed).collect();
-    (0..day.gateways as usize).for_each(|gateway| fleet.tell(gateway, |module| module.list(true, &list)));
+    let list: Vec<Endpoint> = (0..servers).map(listed).collect();
+    (0..day.gateways as usize)
+        .for_each(|gateway| fleet.tell(gateway, |module| module.endpoints_updated(true, &list)));
     fleet.at(0, Due::Ask);
     while let Some(Reverse((at, number))) = fleet.due.pop().filter(|Reverse((at, _))| *at < day.lasts) {
         fleet.now = at;
@@ -446,8 +447,8 @@
     module::Plan {
         rate: plan.rate,
         burst: plan.burst,
-        price: plan.price,
-        over_cost: OVER_COST,
+        priority_factor: plan.price,
+        excess_cost: OVER_COST,
         ..module::Plan::default()
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,194 +1,268 @@
-//! What passes between the decision module and whoever runs it.
+//! What passes between the decision module and its caller: settings, events, the records that they carry, and the
+//! [`Host`] through which the module acts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::refusal::Refusal;
+use crate::rejection::RejectReason;
 
-/// Whole microseconds, of a clock that all gateways share.
+/// Microseconds of a clock that all gateways share, or a span of that unit.
 pub type Micros = u64;
 
-/// An id just as the outside gave it.
+/// An identifier exactly as the protocol carries it.
 pub type Id = Arc<str>;
 
-/// What may be done again with a lane's transactions.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Redoable,
-    /// Servers of one group drop repeats for `memory`, counted from the first sending that may have run.
-    Labelled {
-        group: Group,
-        memory: Micros,
+pub enum Idempotency {
+    /// Running it again has no further effect.
+    Idempotent,
+    /// It carries an idempotency key. The servers of one `scope` drop repeats for `retention`, counted from the first
+    /// attempt that may have run.
+    Keyed {
+        /// The servers that share their memory of keys.
+        scope: KeyScope,
+        /// How long they remember a key.
+        retention: Micros,
     },
-    Irreversible,
+    /// Running it again has a second effect.
+    NonIdempotent,
 }
 
+/// The servers that share their memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
+    /// All servers.
     All,
+    /// The servers of one zone.
     Zone,
+    /// The servers of one cell (a rack).
     Cell,
 }
 
+/// What the requests of one class have in common.
 #[derive(Clone, Debug)]
-pub struct Lane {
-    pub kind: Kind,
-    pub agreed: Micros,
-    pub importance: f64,
+pub struct RequestClass {
+    /// Whether a request may run more than once.
+    pub idempotency: Idempotency,
+    /// The time within which an answer is wanted.
+    pub latency_objective: Micros,
+    /// What an answer within quota and objective is worth, beside those of other classes.
+    pub priority_weight: f64,
 }
 
+/// The quotas of a tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Units a second; 0 where the plan has no quota on the rate.
+    /// Units per second; 0 where the plan has no quota on the rate.
     pub rate: f64,
+    /// Units that may pass at once.
     pub burst: f64,
-    /// Trips out at once; 0 where the plan has no such quota.
-    pub most_out: u32,
-    /// Factor on the importance of what is inside the quota.
-    pub price: f64,
-    /// Share of its importance that a transaction earns, and costs, when sent on beyond the quota.
-    pub over_worth: f64,
-    pub over_cost: f64,
+    /// Requests in flight at once; 0 where the plan has no such quota.
+    pub max_concurrency: u32,
+    /// Factor on the priority weight of requests within the quota.
+    pub priority_factor: f64,
+    /// The part of its priority weight that a request earns when it is forwarded beyond the quota.
+    pub excess_value: f64,
+    /// The part of its priority weight that a request costs when it is forwarded beyond the quota.
+    pub excess_cost: f64,
+    /// The hard ceiling, which all gateways together never exceed.
     pub ceiling: Option<Ceiling>,
 }
 
+/// A hard ceiling on what a tenant is admitted, whatever its quota.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ceiling {
+    /// Units per second.
     pub rate: f64,
+    /// Units that may pass at once.
     pub burst: f64,
 }
 
+/// What the decision module goes by.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Seed of the module's random numbers.
     pub seed: u64,
-    pub me: u32,
-    pub gateways: u32,
-    pub lanes: Vec<Lane>,
+    /// This gateway's number, from 0.
+    pub gateway_index: u32,
+    /// How many gateways there are.
+    pub gateway_count: u32,
+    /// The classes of requests, by the index that requests name.
+    pub classes: Vec<RequestClass>,
+    /// The plans of tenants, by the index that requests name.
     pub plans: Vec<Plan>,
-    /// Trips one transaction may make; the module never has two of them out together.
-    pub most_trips: u32,
-    pub may_cancel: bool,
-    /// The longest wait that a nack may advise; 0 where clients hear of none.
-    pub longest_wait: Micros,
-    pub counter: bool,
-    /// The list of servers comes only to those who ask, and must be asked for within this time.
-    pub list_on_request: Option<Micros>,
-    /// A fresh server's share of its full capacity, the time in which it is warm, and the push that fells it:
-    /// so many times what it can do, for so long.
-    pub cold_share: f64,
-    pub warm_up: Micros,
-    pub fall_multiple: f64,
-    pub fall_window: Micros,
+    /// Attempts that one request may have; never two of them are in flight together.
+    pub max_attempts: u32,
+    /// Attempts in flight can be cancelled.
+    pub can_cancel: bool,
+    /// The longest Retry-After that a rejection may carry; 0 where clients are told none.
+    pub max_retry_after: Micros,
+    /// The gateways share a counter.
+    pub has_shared_counter: bool,
+    /// The endpoint list comes only to those that poll it, and has to be polled within this time.
+    pub list_poll_interval: Option<Micros>,
+    /// The part of its full capacity that a server has when it starts.
+    pub slow_start_share: f64,
+    /// The time in which a server that has started reaches its full capacity.
+    pub slow_start_duration: Micros,
+    /// A server in slow start that is sent so many times what it can do for [`Settings::overload_window`] collapses.
+    pub overload_factor: f64,
+    /// The time over which the load of a server in slow start is counted.
+    pub overload_window: Micros,
 }
 
+/// A request that a client has sent.
 #[derive(Clone, Debug)]
-pub struct Transaction {
+pub struct Request {
+    /// Names the request among those in flight at this gateway.
     pub id: Id,
-    pub lane: usize,
+    /// Index into [`Settings::classes`].
+    pub class: usize,
+    /// Index into [`Settings::plans`].
     pub plan: usize,
-    pub customer: Id,
+    /// The tenant whose quota it uses.
+    pub tenant: Id,
+    /// What it takes from the quota.
     pub units: f64,
-    /// The customer's gateways: `spread` of them in a row from number `first`, counted round.
-    pub first: u32,
-    pub spread: u32,
-    /// Time until the client's hard stop.
-    pub left: Micros,
+    /// The tenant's requests come through [`Request::gateway_spread`] gateways in a row, from this number on, modulo the
+    /// number of gateways.
+    pub first_gateway: u32,
+    /// How many gateways the tenant's requests come through.
+    pub gateway_spread: u32,
+    /// Time until the client's deadline.
+    pub time_left: Micros,
 }
 
-/// How a trip, a probe or a call to the counter ended.
+/// How an attempt, a health check or a call to the shared counter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It succeeded.
     Ok,
+    /// It was answered with an error.
     Error,
-    Full,
+    /// It was rejected for want of capacity, without having run.
+    Overloaded,
+    /// No answer came in time.
     TimedOut,
+    /// No connection came up.
     NotConnected,
+    /// The connection ended under it.
     Reset,
+    /// This gateway cancelled it.
     Cancelled,
+    /// It was never sent.
     NeverSent,
 }
 
 impl Outcome {
-    /// The sending surely had no effect.
+    /// The attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NotConnected | Outcome::NeverSent)
+        matches!(self, Outcome::Overloaded | Outcome::NotConnected | Outcome::NeverSent)
     }
 }
 
-/// A server's own word on its load; what it does not tell is absent.
+/// A server's report of its load; what it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
+    /// Requests being worked on.
     pub in_flight: Option<f64>,
-    pub waiting: Option<f64>,
-    pub busy: Option<f64>,
-    pub service: Option<Micros>,
+    /// Requests waiting to be worked on.
+    pub queued: Option<f64>,
+    /// Utilization, from 0 to 1.
+    pub utilization: Option<f64>,
+    /// Mean service time.
+    pub service_time: Option<Micros>,
 }
 
-/// The end of one trip.
+/// The end of one attempt.
 #[derive(Clone, Debug)]
-pub struct Returned {
-    pub transaction: Id,
-    pub trip: usize,
+pub struct AttemptCompleted {
+    /// The request that the attempt was made for.
+    pub request: Id,
+    /// The attempt's number, from 0.
+    pub attempt: usize,
+    /// The server that it was sent to.
     pub server: Id,
+    /// How it ended.
     pub outcome: Outcome,
-    pub took: Micros,
-    /// The transaction has its final answer, by this outcome or before it.
-    pub finished: bool,
-    /// The units that take the place of the guess.
+    /// Time from sending to the end.
+    pub elapsed: Micros,
+    /// The request has its final answer, by this attempt or before it.
+    pub is_final: bool,
+    /// The units that replace the request's estimate.
     pub units: Option<f64>,
-    pub load: Load,
+    /// The server's load, as its answer reported it.
+    pub load: LoadReport,
 }
 
+/// Where an endpoint stands in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
+    /// It takes new attempts.
     Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
-    Gone,
+    /// It is gone.
+    Removed,
 }
 
+/// One server in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
+    /// The server's name.
     pub server: Id,
+    /// Index of its zone.
     pub zone: u32,
-    pub kind: u32,
+    /// Index of its hardware type.
+    pub hardware_type: u32,
+    /// Index of its cell (a rack).
     pub cell: u32,
-    pub state: State,
-    /// Its size beside the others', as far as the list knows.
-    pub rating: f64,
-    /// When it last started, by the clock that the module is told; absent where that is long past.
-    pub started: Option<Micros>,
-    /// The same as discovery tells it, which all gateways hear alike.
-    pub told_start: Option<Micros>,
+    /// Where it stands in its life.
+    pub state: EndpointState,
+    /// Its capacity beside the others', as far as the list knows.
+    pub weight: f64,
+    /// When it last started, by the clock that the module is given; absent where that is long past.
+    pub started_at: Option<Micros>,
+    /// The same as discovery reports it, which is the same number at all gateways.
+    pub listed_start: Option<Micros>,
 }
 
-/// The servers that one gateway is to use, as they were dealt out among all gateways.
+/// The servers that one gateway is to use, as they were assigned among all gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subset {
-    /// Each with the part of this gateway's traffic that it is to get, beside the others; 0 for one held in reserve.
-    pub parts: BTreeMap<Id, f64>,
-    /// How many gateways use a server, in the mean.
-    pub shared_by: f64,
+    /// Each server's weight in this gateway's traffic; 0 for one held in reserve.
+    pub weights: BTreeMap<Id, f64>,
+    /// How many gateways use a server, on average.
+    pub gateways_per_server: f64,
 }
 
-/// What the module can do, on behalf of one gateway. Its calls take effect in the order they are made.
+/// What the decision module can do, on behalf of one gateway. Its calls take effect in the order in which they are made.
 pub trait Host {
+    /// The time by the clock that all gateways share.
     fn now(&self) -> Micros;
-    /// Sends a transaction to a server. Trips count from 0; the limit is cut to the hard stop.
-    fn send(&mut self, transaction: &Id, server: &Id, limit: Micros);
-    fn cancel(&mut self, transaction: &Id, trip: usize);
-    /// Final answer: trying again is harmless, best after `wait`.
-    fn nack(&mut self, transaction: &Id, wait: Micros, why: Refusal);
-    /// Final answer: nothing is promised.
-    fn abandon(&mut self, transaction: &Id, why: Refusal);
-    /// Calls `alarm` with the same token, not before `delay` has passed.
-    fn set_alarm(&mut self, delay: Micros, token: &str);
-    fn probe(&mut self, server: &Id);
-    fn close_idle(&mut self, server: &Id);
-    /// Adds to a count that all gateways share; `counted` tells the total. A new count is kept for `life`.
-    fn add(&mut self, count: &str, amount: f64, life: Micros);
-    fn follow_list(&mut self, on: bool);
-    fn fetch_list(&mut self);
-    /// Tells one other gateway, or all of them, a few bytes.
-    fn tell(&mut self, gateway: Option<u32>, data: &[u8]);
-    fn report(&mut self, text: &str);
+    /// Forwards a request to a server. Attempts count from 0; the time limit is cut to the client's deadline.
+    fn forward(&mut self, request: &Id, server: &Id, time_limit: Micros);
+    /// Cancels an attempt in flight.
+    fn cancel(&mut self, request: &Id, attempt: usize);
+    /// Final answer: rejected without any effect; it may be sent again, best after `retry_after`.
+    fn reject(&mut self, request: &Id, retry_after: Micros, reason: RejectReason);
+    /// Final answer: failed, and whether it had an effect is not known.
+    fn fail(&mut self, request: &Id, reason: RejectReason);
+    /// Has the timer of this token fire, not before `delay` has passed.
+    fn set_timer(&mut self, delay: Micros, token: &str);
+    /// Sends a health check to a server.
+    fn check_health(&mut self, server: &Id);
+    /// Closes the idle connections to a server.
+    fn close_idle_connections(&mut self, server: &Id);
+    /// Adds to a counter that all gateways share; the reply tells the total. A new counter is kept for `lifetime`.
+    fn update_counter(&mut self, key: &str, amount: f64, lifetime: Micros);
+    /// Opens the watch on the endpoint list, or ends it.
+    fn watch_endpoints(&mut self, on: bool);
+    /// Polls the endpoint list once.
+    fn poll_endpoints(&mut self);
+    /// Sends some bytes to one other gateway, or to all of them.
+    fn send_message(&mut self, gateway: Option<u32>, data: &[u8]);
+    /// Writes a line to the host's log.
+    fn log(&mut self, text: &str);
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,11 @@
-//! fernscale meters many customers' use of one shared service through several gateways.
+//! fernscale meters many tenants' use of one shared service through several gateways.
 
-pub mod interface;
-pub mod policy;
-pub mod refusal;
+mod interface;
+mod policy;
+mod rejection;
 pub mod settings;
 mod state;
+
+pub use interface::*;
+pub use policy::Engine;
+pub use rejection::RejectReason;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! Every decision of one gateway. The caller makes a [`Gateway`] with its settings and a [`Host`], then calls
+//! Every decision of one gateway. The caller makes a [`Engine`] with its settings and a [`Host`], then calls
 //! the method named after what happened: `transaction`, `returned`, `counted`, `list`, `alarm`, `cordon` ...
 //! The module answers by calling the host, in order, before the method returns. Types: `interface.rs`.
 
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::interface::*;
-use crate::refusal::Refusal;
+use crate::rejection::RejectReason;
 use crate::state::{phase, Calls, Customer, Open, Server, Servers, Trip, Work};
 
 const SECOND: Micros = 1_000_000;
@@ -93,7 +93,7 @@
 /// Times that the pause before a list is asked anew doubles: a crowd must not stay one, nor an agent unheard.
 const MOST_DOUBLED: u32 = 4;
 
-pub struct Gateway<H: Host> {
+pub struct Engine<H: Host> {
     host: H,
     settings: Settings,
     chance: ChaCha8Rng,
@@ -118,16 +118,16 @@
     inside: Vec<f64>,
 }
 
-impl<H: Host> Gateway<H> {
-    pub fn start(settings: Settings, mut host: H) -> Self {
+impl<H: Host> Engine<H> {
+    pub fn new(settings: Settings, mut host: H) -> Self {
         let born = host.now();
-        let rate = FIRST_CALLS / f64::from(settings.gateways.max(1));
+        let rate = FIRST_CALLS / f64::from(settings.gateway_count.max(1));
         let saved = rate * seconds(CALLS_SAVED);
-        host.set_alarm(SECOND, "look");
-        if settings.list_on_request.is_some() {
-            host.follow_list(true);
+        host.set_timer(SECOND, "look");
+        if settings.list_poll_interval.is_some() {
+            host.watch_endpoints(true);
         }
-        Gateway {
+        Engine {
             chance: ChaCha8Rng::seed_from_u64(settings.seed),
             born,
             part: 1.0,
@@ -136,8 +136,8 @@
             open: HashMap::new(),
             dues: BTreeSet::new(),
             waiting: BTreeSet::new(),
-            usual: settings.lanes.iter().map(|lane| USUAL * lane.agreed as f64).collect(),
-            idle: vec![f64::INFINITY; settings.lanes.len()],
+            usual: settings.classes.iter().map(|lane| USUAL * lane.latency_objective as f64).collect(),
+            idle: vec![f64::INFINITY; settings.classes.len()],
             work: Work::new(born, born + SECOND, FURTHER_SAVED),
             subset: None,
             calls: Calls::new(rate, saved, born),
@@ -149,9 +149,9 @@
     }
 
     /// A client's transaction has come in.
-    pub fn transaction(&mut self, asked: Transaction) {
+    pub fn request_received(&mut self, asked: Request) {
         let now = self.host.now();
-        let (id, hard_stop) = (asked.id.clone(), now + asked.left);
+        let (id, hard_stop) = (asked.id.clone(), now + asked.time_left);
         let (rank, due) = ((0, now, id.clone()), hard_stop.saturating_sub(MARGIN).max(now));
         let within = self.meter(&asked, now);
         self.dues.insert((due, id.clone()));
@@ -167,27 +167,27 @@
     fn admit(&mut self, id: &Id, within: bool, now: Micros) {
         let (out, caps) = self.fill();
         let Some(open) = self.open.get_mut(id) else { return };
-        let (asked, customer) = (&open.asked, &self.customers[&open.asked.customer]);
-        let (plan, lane) = (&self.settings.plans[asked.plan], &self.settings.lanes[asked.lane]);
-        let pays = within || plan.over_worth > plan.over_cost;
+        let (asked, customer) = (&open.asked, &self.customers[&open.asked.tenant]);
+        let (plan, lane) = (&self.settings.plans[asked.plan], &self.settings.classes[asked.class]);
+        let pays = within || plan.excess_value > plan.excess_cost;
         let full = !within && (out > SPARE * caps || !self.waiting.is_empty());
         let part = plan.ceiling.is_none() || customer.ceiling >= asked.units;
-        let late = now + MARGIN + self.usual[asked.lane] as Micros / 2 >= open.hard_stop;
+        let late = now + MARGIN + self.usual[asked.class] as Micros / 2 >= open.hard_stop;
         let why = match (pays && !full, late, part) {
-            (false, ..) => Some(Refusal::OverQuota),
-            (true, true, _) => Some(Refusal::NoTime),
-            (true, false, false) => Some(Refusal::Ceiling),
+            (false, ..) => Some(RejectReason::OverQuota),
+            (true, true, _) => Some(RejectReason::DeadlineTooClose),
+            (true, false, false) => Some(RejectReason::Ceiling),
             (true, false, true) => None,
         };
         if let Some(why) = why {
             return self.give_up(id, why);
         }
         // What earns most for the work it takes goes first.
-        let worth = plan.price * lane.importance / self.usual[asked.lane];
+        let worth = plan.priority_factor * lane.priority_weight / self.usual[asked.class];
         open.rank = (-(worth * 1e9) as i64, now, id.clone());
         open.within = Some(within);
         self.waiting.insert(open.rank.clone());
-        let hold = (HOLD * lane.agreed as f64) as Micros;
+        let hold = (HOLD * lane.latency_objective as f64) as Micros;
         self.dues.remove(&(open.due, id.clone()));
         open.due = open.due.min(now + hold);
         self.dues.insert((open.due, id.clone()));
@@ -196,47 +196,47 @@
         // What can't be served in time is refused at once, the least rewarding first.
         if self.waiting.len() as f64 > (QUEUE * caps).max(LEAST_QUEUE) {
             if let Some((_, _, last)) = self.waiting.pop_last() {
-                self.give_up(&last, Refusal::QueueFull);
+                self.give_up(&last, RejectReason::QueueFull);
             }
         }
     }
 
     /// An answer has begun to stream.
-    pub fn flowing(&mut self, transaction: &Id, trip: usize) {
+    pub fn response_started(&mut self, transaction: &Id, trip: usize) {
         self.close(transaction, Some(trip));
     }
 
     /// A trip has ended.
-    pub fn returned(&mut self, end: Returned) {
+    pub fn attempt_completed(&mut self, end: AttemptCompleted) {
         let now = self.host.now();
-        let Some(open) = self.open.get_mut(&end.transaction) else { return };
-        let Some(trip) = open.trips.get_mut(end.trip).filter(|trip| trip.live) else { return };
+        let Some(open) = self.open.get_mut(&end.request) else { return };
+        let Some(trip) = open.trips.get_mut(end.attempt).filter(|trip| trip.live) else { return };
         trip.live = false;
         trip.may_have_run = !end.outcome.never_ran();
-        let (customer_id, lane, within) = (open.asked.customer.clone(), open.asked.lane, open.within);
+        let (customer_id, lane, within) = (open.asked.tenant.clone(), open.asked.class, open.within);
         let settled = end.units.map_or(0.0, |units| units - open.asked.units);
-        let finished = open.answered || end.finished;
+        let finished = open.answered || end.is_final;
         self.learn(&end, lane, now);
         if let Some(customer) = self.customers.get_mut(&customer_id) {
             customer.offered += settled;
             customer.store -= if within == Some(true) { settled } else { 0.0 };
         }
         match finished {
-            true => self.close(&end.transaction, None),
-            false => self.go_on(&end.transaction, now),
+            true => self.close(&end.request, None),
+            false => self.go_on(&end.request, now),
         }
         self.serve(now);
         self.wake(now);
     }
 
     /// The client has gone; nothing is owed any more.
-    pub fn dropped(&mut self, transaction: &Id) {
+    pub fn client_disconnected(&mut self, transaction: &Id) {
         self.close(transaction, None);
     }
 
-    pub fn alarm(&mut self, token: &str) {
+    pub fn timer_fired(&mut self, token: &str) {
         if token == "follow" {
-            return self.host.follow_list(true);
+            return self.host.watch_endpoints(true);
         }
         let now = self.host.now();
         if let Some(customer) = token.strip_prefix("out:") {
@@ -266,12 +266,12 @@
         let at = if self.waiting.is_empty() { due.max(now) } else { now + TICK };
         if at < self.work.awake {
             self.work.awake = at;
-            self.host.set_alarm(at - now, "look");
+            self.host.set_timer(at - now, "look");
         }
     }
 
     /// The whole list of servers, or changes to it.
-    pub fn list(&mut self, full: bool, entries: &[Listed]) {
+    pub fn endpoints_updated(&mut self, full: bool, entries: &[Endpoint]) {
         let now = self.host.now();
         self.misses = 0;
         if !full && entries.is_empty() {
@@ -282,26 +282,26 @@
         }
         for entry in entries {
             let server = self.servers.entry(&entry.server);
-            if server.cap == 0.0 || server.started != entry.started {
+            if server.cap == 0.0 || server.started != entry.started_at {
                 // New, or started anew: what was learnt no longer holds, and all gateways hear of it at once.
-                self.servers.renew(&entry.server, entry.started, self.chance.gen(), now);
+                self.servers.renew(&entry.server, entry.started_at, self.chance.gen(), now);
             }
             let server = self.servers.entry(&entry.server);
-            (server.zone, server.cell, server.rating) = (entry.zone, entry.cell, entry.rating);
-            server.ready = entry.state == State::Ready;
+            (server.zone, server.cell, server.rating) = (entry.zone, entry.cell, entry.weight);
+            server.ready = entry.state == EndpointState::Ready;
         }
         self.servers.retain(|server| server.ready || server.out > 0 || now < server.kept);
         self.deal(now);
     }
 
     /// The servers that this gateway uses from now on, as dealt out among all; none: it takes a row.
-    pub fn subset(&mut self, subset: Option<Subset>) {
+    pub fn set_subset(&mut self, subset: Option<Subset>) {
         self.subset = subset;
         self.deal(self.host.now());
     }
 
     /// Others have found a server to be bad, or well again: meanwhile no first trip goes there.
-    pub fn bar(&mut self, server: &Id, on: bool) {
+    pub fn set_ejected(&mut self, server: &Id, on: bool) {
         if let Some(server) = self.servers.get_mut(server) {
             server.barred = on;
         }
@@ -313,19 +313,19 @@
         let fits = |server: &Server| server.ready && !server.barred;
         // Each of too many gateways takes a row of servers from its own place, which a new list moves little.
         self.servers.deal(fits, |row| {
-            let (all, gateways) = (row.len().max(1), settings.gateways.max(1) as usize);
+            let (all, gateways) = (row.len().max(1), settings.gateway_count.max(1) as usize);
             let part = (all / (gateways / SHARED_BY).max(1)).max(FEWEST).min(all);
-            let first = settings.me as usize % gateways * all / gateways;
+            let first = settings.gateway_index as usize % gateways * all / gateways;
             let by_row = ((gateways * part) as f64 / all as f64).max(1.0);
-            work.shared = subset.as_ref().map_or(by_row, |subset| subset.shared_by);
+            work.shared = subset.as_ref().map_or(by_row, |subset| subset.gateways_per_server);
             let cap = FIRST_CAPS / work.shared;
             work.least = (LEAST_CAPS / work.shared).min(1.0);
             for (place, (id, server)) in row.iter_mut().enumerate() {
                 let rating = Some(server.rating).filter(|_| (place + all - first) % all < part);
-                let part = subset.as_ref().map_or(rating, |subset| subset.parts.get(*id).copied());
+                let part = subset.as_ref().map_or(rating, |subset| subset.weights.get(*id).copied());
                 (server.mine, server.part) = (part.is_some(), part.unwrap_or(server.rating));
                 if server.cap == 0.0 {
-                    let cold = server.started.is_some_and(|at| now < at + settings.warm_up);
+                    let cold = server.started.is_some_and(|at| now < at + settings.slow_start_duration);
                     server.cap = if cold { 0.5 * cap } else { cap };
                 }
             }
@@ -334,7 +334,7 @@
 
     /// The operators leave a server out of use, whatever the list says of it.
     pub fn cordon(&mut self, server: &Id) {
-        self.host.close_idle(server);
+        self.host.close_idle_connections(server);
         let server = self.servers.entry(server);
         (server.cordoned, server.kept) = (true, Micros::MAX);
     }
@@ -342,14 +342,15 @@
     /// They called it back then: it has been started anew meanwhile, though the list may not say so yet.
     pub fn uncordon(&mut self, server: &Id, at: Micros) {
         let (now, server) = (self.host.now(), self.servers.entry(server));
-        (server.cordoned, server.recalled, server.kept) = (false, Some(at), at + self.settings.warm_up);
+        (server.cordoned, server.recalled, server.kept) =
+            (false, Some(at), at + self.settings.slow_start_duration);
         // It is met at once, by some of many gateways: operators call them all at about one time.
         let met = (FIRST_CAPS / self.work.shared).max(self.chance.gen()).min(1.0);
         (server.cold, server.cold_at, server.credit, server.rests) = (met, now, 1.0, now);
     }
 
     /// This process has so much of its gateway's ceilings and cold budgets; what others had may be used up.
-    pub fn part(&mut self, part: f64) {
+    pub fn set_process_share(&mut self, part: f64) {
         let now = self.host.now();
         for customer in self.customers.values_mut() {
             customer.fill(&self.settings.plans[customer.plan], self.part, now);
@@ -358,25 +359,25 @@
     }
 
     /// Whether a server is avoided now, by the operators' word or for the trips that it lost.
-    pub fn avoids(&self, server: &Id) -> bool {
+    pub fn is_avoided(&self, server: &Id) -> bool {
         let now = self.host.now();
         self.servers.get(server).is_some_and(|server| server.cordoned || server.ready && server.rests > now)
     }
 
     /// The list could not be had, or follows no longer.
-    pub fn list_failed(&mut self) {
+    pub fn endpoints_unavailable(&mut self) {
         self.misses = (self.misses + 1).min(MOST_DOUBLED);
-        let asked = self.settings.list_on_request;
+        let asked = self.settings.list_poll_interval;
         let most = asked.map_or((TICK / 2) << self.misses, |within| within.min(SECOND << self.misses));
-        self.host.set_alarm((most as f64 * self.chance.gen_range(0.5..1.0)) as Micros, "follow");
+        self.host.set_timer((most as f64 * self.chance.gen_range(0.5..1.0)) as Micros, "follow");
     }
 
-    pub fn probed(&mut self, _server: &Id, _outcome: Outcome, _load: Load) {}
+    pub fn health_check_completed(&mut self, _server: &Id, _outcome: Outcome, _load: LoadReport) {}
 
-    pub fn told(&mut self, _gateway: u32, _data: &[u8]) {}
+    pub fn message_received(&mut self, _gateway: u32, _data: &[u8]) {}
 
     /// A call to the shared counter has ended.
-    pub fn counted(&mut self, count: &str, outcome: Outcome, total: f64, took: Micros) {
+    pub fn counter_replied(&mut self, count: &str, outcome: Outcome, total: f64, took: Micros) {
         let now = self.host.now();
         let calls = &mut self.calls;
         calls.heard = if outcome == Outcome::Ok { now } else { calls.heard };
@@ -388,7 +389,7 @@
             }
             calls.good = now;
         } else if outcome != Outcome::Error && now >= calls.cut + PERIOD {
-            let least = LEAST_CALLS / f64::from(self.settings.gateways.max(1));
+            let least = LEAST_CALLS / f64::from(self.settings.gateway_count.max(1));
             calls.rate = (calls.rate * if outcome == Outcome::Ok { SLOWED } else { BACK_OFF }).max(least);
             calls.cut = now;
         }
@@ -492,11 +493,11 @@
     }
 
     /// Counts what is offered. True if the customer's quota has room for it, none while the counter is asked.
-    fn meter(&mut self, arrived: &Transaction, now: Micros) -> Option<bool> {
+    fn meter(&mut self, arrived: &Request, now: Micros) -> Option<bool> {
         let (plan, chance) = (&self.settings.plans[arrived.plan], &mut self.chance);
-        let (age, gateways) = (now - self.born, self.settings.gateways.max(1));
-        let customer = self.customers.entry(arrived.customer.clone()).or_insert_with(|| {
-            let (spread, draw) = (f64::from(arrived.spread.clamp(1, gateways)), chance.gen());
+        let (age, gateways) = (now - self.born, self.settings.gateway_count.max(1));
+        let customer = self.customers.entry(arrived.tenant.clone()).or_insert_with(|| {
+            let (spread, draw) = (f64::from(arrived.gateway_spread.clamp(1, gateways)), chance.gen());
             // Kept alone, by the even part: empty at first, as a gateway that was killed may have used it up.
             let rate = plan.ceiling.map_or(0.0, |ceiling| self.part * ceiling.rate / spread);
             let ceiling = rate * seconds(age.min(QUIET));
@@ -513,12 +514,12 @@
             None => customer.store < arrived.units,
         };
         customer.asking.push(arrived.id.clone());
-        self.post_out(&arrived.customer, now);
-        self.post(&arrived.customer, now);
-        let customer = self.customers.get_mut(&arrived.customer)?;
+        self.post_out(&arrived.tenant, now);
+        self.post(&arrived.tenant, now);
+        let customer = self.customers.get_mut(&arrived.tenant)?;
         let wait = customer.out_adding.is_some() || customer.doubt && customer.adding.is_some();
         // Of a customer seen here now and then, what is known is no guide by the next time.
-        if wait && arrived.left > MARGIN {
+        if wait && arrived.time_left > MARGIN {
             return None;
         }
         customer.asking.pop();
@@ -526,17 +527,17 @@
     }
 
     /// Whether the customer's quota has room, by what is known of it.
-    fn judge(&mut self, arrived: &Transaction, now: Micros) -> bool {
+    fn judge(&mut self, arrived: &Request, now: Micros) -> bool {
         let plan = &self.settings.plans[arrived.plan];
-        let Some(customer) = self.customers.get_mut(&arrived.customer) else { return false };
+        let Some(customer) = self.customers.get_mut(&arrived.tenant) else { return false };
         customer.seen += arrived.units;
         let inside = &mut self.inside[arrived.plan];
         let (mut within, mut known) = (true, true);
         // Who comes here again before any word of it asks much; the first is likelier inside than the rest.
         let likely = if customer.seen <= arrived.units { (1.0 + *inside) / 2.0 } else { *inside * *inside };
-        let mut likely = self.settings.counter && self.chance.gen::<f64>() < likely;
-        if plan.most_out > 0 {
-            let (most, out) = (f64::from(plan.most_out), f64::from(customer.out));
+        let mut likely = self.settings.has_shared_counter && self.chance.gen::<f64>() < likely;
+        if plan.max_concurrency > 0 {
+            let (most, out) = (f64::from(plan.max_concurrency), f64::from(customer.out));
             // With few of them for many gateways, what is not fresh is no guide; nacked, it comes again.
             let few = now < self.calls.heard + STALE && 2.0 * most < customer.spread;
             within = match customer.out_told {
@@ -554,7 +555,7 @@
             self.calls.worded += STEADY * (f64::from(u8::from(known)) - self.calls.worded);
             // Nacked without word it comes again where there may be one; let in, it is in no count. Who is
             // here again asks far beyond its quota, two fifths inside: it must earn more than it costs.
-            let pays = customer.seen <= arrived.units || 1.5 * plan.over_cost < 1.0 + plan.over_worth;
+            let pays = customer.seen <= arrived.units || 1.5 * plan.excess_cost < 1.0 + plan.excess_value;
             likely &= now >= self.calls.heard + STALE || pays && self.calls.worded < WORDED;
             within &= if word { customer.passing + ROUNDING >= arrived.units } else { likely && !known };
             customer.passing -= if word && within { arrived.units } else { 0.0 };
@@ -587,18 +588,18 @@
             let span = (now + phase(id, period)) / period;
             customer.known = if customer.span == span { customer.known } else { 0.0 };
             customer.span = span;
-            let asks = self.settings.counter && customer.known + ROUNDING < limit;
+            let asks = self.settings.has_shared_counter && customer.known + ROUNDING < limit;
             if asks && (share >= 1.0 || self.chance.gen::<f64>() < share) {
                 let new = std::mem::take(&mut customer.offered);
                 customer.adding = Some((new, new));
                 self.calls.saved -= 1.0;
-                self.host.add(&format!("p{span}:{id}"), new, period);
+                self.host.update_counter(&format!("p{span}:{id}"), new, period);
             }
             return;
         }
         let span = now - now % plan.grown(now, now).2;
         let free = customer.adding.is_none() && now >= customer.called + PERIOD && plan.rate > 0.0;
-        if !free || !self.settings.counter || customer.spread <= 1.0 {
+        if !free || !self.settings.has_shared_counter || customer.spread <= 1.0 {
             return;
         }
         if customer.span != span {
@@ -617,15 +618,19 @@
         let amount = (new + customer.untold) / share * grown;
         customer.adding = Some((amount, new));
         self.calls.saved -= 1.0;
-        self.host.add(&format!("q{span}:{id}"), amount, SPAN);
+        self.host.update_counter(&format!("q{span}:{id}"), amount, SPAN);
     }
 
     /// Keeps the shared count of a customer's trips out in step with those from here.
     fn post_out(&mut self, id: &Id, now: Micros) {
         let share = self.chance_of_call(now);
         let Some(customer) = self.customers.get_mut(id) else { return };
-        let capped = self.settings.plans[customer.plan].most_out > 0;
-        if !capped || !self.settings.counter || customer.out_adding.is_some() || customer.spread <= 1.0 {
+        let capped = self.settings.plans[customer.plan].max_concurrency > 0;
+        if !capped
+            || !self.settings.has_shared_counter
+            || customer.out_adding.is_some()
+            || customer.spread <= 1.0
+        {
             return;
         }
         // Names of all customers that change at one time would bring all calls at one time.
@@ -640,12 +645,12 @@
         let told = amount < 0.0 || moves || share >= 1.0;
         if amount != 0.0 && (told || self.chance.gen::<f64>() < share) {
             if amount > 0.0 {
-                self.host.set_alarm(left, &format!("out:{id}"));
+                self.host.set_timer(left, &format!("out:{id}"));
             }
             customer.out_added += amount;
             customer.out_adding = Some(amount);
             self.calls.saved -= 1.0;
-            self.host.add(&format!("o{span}:{id}"), amount, SPAN);
+            self.host.update_counter(&format!("o{span}:{id}"), amount, SPAN);
         }
     }
 
@@ -658,16 +663,16 @@
     /// The share of its capacity that a server surely has, by the time since its start.
     fn share(&self, server: &Server, now: Micros) -> f64 {
         let Some(started) = server.started.max(server.recalled) else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / self.settings.warm_up.max(1) as f64;
-        (self.settings.cold_share + (1.0 - self.settings.cold_share) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / self.settings.slow_start_duration.max(1) as f64;
+        (self.settings.slow_start_share + (1.0 - self.settings.slow_start_share) * age).min(1.0)
     }
 
     /// Trips that a cold server may be sent now: it falls over when all gateways push it. Each keeps to its
     /// part of what the server surely can do, with many gateways less than one trip at a time.
     fn budget(&self, server: &Server, now: Micros) -> f64 {
-        let can = self.share(server, now) * self.work.carried * seconds(self.settings.fall_window);
-        let part = self.part * (COLD_USE * self.settings.fall_multiple * can).max(0.5 / self.work.shared);
-        let windows = (now - server.cold_at) as f64 / self.settings.fall_window.max(1) as f64;
+        let can = self.share(server, now) * self.work.carried * seconds(self.settings.overload_window);
+        let part = self.part * (COLD_USE * self.settings.overload_factor * can).max(0.5 / self.work.shared);
+        let windows = (now - server.cold_at) as f64 / self.settings.overload_window.max(1) as f64;
         (server.cold + part * windows).min(part.max(1.0))
     }
 
@@ -716,16 +721,18 @@
 
     /// The servers among which a repeat of this lane is dropped.
     fn group(&self, lane: usize, server: &Server) -> Option<u32> {
-        match self.settings.lanes[lane].kind {
-            Kind::Labelled { group: Group::Zone, .. } => Some(server.zone),
-            Kind::Labelled { group: Group::Cell, .. } => Some(server.cell),
+        match self.settings.classes[lane].idempotency {
+            Idempotency::Keyed { scope: KeyScope::Zone, .. } => Some(server.zone),
+            Idempotency::Keyed { scope: KeyScope::Cell, .. } => Some(server.cell),
             _ => None,
         }
     }
 
     /// The group that a labelled transaction is bound to, and until when, once a trip may have run.
     fn bound(&self, lane: usize, trips: &[Trip]) -> Option<(Option<u32>, Micros)> {
-        let Kind::Labelled { memory, .. } = self.settings.lanes[lane].kind else { return None };
+        let Idempotency::Keyed { retention: memory, .. } = self.settings.classes[lane].idempotency else {
+            return None;
+        };
         let first = trips.iter().find(|trip| trip.may_have_run)?;
         // A server that has left the list takes the word of its group with it: then no other will do.
         let server = self.servers.get(&first.server);
@@ -734,9 +741,9 @@
     }
 
     /// What one trip's end tells of its server.
-    fn learn(&mut self, end: &Returned, lane: usize, now: Micros) {
+    fn learn(&mut self, end: &AttemptCompleted, lane: usize, now: Micros) {
         let mean = self.servers.mean_lost();
-        let (took, caps, least) = (end.took as f64, self.fill().1, self.work.least);
+        let (took, caps, least) = (end.elapsed as f64, self.fill().1, self.work.least);
         // A gateway that has less than one place uses it for a part of the time.
         self.work.free = now + (took * (1.0 / caps.min(1.0) - 1.0)).min(SECOND as f64) as Micros;
         let Some(server) = self.servers.get_mut(&end.server) else { return };
@@ -753,7 +760,7 @@
         }
         let Some(server) = self.servers.get_mut(&end.server) else { return };
         if end.outcome == Outcome::Ok {
-            let most = 2.0 * self.settings.lanes[lane].agreed as f64;
+            let most = 2.0 * self.settings.classes[lane].latency_objective as f64;
             self.usual[lane] += STEADY * (took.min(most) - self.usual[lane]);
             let (idle, usual) = (&mut self.idle[lane], self.usual[lane]);
             *idle = if usual < *idle { usual } else { *idle + RISE * (usual - *idle) };
@@ -771,7 +778,7 @@
     /// Takes a transaction's units from its customer, or gives them back.
     fn charge(&mut self, id: &Id, times: f64) {
         let open = &self.open[id];
-        let Some(customer) = self.customers.get_mut(&open.asked.customer) else { return };
+        let Some(customer) = self.customers.get_mut(&open.asked.tenant) else { return };
         let units = times * open.asked.units;
         customer.held += units;
         customer.ceiling -= units;
@@ -784,7 +791,7 @@
     /// Sends what waits, the most rewarding first, as far as servers have room.
     fn serve(&mut self, now: Micros) {
         while let Some((_, _, id)) = self.waiting.first().cloned() {
-            let Some(server) = self.pick(self.open[&id].asked.lane, &[], now) else { return };
+            let Some(server) = self.pick(self.open[&id].asked.class, &[], now) else { return };
             self.waiting.pop_first();
             self.send(&id, server, now);
         }
@@ -811,12 +818,12 @@
         }
         let mut limit = open.hard_stop - MARGIN / 2 - now;
         // A lost answer would hold its place, and its client, until the hard stop.
-        if lossy && self.settings.lanes[open.asked.lane].kind != Kind::Irreversible {
-            limit = limit.min((LOST * self.usual[open.asked.lane]) as Micros);
+        if lossy && self.settings.classes[open.asked.class].idempotency != Idempotency::NonIdempotent {
+            limit = limit.min((LOST * self.usual[open.asked.class]) as Micros);
         }
         open.trips.push(Trip { server: to.clone(), sent: now, live: true, may_have_run: true });
-        self.host.send(id, &to, limit);
-        if let Some(customer) = self.customers.get_mut(&open.asked.customer) {
+        self.host.forward(id, &to, limit);
+        if let Some(customer) = self.customers.get_mut(&open.asked.tenant) {
             customer.fill(&self.settings.plans[customer.plan], self.part, now);
             customer.held -= if first { open.asked.units } else { 0.0 };
         }
@@ -826,44 +833,45 @@
     fn go_on(&mut self, id: &Id, now: Micros) {
         let Some(open) = self.open.get_mut(id) else { return };
         let may = !open.trips.iter().any(|trip| trip.may_have_run)
-            || self.settings.lanes[open.asked.lane].kind != Kind::Irreversible;
-        let soon = now + self.usual[open.asked.lane] as Micros + MARGIN < open.hard_stop;
-        let more = open.trips.len() < self.settings.most_trips as usize;
+            || self.settings.classes[open.asked.class].idempotency != Idempotency::NonIdempotent;
+        let soon = now + self.usual[open.asked.class] as Micros + MARGIN < open.hard_stop;
+        let more = open.trips.len() < self.settings.max_attempts as usize;
         let why = match (may, soon, more, self.work.further >= 1.0) {
-            (false, ..) => Refusal::NotRepeatable,
-            (true, false, ..) => Refusal::NoTime,
-            (true, true, false, _) => Refusal::AttemptsUsed,
-            (true, true, true, false) => Refusal::RetryBudget,
+            (false, ..) => RejectReason::NotIdempotent,
+            (true, false, ..) => RejectReason::DeadlineTooClose,
+            (true, true, false, _) => RejectReason::AttemptsExhausted,
+            (true, true, true, false) => RejectReason::RetryBudgetExhausted,
             (true, true, true, true) => {
-                let (lane, trips) = (open.asked.lane, open.trips.clone());
+                let (lane, trips) = (open.asked.class, open.trips.clone());
                 if let Some(server) = self.pick(lane, &trips, now) {
                     self.work.further -= 1.0;
                     return self.send(id, server, now);
                 }
-                Refusal::NoServer
+                RejectReason::NoServer
             }
         };
         self.give_up(id, why);
     }
 
     /// What a transaction whose time here is over has waited for.
-    fn overdue(&self, id: &Id) -> Refusal {
+    fn overdue(&self, id: &Id) -> RejectReason {
         match self.open.get(id) {
-            Some(open) if open.within.is_none() => Refusal::CounterSilent,
-            Some(open) if !open.trips.is_empty() => Refusal::AttemptUnfinished,
-            _ => Refusal::NoServer,
+            Some(open) if open.within.is_none() => RejectReason::CounterTimeout,
+            Some(open) if !open.trips.is_empty() => RejectReason::AttemptUnfinished,
+            _ => RejectReason::NoServer,
         }
     }
 
     /// The final answer to what is given up: a nack where a repeat is harmless, else an abandonment.
-    fn give_up(&mut self, id: &Id, why: Refusal) {
+    fn give_up(&mut self, id: &Id, why: RejectReason) {
         let Some(open) = self.open.get(id).filter(|open| !open.answered) else { return };
-        let kind = self.settings.lanes[open.asked.lane].kind;
-        let harmless = matches!(kind, Kind::Redoable | Kind::Labelled { group: Group::All, .. })
-            || !open.trips.iter().any(|trip| trip.may_have_run);
+        let kind = self.settings.classes[open.asked.class].idempotency;
+        let harmless =
+            matches!(kind, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. })
+                || !open.trips.iter().any(|trip| trip.may_have_run);
         match harmless {
-            true => self.host.nack(id, self.settings.longest_wait, why),
-            false => self.host.abandon(id, why),
+            true => self.host.reject(id, self.settings.max_retry_after, why),
+            false => self.host.fail(id, why),
         }
         self.close(id, None);
     }
@@ -872,7 +880,7 @@
     fn close(&mut self, id: &Id, kept: Option<usize>) {
         let Some(open) = self.open.get_mut(id) else { return };
         let live = open.trips.iter().rposition(|trip| trip.live);
-        let cancels = self.settings.may_cancel && !open.answered;
+        let cancels = self.settings.can_cancel && !open.answered;
         if let Some(trip) = live.filter(|trip| cancels && Some(*trip) != kept) {
             self.host.cancel(id, trip);
         }
@@ -883,7 +891,7 @@
             if open.trips.is_empty() && open.within.is_some() {
                 self.charge(id, -1.0);
             }
-            let customer_id = self.open.remove(id).expect("open").asked.customer;
+            let customer_id = self.open.remove(id).expect("open").asked.tenant;
             let customer = self.customers.entry(customer_id.clone());
             customer.and_modify(|customer| customer.out = customer.out.saturating_sub(1));
             self.post_out(&customer_id, self.host.now());
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,6 @@
 //! Reads the settings, in one place for all who are given them. Names and units are the outside's.
 
-use crate::interface::{Ceiling, Group, Kind, Lane, Load, Micros, Plan, Settings};
+use crate::interface::{Ceiling, Idempotency, KeyScope, LoadReport, Micros, Plan, RequestClass, Settings};
 
 pub type Parsed<T> = Result<T, String>;
 
@@ -81,34 +81,34 @@
 }
 
 /// What the module goes by.
-pub fn settings(from: &impl Fields) -> Parsed<Settings> {
+pub fn policy_settings(from: &impl Fields) -> Parsed<Settings> {
     Ok(Settings {
         seed: from.whole("prng")?,
-        me: from.whole_or("me", 0)? as u32,
-        gateways: from.whole_or("balancers", 1)? as u32,
-        lanes: (0..from.whole_or("lanes.count", 0)?).map(|at| lane(from, at)).collect::<Parsed<_>>()?,
+        gateway_index: from.whole_or("me", 0)? as u32,
+        gateway_count: from.whole_or("balancers", 1)? as u32,
+        classes: (0..from.whole_or("lanes.count", 0)?).map(|at| lane(from, at)).collect::<Parsed<_>>()?,
         plans: (0..from.whole_or("tiersOfService.count", 0)?)
             .map(|at| plan(from, at))
             .collect::<Parsed<_>>()?,
-        most_trips: match from.whole_or("ceilings.sendCap", 1)? {
+        max_attempts: match from.whole_or("ceilings.sendCap", 1)? {
             0 => return Err("'ceilings.sendCap=0': nothing could be sent".into()),
             most => most.min(u32::MAX.into()) as u32,
         },
-        may_cancel: from.flag("ceilings.cancel")?,
-        longest_wait: longest_wait(from)?,
-        counter: from.flag("specifics.sharedCounter")?,
-        list_on_request: match from.field("discovery") {
+        can_cancel: from.flag("ceilings.cancel")?,
+        max_retry_after: longest_wait(from)?,
+        has_shared_counter: from.flag("specifics.sharedCounter")?,
+        list_poll_interval: match from.field("discovery") {
             Some("on_request") => Some(from.time_or("rules.askWithinMs", 0)?),
             Some("pushed") | None => None,
             Some(other) => return Err(format!("'discovery={other}' is neither 'pushed' nor 'on_request'")),
         },
-        cold_share: match from.amount_or("rules.coldFrom", 1.0)? {
+        slow_start_share: match from.amount_or("rules.coldFrom", 1.0)? {
             share if share > 1.0 => return Err(format!("'rules.coldFrom={share}' is more than all")),
             share => share,
         },
-        warm_up: from.time_or("rules.warmUpMs", 0)?,
-        fall_multiple: from.amount_or("rules.fallMultiple", 1.0)?,
-        fall_window: from.time_or("rules.fallMs", 0)?,
+        slow_start_duration: from.time_or("rules.warmUpMs", 0)?,
+        overload_factor: from.amount_or("rules.fallMultiple", 1.0)?,
+        overload_window: from.time_or("rules.fallMs", 0)?,
     })
 }
 
@@ -119,26 +119,26 @@
     }
 }
 
-fn lane(from: &impl Fields, at: u64) -> Parsed<Lane> {
+fn lane(from: &impl Fields, at: u64) -> Parsed<RequestClass> {
     let key = |name: &str| format!("lanes.{at}.{name}");
     let kind = match from.text(&key("effect"))? {
-        "read_like" => Kind::Redoable,
-        "idempotency_key" => Kind::Labelled {
-            group: match from.text(&key("group"))? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+        "read_like" => Idempotency::Idempotent,
+        "idempotency_key" => Idempotency::Keyed {
+            scope: match from.text(&key("group"))? {
+                "all" => KeyScope::All,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::Cell,
                 other => return Err(format!("'{}={other}' is no group", key("group"))),
             },
-            memory: from.time_or(&key("memorySpanMs"), 0)?,
+            retention: from.time_or(&key("memorySpanMs"), 0)?,
         },
-        "non_idempotent" => Kind::Irreversible,
+        "non_idempotent" => Idempotency::NonIdempotent,
         other => return Err(format!("'{}={other}' is no effect", key("effect"))),
     };
-    Ok(Lane {
-        kind,
-        agreed: from.some_time(&key("onTimeMs"))?,
-        importance: from.number_or(&key("value"), 1.0)?,
+    Ok(RequestClass {
+        idempotency: kind,
+        latency_objective: from.some_time(&key("onTimeMs"))?,
+        priority_weight: from.number_or(&key("value"), 1.0)?,
     })
 }
 
@@ -152,41 +152,41 @@
     Ok(Plan {
         rate: number("unitsPerS")?,
         burst: number("burst")?,
-        most_out: most_out as u32,
-        price: from.number_or(&format!("tiersOfService.{at}.valueFactor"), 1.0)?,
-        over_worth: number("excessWorth")?,
-        over_cost: number("excessCost")?,
+        max_concurrency: most_out as u32,
+        priority_factor: from.number_or(&format!("tiersOfService.{at}.valueFactor"), 1.0)?,
+        excess_value: number("excessWorth")?,
+        excess_cost: number("excessCost")?,
         ceiling: Some(ceiling).filter(|ceiling| ceiling.rate > 0.0),
     })
 }
 
 /// What a gateway needs besides, to speak with the outside: the names in use there, and the site's times.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outside {
-    pub lanes: Vec<String>,
-    pub plans: Vec<String>,
+pub struct PlatformSettings {
+    pub class_names: Vec<String>,
+    pub plan_names: Vec<String>,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
-    pub load: Vec<String>,
+    pub hardware_types: Vec<String>,
+    pub load_fields: Vec<String>,
     /// A connection that is not up by then never comes up; one idle for so long ends; so does a call's wait.
-    pub dial: Micros,
-    pub idle: Micros,
-    pub call: Micros,
+    pub connect_timeout: Micros,
+    pub idle_timeout: Micros,
+    pub counter_timeout: Micros,
     /// The longest that any client waits, and the longest wait that one may be advised.
-    pub longest: Micros,
-    pub wait: Micros,
+    pub max_client_wait: Micros,
+    pub max_retry_after: Micros,
     /// The list of servers comes from an agent of this gateway's own, which has all as soon as it is told; else from a service that
     /// all gateways ask by turns.
-    pub agent: bool,
+    pub list_is_pushed: bool,
     /// How many gateways there are, and the most units that a transaction may take.
-    pub gateways: u32,
-    pub units: f64,
+    pub gateway_count: u32,
+    pub max_units: f64,
 }
 
 /// What nobody means: a count could not hold more, where the settings don't name the most.
 const MOST_UNITS: f64 = 1e6;
 
-pub fn outside(from: &impl Fields) -> Parsed<Outside> {
+pub fn platform_settings(from: &impl Fields) -> Parsed<PlatformSettings> {
     let all = |list: &str| -> Parsed<Vec<String>> {
         let mut names: Vec<String> = Vec::new();
         for at in 0..from.whole_or(&format!("{list}.count"), 0)? {
@@ -202,31 +202,31 @@
     };
     let give_up = |at| from.some_time(&format!("lanes.{at}.giveUpMs"));
     let waits = (0..from.whole_or("lanes.count", 0)?).map(give_up).collect::<Parsed<Vec<_>>>()?;
-    Ok(Outside {
-        lanes: all("lanes")?,
-        plans: all("tiersOfService")?,
+    Ok(PlatformSettings {
+        class_names: all("lanes")?,
+        plan_names: all("tiersOfService")?,
         zones: from.names("zones"),
-        kinds: from.names("kinds"),
-        load: from.names("telemetry.names"),
-        dial: from.some_time("ceilings.dialTimeoutMs")?,
-        idle: from.time("ceilings.connIdleMs")?,
-        call: from.time_or("specifics.countWaitMs", 0)?,
-        longest: waits.into_iter().max().unwrap_or(0),
-        wait: longest_wait(from)?,
-        agent: from.field("discovery") != Some("on_request"),
-        gateways: from.whole_or("balancers", 1)?.max(1) as u32,
-        units: from.number_or("specifics.mostUnits", MOST_UNITS)?,
+        hardware_types: from.names("kinds"),
+        load_fields: from.names("telemetry.names"),
+        connect_timeout: from.some_time("ceilings.dialTimeoutMs")?,
+        idle_timeout: from.time("ceilings.connIdleMs")?,
+        counter_timeout: from.time_or("specifics.countWaitMs", 0)?,
+        max_client_wait: waits.into_iter().max().unwrap_or(0),
+        max_retry_after: longest_wait(from)?,
+        list_is_pushed: from.field("discovery") != Some("on_request"),
+        gateway_count: from.whole_or("balancers", 1)?.max(1) as u32,
+        max_units: from.number_or("specifics.mostUnits", MOST_UNITS)?,
     })
 }
 
 /// One value of a load report.
-pub fn load(load: &mut Load, name: &str, value: &str) -> Parsed<()> {
+pub fn parse_load_field(load: &mut LoadReport, name: &str, value: &str) -> Parsed<()> {
     let value: f64 = value.parse().map_err(|_| format!("'{value}' in a load report is no number"))?;
     match name {
         "busy_reqs" => load.in_flight = Some(value),
-        "pending" => load.waiting = Some(value),
-        "cpu_share" => load.busy = Some(value),
-        "svc_ms" => load.service = Some((value * 1000.0).max(0.0) as Micros),
+        "pending" => load.queued = Some(value),
+        "cpu_share" => load.utilization = Some(value),
+        "svc_ms" => load.service_time = Some((value * 1000.0).max(0.0) as Micros),
         _ => {}
     }
     Ok(())
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::interface::{Id, Micros, Transaction};
+use crate::interface::{Id, Micros, Request};
 
 #[derive(Default)]
 pub struct Server {
@@ -231,7 +231,7 @@
 }
 
 pub struct Open {
-    pub asked: Transaction,
+    pub asked: Request,
     /// Inside its quota; unknown while the counter is asked.
     pub within: Option<bool>,
     pub rank: (i64, Micros, Id),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use fernscale_policy::interface::*;
-use fernscale_policy::policy::Gateway;
-use fernscale_policy::refusal::Refusal;
+use fernscale_policy::Engine;
+use fernscale_policy::RejectReason;
+use fernscale_policy::*;
 
 pub const MS: Micros = 1_000;
 
@@ -26,7 +26,7 @@
     pub now: Micros,
     pub did: Vec<Did>,
     /// Why each transaction that was given up was.
-    pub refused: Vec<(Id, Refusal)>,
+    pub refused: Vec<(Id, RejectReason)>,
     /// Alarms that have not rung yet, but for the look that a bed has every ten milliseconds.
     pub alarms: Vec<(Micros, String)>,
 }
@@ -44,44 +44,44 @@
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
-    fn send(&mut self, transaction: &Id, server: &Id, limit: Micros) {
+    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
         self.note(Did::Send(transaction.clone(), server.clone(), limit));
     }
     fn cancel(&mut self, transaction: &Id, trip: usize) {
         self.note(Did::Cancel(transaction.clone(), trip));
     }
-    fn nack(&mut self, transaction: &Id, wait: Micros, why: Refusal) {
+    fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
         self.0.borrow_mut().refused.push((transaction.clone(), why));
         self.note(Did::Nack(transaction.clone(), wait));
     }
-    fn abandon(&mut self, transaction: &Id, why: Refusal) {
+    fn fail(&mut self, transaction: &Id, why: RejectReason) {
         self.0.borrow_mut().refused.push((transaction.clone(), why));
         self.note(Did::Abandon(transaction.clone()));
     }
-    fn set_alarm(&mut self, delay: Micros, token: &str) {
+    fn set_timer(&mut self, delay: Micros, token: &str) {
         self.note(Did::Alarm(delay, token.into()));
         if token != "look" {
             let at = self.now() + delay;
             self.0.borrow_mut().alarms.push((at, token.into()));
         }
     }
-    fn probe(&mut self, _server: &Id) {}
-    fn close_idle(&mut self, _server: &Id) {}
-    fn add(&mut self, count: &str, amount: f64, _life: Micros) {
+    fn check_health(&mut self, _server: &Id) {}
+    fn close_idle_connections(&mut self, _server: &Id) {}
+    fn update_counter(&mut self, count: &str, amount: f64, _life: Micros) {
         self.note(Did::Add(count.into(), amount));
     }
-    fn follow_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.note(Did::Follow(on));
     }
-    fn fetch_list(&mut self) {}
-    fn tell(&mut self, _gateway: Option<u32>, _data: &[u8]) {}
-    fn report(&mut self, _text: &str) {}
+    fn poll_endpoints(&mut self) {}
+    fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {}
+    fn log(&mut self, _text: &str) {}
 }
 
 /// One gateway under test.
 pub struct Bed {
     pub notes: Notes,
-    pub gateway: Gateway<Notes>,
+    pub gateway: Engine<Notes>,
     pub asked: usize,
 }
 
@@ -89,32 +89,45 @@
     Id::from(text.as_ref())
 }
 
-pub fn settings(kind: Kind, plan: Plan) -> Settings {
+pub fn settings(kind: Idempotency, plan: Plan) -> Settings {
     Settings {
         seed: 7,
-        me: 0,
-        gateways: 2,
-        lanes: vec![Lane { kind, agreed: 1_000 * MS, importance: 1.0 }],
+        gateway_index: 0,
+        gateway_count: 2,
+        classes: vec![RequestClass {
+            idempotency: kind,
+            latency_objective: 1_000 * MS,
+            priority_weight: 1.0,
+        }],
         plans: vec![plan],
-        most_trips: 4,
-        may_cancel: true,
-        longest_wait: 500 * MS,
-        counter: true,
-        list_on_request: None,
-        cold_share: 0.2,
-        warm_up: 10_000 * MS,
-        fall_multiple: 3.0,
-        fall_window: 1_000 * MS,
+        max_attempts: 4,
+        can_cancel: true,
+        max_retry_after: 500 * MS,
+        has_shared_counter: true,
+        list_poll_interval: None,
+        slow_start_share: 0.2,
+        slow_start_duration: 10_000 * MS,
+        overload_factor: 3.0,
+        overload_window: 1_000 * MS,
     }
 }
 
 /// A plan with room for all.
 pub fn wide() -> Plan {
-    Plan { rate: 1e6, burst: 1e6, price: 1.0, over_cost: 1.0, ..Plan::default() }
+    Plan { rate: 1e6, burst: 1e6, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() }
 }
 
-pub fn listed(server: &str, zone: u32, state: State, started: Option<Micros>) -> Listed {
-    Listed { server: id(server), zone, kind: 0, cell: zone, state, rating: 1.0, started, told_start: started }
+pub fn listed(server: &str, zone: u32, state: EndpointState, started: Option<Micros>) -> Endpoint {
+    Endpoint {
+        server: id(server),
+        zone,
+        hardware_type: 0,
+        cell: zone,
+        state,
+        weight: 1.0,
+        started_at: started,
+        listed_start: started,
+    }
 }
 
 impl Bed {
@@ -122,11 +135,12 @@
     pub fn new(settings: Settings, servers: usize) -> Self {
         let notes = Notes::default();
         notes.0.borrow_mut().now = 3_600_000 * MS;
-        let gateway = Gateway::start(settings, notes.clone());
+        let gateway = Engine::new(settings, notes.clone());
         let mut bed = Bed { notes, gateway, asked: 0 };
-        let list: Vec<Listed> =
-            (0..servers).map(|at| listed(&format!("s{at}"), at as u32 % 2, State::Ready, None)).collect();
-        bed.gateway.list(true, &list);
+        let list: Vec<Endpoint> = (0..servers)
+            .map(|at| listed(&format!("s{at}"), at as u32 % 2, EndpointState::Ready, None))
+            .collect();
+        bed.gateway.endpoints_updated(true, &list);
         bed.did();
         bed
     }
@@ -151,12 +165,12 @@
             alarms.retain(|(at, token)| {
                 let due = *at <= next;
                 if due {
-                    self.gateway.alarm(token);
+                    self.gateway.timer_fired(token);
                 }
                 !due
             });
             self.notes.0.borrow_mut().alarms.extend(alarms);
-            self.gateway.alarm("look");
+            self.gateway.timer_fired("look");
         }
     }
 
@@ -164,29 +178,29 @@
     pub fn ask(&mut self, customer: &str, left: Micros) -> Id {
         self.asked += 1;
         let asked = id(format!("t{}", self.asked));
-        self.gateway.transaction(Transaction {
+        self.gateway.request_received(Request {
             id: asked.clone(),
-            lane: 0,
+            class: 0,
             plan: 0,
-            customer: id(customer),
+            tenant: id(customer),
             units: 1.0,
-            first: 0,
-            spread: 2,
-            left,
+            first_gateway: 0,
+            gateway_spread: 2,
+            time_left: left,
         });
         asked
     }
 
     pub fn end(&mut self, transaction: &Id, trip: usize, server: &Id, outcome: Outcome, took: Micros) {
-        self.gateway.returned(Returned {
-            transaction: transaction.clone(),
-            trip,
+        self.gateway.attempt_completed(AttemptCompleted {
+            request: transaction.clone(),
+            attempt: trip,
             server: server.clone(),
             outcome,
-            took,
-            finished: outcome == Outcome::Ok,
+            elapsed: took,
+            is_final: outcome == Outcome::Ok,
             units: None,
-            load: Load::default(),
+            load: LoadReport::default(),
         });
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -7,9 +7,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use fernscale_policy::interface::*;
-use fernscale_policy::policy::Gateway;
-use fernscale_policy::refusal::Refusal;
+use fernscale_policy::Engine;
+use fernscale_policy::RejectReason;
+use fernscale_policy::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -100,7 +100,7 @@
         self.0.borrow().now
     }
 
-    fn send(&mut self, transaction: &Id, server: &Id, limit: Micros) {
+    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
         self.call(0, &[transaction, server], &[limit]);
         let mut world = self.0.borrow_mut();
         let now = world.now;
@@ -114,77 +114,81 @@
         self.call(1, &[transaction], &[trip as u64]);
     }
 
-    fn nack(&mut self, transaction: &Id, wait: Micros, why: Refusal) {
+    fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
         self.call(2, &[transaction, why.name()], &[wait]);
         self.answered(transaction);
     }
 
-    fn abandon(&mut self, transaction: &Id, why: Refusal) {
+    fn fail(&mut self, transaction: &Id, why: RejectReason) {
         self.call(3, &[transaction, why.name()], &[]);
         self.answered(transaction);
     }
 
-    fn set_alarm(&mut self, delay: Micros, token: &str) {
+    fn set_timer(&mut self, delay: Micros, token: &str) {
         self.call(4, &[token], &[delay]);
         let mut world = self.0.borrow_mut();
         let at = world.now + delay;
         world.timers.push((at, token.into()));
     }
 
-    fn probe(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         self.call(5, &["probe", server], &[]);
     }
 
-    fn close_idle(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.call(5, &["close", server], &[]);
     }
 
-    fn add(&mut self, count: &str, amount: f64, life: Micros) {
+    fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
         self.call(6, &[count], &[amount.to_bits(), life]);
         let mut world = self.0.borrow_mut();
         let now = world.now;
         world.counting.push((count.into(), amount, now));
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.call(7, &["follow"], &[u64::from(on)]);
     }
 
-    fn fetch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.call(7, &["fetch"], &[]);
     }
 
-    fn tell(&mut self, gateway: Option<u32>, data: &[u8]) {
+    fn send_message(&mut self, gateway: Option<u32>, data: &[u8]) {
         self.call(7, &["tell"], &[gateway.map_or(u64::MAX, u64::from), data.len() as u64]);
     }
 
-    fn report(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.call(7, &["report", text], &[]);
     }
 }
 
 fn settings(seed: u64, counter: bool) -> Settings {
-    let labelled = |group, memory| Kind::Labelled { group, memory };
-    let lane = |kind, agreed, importance| Lane { kind, agreed, importance };
+    let labelled = |group, memory| Idempotency::Keyed { scope: group, retention: memory };
+    let lane = |kind, agreed, importance| RequestClass {
+        idempotency: kind,
+        latency_objective: agreed,
+        priority_weight: importance,
+    };
     let plan = |rate, burst, most_out, over_worth, ceiling| Plan {
         rate,
         burst,
-        most_out,
-        price: 1.0 + over_worth,
-        over_worth,
-        over_cost: 0.3,
+        max_concurrency: most_out,
+        priority_factor: 1.0 + over_worth,
+        excess_value: over_worth,
+        excess_cost: 0.3,
         ceiling,
     };
     Settings {
         seed,
-        me: (seed % 6) as u32,
-        gateways: 6,
-        lanes: vec![
-            lane(Kind::Redoable, 400 * MS, 1.0),
-            lane(labelled(Group::All, 900 * MS), 800 * MS, 3.0),
-            lane(labelled(Group::Zone, 900 * MS), 600 * MS, 2.0),
-            lane(labelled(Group::Cell, 500 * MS), 600 * MS, 2.0),
-            lane(Kind::Irreversible, 700 * MS, 5.0),
+        gateway_index: (seed % 6) as u32,
+        gateway_count: 6,
+        classes: vec![
+            lane(Idempotency::Idempotent, 400 * MS, 1.0),
+            lane(labelled(KeyScope::All, 900 * MS), 800 * MS, 3.0),
+            lane(labelled(KeyScope::Zone, 900 * MS), 600 * MS, 2.0),
+            lane(labelled(KeyScope::Cell, 500 * MS), 600 * MS, 2.0),
+            lane(Idempotency::NonIdempotent, 700 * MS, 5.0),
         ],
         plans: vec![
             plan(1e5, 1e5, 0, 0.0, None),
@@ -193,15 +197,15 @@
             plan(0.0, 0.0, 4, 0.0, None),
             plan(20.0, 20.0, 2, 0.4, Some(Ceiling { rate: 40.0, burst: 25.0 })),
         ],
-        most_trips: if counter { 3 } else { 2 },
-        may_cancel: counter,
-        longest_wait: if counter { 500 * MS } else { 0 },
-        counter,
-        list_on_request: (!counter).then_some(700 * MS),
-        cold_share: 0.2,
-        warm_up: 6_000 * MS,
-        fall_multiple: 2.5,
-        fall_window: 500 * MS,
+        max_attempts: if counter { 3 } else { 2 },
+        can_cancel: counter,
+        max_retry_after: if counter { 500 * MS } else { 0 },
+        has_shared_counter: counter,
+        list_poll_interval: (!counter).then_some(700 * MS),
+        slow_start_share: 0.2,
+        slow_start_duration: 6_000 * MS,
+        overload_factor: 2.5,
+        overload_window: 500 * MS,
     }
 }
 
@@ -209,7 +213,7 @@
     match rng.gen_range(0..100) {
         0..=69 => Outcome::Ok,
         70..=75 => Outcome::Error,
-        76..=80 => Outcome::Full,
+        76..=80 => Outcome::Overloaded,
         81..=85 => Outcome::TimedOut,
         86..=89 => Outcome::NotConnected,
         90..=93 => Outcome::Reset,
@@ -220,12 +224,12 @@
 
 /// One gateway, the world around it, and a seeded choice of what happens next.
 struct Play {
-    gateway: Gateway<Recorder>,
+    gateway: Engine<Recorder>,
     world: Rc<RefCell<World>>,
     rng: ChaCha8Rng,
     requests: usize,
     /// The state of each server and when it started.
-    servers: Vec<(State, Option<Micros>)>,
+    servers: Vec<(EndpointState, Option<Micros>)>,
 }
 
 impl Play {
@@ -242,9 +246,10 @@
             timers: Vec::new(),
         };
         let world = Rc::new(RefCell::new(world));
-        let gateway = Gateway::start(settings(seed, counter), Recorder(world.clone()));
+        let gateway = Engine::new(settings(seed, counter), Recorder(world.clone()));
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6465_6369);
-        let servers = (0..SERVERS).map(|at| (State::Ready, (at % 3 == 0).then_some(now - MS))).collect();
+        let servers =
+            (0..SERVERS).map(|at| (EndpointState::Ready, (at % 3 == 0).then_some(now - MS))).collect();
         let mut play = Play { gateway, world, rng, requests: 0, servers };
         play.list(true);
         play
@@ -254,17 +259,17 @@
         Id::from(format!("server-{}", self.rng.gen_range(0..SERVERS)))
     }
 
-    fn listed(&self, at: usize) -> Listed {
+    fn listed(&self, at: usize) -> Endpoint {
         let (state, started) = self.servers[at];
-        Listed {
+        Endpoint {
             server: Id::from(format!("server-{at}")),
             zone: at as u32 % 3,
-            kind: at as u32 % 2,
+            hardware_type: at as u32 % 2,
             cell: at as u32 % 5,
             state,
-            rating: 0.5 + at as f64 / SERVERS as f64,
-            started,
-            told_start: started,
+            weight: 0.5 + at as f64 / SERVERS as f64,
+            started_at: started,
+            listed_start: started,
         }
     }
 
@@ -275,14 +280,14 @@
         let now = self.world.borrow().now;
         for at in &named {
             self.servers[*at] = match self.rng.gen_range(0..20) {
-                0 => (State::Draining, self.servers[*at].1),
-                1 => (State::Gone, self.servers[*at].1),
-                2..=4 => (State::Ready, Some(now.saturating_sub(self.rng.gen_range(0..2_000) * MS))),
-                _ => (State::Ready, self.servers[*at].1),
+                0 => (EndpointState::Draining, self.servers[*at].1),
+                1 => (EndpointState::Removed, self.servers[*at].1),
+                2..=4 => (EndpointState::Ready, Some(now.saturating_sub(self.rng.gen_range(0..2_000) * MS))),
+                _ => (EndpointState::Ready, self.servers[*at].1),
             };
         }
-        let entries: Vec<Listed> = named.iter().map(|at| self.listed(*at)).collect();
-        self.gateway.list(full, &entries);
+        let entries: Vec<Endpoint> = named.iter().map(|at| self.listed(*at)).collect();
+        self.gateway.endpoints_updated(full, &entries);
     }
 
     fn request(&mut self) {
@@ -291,15 +296,15 @@
         self.world.borrow_mut().open.push(id.clone());
         // Few tenants ask most, and each has one plan.
         let tenant = (self.rng.gen::<f64>().powi(2) * TENANTS as f64) as usize;
-        self.gateway.transaction(Transaction {
+        self.gateway.request_received(Request {
             id,
-            lane: self.rng.gen_range(0..5),
+            class: self.rng.gen_range(0..5),
             plan: tenant % 5,
-            customer: Id::from(format!("tenant-{tenant}")),
+            tenant: Id::from(format!("tenant-{tenant}")),
             units: [1.0, 1.0, 1.0, 2.5, 7.0][self.rng.gen_range(0..5)],
-            first: tenant as u32 % 6,
-            spread: [1, 2, 6][tenant % 3],
-            left: [5, 30, 200, 700, 2_500][self.rng.gen_range(0..5)] * MS,
+            first_gateway: tenant as u32 % 6,
+            gateway_spread: [1, 2, 6][tenant % 3],
+            time_left: [5, 30, 200, 700, 2_500][self.rng.gen_range(0..5)] * MS,
         });
     }
 
@@ -317,8 +322,17 @@
         }
         let took = self.world.borrow().now - sent;
         let units = self.rng.gen_bool(0.2).then(|| self.rng.gen_range(0.5..6.0));
-        let load = Load { in_flight: Some(3.0), ..Load::default() };
-        self.gateway.returned(Returned { transaction, trip, server, outcome, took, finished, units, load });
+        let load = LoadReport { in_flight: Some(3.0), ..LoadReport::default() };
+        self.gateway.attempt_completed(AttemptCompleted {
+            request: transaction,
+            attempt: trip,
+            server,
+            outcome,
+            elapsed: took,
+            is_final: finished,
+            units,
+            load,
+        });
     }
 
     fn counter_answers(&mut self) {
@@ -331,16 +345,16 @@
         let outcome = outcome(&mut self.rng);
         let total = (amount * self.rng.gen_range(0.5..4.0)).max(0.0);
         let took = self.world.borrow().now - posted;
-        self.gateway.counted(&name, outcome, total, took);
+        self.gateway.counter_replied(&name, outcome, total, took);
     }
 
     fn subset(&mut self) {
         let subset = self.rng.gen_bool(0.6).then(|| {
             let named: Vec<Id> = (0..12).map(|_| self.server()).collect();
             let parts = named.into_iter().enumerate().map(|(at, id)| (id, at as f64 / 66.0)).collect();
-            Subset { parts, shared_by: self.rng.gen_range(1.0..4.0) }
+            Subset { weights: parts, gateways_per_server: self.rng.gen_range(1.0..4.0) }
         });
-        self.gateway.subset(subset);
+        self.gateway.set_subset(subset);
     }
 
     /// Lets time pass, and timers ring that are due.
@@ -356,7 +370,7 @@
             let due = self.world.borrow().timers.iter().position(|(at, _)| *at <= now);
             let Some(due) = due else { return };
             let (_, token) = self.world.borrow_mut().timers.swap_remove(due);
-            self.gateway.alarm(&token);
+            self.gateway.timer_fired(&token);
         }
     }
 
@@ -368,11 +382,11 @@
             760..=909 => self.counter_answers(),
             910..=919 => self.list(false),
             920..=922 => self.list(true),
-            923..=926 => self.gateway.list_failed(),
+            923..=926 => self.gateway.endpoints_unavailable(),
             927..=929 => self.subset(),
             930..=939 => {
                 let (server, on) = (self.server(), self.rng.gen_bool(0.4));
-                self.gateway.bar(&server, on);
+                self.gateway.set_ejected(&server, on);
             }
             940..=943 => {
                 let server = self.server();
@@ -384,11 +398,11 @@
             }
             949..=950 => {
                 let part = [0.25, 0.5, 1.0][self.rng.gen_range(0..3)];
-                self.gateway.part(part);
+                self.gateway.set_process_share(part);
             }
             951..=970 => {
                 let server = self.server();
-                let avoids = self.gateway.avoids(&server);
+                let avoids = self.gateway.is_avoided(&server);
                 self.world.borrow_mut().hash.number(u64::from(avoids));
             }
             971..=985 => self.client_leaves(),
@@ -401,7 +415,7 @@
         if open > 0 {
             let at = self.rng.gen_range(0..open);
             let id = self.world.borrow_mut().open.swap_remove(at);
-            self.gateway.dropped(&id);
+            self.gateway.client_disconnected(&id);
         }
     }
 
@@ -411,7 +425,7 @@
             let at = self.rng.gen_range(0..out);
             let (id, number, ..) = self.world.borrow().attempts[at].clone();
             self.world.borrow_mut().open.retain(|open| *open != id);
-            self.gateway.flowing(&id, number);
+            self.gateway.response_started(&id, number);
         }
     }
 }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use common::*;
-use fernscale_policy::interface::*;
+use fernscale_policy::*;
 
 fn adds(did: &[Did]) -> Vec<(String, f64)> {
     let added = |did: &Did| match did {
@@ -26,13 +26,13 @@
 
 #[test]
 fn a_refused_call_for_trips_out_is_not_repeated_at_once() {
-    let plan = Plan { rate: 0.0, burst: 0.0, most_out: 4, ..wide() };
-    let mut bed = Bed::new(settings(Kind::Redoable, plan), 4);
+    let plan = Plan { rate: 0.0, burst: 0.0, max_concurrency: 4, ..wide() };
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, plan), 4);
     bed.pass(50 * MS);
     bed.ask("c", 2_000 * MS);
     let added = adds(&bed.did());
     assert_eq!(added.len(), 1);
-    bed.gateway.counted(&added[0].0, Outcome::Full, 0.0, MS);
+    bed.gateway.counter_replied(&added[0].0, Outcome::Overloaded, 0.0, MS);
     bed.pass(50 * MS);
     assert_eq!(adds(&bed.did()), []);
 }
@@ -40,7 +40,7 @@
 #[test]
 fn waiting_units_do_not_fill_up_again_in_the_ceiling() {
     let ceiling = Ceiling { rate: 200.0, burst: 8.0 };
-    let mut bed = Bed::new(settings(Kind::Redoable, Plan { ceiling: Some(ceiling), ..wide() }), 2);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, Plan { ceiling: Some(ceiling), ..wide() }), 2);
     bed.pass(1_000 * MS);
     // Two servers with two places each; what is asked beyond that waits, and time passes.
     (0..4).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
@@ -61,8 +61,8 @@
 
 #[test]
 fn a_surge_within_a_period_uses_the_store_and_no_more() {
-    let plan = Plan { rate: 10.0, burst: 6.0, over_cost: 1.0, price: 1.0, ..Plan::default() };
-    let mut bed = Bed::new(settings(Kind::Redoable, plan), 12);
+    let plan = Plan { rate: 10.0, burst: 6.0, excess_cost: 1.0, priority_factor: 1.0, ..Plan::default() };
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, plan), 12);
     (0..20).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
     // The even share of a customer of two gateways that no total is known of yet.
     assert_eq!(sends(&bed.did()).len(), 3);
@@ -71,7 +71,10 @@
 #[test]
 fn many_gateways_split_the_fleet_and_leave_no_server_out() {
     let used = |me: u32| {
-        let mut bed = Bed::new(Settings { me, gateways: 8, ..settings(Kind::Redoable, wide()) }, 32);
+        let mut bed = Bed::new(
+            Settings { gateway_index: me, gateway_count: 8, ..settings(Idempotency::Idempotent, wide()) },
+            32,
+        );
         (0..60).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
         let mut used: Vec<Id> = sends(&bed.did()).into_iter().map(|(_, server)| server).collect();
         used.sort();
@@ -88,7 +91,7 @@
 
 #[test]
 fn a_slow_kind_of_server_keeps_its_places() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 2);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 2);
     let pace = |server: &Id| if &**server == "s0" { 160 * MS } else { 100 * MS };
     for _ in 0..300 {
         (0..4).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
@@ -101,21 +104,21 @@
 
 #[test]
 fn the_least_rewarding_is_refused_first_and_at_once() {
-    let mut told = settings(Kind::Redoable, wide());
-    told.plans.push(Plan { price: 3.0, ..wide() });
+    let mut told = settings(Idempotency::Idempotent, wide());
+    told.plans.push(Plan { priority_factor: 3.0, ..wide() });
     let mut bed = Bed::new(told, 1);
     let mut ask = |name: &str, plan: usize| {
-        let asked = Transaction {
+        let asked = Request {
             id: id(name),
-            lane: 0,
+            class: 0,
             plan,
-            customer: id(format!("c{plan}")),
+            tenant: id(format!("c{plan}")),
             units: 1.0,
-            first: 0,
-            spread: 2,
-            left: 2_000 * MS,
+            first_gateway: 0,
+            gateway_spread: 2,
+            time_left: 2_000 * MS,
         };
-        bed.gateway.transaction(asked);
+        bed.gateway.request_received(asked);
         bed.did()
     };
     // Two places and two to wait in.
@@ -127,21 +130,21 @@
 
 #[test]
 fn a_cold_server_that_rejects_is_not_hammered() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     for _ in 0..30 {
         (0..4).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
         settle_all(&mut bed, |_| 100 * MS);
         bed.pass(100 * MS);
     }
     let started = Some(bed.now());
-    bed.gateway.list(false, &[listed("s0", 0, State::Ready, started)]);
+    bed.gateway.endpoints_updated(false, &[listed("s0", 0, EndpointState::Ready, started)]);
     let mut pushed = 0;
     for _ in 0..20 {
         (0..4).for_each(|_| drop(bed.ask("c", 2_000 * MS)));
         for (id, server) in sends(&bed.did()) {
             let cold = &*server == "s0";
             pushed += usize::from(cold);
-            bed.end(&id, 0, &server, if cold { Outcome::Full } else { Outcome::Ok }, 50 * MS);
+            bed.end(&id, 0, &server, if cold { Outcome::Overloaded } else { Outcome::Ok }, 50 * MS);
         }
         bed.pass(50 * MS);
     }
@@ -151,7 +154,7 @@
 
 #[test]
 fn a_counter_that_turns_calls_away_is_asked_less_until_it_is_back() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 8);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 8);
     let mut second = |outcome: Outcome| {
         let mut called = 0;
         for at in 0..100 {
@@ -159,13 +162,13 @@
             bed.pass(10 * MS);
             for (name, amount) in adds(&bed.did()) {
                 called += 1;
-                bed.gateway.counted(&name, outcome, amount, MS);
+                bed.gateway.counter_replied(&name, outcome, amount, MS);
             }
         }
         called
     };
     let before = (0..4).map(|_| second(Outcome::Ok)).last().unwrap_or(0);
-    let refused = (0..4).map(|_| second(Outcome::Full)).last().unwrap_or(before);
+    let refused = (0..4).map(|_| second(Outcome::Overloaded)).last().unwrap_or(before);
     assert!(refused * 2 < before, "{refused} calls a second to a counter that refuses, {before} before");
     let back = (0..12).map(|_| second(Outcome::Ok)).last().unwrap_or(0);
     assert!(back > before / 2, "{back} calls a second once it is back, {before} before");
@@ -173,7 +176,7 @@
 
 #[test]
 fn a_server_that_fails_at_once_does_not_draw_in_all() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     let mut failing = 0;
     for round in 0..60 {
         // More than the others have places for; the failing one always has room.
@@ -194,7 +197,7 @@
 
 #[test]
 fn a_growing_list_moves_no_gateway_to_other_servers() {
-    let mut bed = Bed::new(Settings { gateways: 8, ..settings(Kind::Redoable, wide()) }, 32);
+    let mut bed = Bed::new(Settings { gateway_count: 8, ..settings(Idempotency::Idempotent, wide()) }, 32);
     let used = |bed: &mut Bed| -> std::collections::BTreeSet<Id> {
         (0..60).for_each(|_| drop(bed.ask("c", 300 * MS)));
         let sent = sends(&bed.did()).into_iter().map(|(_, server)| server).collect();
@@ -202,7 +205,10 @@
         sent
     };
     let before = used(&mut bed);
-    bed.gateway.list(false, &[listed("a0", 0, State::Ready, None), listed("a1", 1, State::Ready, None)]);
+    bed.gateway.endpoints_updated(
+        false,
+        &[listed("a0", 0, EndpointState::Ready, None), listed("a1", 1, EndpointState::Ready, None)],
+    );
     assert!(before.iter().all(|server| server.starts_with('s')) && before.len() == 8);
     assert_eq!(
         used(&mut bed).iter().filter(|server| server.starts_with('s') && !before.contains(*server)).count(),
@@ -226,7 +232,12 @@
 /// Many gateways with one counter that takes so many calls a second, in turns of ten milliseconds; what comes
 /// is dealt at random.
 fn fleet(gateways: u32, plan: Plan, counter: usize, customers: u64, offered: u64) -> Did10s {
-    let told = |me| Settings { me, gateways, seed: u64::from(me), ..settings(Kind::Redoable, plan.clone()) };
+    let told = |me| Settings {
+        gateway_index: me,
+        gateway_count: gateways,
+        seed: u64::from(me),
+        ..settings(Idempotency::Idempotent, plan.clone())
+    };
     let mut beds: Vec<Bed> = (0..gateways).map(|me| Bed::new(told(me), 60)).collect();
     let (mut counts, mut chance) = (HashMap::new(), 1u64);
     let (mut left, mut beyond, mut calls, mut away) = (0, 0, 0, 0);
@@ -239,8 +250,17 @@
             let (id, customer) = (id(format!("{turn}-{n}")), id(format!("c{}", at % customers)));
             asked_by.insert(id.clone(), customer.clone());
             let (first, spread, left) = (0, gateways, 2_000 * MS);
-            let asked = Transaction { id, lane: 0, plan: 0, customer, units: 1.0, first, spread, left };
-            beds[bed].gateway.transaction(asked);
+            let asked = Request {
+                id,
+                class: 0,
+                plan: 0,
+                tenant: customer,
+                units: 1.0,
+                first_gateway: first,
+                gateway_spread: spread,
+                time_left: left,
+            };
+            beds[bed].gateway.request_received(asked);
         }
         for bed in &mut beds {
             let mut did = bed.did();
@@ -260,11 +280,11 @@
                     away += usize::from(turn >= 900 && room == 0);
                     let total = counts.entry(name.clone()).or_insert(0.0);
                     *total += if room > 0 { amount } else { 0.0 };
-                    let outcome = if room > 0 { Outcome::Ok } else { Outcome::Full };
+                    let outcome = if room > 0 { Outcome::Ok } else { Outcome::Overloaded };
                     // The last of a turn have waited in line.
                     let took = if room * 4 > counter / 100 { 2 * MS } else { 8 * MS };
                     room = room.saturating_sub(1);
-                    bed.gateway.counted(&name, outcome, *total, took);
+                    bed.gateway.counter_replied(&name, outcome, *total, took);
                 }
                 did = bed.did();
             }
@@ -276,7 +296,7 @@
 
 #[test]
 fn a_hundred_gateways_keep_one_customer_to_its_quota() {
-    let plan = Plan { rate: 4.0, burst: 16.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 4.0, burst: 16.0, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() };
     let left = fleet(100, plan, 10_000, 1, 12).left;
     // Ten seconds at thrice the quota, and a store that was full: 56 may pass, of 120.
     assert!((28..=72).contains(&left), "{left} units left, 56 are inside the quota");
@@ -285,7 +305,7 @@
 #[test]
 fn many_small_customers_of_a_hundred_gateways_get_their_quotas_and_little_more() {
     // Each asks six times its quota, and comes to a gateway once in half a minute.
-    let plan = Plan { rate: 0.5, burst: 2.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 0.5, burst: 2.0, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() };
     let Did10s { left, beyond, .. } = fleet(100, plan, 10_000, 20, 60);
     assert!(left - beyond >= 105, "{} units sent inside the quotas, 140 may be", left - beyond);
     assert!(beyond * 5 < left, "{beyond} of {left} units beyond the quotas");
@@ -294,7 +314,7 @@
 #[test]
 fn without_word_of_small_customers_nothing_passes_while_others_have_word() {
     // The counter takes a quarter of the calls that would be made.
-    let plan = Plan { rate: 0.5, burst: 2.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 0.5, burst: 2.0, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() };
     let Did10s { left, beyond, .. } = fleet(100, plan, 300, 300, 900);
     assert!(left > 900, "{left} units sent, 2,100 may be");
     assert!(beyond * 5 < left * 2, "{beyond} of {left} units beyond the quotas");
@@ -305,20 +325,22 @@
 #[test]
 fn without_word_whoever_comes_again_passes_only_where_that_costs_little() {
     for (over_cost, passes) in [(1.2, false), (0.7, false), (0.6, true), (0.0, true)] {
-        let plan = Plan { rate: 1.0, burst: 4.0, price: 1.0, over_cost, ..Plan::default() };
-        let mut bed = Bed::new(Settings { gateways: 100, ..settings(Kind::Redoable, plan) }, 60);
+        let plan =
+            Plan { rate: 1.0, burst: 4.0, priority_factor: 1.0, excess_cost: over_cost, ..Plan::default() };
+        let mut bed =
+            Bed::new(Settings { gateway_count: 100, ..settings(Idempotency::Idempotent, plan) }, 60);
         let mut asks = 0;
         let mut ask = |bed: &mut Bed, customer: &str| {
             asks += 1;
-            bed.gateway.transaction(Transaction {
+            bed.gateway.request_received(Request {
                 id: id(format!("a{asks}")),
-                lane: 0,
+                class: 0,
                 plan: 0,
-                customer: id(customer),
+                tenant: id(customer),
                 units: 1.0,
-                first: 0,
-                spread: 100,
-                left: 2_000 * MS,
+                first_gateway: 0,
+                gateway_spread: 100,
+                time_left: 2_000 * MS,
             });
             let did = bed.did();
             let sent = sends(&did);
@@ -327,7 +349,7 @@
         };
         // The counter answers the first call and is asked no more than it bears: of most there is no word.
         let (_, first) = ask(&mut bed, "c0");
-        bed.gateway.counted(&first[0].0, Outcome::Ok, 1.0, MS);
+        bed.gateway.counter_replied(&first[0].0, Outcome::Ok, 1.0, MS);
         bed.did();
         (1..200).for_each(|at| drop(ask(&mut bed, &format!("c{at}"))));
         let mut twice = |name: String| (ask(&mut bed, &name).0, ask(&mut bed, &name).0);
@@ -338,7 +360,9 @@
         bed.pass(3_000 * MS);
         let mut away = |bed: &mut Bed| {
             let (sent, calls) = ask(bed, "e");
-            calls.iter().for_each(|(name, _)| bed.gateway.counted(name, Outcome::TimedOut, 0.0, 50 * MS));
+            calls
+                .iter()
+                .for_each(|(name, _)| bed.gateway.counter_replied(name, Outcome::TimedOut, 0.0, 50 * MS));
             sent || !sends(&bed.did()).is_empty()
         };
         assert_eq!((away(&mut bed), away(&mut bed)), (true, true), "at {over_cost} while it is away");
@@ -356,7 +380,12 @@
 fn a_hundred_gateways_do_not_push_over_a_cold_server() {
     let mut pushed = 0;
     for me in 0..100 {
-        let told = Settings { me, gateways: 100, seed: u64::from(me), ..settings(Kind::Redoable, wide()) };
+        let told = Settings {
+            gateway_index: me,
+            gateway_count: 100,
+            seed: u64::from(me),
+            ..settings(Idempotency::Idempotent, wide())
+        };
         let mut bed = Bed::new(told, 8);
         for _ in 0..30 {
             bed.ask("c", 900 * MS);
@@ -364,14 +393,14 @@
             bed.pass(100 * MS);
         }
         let started = Some(bed.now());
-        let fresh: Vec<Listed> =
-            (0..7).map(|at| listed(&format!("s{at}"), 0, State::Ready, started)).collect();
-        bed.gateway.list(false, &fresh);
+        let fresh: Vec<Endpoint> =
+            (0..7).map(|at| listed(&format!("s{at}"), 0, EndpointState::Ready, started)).collect();
+        bed.gateway.endpoints_updated(false, &fresh);
         for _ in 0..10 {
             bed.ask("c", 900 * MS);
             for (id, server) in sends(&bed.did()) {
                 pushed += usize::from(&*server == "s0");
-                bed.end(&id, 0, &server, Outcome::Full, MS);
+                bed.end(&id, 0, &server, Outcome::Overloaded, MS);
             }
             bed.pass(100 * MS);
         }
@@ -384,7 +413,11 @@
 fn many_gateways_keep_few_trips_at_a_server() {
     let out: usize = (0..100)
         .map(|me| {
-            let told = Settings { me, gateways: 100, ..settings(Kind::Redoable, wide()) };
+            let told = Settings {
+                gateway_index: me,
+                gateway_count: 100,
+                ..settings(Idempotency::Idempotent, wide())
+            };
             let mut bed = Bed::new(told, 32);
             (0..20).for_each(|_| drop(bed.ask("c", 900 * MS)));
             sends(&bed.did()).len()
@@ -395,16 +428,16 @@
 
 #[test]
 fn a_labelled_transaction_stays_within_its_group_when_its_first_server_leaves() {
-    let kind = Kind::Labelled { group: Group::Zone, memory: 60_000 * MS };
+    let kind = Idempotency::Keyed { scope: KeyScope::Zone, retention: 60_000 * MS };
     let mut bed = Bed::new(settings(kind, wide()), 2);
     let asked = bed.ask("c", 60_000 * MS);
     let first = sends(&bed.did())[0].1.clone();
     let other = if &*first == "s0" { "s1" } else { "s0" };
     let near = if &*first == "s0" { 0 } else { 1 };
-    bed.gateway.list(false, &[listed("s9", near, State::Ready, None)]);
+    bed.gateway.endpoints_updated(false, &[listed("s9", near, EndpointState::Ready, None)]);
     bed.end(&asked, 0, &first, Outcome::TimedOut, 100 * MS);
     assert_eq!(sends(&bed.did()), [(asked.clone(), id("s9"))]);
-    bed.gateway.list(false, &[listed(&first, near, State::Gone, None)]);
+    bed.gateway.endpoints_updated(false, &[listed(&first, near, EndpointState::Removed, None)]);
     bed.end(&asked, 1, &id("s9"), Outcome::TimedOut, 100 * MS);
     assert_eq!(sends(&bed.did()), [], "{other} would run it twice");
 }
@@ -414,7 +447,7 @@
     // Gateways on real clocks are born at any time of a minute; the counter takes 1e9, and rounds to thousandths.
     let plan = Plan { rate: 2.0, burst: 4.0, ..wide() };
     for start in 0..120 {
-        let mut bed = Bed::new(settings(Kind::Redoable, plan.clone()), 4);
+        let mut bed = Bed::new(settings(Idempotency::Idempotent, plan.clone()), 4);
         bed.pass(500 * MS * start);
         bed.did();
         bed.ask("c", 2_000 * MS);
@@ -430,14 +463,14 @@
 fn answers_that_are_spoilt_tell_nothing_of_how_much_a_counter_can_do() {
     let calls = |spoilt: Outcome| {
         let plan = Plan { rate: 1e3, burst: 1e3, ..wide() };
-        let mut bed = Bed::new(settings(Kind::Redoable, plan), 2);
+        let mut bed = Bed::new(settings(Idempotency::Idempotent, plan), 2);
         let mut made = 0;
         for at in 0..4_000 {
             bed.ask(&format!("c{}", at % 500), 1_000 * MS);
             for (name, amount) in adds(&bed.did()) {
                 made += 1;
                 let outcome = if made % 20 == 0 { spoilt } else { Outcome::Ok };
-                bed.gateway.counted(&name, outcome, amount, MS);
+                bed.gateway.counter_replied(&name, outcome, amount, MS);
             }
             bed.pass(2 * MS);
         }
@@ -451,7 +484,10 @@
 #[test]
 fn a_call_lost_on_its_way_does_not_keep_a_place_for_long() {
     let mut bed = Bed::new(
-        settings(Kind::Redoable, Plan { most_out: 2, price: 1.0, over_cost: 1.0, ..Plan::default() }),
+        settings(
+            Idempotency::Idempotent,
+            Plan { max_concurrency: 2, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() },
+        ),
         4,
     );
     let mut counts = HashMap::<String, f64>::new();
@@ -465,7 +501,7 @@
                 let (gone, total) = (lost && amount < 0.0, counts.entry(name.clone()).or_default());
                 *total += if gone { 0.0 } else { amount };
                 let outcome = if gone { Outcome::TimedOut } else { Outcome::Ok };
-                bed.gateway.counted(&name, outcome, *total, MS);
+                bed.gateway.counter_replied(&name, outcome, *total, MS);
             }
             for (id, server) in sends(&did) {
                 bed.end(&id, 0, &server, Outcome::Ok, 20 * MS);
@@ -486,7 +522,7 @@
 
 #[test]
 fn a_fleet_that_is_never_warm_is_used_all_the_same() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     let second = |bed: &mut Bed| {
         let mut sent = 0;
         for _ in 0..20 {
@@ -503,9 +539,11 @@
         if at % 2 == 0 {
             let (new, old) = (format!("n{}", at / 2), format!("n{}", (at / 2 + 26) % 30));
             let old = if at < 8 { format!("s{}", at / 2) } else { old };
-            let entries =
-                [listed(&new, 0, State::Ready, Some(bed.now())), listed(&old, 0, State::Gone, None)];
-            bed.gateway.list(false, &entries);
+            let entries = [
+                listed(&new, 0, EndpointState::Ready, Some(bed.now())),
+                listed(&old, 0, EndpointState::Removed, None),
+            ];
+            bed.gateway.endpoints_updated(false, &entries);
         }
         last = second(&mut bed);
     }
@@ -514,7 +552,7 @@
 
 #[test]
 fn without_a_counter_a_customer_is_not_taken_to_ask_more_and_more() {
-    let mut bed = Bed::new(settings(Kind::Redoable, Plan { rate: 20.0, burst: 30.0, ..wide() }), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, Plan { rate: 20.0, burst: 30.0, ..wide() }), 4);
     let mut total = 0.0;
     let mut second = |bed: &mut Bed, there: bool| {
         let mut sent = 0;
@@ -525,7 +563,7 @@
                 let did = bed.did();
                 for (name, amount) in adds(&did) {
                     total += if there { 2.0 * amount } else { 0.0 };
-                    bed.gateway.counted(
+                    bed.gateway.counter_replied(
                         &name,
                         if there { Outcome::Ok } else { Outcome::NotConnected },
                         total,
@@ -548,15 +586,15 @@
 
 /// Plan with so many trips out at once, and no other quota.
 fn capped(most_out: u32) -> Plan {
-    Plan { rate: 0.0, burst: 0.0, most_out, ..wide() }
+    Plan { rate: 0.0, burst: 0.0, max_concurrency: most_out, ..wide() }
 }
 
 #[test]
 fn trips_still_out_are_told_to_the_next_name_as_soon_as_it_begins() {
-    let mut bed = Bed::new(settings(Kind::Redoable, capped(4)), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, capped(4)), 4);
     bed.ask("c", 20_000 * MS);
     let first = adds(&bed.did()).pop().expect("a call with the transaction");
-    bed.gateway.counted(&first.0, Outcome::Ok, 1.0, MS);
+    bed.gateway.counter_replied(&first.0, Outcome::Ok, 1.0, MS);
     assert_eq!(sends(&bed.did()).len(), 1);
     // Nothing comes or goes for two names: the one trip must stand in each all the same.
     for _ in 0..2 {
@@ -564,7 +602,7 @@
         for _ in 0..500 {
             bed.pass(10 * MS);
             let added = adds(&bed.did());
-            added.iter().for_each(|(name, total)| bed.gateway.counted(name, Outcome::Ok, *total, MS));
+            added.iter().for_each(|(name, total)| bed.gateway.counter_replied(name, Outcome::Ok, *total, MS));
             told.extend(added);
         }
         assert_eq!(told.len(), 1, "{told:?}");
@@ -574,14 +612,14 @@
 
 #[test]
 fn names_of_trips_out_do_not_all_change_at_one_time() {
-    let mut bed = Bed::new(settings(Kind::Redoable, capped(4)), 40);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, capped(4)), 40);
     for at in 0..50 {
         bed.ask(&format!("c{at}"), 60_000 * MS);
     }
     let mut told = [0; 500];
     for slice in &mut told {
         for (name, total) in adds(&bed.did()) {
-            bed.gateway.counted(&name, Outcome::Ok, total, MS);
+            bed.gateway.counter_replied(&name, Outcome::Ok, total, MS);
             *slice += 1;
         }
         bed.pass(10 * MS);
@@ -592,38 +630,46 @@
 
 #[test]
 fn one_word_of_what_others_have_out_is_not_taken_for_a_tenth_of_it() {
-    let mut bed = Bed::new(settings(Kind::Redoable, capped(4)), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, capped(4)), 4);
     let asked = bed.ask("c", 2_000 * MS);
     let name = adds(&bed.did()).pop().expect("a call").0;
-    bed.gateway.counted(&name, Outcome::Ok, 5.0, MS);
+    bed.gateway.counter_replied(&name, Outcome::Ok, 5.0, MS);
     assert_eq!(nacked(&bed.did()), [asked]);
-    bed.gateway.counted(&name, Outcome::Ok, 4.0, MS);
+    bed.gateway.counter_replied(&name, Outcome::Ok, 4.0, MS);
     // Later the counter turns the call away: all that is known is that others had four out.
     bed.pass(3_000 * MS);
     let asked = bed.ask("c", 2_000 * MS);
     let name = adds(&bed.did()).pop().expect("a call").0;
-    bed.gateway.counted(&name, Outcome::Full, 0.0, MS);
+    bed.gateway.counter_replied(&name, Outcome::Overloaded, 0.0, MS);
     assert_eq!(nacked(&bed.did()), [asked]);
 }
 
 #[test]
 fn what_is_not_fresh_of_few_trips_out_is_no_guide_for_many_gateways() {
-    let told = Settings { gateways: 100, ..settings(Kind::Redoable, capped(3)) };
+    let told = Settings { gateway_count: 100, ..settings(Idempotency::Idempotent, capped(3)) };
     let mut bed = Bed::new(told, 16);
     let ask = |bed: &mut Bed, id: &str| {
         let (id, customer, first, spread) = (common::id(id), common::id("c"), 0, 80);
-        let asked =
-            Transaction { id, lane: 0, plan: 0, customer, units: 1.0, first, spread, left: 2_000 * MS };
-        bed.gateway.transaction(asked);
+        let asked = Request {
+            id,
+            class: 0,
+            plan: 0,
+            tenant: customer,
+            units: 1.0,
+            first_gateway: first,
+            gateway_spread: spread,
+            time_left: 2_000 * MS,
+        };
+        bed.gateway.request_received(asked);
         bed.did()
     };
     let name = adds(&ask(&mut bed, "a")).pop().expect("a call").0;
-    bed.gateway.counted(&name, Outcome::Ok, 2.0, MS);
+    bed.gateway.counter_replied(&name, Outcome::Ok, 2.0, MS);
     assert_eq!(sends(&bed.did()).len(), 1);
     // A moment later the counter has no time for a call: the two that were out may be three by now.
     bed.pass(300 * MS);
     let name = adds(&ask(&mut bed, "b")).pop().expect("a call").0;
-    bed.gateway.counted(&name, Outcome::Full, 0.0, MS);
+    bed.gateway.counter_replied(&name, Outcome::Overloaded, 0.0, MS);
     assert_eq!(nacked(&bed.did()), [id("b")]);
 }
 
@@ -631,16 +677,21 @@
 fn a_crowd_that_can_not_have_the_list_does_not_come_back_each_second_nor_all_at_once() {
     let mut asked: Vec<Micros> = Vec::new();
     for me in 0..100 {
-        let told = settings(Kind::Redoable, wide());
-        let told = Settings { me, seed: u64::from(me), list_on_request: Some(20_000 * MS), ..told };
+        let told = settings(Idempotency::Idempotent, wide());
+        let told = Settings {
+            gateway_index: me,
+            seed: u64::from(me),
+            list_poll_interval: Some(20_000 * MS),
+            ..told
+        };
         let mut bed = Bed::new(told, 4);
         let began = bed.now();
-        bed.gateway.list_failed();
+        bed.gateway.endpoints_unavailable();
         while bed.now() < began + 60_000 * MS {
             bed.pass(10 * MS);
             if bed.did().contains(&Did::Follow(true)) {
                 asked.push(bed.now() - began);
-                bed.gateway.list_failed();
+                bed.gateway.endpoints_unavailable();
             }
         }
     }
@@ -671,20 +722,30 @@
 
 #[test]
 fn a_list_that_changes_moves_few_servers_of_a_hundred_gateways_and_shares_them_evenly() {
-    let told = |me| Settings { me, gateways: 100, seed: u64::from(me), ..settings(Kind::Redoable, wide()) };
+    let told = |me| Settings {
+        gateway_index: me,
+        gateway_count: 100,
+        seed: u64::from(me),
+        ..settings(Idempotency::Idempotent, wide())
+    };
     let mut beds: Vec<Bed> = (0..100).map(|me| Bed::new(told(me), 60)).collect();
     let mut before: Vec<_> = beds.iter_mut().map(used).collect();
     // A release: nine at a time drain, successors come at another time, and in the middle ten are missing.
-    let drains = |from: usize| (from..from + 9).map(|at| listed(&format!("s{at}"), 0, State::Draining, None));
-    let comes = |from: usize| (from..from + 9).map(|at| listed(&format!("n{at}"), 0, State::Ready, None));
-    let changes: [Vec<Listed>; 4] =
+    let drains =
+        |from: usize| (from..from + 9).map(|at| listed(&format!("s{at}"), 0, EndpointState::Draining, None));
+    let comes =
+        |from: usize| (from..from + 9).map(|at| listed(&format!("n{at}"), 0, EndpointState::Ready, None));
+    let changes: [Vec<Endpoint>; 4] =
         [drains(0).collect(), drains(9).collect(), comes(0).collect(), comes(9).chain(drains(18)).collect()];
     let (mut moved, mut kept) = (0, 0);
     for (at, change) in changes.iter().enumerate() {
         let gone = |server: &Id| {
-            changes[..=at].iter().flatten().any(|one| one.server == *server && one.state == State::Draining)
+            changes[..=at]
+                .iter()
+                .flatten()
+                .any(|one| one.server == *server && one.state == EndpointState::Draining)
         };
-        beds.iter_mut().for_each(|bed| bed.gateway.list(false, change));
+        beds.iter_mut().for_each(|bed| bed.gateway.endpoints_updated(false, change));
         let after: Vec<_> = beds.iter_mut().map(used).collect();
         let mut gateways: HashMap<Id, usize> = HashMap::new();
         for (before, after) in before.iter().zip(&after) {
