--- a/crates/policy/tests/operations.rs
+++ b/crates/policy/tests/operations.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fernscale_policy::interface::*;
+use fernscale_policy::*;
 
 /// Asks so often, 20 ms apart, answers all, and counts what went to this server.
 fn sent_to(bed: &mut Bed, server: &str, asks: usize) -> usize {
@@ -21,34 +21,35 @@
 
 #[test]
 fn no_list_takes_a_server_back_into_use() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     assert!(sent_to(&mut bed, "s1", 40) > 5);
     (0..2).for_each(|_| bed.gateway.cordon(&id("s1")));
-    assert!(bed.gateway.avoids(&id("s1")) && !bed.gateway.avoids(&id("s0")));
+    assert!(bed.gateway.is_avoided(&id("s1")) && !bed.gateway.is_avoided(&id("s0")));
     assert_eq!(sent_to(&mut bed, "s1", 40), 0);
     let entry = |state, started| [listed("s1", 1, state, started)];
-    let whole: Vec<Listed> = (0..4).map(|at| listed(&format!("s{at}"), at % 2, State::Ready, None)).collect();
+    let whole: Vec<Endpoint> =
+        (0..4).map(|at| listed(&format!("s{at}"), at % 2, EndpointState::Ready, None)).collect();
     let now = bed.now();
     for (full, list) in [
-        (false, entry(State::Ready, None).to_vec()),
-        (false, entry(State::Ready, Some(now)).to_vec()),
-        (false, entry(State::Draining, Some(now)).to_vec()),
-        (false, entry(State::Gone, None).to_vec()),
+        (false, entry(EndpointState::Ready, None).to_vec()),
+        (false, entry(EndpointState::Ready, Some(now)).to_vec()),
+        (false, entry(EndpointState::Draining, Some(now)).to_vec()),
+        (false, entry(EndpointState::Removed, None).to_vec()),
         (true, whole[..1].to_vec()),
         (true, whole),
     ] {
-        bed.gateway.list(full, &list);
+        bed.gateway.endpoints_updated(full, &list);
         assert_eq!(sent_to(&mut bed, "s1", 20), 0, "{full} {list:?}");
     }
     let now = bed.now();
     bed.gateway.uncordon(&id("s1"), now);
-    assert!(!bed.gateway.avoids(&id("s1")));
+    assert!(!bed.gateway.is_avoided(&id("s1")));
     assert!(sent_to(&mut bed, "s1", 100) > 0);
 }
 
 #[test]
 fn a_server_called_back_is_cold_whatever_the_list_says_and_is_met_at_once() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     let usual = sent_to(&mut bed, "s1", 100);
     bed.gateway.cordon(&id("s1"));
     sent_to(&mut bed, "s1", 50);
@@ -56,7 +57,7 @@
     bed.gateway.uncordon(&id("s1"), now);
     assert_eq!(sent_to(&mut bed, "s1", 1), 1);
     // The list, late, goes on to say that it has run for long.
-    bed.gateway.list(false, &[listed("s1", 1, State::Ready, None)]);
+    bed.gateway.endpoints_updated(false, &[listed("s1", 1, EndpointState::Ready, None)]);
     let cold = sent_to(&mut bed, "s1", 99);
     assert!((1..usual * 2 / 3).contains(&cold), "{cold} sent while cold, {usual} before");
     bed.pass(10_000 * MS);
@@ -65,7 +66,7 @@
 
 #[test]
 fn a_repeat_does_not_go_to_the_last_server_of_its_group_that_is_out_of_use() {
-    let kind = Kind::Labelled { group: Group::Zone, memory: 60_000 * MS };
+    let kind = Idempotency::Keyed { scope: KeyScope::Zone, retention: 60_000 * MS };
     let mut bed = Bed::new(settings(kind, wide()), 4);
     let asked = bed.ask("c", 60_000 * MS);
     let first = sends(&bed.did())[0].1.clone();
@@ -80,19 +81,19 @@
 /// Sends of both processes while one takes the other's place: each is told its part at the times given, in ms.
 fn overlap(plan: Plan, parts: [&[(u64, f64)]; 2], until: u64, cold: bool) -> usize {
     let mut beds = [0, 1].map(|at| {
-        let mut bed = Bed::new(Settings { seed: at, ..settings(Kind::Redoable, plan.clone()) }, 8);
-        bed.gateway.part(parts[at as usize][0].1);
+        let mut bed = Bed::new(Settings { seed: at, ..settings(Idempotency::Idempotent, plan.clone()) }, 8);
+        bed.gateway.set_process_share(parts[at as usize][0].1);
         bed
     });
     let mut sent = 0;
     for at in (0..until).step_by(20) {
         for (bed, parts) in beds.iter_mut().zip(parts) {
             for (_, part) in parts.iter().filter(|(when, _)| (*when..*when + 20).contains(&at)) {
-                bed.gateway.part(*part);
+                bed.gateway.set_process_share(*part);
             }
             if cold && at == 2_000 {
                 let started = Some(bed.now());
-                bed.gateway.list(false, &[listed("s0", 0, State::Ready, started)]);
+                bed.gateway.endpoints_updated(false, &[listed("s0", 0, EndpointState::Ready, started)]);
             }
             (0..4).for_each(|_| drop(bed.ask("c", 900 * MS)));
             for (id, to) in sends(&bed.did()) {
@@ -134,10 +135,10 @@
 
 #[test]
 fn a_subset_is_used_by_its_shares_and_without_one_the_row_is_back() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 6);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 6);
     bed.pass(1_000 * MS);
     let parts = [("s1", 1.5), ("s4", 0.5), ("s9", 1.0)].map(|(name, part)| (id(name), part));
-    bed.gateway.subset(Some(Subset { parts: parts.into(), shared_by: 1.0 }));
+    bed.gateway.set_subset(Some(Subset { weights: parts.into(), gateways_per_server: 1.0 }));
     let count = |bed: &mut Bed| {
         let mut sent = std::collections::BTreeMap::new();
         for _ in 0..400 {
@@ -155,47 +156,50 @@
     assert_eq!(sent.keys().collect::<Vec<_>>(), ["s1", "s4"]);
     let share = f64::from(sent["s1"]) / f64::from(sent["s1"] + sent["s4"]);
     assert!((0.70..0.80).contains(&share), "{sent:?}");
-    bed.gateway.subset(None);
+    bed.gateway.set_subset(None);
     assert_eq!(count(&mut bed).len(), 6);
 }
 
 #[test]
 fn a_server_that_others_found_bad_gets_no_first_trip_until_it_is_let_in_again() {
-    let mut bed = Bed::new(settings(Kind::Redoable, wide()), 4);
+    let mut bed = Bed::new(settings(Idempotency::Idempotent, wide()), 4);
     bed.pass(1_000 * MS);
     assert!(sent_to(&mut bed, "s2", 40) > 5);
-    bed.gateway.bar(&id("s2"), true);
+    bed.gateway.set_ejected(&id("s2"), true);
     assert_eq!(sent_to(&mut bed, "s2", 40), 0);
     // A new list does not undo others' word, and one that nobody knows is no harm.
-    bed.gateway.list(true, &[0, 1, 2, 3].map(|at| listed(&format!("s{at}"), at % 2, State::Ready, None)));
-    bed.gateway.bar(&id("s9"), true);
+    bed.gateway.endpoints_updated(
+        true,
+        &[0, 1, 2, 3].map(|at| listed(&format!("s{at}"), at % 2, EndpointState::Ready, None)),
+    );
+    bed.gateway.set_ejected(&id("s9"), true);
     assert_eq!(sent_to(&mut bed, "s2", 40), 0);
-    bed.gateway.bar(&id("s2"), false);
+    bed.gateway.set_ejected(&id("s2"), false);
     assert!(sent_to(&mut bed, "s2", 40) > 5);
     // Where all of them are barred nobody is left: those who bar see to it that some are not.
-    (0..4).for_each(|at| bed.gateway.bar(&id(format!("s{at}")), at != 1));
+    (0..4).for_each(|at| bed.gateway.set_ejected(&id(format!("s{at}")), at != 1));
     assert!(sent_to(&mut bed, "s1", 40) > 30);
 }
 
 #[test]
 fn changes_of_a_list_say_what_whole_lists_do() {
-    let ready = |at: usize| listed(&format!("s{at:02}"), at as u32 % 2, State::Ready, None);
+    let ready = |at: usize| listed(&format!("s{at:02}"), at as u32 % 2, EndpointState::Ready, None);
     let without = |out: std::ops::Range<usize>| (0..40).filter(move |at| !out.contains(at)).map(ready);
-    let gone = |at: usize| Listed { state: State::Gone, ..ready(at) };
+    let gone = |at: usize| Endpoint { state: EndpointState::Removed, ..ready(at) };
     // Three lists, each as a whole and as what is new in it.
-    let lists: [(Vec<Listed>, Vec<Listed>); 3] = [
+    let lists: [(Vec<Endpoint>, Vec<Endpoint>); 3] = [
         (without(0..0).collect(), without(0..0).collect()),
         (without(10..25).collect(), (10..25).map(gone).collect()),
         (without(20..30).collect(), (20..30).map(gone).chain((10..20).map(ready)).collect()),
     ];
-    let mut beds = [0, 1].map(|_| Bed::new(settings(Kind::Redoable, wide()), 4));
+    let mut beds = [0, 1].map(|_| Bed::new(settings(Idempotency::Idempotent, wide()), 4));
     for (whole, changes) in lists {
-        beds[0].gateway.list(true, &whole);
-        beds[1].gateway.list(false, &changes);
+        beds[0].gateway.endpoints_updated(true, &whole);
+        beds[1].gateway.endpoints_updated(false, &changes);
         // Those that the beds began with have gone with the first whole list.
-        beds[1].gateway.list(
+        beds[1].gateway.endpoints_updated(
             false,
-            &(0..4).map(|at| listed(&format!("s{at}"), 0, State::Gone, None)).collect::<Vec<_>>(),
+            &(0..4).map(|at| listed(&format!("s{at}"), 0, EndpointState::Removed, None)).collect::<Vec<_>>(),
         );
         for _ in 0..200 {
             let [one, other] = &mut beds;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use fernscale_policy::interface::*;
+use fernscale_policy::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
 
 /// What the rules allow, kept in the plainest way.
 struct Model {
-    kind: Kind,
+    kind: Idempotency,
     now: Micros,
     asked: BTreeMap<Id, Asked>,
     servers: BTreeMap<Id, (u32, bool)>,
@@ -107,13 +107,13 @@
         }
         for trip in asked.trips.iter().filter(|trip| trip.ran) {
             match self.kind {
-                Kind::Redoable => {}
-                Kind::Labelled { group, memory } => {
-                    if (group == Group::Zone && trip.zone != zone) || self.now >= trip.sent + memory {
+                Idempotency::Idempotent => {}
+                Idempotency::Keyed { scope: group, retention: memory } => {
+                    if (group == KeyScope::Zone && trip.zone != zone) || self.now >= trip.sent + memory {
                         return Err("rule 2: repeat outside the group or its memory".into());
                     }
                 }
-                Kind::Irreversible => return Err("rule 2: irreversible sent twice".into()),
+                Idempotency::NonIdempotent => return Err("rule 2: irreversible sent twice".into()),
             }
         }
         if asked.trips.is_empty() {
@@ -130,7 +130,8 @@
             return Err("rule 1: answered twice".into());
         }
         let ran = asked.trips.iter().any(|trip| trip.ran);
-        let harmless = matches!(self.kind, Kind::Redoable | Kind::Labelled { group: Group::All, .. });
+        let harmless =
+            matches!(self.kind, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
         if nack && ran && !harmless {
             return Err("rule 2: nacked what may have run".into());
         }
@@ -165,17 +166,18 @@
     Outcome::Ok,
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::TimedOut,
     Outcome::NotConnected,
     Outcome::Reset,
     Outcome::NeverSent,
 ];
 
-fn play(kind: Kind, may_cancel: bool, steps: &[Step]) -> Result<(), String> {
+fn play(kind: Idempotency, may_cancel: bool, steps: &[Step]) -> Result<(), String> {
     let ceiling = Ceiling { rate: 20.0, burst: 8.0 };
-    let plan = Plan { rate: 60.0, burst: 60.0, price: 1.0, ceiling: Some(ceiling), ..Plan::default() };
-    let mut bed = Bed::new(Settings { may_cancel, ..settings(kind, plan.clone()) }, 6);
+    let plan =
+        Plan { rate: 60.0, burst: 60.0, priority_factor: 1.0, ceiling: Some(ceiling), ..Plan::default() };
+    let mut bed = Bed::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
     let servers = (0..6).map(|at| (id(format!("s{at}")), (at as u32 % 2, true))).collect();
     let mut model = Model {
         kind,
@@ -225,7 +227,7 @@
                 let Some(id) = ids.get(usize::from(*which) % ids.len().max(1)) else { continue };
                 let asked = model.asked.get_mut(id).unwrap();
                 (asked.answers, asked.left) = (1, true);
-                bed.gateway.dropped(id);
+                bed.gateway.client_disconnected(id);
             }
             Step::Pass(time) => {
                 for _ in 0..time / 10 {
@@ -236,36 +238,47 @@
                 }
             }
             Step::List { server, state, fresh } => {
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][usize::from(*state)];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][usize::from(*state)];
                 let name = format!("s{server}");
                 let started = Some(model.now).filter(|_| *fresh);
-                model.servers.insert(id(&name), (u32::from(*server) % 2, state == State::Ready));
-                bed.gateway.list(false, &[listed(&name, u32::from(*server) % 2, state, started)]);
+                model.servers.insert(id(&name), (u32::from(*server) % 2, state == EndpointState::Ready));
+                bed.gateway
+                    .endpoints_updated(false, &[listed(&name, u32::from(*server) % 2, state, started)]);
             }
             Step::Count { outcome, total } => {
                 if let Some(name) = model.counts.pop() {
-                    let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Full, Outcome::TimedOut]
+                    let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Overloaded, Outcome::TimedOut]
                         [usize::from(*outcome) % 4];
-                    bed.gateway.counted(&name, outcome, f64::from(*total), MS);
+                    bed.gateway.counter_replied(&name, outcome, f64::from(*total), MS);
                 }
             }
             Step::Restart => {
                 let asked = model.asked.len();
                 let now = bed.now();
-                bed = Bed::new(Settings { may_cancel, ..settings(kind, plan.clone()) }, 6);
+                bed = Bed::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
                 bed.notes.0.borrow_mut().now = now;
-                bed.gateway = fernscale_policy::policy::Gateway::start(
-                    Settings { may_cancel, ..settings(kind, plan.clone()) },
+                bed.gateway = fernscale_policy::Engine::new(
+                    Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) },
                     bed.notes.clone(),
                 );
-                let entries: Vec<Listed> = model
+                let entries: Vec<Endpoint> = model
                     .servers
                     .iter()
                     .map(|(id, (zone, ready))| {
-                        listed(id, *zone, if *ready { State::Ready } else { State::Draining }, None)
+                        listed(
+                            id,
+                            *zone,
+                            if *ready { EndpointState::Ready } else { EndpointState::Draining },
+                            None,
+                        )
                     })
                     .collect();
-                bed.gateway.list(true, &entries);
+                bed.gateway.endpoints_updated(true, &entries);
                 bed.asked = asked;
                 for asked in model.asked.values_mut() {
                     asked.answers = 1;
@@ -290,27 +303,27 @@
     QuickCheck::new().rng(gen).tests(200).quickcheck(check);
 }
 
-fn judge(kind: Kind, steps: &[Step]) -> TestResult {
+fn judge(kind: Idempotency, steps: &[Step]) -> TestResult {
     let both = play(kind, true, steps).and_then(|()| play(kind, false, steps));
     both.map_or_else(TestResult::error, |()| TestResult::passed())
 }
 
 #[test]
 fn redoable() {
-    agree(|steps| judge(Kind::Redoable, &steps));
+    agree(|steps| judge(Idempotency::Idempotent, &steps));
 }
 
 #[test]
 fn labelled_for_all() {
-    agree(|steps| judge(Kind::Labelled { group: Group::All, memory: 700 * MS }, &steps));
+    agree(|steps| judge(Idempotency::Keyed { scope: KeyScope::All, retention: 700 * MS }, &steps));
 }
 
 #[test]
 fn labelled_for_a_zone() {
-    agree(|steps| judge(Kind::Labelled { group: Group::Zone, memory: 700 * MS }, &steps));
+    agree(|steps| judge(Idempotency::Keyed { scope: KeyScope::Zone, retention: 700 * MS }, &steps));
 }
 
 #[test]
 fn irreversible() {
-    agree(|steps| judge(Kind::Irreversible, &steps));
+    agree(|steps| judge(Idempotency::NonIdempotent, &steps));
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use fernscale_policy::interface::{Host, Id, Micros};
-use fernscale_policy::refusal::Refusal;
+use fernscale_policy::RejectReason;
+use fernscale_policy::{Host, Id, Micros};
 
 use crate::wire::{base64, millis};
 
@@ -33,7 +33,7 @@
         self.desk.borrow().now
     }
 
-    fn send(&mut self, transaction: &Id, server: &Id, limit: Micros) {
+    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
         self.write("issue", format_args!(" tid={transaction} limitMs={} server={server}", millis(limit)));
     }
 
@@ -41,44 +41,44 @@
         self.write("retract", format_args!(" tid={transaction} go={trip}"));
     }
 
-    fn nack(&mut self, transaction: &Id, wait: Micros, _why: Refusal) {
+    fn reject(&mut self, transaction: &Id, wait: Micros, _why: RejectReason) {
         self.write("decline", format_args!(" tid={transaction} holdOffMs={}", millis(wait)));
     }
 
-    fn abandon(&mut self, transaction: &Id, _why: Refusal) {
+    fn fail(&mut self, transaction: &Id, _why: RejectReason) {
         self.write("fail", format_args!(" tid={transaction}"));
     }
 
-    fn set_alarm(&mut self, delay: Micros, token: &str) {
+    fn set_timer(&mut self, delay: Micros, token: &str) {
         self.write("set_alarm", format_args!(" waitMs={} ctx={token}", millis(delay)));
     }
 
-    fn probe(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         self.write("health_check", format_args!(" server={server}"));
     }
 
-    fn close_idle(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.write("drop_conns", format_args!(" server={server}"));
     }
 
-    fn add(&mut self, count: &str, amount: f64, life: Micros) {
+    fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
         self.write("post_amount", format_args!(" name={count} amount={amount} livesMs={}", millis(life)));
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.write("keep_informed", format_args!(" active={}", u8::from(on)));
     }
 
-    fn fetch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.write("lookup", format_args!(""));
     }
 
-    fn tell(&mut self, gateway: Option<u32>, data: &[u8]) {
+    fn send_message(&mut self, gateway: Option<u32>, data: &[u8]) {
         let to = gateway.map_or("-1".into(), |gateway| gateway.to_string());
         self.write("signal", format_args!(" addressee={to} data={}", base64(data)));
     }
 
-    fn report(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.write("emit", format_args!(" message={}", text.replace('\n', " ")));
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -10,15 +10,15 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use fernscale_policy::interface::{Listed, Micros, State};
-use fernscale_policy::policy::Gateway;
 use fernscale_policy::settings::{self, Fields, Parsed};
+use fernscale_policy::Engine;
+use fernscale_policy::{Endpoint, EndpointState, Micros};
 
 use host::{Desk, WireHost};
 use wire::{from_base64, Line};
 
 struct Instance {
-    gateway: Gateway<WireHost>,
+    gateway: Engine<WireHost>,
     desk: Rc<RefCell<Desk>>,
     load_names: Vec<String>,
 }
@@ -27,7 +27,7 @@
 struct Process {
     instances: HashMap<String, Instance>,
     /// The numbered lists as they stand at this point of the batch.
-    lists: HashMap<u64, Vec<Listed>>,
+    lists: HashMap<u64, Vec<Endpoint>>,
     /// The list whose entries are being read, and how many are still to come.
     filling: Option<(u64, u64)>,
     now: Micros,
@@ -73,11 +73,11 @@
 
     fn born(&mut self, line: &Line) -> Parsed<()> {
         let name = line.text("who")?.to_string();
-        let settings = settings::settings(line)?;
+        let settings = settings::policy_settings(line)?;
         let load_names = line.names("telemetry.names");
         let desk = Rc::new(RefCell::new(Desk { now: self.now, ..Desk::default() }));
         let host = WireHost { name: name.clone(), desk: Rc::clone(&desk) };
-        match catch_unwind(AssertUnwindSafe(|| Gateway::start(settings, host))) {
+        match catch_unwind(AssertUnwindSafe(|| Engine::new(settings, host))) {
             Ok(gateway) => {
                 self.reply.push_str(&std::mem::take(&mut desk.borrow_mut().actions));
                 self.instances.insert(name, Instance { gateway, desk, load_names });
@@ -115,20 +115,20 @@
     }
 }
 
-fn deliver(instance: &mut Instance, line: &Line, lists: &HashMap<u64, Vec<Listed>>) -> Parsed<()> {
+fn deliver(instance: &mut Instance, line: &Line, lists: &HashMap<u64, Vec<Endpoint>>) -> Parsed<()> {
     let gateway = &mut instance.gateway;
     match line.name {
-        "ask" => gateway.transaction(line.transaction()?),
-        "flowing" => gateway.flowing(&line.id("tid")?, line.whole("go")? as usize),
-        "returned" => gateway.returned(line.returned(&instance.load_names)?),
-        "dropped" => gateway.dropped(&line.id("tid")?),
-        "reminder" => gateway.alarm(line.text("ctx")?),
+        "ask" => gateway.request_received(line.transaction()?),
+        "flowing" => gateway.response_started(&line.id("tid")?, line.whole("go")? as usize),
+        "returned" => gateway.attempt_completed(line.returned(&instance.load_names)?),
+        "dropped" => gateway.client_disconnected(&line.id("tid")?),
+        "reminder" => gateway.timer_fired(line.text("ctx")?),
         "probe_done" => {
             let load = line.load(&instance.load_names)?;
-            gateway.probed(&line.id("server")?, line.outcome()?, load);
+            gateway.health_check_completed(&line.id("server")?, line.outcome()?, load);
         }
-        "mail" => gateway.told(line.whole("sender")? as u32, &from_base64(line.text("data")?)?),
-        "tally_back" => gateway.counted(
+        "mail" => gateway.message_received(line.whole("sender")? as u32, &from_base64(line.text("data")?)?),
+        "tally_back" => gateway.counter_replied(
             line.text("name")?,
             line.outcome()?,
             line.number_or("total", 0.0)?,
@@ -137,14 +137,14 @@
         "membership" => {
             let form = line.text("form")?;
             if form == "X" {
-                gateway.list_failed();
+                gateway.endpoints_unavailable();
                 return Ok(());
             }
             let list = line.whole("list")?;
             let entries = lists.get(&list).ok_or_else(|| format!("list {list} was never given"))?;
             match form {
-                "D" => gateway.list(false, entries),
-                "F" | "C" => gateway.list(true, entries),
+                "D" => gateway.endpoints_updated(false, entries),
+                "F" | "C" => gateway.endpoints_updated(true, entries),
                 other => return Err(format!("'form={other}' is no form of a list")),
             }
         }
@@ -153,22 +153,22 @@
     Ok(())
 }
 
-fn listed(line: &Line) -> Parsed<Listed> {
+fn listed(line: &Line) -> Parsed<Endpoint> {
     let started = Some(line.time_or("launchedMs", 0)?).filter(|at| *at > 0);
-    Ok(Listed {
+    Ok(Endpoint {
         server: line.id("server")?,
         zone: line.whole_or("regionPart", 0)? as u32,
-        kind: line.whole_or("hw", 0)? as u32,
+        hardware_type: line.whole_or("hw", 0)? as u32,
         cell: line.whole_or("cluster", 0)? as u32,
         state: match line.text("condition")? {
-            "in_service" => State::Ready,
-            "terminating" => State::Draining,
-            "terminated" => State::Gone,
+            "in_service" => EndpointState::Ready,
+            "terminating" => EndpointState::Draining,
+            "terminated" => EndpointState::Removed,
             other => return Err(format!("'condition={other}' is no condition")),
         },
-        rating: line.number_or("rating", 1.0)?,
-        started,
-        told_start: started,
+        weight: line.number_or("rating", 1.0)?,
+        started_at: started,
+        listed_start: started,
     })
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use fernscale_policy::interface::{Id, Load, Micros, Outcome, Returned, Transaction};
 use fernscale_policy::settings::{self, Fields, Parsed};
+use fernscale_policy::{AttemptCompleted, Id, LoadReport, Micros, Outcome, Request};
 
 /// One line: its name and its `name=value` parts.
 pub struct Line<'a> {
@@ -37,7 +37,7 @@
         Ok(match self.text("rc")? {
             "S" => Outcome::Ok,
             "E" => Outcome::Error,
-            "F" => Outcome::Full,
+            "F" => Outcome::Overloaded,
             "T" => Outcome::TimedOut,
             "C" => Outcome::NotConnected,
             "R" => Outcome::Reset,
@@ -47,36 +47,36 @@
         })
     }
 
-    pub fn load(&self, names: &[String]) -> Parsed<Load> {
-        let mut load = Load::default();
+    pub fn load(&self, names: &[String]) -> Parsed<LoadReport> {
+        let mut load = LoadReport::default();
         let Some(text) = self.fields.get("serverStats") else { return Ok(load) };
         for (name, value) in names.iter().zip(text.split(',')) {
-            settings::load(&mut load, name, value)?;
+            settings::parse_load_field(&mut load, name, value)?;
         }
         Ok(load)
     }
 
-    pub fn transaction(&self) -> Parsed<Transaction> {
-        Ok(Transaction {
+    pub fn transaction(&self) -> Parsed<Request> {
+        Ok(Request {
             id: self.id("tid")?,
-            lane: self.whole("service")? as usize,
+            class: self.whole("service")? as usize,
             plan: self.whole_or("contract", 0)? as usize,
-            customer: self.id("caller").unwrap_or_else(|_| Id::from("")),
+            tenant: self.id("caller").unwrap_or_else(|_| Id::from("")),
             units: self.number_or("weight", 1.0)?,
-            first: self.whole_or("fromNo", 0)? as u32,
-            spread: self.whole_or("doors", 1)? as u32,
-            left: self.time("ttlMs")?,
+            first_gateway: self.whole_or("fromNo", 0)? as u32,
+            gateway_spread: self.whole_or("doors", 1)? as u32,
+            time_left: self.time("ttlMs")?,
         })
     }
 
-    pub fn returned(&self, names: &[String]) -> Parsed<Returned> {
-        Ok(Returned {
-            transaction: self.id("tid")?,
-            trip: self.whole("go")? as usize,
+    pub fn returned(&self, names: &[String]) -> Parsed<AttemptCompleted> {
+        Ok(AttemptCompleted {
+            request: self.id("tid")?,
+            attempt: self.whole("go")? as usize,
             server: self.id("server")?,
             outcome: self.outcome()?,
-            took: self.time_or("delaySeenMs", 0)?,
-            finished: self.flag("doneFlag")?,
+            elapsed: self.time_or("delaySeenMs", 0)?,
+            is_final: self.flag("doneFlag")?,
             units: self.maybe("cost")?.filter(|units| *units > 0.0),
             load: self.load(names)?,
         })
