--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/mesh.rs
@@ -435,7 +435,7 @@
             members: node.members().map(member).collect(),
             gateways: self.gateways as u32,
             counts: node.counts().len() as u32,
-            counter: format!("{:?}", self.standing.get()).to_lowercase(),
+            counter: self.standing.get().name().into(),
         }
     }
 }
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/routing/module.rs
@@ -573,7 +573,7 @@
             mesh.standing.set(standing);
         }
         if standing != before {
-            let (from, to) = (format!("{before:?}").to_lowercase(), format!("{standing:?}").to_lowercase());
+            let (from, to) = (before.name(), standing.name());
             info!(self.shared.log, #"counter.stands", "the counter stands otherwise"; "from" => from, "to" => to);
         }
         match told {
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -306,3 +306,25 @@
     assert_eq!(serde_json::to_string(&record).expect("it is encoded").as_bytes(), recorded);
     assert_eq!(serde_json::from_slice::<Record>(&recorded).expect("it is decoded"), record);
 }
+
+/// What `fernscale members --json` prints: here names are the encoding too.
+#[test]
+fn views_that_operators_are_shown() {
+    let viewed = |news: News| Viewed { peer: news.of, state: news.state, incarnation: 5, heard_ms: 250 };
+    let members = news().into_iter().map(viewed).collect();
+    let view = View { me: peer(1), members, gateways: 3, counts: 2, counter: "good".into() };
+    let sums = vec![Sum { count: "q1:tenant".into(), total: 17.5, left_ms: 1_000 }];
+    let shown = serde_json::json!({ "view": view, "sums": sums });
+    assert_eq!(
+        shown,
+        serde_json::from_slice::<serde_json::Value>(&recorded("members.json")).expect("it is read")
+    );
+}
+
+#[test]
+fn the_states_of_the_counter_have_the_names_that_logs_tell() {
+    use fernscale_shared_counter::tally::Standing;
+    let states =
+        [Standing::Good, Standing::Slow, Standing::Lost, Standing::Emptied, Standing::Old, Standing::Apart];
+    assert_eq!(states.map(Standing::name), ["good", "slow", "lost", "emptied", "old", "apart"]);
+}
--- a/crates/shared-counter/src/tally.rs
+++ b/crates/shared-counter/src/tally.rs
@@ -91,6 +91,20 @@
     Apart,
 }
 
+impl Standing {
+    /// The word by which logs and operators are told.
+    pub fn name(self) -> &'static str {
+        match self {
+            Standing::Good => "good",
+            Standing::Slow => "slow",
+            Standing::Lost => "lost",
+            Standing::Emptied => "emptied",
+            Standing::Old => "old",
+            Standing::Apart => "apart",
+        }
+    }
+}
+
 #[derive(Debug)]
 struct Count {
     ends: Micros,
