--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -9,7 +9,7 @@
 use fernscale_gateway::program::config::{Config, Source};
 use fernscale_lease::view::{Answer, Question, View, Votes};
 use fernscale_lease::{majority, Fence, Name};
-use fernscale_membership::carry::Kind;
+use fernscale_membership::payload::Channel;
 use fernscale_membership::seal::Key;
 use serde_json::json;
 
@@ -75,7 +75,7 @@
         let (mut views, mut unheard) = (vec![(settings.listen, own)], Vec::new());
         let me = views[0].1.gateway.clone();
         for voter in owner.voters.names.iter().filter(|voter| **voter != me) {
-            let there = seen.members.iter().filter(|member| member.alive());
+            let there = seen.members.iter().filter(|member| member.is_alive());
             let mut at =
                 there.filter(|member| *member.peer.name == **voter).map(|member| member.peer.address);
             match at.next_back().map(|at| (at, view(at, keys))) {
@@ -109,7 +109,7 @@
 
 fn asked(to: SocketAddr, keys: &[Key], question: &Question) -> Result<Answer, String> {
     let question = postcard::to_stdvec(question).map_err(|why| why.to_string())?;
-    let answer = mesh::question(to, keys, Kind::Owners, question)?;
+    let answer = mesh::question(to, keys, Channel::Lease, question)?;
     let nothing = |_| {
         format!("the gateway at {to} takes no part in owning jobs: it has no [owner], or has just started")
     };
@@ -148,7 +148,7 @@
     let holding = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
     let seen = mesh::who(settings.listen, &settings.keys).map_err(|why| vec![why])?;
     let of_members = seen.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
-    let own = (seen.me.instance.0, views[0].0);
+    let own = (seen.local.instance.0, views[0].0);
     let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.run.0).map(|(_, at)| at);
     let at =
         at.ok_or_else(|| vec![format!("the owner of '{name}' can't be reached; its lease ends by itself")])?;
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -16,7 +16,7 @@
             return Ok(());
         }
         for sum in &sums {
-            println!("  {:<40} {:>14.3}, for {} ms more", sum.count, sum.total, sum.left_ms);
+            println!("  {:<40} {:>14.3}, for {} ms more", sum.key, sum.total, sum.expires_in_ms);
         }
         return Ok(());
     }
@@ -26,12 +26,16 @@
         println!("{text}");
         return Ok(());
     }
-    let live = view.members.iter().filter(|member| member.alive()).count() + 1;
+    let live = view.members.iter().filter(|member| member.is_alive()).count() + 1;
     println!(
         "{} at {}: {live} of {} gateways, {} counts, the counter is {}",
-        view.me.name, view.me.address, view.gateways, view.counts, view.counter
+        view.local.name,
+        view.local.address,
+        view.configured_gateways,
+        view.counter_count,
+        view.counter_health
     );
-    if live < view.gateways as usize {
+    if live < view.configured_gateways as usize {
         println!("not all gateways are there: without the counter, counts are this gateway's own guess");
     }
     for member in &view.members {
@@ -40,7 +44,7 @@
             "  {:<20} {:<22} {state:<8} heard {} ms ago, run {:016x}",
             peer.name,
             peer.address.to_string(),
-            member.heard_ms,
+            member.last_heard_ms,
             peer.instance.0
         );
     }
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::Source;
-use fernscale_membership::carry::Kind;
+use fernscale_membership::payload::Channel;
 use fernscale_subsetting::view::View;
 use fernscale_subsetting::{deal, moved, picture, Deal, Gateway, Server, Settings, FLOOR};
 use serde_json::{json, Value};
@@ -83,7 +83,7 @@
         })?;
         let at = settings.listen;
         let answer =
-            mesh::question(at, &settings.keys, Kind::Subsets, Vec::new()).map_err(|why| vec![why])?;
+            mesh::question(at, &settings.keys, Channel::Subsetting, Vec::new()).map_err(|why| vec![why])?;
         let nothing =
             |_| vec![format!("the gateway at {at} has no subset: it has no [subsets], or has just started")];
         let view: View = postcard::from_bytes(&answer).map_err(nothing)?;
--- a/crates/gateway/src/fleet/list.rs
+++ b/crates/gateway/src/fleet/list.rs
@@ -10,7 +10,7 @@
 use event_listener::Event as Wake;
 use fernscale_lease::told::{Answer, Entry, Note, Output, Piece, Told};
 use fernscale_lease::Name;
-use fernscale_membership::carry::{Came, Kind};
+use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::Micros;
 use futures_lite::{future, StreamExt};
 use serde_json::{json, Value};
@@ -68,7 +68,7 @@
         carrying: Cell::new(false),
         wake: Wake::new(),
     });
-    mesh.until_left(list.clone().hear(mesh.takes(Kind::List)));
+    mesh.until_left(list.clone().hear(mesh.takes(Channel::EndpointList)));
     mesh.until_left(list.keep_time());
 }
 
@@ -93,9 +93,9 @@
         self.owners.effect(&self.job, ()).map(|effect| effect.fence().term)
     }
 
-    async fn hear(self: Rc<Self>, came: Receiver<Came>) {
+    async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
-        while let Some(Came { from, body, .. }) = came.next().await {
+        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             match postcard::from_bytes::<Note>(&body) {
                 Ok(note) => self.told.borrow_mut().came(awake_or_not(), &from.name.into(), note),
                 Err(_) => {
@@ -151,7 +151,7 @@
 
     /// A note that can't be sent now is as good as lost on the way.
     fn send(&self, to: &str, note: &Note) {
-        let _ = self.mesh.send(to, Kind::List, postcard::to_stdvec(note).unwrap_or_default());
+        let _ = self.mesh.send(to, Channel::EndpointList, postcard::to_stdvec(note).unwrap_or_default());
     }
 
     async fn call(self: Rc<Self>, since: Option<u64>) {
--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/mesh.rs
@@ -11,9 +11,12 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use event_listener::Event as Wake;
-use fernscale_membership::carry::{Came, Kind, Refused};
 use fernscale_membership::node::{Config, Event, Node, Output};
-use fernscale_membership::packet::{Packet, Peer, Stream, Sum, View, Viewed, MOST_BYTES, MOST_FULL};
+use fernscale_membership::packet::{
+    CounterTotal, MemberView, MembershipView, Packet, Peer, StreamMessage, MAX_DATAGRAM_BYTES,
+    MAX_STREAM_BYTES,
+};
+use fernscale_membership::payload::{Channel, ReceivedPayload, SendError};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_policy::Micros;
 use fernscale_shared_counter::rumour::Live;
@@ -87,8 +90,8 @@
     /// How the counter stood when last looked at, for who asks.
     pub standing: Cell<tally::Standing>,
     /// Who takes in what is carried for others, and who answers operators' questions about it.
-    takers: RefCell<BTreeMap<Kind, Sender<Came>>>,
-    answerers: RefCell<BTreeMap<Kind, Answerer>>,
+    takers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
+    answerers: RefCell<BTreeMap<Channel, Answerer>>,
     shared: Rc<Shared>,
 }
 
@@ -116,7 +119,7 @@
         let run = run(&me);
         let sealer = Sealer::new(settings.keys.clone(), me.instance);
         let sealer = sealer.ok_or_else(|| io::Error::other("the mesh has no key"))?;
-        let config = Config { me, seeds: settings.seeds.clone() };
+        let config = Config { local: me, seeds: settings.seeds.clone() };
         let mesh = Rc::new(Mesh {
             node: RefCell::new(Node::new(config, rand::random(), shared.clock.now())),
             sealer: RefCell::new(sealer),
@@ -143,12 +146,12 @@
 
     /// Another ring of keys from now on.
     pub fn turn(&self, keys: &[Key]) {
-        self.sealer.borrow_mut().turn(keys.to_vec());
+        self.sealer.borrow_mut().set_keys(keys.to_vec());
     }
 
     /// This gateway has added an amount to a count: what all know of it with that.
     pub fn add(&self, count: &str, amount: f64, life: Micros) -> Option<tally::Mesh> {
-        self.node.borrow_mut().add(self.shared.clock.now(), count, amount, life);
+        self.node.borrow_mut().add_to_counter(self.shared.clock.now(), count, amount, life);
         self.known(count)
     }
 
@@ -156,14 +159,14 @@
     pub fn tells(&self, untold: Untold) {
         let now = self.shared.clock.now();
         for (count, (amount, ends)) in untold.0 {
-            self.node.borrow_mut().add(now, &count, amount, ends.saturating_sub(now));
+            self.node.borrow_mut().add_to_counter(now, &count, amount, ends.saturating_sub(now));
         }
     }
 
     pub fn known(&self, count: &str) -> Option<tally::Mesh> {
         let node = self.node.borrow();
-        let total = node.total(self.shared.clock.now(), count)?;
-        Some(tally::Mesh { total, whole: node.live().count() + 1 >= self.gateways })
+        let total = node.counter_total(self.shared.clock.now(), count)?;
+        Some(tally::Mesh { total, whole: node.live_members().count() + 1 >= self.gateways })
     }
 
     /// Tells some that this gateway goes, and listens no more.
@@ -182,38 +185,38 @@
     // For others.
 
     /// What is carried of this kind comes here from now on.
-    pub fn takes(&self, kind: Kind) -> Receiver<Came> {
+    pub fn takes(&self, kind: Channel) -> Receiver<ReceivedPayload> {
         let (to, taken) = async_channel::bounded(MOST_WAITING);
         self.takers.borrow_mut().insert(kind, to);
         taken
     }
 
     /// Operators' questions of this kind are answered so.
-    pub fn answers(&self, kind: Kind, answerer: Answerer) {
+    pub fn answers(&self, kind: Channel, answerer: Answerer) {
         self.answerers.borrow_mut().insert(kind, answerer);
     }
 
     /// Sends a message to the live gateway of a name; it may be lost.
-    pub fn send(&self, to: &str, kind: Kind, body: Vec<u8>) -> Result<(), Refused> {
-        let sent = self.node.borrow_mut().carry_to(to, kind, body);
+    pub fn send(&self, to: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let sent = self.node.borrow_mut().send_to(to, kind, body);
         self.carry();
         sent
     }
 
     /// Sends a message to one run of a gateway.
-    pub fn send_to_run(&self, to: Instance, kind: Kind, body: Vec<u8>) -> Result<(), Refused> {
-        let sent = self.node.borrow_mut().carry_to_run(to, kind, body);
+    pub fn send_to_run(&self, to: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let sent = self.node.borrow_mut().send_to_instance(to, kind, body);
         self.carry();
         sent
     }
 
     pub fn me(&self) -> Peer {
-        self.node.borrow().me().clone()
+        self.node.borrow().local().clone()
     }
 
     /// Other gateways that are not taken for gone.
     pub fn live(&self) -> Vec<Peer> {
-        self.node.borrow().live().map(|member| member.peer.clone()).collect()
+        self.node.borrow().live_members().map(|member| member.peer.clone()).collect()
     }
 
     /// The same, as rumours know them.
@@ -233,7 +236,7 @@
     async fn keep_time(self: Rc<Self>) {
         loop {
             let woken = self.wake.listen();
-            let due = self.node.borrow().due();
+            let due = self.node.borrow().next_deadline();
             let wait = async {
                 if due == Micros::MAX {
                     future::pending::<()>().await;
@@ -242,8 +245,8 @@
             };
             future::or(wait, woken).await;
             let now = self.shared.clock.now();
-            if now >= self.node.borrow().due() {
-                self.node.borrow_mut().tick(now);
+            if now >= self.node.borrow().next_deadline() {
+                self.node.borrow_mut().handle_timeout(now);
             }
             self.carry();
         }
@@ -252,16 +255,16 @@
     /// Carries out what the node wants.
     fn carry(&self) {
         loop {
-            let Some(output) = self.node.borrow_mut().take() else { return };
+            let Some(output) = self.node.borrow_mut().poll_output() else { return };
             match output {
-                Output::Send { to, packet } => {
+                Output::SendDatagram { to, packet } => {
                     let bytes = self.sealer.borrow_mut().seal(unix(), &packet);
                     // A datagram that can't be sent now is as good as lost on the way.
                     if let Some(socket) = &*self.socket.borrow() {
                         let _ = uninterrupted(|| socket.get_ref().send_to(&bytes, to));
                     }
                 }
-                Output::Exchange { to } => {
+                Output::ExchangeState { to } => {
                     let seal = self.sealed_full();
                     let work = dial_and_exchange(Some(self.from), to, seal);
                     let Some(mesh) = self.shared.mesh.get().cloned() else { continue };
@@ -276,12 +279,12 @@
                         })
                         .detach();
                 }
-                Output::Stream { to, carried } => {
-                    let stream = Stream::Carry(self.me(), carried);
+                Output::SendStream { to, carried } => {
+                    let stream = StreamMessage::Payload(self.me(), carried);
                     self.stream(to, self.sealer.borrow_mut().seal(unix(), &stream));
                 }
-                Output::Came(came) => {
-                    let taker = self.takers.borrow().get(&came.kind).cloned();
+                Output::Received(came) => {
+                    let taker = self.takers.borrow().get(&came.channel).cloned();
                     if let Some(taker) = taker {
                         let _ = taker.try_send(came);
                     }
@@ -316,21 +319,21 @@
     }
 
     fn sealed_full(&self) -> Vec<u8> {
-        let full = self.node.borrow().full(self.shared.clock.now());
-        self.sealer.borrow_mut().seal(unix(), &Stream::Full(full))
+        let full = self.node.borrow().full_state(self.shared.clock.now());
+        self.sealer.borrow_mut().seal(unix(), &StreamMessage::FullState(full))
     }
 
     async fn hear(self: Rc<Self>) {
-        let mut bytes = [0; 2 * MOST_BYTES];
+        let mut bytes = [0; 2 * MAX_DATAGRAM_BYTES];
         let Some(socket) = self.socket.borrow().clone() else { return };
         loop {
             for _ in 0..IN_A_ROW {
                 let Ok((length, from)) = socket.recv_from(&mut bytes).await else { break };
                 let opened = self.sealer.borrow_mut().open::<Packet>(unix(), &bytes[..length]);
                 match opened {
-                    Ok((sealed_by, packet)) if sealed_by == packet.from.instance => {
+                    Ok((sealed_by, packet)) if sealed_by == packet.sender.instance => {
                         let now = self.shared.clock.now();
-                        self.node.borrow_mut().packet_came(now, from, packet);
+                        self.node.borrow_mut().handle_packet(now, from, packet);
                         self.carry();
                         self.wake.notify(1);
                     }
@@ -376,30 +379,31 @@
     /// Somebody asks for all that is known here, and tells what it knows; or only asks who is there.
     async fn exchange(&self, stream: Async<TcpStream>) -> io::Result<()> {
         let bytes = read(&stream).await?;
-        let opened = self.sealer.borrow_mut().open::<Stream>(unix(), &bytes);
+        let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), &bytes);
         let answer = match opened {
-            Ok((sealed_by, Stream::Full(full))) if sealed_by == full.from.instance => {
-                self.node.borrow_mut().full_came(self.shared.clock.now(), full);
+            Ok((sealed_by, StreamMessage::FullState(full))) if sealed_by == full.sender.instance => {
+                self.node.borrow_mut().handle_full_state(self.shared.clock.now(), full);
                 self.carry();
                 self.wake.notify(1);
                 self.sealed_full()
             }
-            Ok((_, Stream::Who)) => {
-                let view = Stream::View(self.view());
+            Ok((_, StreamMessage::ListMembers)) => {
+                let view = StreamMessage::Members(self.view());
                 self.sealer.borrow_mut().seal(unix(), &view)
             }
-            Ok((_, Stream::Counts)) => {
-                let sums = Stream::Sums(self.node.borrow().sums(self.shared.clock.now()));
+            Ok((_, StreamMessage::ListCounters)) => {
+                let sums =
+                    StreamMessage::CounterTotals(self.node.borrow().counter_totals(self.shared.clock.now()));
                 self.sealer.borrow_mut().seal(unix(), &sums)
             }
-            Ok((sealed_by, Stream::Carry(from, carried))) if sealed_by == from.instance => {
-                self.node.borrow_mut().carried_came(self.shared.clock.now(), from, carried);
+            Ok((sealed_by, StreamMessage::Payload(from, carried))) if sealed_by == from.instance => {
+                self.node.borrow_mut().handle_payload(self.shared.clock.now(), from, carried);
                 self.carry();
                 return Ok(());
             }
-            Ok((_, Stream::Ask(kind, question))) => {
+            Ok((_, StreamMessage::Query(kind, question))) => {
                 let answer = self.answerers.borrow().get(&kind).and_then(|answers| answers(&question));
-                let answer = Stream::Answer(answer.unwrap_or_default());
+                let answer = StreamMessage::QueryReply(answer.unwrap_or_default());
                 self.sealer.borrow_mut().seal(unix(), &answer)
             }
             other => {
@@ -412,30 +416,30 @@
     }
 
     fn full_came(&self, bytes: &[u8]) {
-        let opened = self.sealer.borrow_mut().open::<Stream>(unix(), bytes);
-        if let Ok((sealed_by, Stream::Full(full))) = opened {
-            if sealed_by == full.from.instance {
-                self.node.borrow_mut().full_came(self.shared.clock.now(), full);
+        let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), bytes);
+        if let Ok((sealed_by, StreamMessage::FullState(full))) = opened {
+            if sealed_by == full.sender.instance {
+                self.node.borrow_mut().handle_full_state(self.shared.clock.now(), full);
                 self.carry();
                 self.wake.notify(1);
             }
         }
     }
 
-    fn view(&self) -> View {
+    fn view(&self) -> MembershipView {
         let (node, now) = (self.node.borrow(), self.shared.clock.now());
-        let member = |member: &fernscale_membership::node::Member| Viewed {
+        let member = |member: &fernscale_membership::node::Member| MemberView {
             peer: member.peer.clone(),
             state: member.state,
             incarnation: member.incarnation,
-            heard_ms: (now.saturating_sub(member.heard) / 1000) as u32,
+            last_heard_ms: (now.saturating_sub(member.last_heard) / 1000) as u32,
         };
-        View {
-            me: node.me().clone(),
+        MembershipView {
+            local: node.local().clone(),
             members: node.members().map(member).collect(),
-            gateways: self.gateways as u32,
-            counts: node.counts().len() as u32,
-            counter: self.standing.get().name().into(),
+            configured_gateways: self.gateways as u32,
+            counter_count: node.counters().len() as u32,
+            counter_health: self.standing.get().name().into(),
         }
     }
 }
@@ -454,16 +458,16 @@
         Event::Suspected(peer) => {
             info!(log, #"mesh.suspected", "a gateway does not answer"; "peer" => of(peer), "run" => run(peer))
         }
-        Event::Cleared(peer) => {
+        Event::Refuted(peer) => {
             info!(log, #"mesh.cleared", "a gateway is there after all"; "peer" => of(peer), "run" => run(peer))
         }
-        Event::Gone(peer) => {
+        Event::Died(peer) => {
             warn!(log, #"mesh.gone", "a gateway is taken for gone"; "peer" => of(peer), "run" => run(peer))
         }
         Event::Left(peer) => {
             info!(log, #"mesh.left", "a gateway has left"; "peer" => of(peer), "run" => run(peer))
         }
-        Event::NameTwice(one, other) => warn!(log, #"mesh.name-twice", "two gateways go by one name";
+        Event::DuplicateName(one, other) => warn!(log, #"mesh.name-twice", "two gateways go by one name";
             "peer" => of(one), "other" => of(other)),
     }
 }
@@ -471,7 +475,7 @@
 async fn read(stream: &Async<TcpStream>) -> io::Result<Vec<u8>> {
     let head = read_exact(stream, HEAD).await?;
     let length = head.iter().fold(0, |length, byte| length << u8::BITS | usize::from(*byte));
-    if length > MOST_FULL {
+    if length > MAX_STREAM_BYTES {
         return Err(io::Error::other("too long"));
     }
     read_exact(stream, length).await
@@ -522,13 +526,13 @@
 }
 
 /// Asks a gateway of this installation something, by its keys.
-fn ask(to: SocketAddr, keys: &[Key], what: &Stream) -> Result<Stream, String> {
+fn ask(to: SocketAddr, keys: &[Key], what: &StreamMessage) -> Result<StreamMessage, String> {
     let sealer = Sealer::new(keys.to_vec(), Instance(rand::random()));
     let mut sealer = sealer.ok_or("there is no key to ask with")?;
     let sealed = sealer.seal(unix(), what);
     let answer = async_io::block_on(dial_and_exchange(None, to, sealed));
     let answer = answer.map_err(|error| format!("the gateway at {to} does not answer: {error}"))?;
-    let opened = sealer.open::<Stream>(unix(), &answer);
+    let opened = sealer.open::<StreamMessage>(unix(), &answer);
     opened
         .map(|(_, said)| said)
         .map_err(|why| format!("the gateway at {to} gives an answer that is not believed: {why}"))
@@ -539,25 +543,25 @@
 }
 
 /// Who is there, as a gateway sees it.
-pub fn who(to: SocketAddr, keys: &[Key]) -> Result<View, String> {
-    match ask(to, keys, &Stream::Who)? {
-        Stream::View(view) => Ok(view),
+pub fn who(to: SocketAddr, keys: &[Key]) -> Result<MembershipView, String> {
+    match ask(to, keys, &StreamMessage::ListMembers)? {
+        StreamMessage::Members(view) => Ok(view),
         _ => Err(something_else(to)),
     }
 }
 
 /// A question about something that the mesh only carries; the answer is empty where the gateway has nothing to say of it.
-pub fn question(to: SocketAddr, keys: &[Key], kind: Kind, question: Vec<u8>) -> Result<Vec<u8>, String> {
-    match ask(to, keys, &Stream::Ask(kind, question))? {
-        Stream::Answer(answer) => Ok(answer),
+pub fn question(to: SocketAddr, keys: &[Key], kind: Channel, question: Vec<u8>) -> Result<Vec<u8>, String> {
+    match ask(to, keys, &StreamMessage::Query(kind, question))? {
+        StreamMessage::QueryReply(answer) => Ok(answer),
         _ => Err(something_else(to)),
     }
 }
 
 /// What a gateway knows of all counts.
-pub fn sums(to: SocketAddr, keys: &[Key]) -> Result<Vec<Sum>, String> {
-    match ask(to, keys, &Stream::Counts)? {
-        Stream::Sums(sums) => Ok(sums),
+pub fn sums(to: SocketAddr, keys: &[Key]) -> Result<Vec<CounterTotal>, String> {
+    match ask(to, keys, &StreamMessage::ListCounters)? {
+        StreamMessage::CounterTotals(sums) => Ok(sums),
         _ => Err(something_else(to)),
     }
 }
--- a/crates/gateway/src/fleet/owners.rs
+++ b/crates/gateway/src/fleet/owners.rs
@@ -17,7 +17,7 @@
 use fernscale_lease::view::{Answer, Held, Job, Question, View, Votes};
 use fernscale_lease::voter::{Change, Durable as Promises, Event as Voted, Head, Output, Voter};
 use fernscale_lease::{Fence, Name, Run, Terms, Voters};
-use fernscale_membership::carry::{Came, Kind};
+use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::Micros;
 use fernscale_shared_counter::vectors::Instance;
 use fernscale_store::{Batch, Error};
@@ -122,11 +122,11 @@
             "voters" => owners.settings.voters.names.len(), "lease_ms" => owners.settings.terms.lease / 1_000,
             "run" => format!("{:016x}", run.0));
         let answers = owners.clone();
-        mesh.answers(Kind::Owners, Box::new(move |question| answers.answer(question)));
+        mesh.answers(Channel::Lease, Box::new(move |question| answers.answer(question)));
         if votes || owners.settings.voters.before.contains(&owners.me) {
             mesh.until_left(owners.clone().vote());
         }
-        mesh.until_left(owners.clone().hear(mesh.takes(Kind::Owners)));
+        mesh.until_left(owners.clone().hear(mesh.takes(Channel::Lease)));
         mesh.until_left(owners.clone().hear_of_disk(syncs));
         mesh.until_left(owners.clone().keep_time());
         owners
@@ -259,9 +259,9 @@
 
     // Letters.
 
-    async fn hear(self: Rc<Self>, came: Receiver<Came>) {
+    async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
-        while let Some(Came { from, body, .. }) = came.next().await {
+        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             let Ok(letter) = postcard::from_bytes::<Letter>(&body) else {
                 let why = "a letter about jobs that can't be read";
                 warn!(self.shared.log, #"owner.unread", "{}", why; "peer" => &from.name);
@@ -290,7 +290,7 @@
 
     /// A letter that can't be sent now is as good as lost on the way.
     fn send(&self, to: &Name, letter: &Letter) {
-        let _ = self.mesh.send(to, Kind::Owners, postcard::to_stdvec(letter).unwrap_or_default());
+        let _ = self.mesh.send(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
     }
 
     /// Carries out what voter and claimer want.
@@ -307,7 +307,7 @@
                     }
                     Output::Say { to, say } => {
                         let body = postcard::to_stdvec(&Letter::Say(say)).unwrap_or_default();
-                        let _ = self.mesh.send_to_run(Instance(to.0), Kind::Owners, body);
+                        let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
                     }
                     Output::Ask { to, ask } => self.send(&to, &Letter::Ask(ask)),
                     Output::Answer { to, say } => self.send(&to, &Letter::Say(say)),
@@ -325,7 +325,7 @@
                     Wants::Free { to, job, fence } => self.send(&to, &Letter::Free { job, fence }),
                     Wants::Offer { to, job } => {
                         let body = postcard::to_stdvec(&Letter::Offer { job }).unwrap_or_default();
-                        let _ = self.mesh.send_to_run(Instance(to.0), Kind::Owners, body);
+                        let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
                     }
                     Wants::Event(event) => events.push_back(event),
                 }
--- a/crates/gateway/src/fleet/signals.rs
+++ b/crates/gateway/src/fleet/signals.rs
@@ -7,7 +7,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use fernscale_membership::carry::{Came, Kind};
+use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_outlier_detection::signals::{Change, Me, Met, Server, Signals as Core};
 use fernscale_outlier_detection::view::View;
 use fernscale_outlier_detection::Note;
@@ -51,8 +51,8 @@
         let signals = Rc::new(Signals { shared: shared.clone(), mesh: mesh.clone(), core });
         let answers = signals.clone();
         let answer = move |_: &[u8]| postcard::to_stdvec(&answers.shown()).ok();
-        mesh.answers(Kind::Signals, Box::new(answer));
-        mesh.until_left(signals.clone().hear(mesh.takes(Kind::Signals)));
+        mesh.answers(Channel::OutlierDetection, Box::new(answer));
+        mesh.until_left(signals.clone().hear(mesh.takes(Channel::OutlierDetection)));
         mesh.until_left(signals.clone().keep_time(events));
         signals
     }
@@ -99,9 +99,9 @@
         }
     }
 
-    async fn hear(self: Rc<Self>, came: Receiver<Came>) {
+    async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
-        while let Some(Came { from, body, .. }) = came.next().await {
+        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             match postcard::from_bytes::<Note>(&body) {
                 Ok(note) => {
                     let all = self.mesh.live().len() as f64 + 1.0;
@@ -122,7 +122,11 @@
             let note = self.core.borrow_mut().take();
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
-            let _ = self.mesh.send(&to, Kind::Signals, postcard::to_stdvec(&note).unwrap_or_default());
+            let _ = self.mesh.send(
+                &to,
+                Channel::OutlierDetection,
+                postcard::to_stdvec(&note).unwrap_or_default(),
+            );
         }
     }
 
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsets.rs
@@ -7,7 +7,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use fernscale_membership::carry::{Came, Kind};
+use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros, Subset};
 use fernscale_subsetting::loads::{Known, Live, Loads, Note};
 use fernscale_subsetting::own::{Own, View};
@@ -99,8 +99,8 @@
             Some(mesh) => {
                 let answers = subsets.clone();
                 let answer = move |_: &[u8]| postcard::to_stdvec(&answers.shown()).ok();
-                mesh.answers(Kind::Subsets, Box::new(answer));
-                mesh.until_left(subsets.clone().hear(mesh.takes(Kind::Subsets)));
+                mesh.answers(Channel::Subsetting, Box::new(answer));
+                mesh.until_left(subsets.clone().hear(mesh.takes(Channel::Subsetting)));
                 mesh.until_left(subsets.clone().keep_time(events));
             }
             None => shared.executor.spawn(subsets.clone().keep_time(events)).detach(),
@@ -147,9 +147,9 @@
         }
     }
 
-    async fn hear(self: Rc<Self>, came: Receiver<Came>) {
+    async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
-        while let Some(Came { from, body, .. }) = came.next().await {
+        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             match postcard::from_bytes::<Note>(&body) {
                 Ok(note) => {
                     if let Some(loads) = &mut self.core.borrow_mut().loads {
@@ -171,7 +171,7 @@
             let note = self.core.borrow_mut().loads.as_mut().and_then(Loads::take);
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
-            let _ = mesh.send(&to, Kind::Subsets, postcard::to_stdvec(&note).unwrap_or_default());
+            let _ = mesh.send(&to, Channel::Subsetting, postcard::to_stdvec(&note).unwrap_or_default());
         }
     }
 
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -12,8 +12,11 @@
 use fernscale_lease::told::{Entry, Note, Piece, Version};
 use fernscale_lease::voter::{Head, Other};
 use fernscale_lease::{view as jobs, Fence, Name, Run, Set};
-use fernscale_membership::carry::{Carried, Kind};
-use fernscale_membership::packet::{Full, News, Packet, Peer, State, Stream, Sum, Told, View, Viewed, Word};
+use fernscale_membership::packet::{
+    CounterEntry, CounterTotal, FullState, MemberState, MemberUpdate, MemberView, MembershipView, Packet,
+    PacketBody, Peer, StreamMessage,
+};
+use fernscale_membership::payload::{Channel, Payload};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_outlier_detection::{view as servers, Level};
 use fernscale_shared_counter::rumour;
@@ -59,29 +62,39 @@
     Peer { name: format!("gateway-{number}"), instance: Instance(0x0102_0304_0506_0700 + number), address }
 }
 
-fn news() -> Vec<News> {
-    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
-    (1..).zip(states).map(|(at, state)| News { of: peer(at), incarnation: at as u32 * 7, state }).collect()
+fn news() -> Vec<MemberUpdate> {
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
+    (1..)
+        .zip(states)
+        .map(|(at, state)| MemberUpdate { peer: peer(at), incarnation: at as u32 * 7, state })
+        .collect()
 }
 
-fn counts() -> Vec<Told> {
+fn counts() -> Vec<CounterEntry> {
     let told = |count: &str, plus, minus| {
         let part = Part { plus, minus };
-        Told { count: count.into(), of: Instance(9), part, left_ms: 59_000 }
+        CounterEntry { key: count.into(), instance: Instance(9), contribution: part, expires_in_ms: 59_000 }
     };
     vec![told("q60000000:tenant-1", 12.25, 0.0), told("o5:tenant-2", 3.0, 2.0)]
 }
 
-fn carried(kind: Kind) -> Carried {
-    Carried { kind, body: vec![1, 2, 3, 255] }
+fn carried(kind: Channel) -> Payload {
+    Payload { channel: kind, body: vec![1, 2, 3, 255] }
 }
 
-const KINDS: [Kind; 4] = [Kind::Owners, Kind::List, Kind::Subsets, Kind::Signals];
+const KINDS: [Channel; 4] =
+    [Channel::Lease, Channel::EndpointList, Channel::Subsetting, Channel::OutlierDetection];
 
 fn packets() -> Vec<Packet> {
-    let mut words = vec![Word::Ping(7), Word::Ack(300), Word::PingFor(9, peer(3)), Word::Nothing];
-    words.extend(KINDS.map(|kind| Word::Carry(carried(kind))));
-    let packet = |word| Packet { from: peer(1), incarnation: 2, word, news: news(), counts: counts() };
+    let mut words = vec![
+        PacketBody::Ping(7),
+        PacketBody::Ack(300),
+        PacketBody::PingRequest(9, peer(3)),
+        PacketBody::Empty,
+    ];
+    words.extend(KINDS.map(|kind| PacketBody::Payload(carried(kind))));
+    let packet =
+        |word| Packet { sender: peer(1), incarnation: 2, body: word, updates: news(), counters: counts() };
     words.into_iter().map(packet).collect()
 }
 
@@ -92,16 +105,32 @@
 
 #[test]
 fn membership_streams() {
-    let full = Full { from: peer(2), incarnation: 1, news: news(), counts: counts() };
-    let viewed = |news: News| Viewed { peer: news.of, state: news.state, incarnation: 5, heard_ms: 250 };
+    let full = FullState { sender: peer(2), incarnation: 1, updates: news(), counters: counts() };
+    let viewed = |news: MemberUpdate| MemberView {
+        peer: news.peer,
+        state: news.state,
+        incarnation: 5,
+        last_heard_ms: 250,
+    };
     let members = news().into_iter().map(viewed).collect();
-    let view = View { me: peer(1), members, gateways: 3, counts: 2, counter: "good".into() };
-    let sum = Sum { count: "q1:tenant".into(), total: 17.5, left_ms: 1_000 };
-    let mut streams = vec![Stream::Full(full), Stream::Who, Stream::View(view), Stream::Counts];
-    streams.push(Stream::Sums(vec![sum]));
-    streams.extend(KINDS.map(|kind| Stream::Carry(peer(1), carried(kind))));
-    streams.extend(KINDS.map(|kind| Stream::Ask(kind, vec![4, 5])));
-    streams.push(Stream::Answer(vec![6]));
+    let view = MembershipView {
+        local: peer(1),
+        members,
+        configured_gateways: 3,
+        counter_count: 2,
+        counter_health: "good".into(),
+    };
+    let sum = CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 };
+    let mut streams = vec![
+        StreamMessage::FullState(full),
+        StreamMessage::ListMembers,
+        StreamMessage::Members(view),
+        StreamMessage::ListCounters,
+    ];
+    streams.push(StreamMessage::CounterTotals(vec![sum]));
+    streams.extend(KINDS.map(|kind| StreamMessage::Payload(peer(1), carried(kind))));
+    streams.extend(KINDS.map(|kind| StreamMessage::Query(kind, vec![4, 5])));
+    streams.push(StreamMessage::QueryReply(vec![6]));
     check("membership-streams.bin", &streams);
 }
 
@@ -310,10 +339,21 @@
 /// What `fernscale members --json` prints: here names are the encoding too.
 #[test]
 fn views_that_operators_are_shown() {
-    let viewed = |news: News| Viewed { peer: news.of, state: news.state, incarnation: 5, heard_ms: 250 };
+    let viewed = |news: MemberUpdate| MemberView {
+        peer: news.peer,
+        state: news.state,
+        incarnation: 5,
+        last_heard_ms: 250,
+    };
     let members = news().into_iter().map(viewed).collect();
-    let view = View { me: peer(1), members, gateways: 3, counts: 2, counter: "good".into() };
-    let sums = vec![Sum { count: "q1:tenant".into(), total: 17.5, left_ms: 1_000 }];
+    let view = MembershipView {
+        local: peer(1),
+        members,
+        configured_gateways: 3,
+        counter_count: 2,
+        counter_health: "good".into(),
+    };
+    let sums = vec![CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 }];
     let shown = serde_json::json!({ "view": view, "sums": sums });
     assert_eq!(
         shown,
--- a/crates/lab/src/live/ask.rs
+++ b/crates/lab/src/live/ask.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use fernscale_membership::packet::{State, Stream as Said};
+use fernscale_membership::packet::{MemberState, StreamMessage as Said};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_shared_counter::vectors::Instance;
 use futures_lite::future;
@@ -56,21 +56,21 @@
 
 /// Whom a gateway sees, by where they are told to be: the live ones, and those that it suspects.
 pub async fn view(world: &World, to: SocketAddr, ahead: i64) -> io::Result<(Vec<String>, Vec<String>)> {
-    let Said::View(view) = ask(world, to, ahead, Said::Who).await? else {
+    let Said::Members(view) = ask(world, to, ahead, Said::ListMembers).await? else {
         return Err(io::Error::other("no view"));
     };
     let of = |state| {
         let those = view.members.iter().filter(move |member| member.state == state);
         those.map(|member| member.peer.address.to_string()).collect()
     };
-    Ok((of(State::Alive), of(State::Suspect)))
+    Ok((of(MemberState::Alive), of(MemberState::Suspect)))
 }
 
 pub async fn sums(world: &World, to: SocketAddr, ahead: i64) -> io::Result<Sums> {
-    let Said::Sums(sums) = ask(world, to, ahead, Said::Counts).await? else {
+    let Said::CounterTotals(sums) = ask(world, to, ahead, Said::ListCounters).await? else {
         return Err(io::Error::other("no sums"));
     };
-    Ok(sums.into_iter().map(|sum| (sum.count, sum.total, sum.left_ms)).collect())
+    Ok(sums.into_iter().map(|sum| (sum.key, sum.total, sum.expires_in_ms)).collect())
 }
 
 /// Calls a gateway's second address; gives the status.
--- a/crates/lab/src/mesh.rs
+++ b/crates/lab/src/mesh.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use fernscale_membership::node::{Config, Event, Node, Output};
-use fernscale_membership::packet::{Full, Packet, Peer, State};
+use fernscale_membership::packet::{FullState, MemberState, Packet, Peer};
 use fernscale_shared_counter::vectors::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
 
 enum Come {
     Packet(Packet),
-    Full(Full, bool),
+    Full(FullState, bool),
     Tick,
 }
 
@@ -126,7 +126,7 @@
         let instance = Instance(self.chance.gen());
         let me = Peer { name: format!("gateway-{at}"), instance, address: address(at) };
         let seeds = vec![address(0), address(1)];
-        self.nodes[at] = Some(Node::new(Config { me, seeds }, self.chance.gen(), self.now));
+        self.nodes[at] = Some(Node::new(Config { local: me, seeds }, self.chance.gen(), self.now));
         self.plan(at);
     }
 
@@ -194,13 +194,13 @@
     pub fn add(&mut self, at: usize, count: &str, amount: f64, life: Micros) {
         let now = self.now;
         if let Some(node) = &mut self.nodes[at] {
-            node.add(now, count, amount, life);
-            *self.truth.entry((count.into(), node.me().instance)).or_default() += amount;
+            node.add_to_counter(now, count, amount, life);
+            *self.truth.entry((count.into(), node.local().instance)).or_default() += amount;
         }
     }
 
     fn plan(&mut self, at: usize) {
-        let Some(due) = self.nodes[at].as_ref().map(Node::due) else { return };
+        let Some(due) = self.nodes[at].as_ref().map(Node::next_deadline) else { return };
         let due = due.max(self.now);
         if due < self.ticks[at] || self.ticks[at] <= self.now {
             self.ticks[at] = due;
@@ -221,10 +221,10 @@
 
     /// Carries out what a node wants.
     fn carry(&mut self, at: usize) {
-        while let Some(output) = self.nodes[at].as_mut().and_then(Node::take) {
+        while let Some(output) = self.nodes[at].as_mut().and_then(Node::poll_output) {
             match output {
                 Output::Event(event) => self.events.push((self.now, at, event)),
-                Output::Send { to, packet } => {
+                Output::SendDatagram { to, packet } => {
                     let size = postcard::to_stdvec(&packet).map_or(0, |bytes| bytes.len()) + SEAL;
                     self.datagrams += 1;
                     self.bytes += size as u64;
@@ -252,12 +252,12 @@
                     }
                 }
                 // Here nothing is carried for others.
-                Output::Stream { .. } | Output::Came(_) => {}
-                Output::Exchange { to } => {
+                Output::SendStream { .. } | Output::Received(_) => {}
+                Output::ExchangeState { to } => {
                     let (to, now) = (place(to), self.now);
                     let parted = !self.stream_up(at, to) || self.paused.contains_key(&to);
                     let Some(node) = self.nodes[at].as_ref().filter(|_| !parted) else { continue };
-                    let full = node.full(now);
+                    let full = node.full_state(now);
                     self.bytes += postcard::to_stdvec(&full).map_or(0, |bytes| bytes.len() + SEAL) as u64;
                     let due = now + self.delay();
                     self.push(due, to, address(at), Come::Full(full, true));
@@ -284,16 +284,16 @@
             let now = self.now;
             let Some(node) = &mut self.nodes[at] else { continue };
             match come {
-                Come::Packet(packet) => node.packet_came(now, from, packet),
+                Come::Packet(packet) => node.handle_packet(now, from, packet),
                 Come::Tick if self.ticks[at] == due => {
                     self.ticks[at] = Micros::MAX;
-                    node.tick(now);
+                    node.handle_timeout(now);
                 }
                 Come::Tick => continue,
                 Come::Full(full, answer) => {
-                    node.full_came(now, full);
+                    node.handle_full_state(now, full);
                     if answer {
-                        let full = node.full(now);
+                        let full = node.full_state(now);
                         self.bytes += postcard::to_stdvec(&full).map_or(0, |bytes| bytes.len() + SEAL) as u64;
                         let back = now + self.delay();
                         self.push(back, place(from), address(at), Come::Full(full, false));
@@ -306,23 +306,23 @@
     }
 
     fn running(&self) -> BTreeSet<Instance> {
-        self.nodes.iter().flatten().map(|node| node.me().instance).collect()
+        self.nodes.iter().flatten().map(|node| node.local().instance).collect()
     }
 
     /// Whether every node's view is what is true: who runs, and nobody else.
     pub fn converged(&self) -> bool {
         let all = self.running();
         self.nodes.iter().flatten().all(|node| {
-            let mut seen: BTreeSet<_> = node.live().map(|member| member.peer.instance).collect();
-            seen.insert(node.me().instance);
-            let alive = node.live().all(|member| member.state == State::Alive);
+            let mut seen: BTreeSet<_> = node.live_members().map(|member| member.peer.instance).collect();
+            seen.insert(node.local().instance);
+            let alive = node.live_members().all(|member| member.state == MemberState::Alive);
             alive && seen == all
         })
     }
 
     /// Nodes that know so many of the others.
     pub fn knowing(&self, others: usize) -> usize {
-        self.nodes.iter().flatten().filter(|node| node.live().count() >= others).count()
+        self.nodes.iter().flatten().filter(|node| node.live_members().count() >= others).count()
     }
 
     /// What all that ran have truly added.
@@ -333,8 +333,9 @@
     /// The largest part that any node's total is off by.
     pub fn error(&self, count: &str) -> f64 {
         let total = self.true_total(count);
-        let off =
-            |node: &Node| (node.total(self.now, count).unwrap_or(0.0) - total).abs() / total.abs().max(1.0);
+        let off = |node: &Node| {
+            (node.counter_total(self.now, count).unwrap_or(0.0) - total).abs() / total.abs().max(1.0)
+        };
         self.nodes.iter().flatten().map(off).fold(0.0, f64::max)
     }
 }
@@ -382,7 +383,7 @@
             let its = (0..SPREAD.min(count)).map(|step| (customer + step) % count);
             let off: Vec<_> = its
                 .filter_map(|at| mesh.node(at))
-                .map(|node| (total - node.total(mesh.now, &name).unwrap_or(0.0)) / lately)
+                .map(|node| (total - node.counter_total(mesh.now, &name).unwrap_or(0.0)) / lately)
                 .collect();
             errors.push(off.iter().sum::<f64>() / off.len() as f64);
         }
@@ -398,7 +399,8 @@
             return 0.0;
         }
         let its = (0..SPREAD.min(count)).filter_map(|step| mesh.node((customer + step) % count));
-        its.map(|node| (total - node.total(mesh.now, &name).unwrap_or(0.0)) / total).fold(0.0, f64::max)
+        its.map(|node| (total - node.counter_total(mesh.now, &name).unwrap_or(0.0)) / total)
+            .fold(0.0, f64::max)
     };
     let settled = (0..customers).map(settled).fold(0.0, f64::max);
     // One is killed: how long until nobody counts on it.
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use fernscale_membership::node::Event as Told;
-use fernscale_membership::packet::State;
+use fernscale_membership::packet::MemberState;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -109,7 +109,10 @@
         for gateway in 0..self.scenario.fleet.gateways {
             self.view(gateway);
             let Some(node) = self.mesh.node(gateway as usize) else { continue };
-            let sums = node.sums(self.mesh.now).into_iter().map(|sum| (sum.count, sum.total, sum.left_ms));
+            let sums = node
+                .counter_totals(self.mesh.now)
+                .into_iter()
+                .map(|sum| (sum.key, sum.total, sum.expires_in_ms));
             let sums = sums.collect();
             self.tell(Event::Sums { gateway, sums });
         }
@@ -221,7 +224,7 @@
 
     fn says_run(&mut self, gateway: u32) {
         let Some(node) = self.mesh.node(gateway as usize) else { return };
-        let fields = json!({ "run": format!("{:016x}", node.me().instance.0) });
+        let fields = json!({ "run": format!("{:016x}", node.local().instance.0) });
         self.tell(Event::Record { gateway, event: "mesh.starts".into(), fields, within: 0 });
     }
 
@@ -265,7 +268,7 @@
             self.mesh.run(next);
             let events = std::mem::take(&mut self.mesh.events);
             for (at, teller, event) in events {
-                if let Told::Gone(peer) = event {
+                if let Told::Died(peer) = event {
                     let run = format!("{:016x}", peer.instance.0);
                     let fields = json!({ "peer": format!("{} at {}", peer.name, peer.address), "run": run });
                     let event = "mesh.gone".into();
@@ -297,7 +300,7 @@
             let those = node.members().filter(move |member| member.state == state);
             those.map(|member| member.peer.address.to_string()).collect()
         };
-        let (live, suspected) = (of(State::Alive), of(State::Suspect));
+        let (live, suspected) = (of(MemberState::Alive), of(MemberState::Suspect));
         self.tell(Event::View { gateway, live, suspected });
     }
 }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -7,9 +7,9 @@
 use fernscale_lab::model::counter::{Counter, Said, Spec};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 use fernscale_lease::order::{first, Candidate};
-use fernscale_membership::carry::{Kind, Refused, MOST_ON_DATAGRAM};
 use fernscale_membership::node::{Config, Node, Output};
-use fernscale_membership::packet::{Peer, State, Word};
+use fernscale_membership::packet::{MemberState, PacketBody, Peer};
+use fernscale_membership::payload::{Channel, SendError, MAX_DATAGRAM_PAYLOAD};
 use fernscale_shared_counter::vectors::Instance;
 
 /// Whoever adds the first one to a term's name has the lock of that term.
@@ -43,9 +43,10 @@
     let owners = |mesh: &Mesh| -> BTreeSet<String> {
         let views = (0..7).filter_map(|at| mesh.node(at));
         let first = views.filter_map(|node| {
-            let live = node.live().map(|member| member.peer.name.clone()).chain([node.me().name.clone()]);
+            let live =
+                node.live_members().map(|member| member.peer.name.clone()).chain([node.local().name.clone()]);
             let all: Vec<_> = live.map(|name| Candidate { name: name.into(), unwilling: false }).collect();
-            first("bills", &all).filter(|first| **first == *node.me().name)
+            first("bills", &all).filter(|first| **first == *node.local().name)
         });
         first.map(|name| name.to_string()).collect()
     };
@@ -67,43 +68,43 @@
 #[test]
 fn messages_go_to_live_gateways_only_short_ones_by_datagrams_and_none_beyond_its_kinds_bound() {
     let (mut one, mut other) = (
-        Node::new(Config { me: peer(1), seeds: vec![peer(2).address] }, 1, 0),
-        Node::new(Config { me: peer(2), seeds: vec![] }, 2, 0),
+        Node::new(Config { local: peer(1), seeds: vec![peer(2).address] }, 1, 0),
+        Node::new(Config { local: peer(2), seeds: vec![] }, 2, 0),
     );
     let mut meet = || {
         for now in (0..3).map(|second| second * SECOND) {
-            one.tick(now);
-            while let Some(output) = one.take() {
-                if let Output::Send { packet, .. } = output {
-                    other.packet_came(now, peer(1).address, packet);
+            one.handle_timeout(now);
+            while let Some(output) = one.poll_output() {
+                if let Output::SendDatagram { packet, .. } = output {
+                    other.handle_packet(now, peer(1).address, packet);
                 }
             }
-            while let Some(output) = other.take() {
-                if let Output::Send { packet, .. } = output {
-                    one.packet_came(now, peer(2).address, packet);
+            while let Some(output) = other.poll_output() {
+                if let Output::SendDatagram { packet, .. } = output {
+                    one.handle_packet(now, peer(2).address, packet);
                 }
             }
         }
     };
     meet();
-    while one.take().is_some() {}
-    let mut send = |to: &str, length: usize| one.carry_to(to, Kind::Owners, vec![7; length]);
-    assert_eq!(send("gateway-9", 1), Err(Refused::Unknown));
-    assert_eq!(send("gateway-2", Kind::Owners.most_bytes() + 1), Err(Refused::Long));
-    assert_eq!(send("gateway-2", MOST_ON_DATAGRAM), Ok(()));
-    assert_eq!(send("gateway-2", MOST_ON_DATAGRAM + 1), Ok(()));
-    assert_eq!(one.carry_to_run(Instance(9), Kind::Owners, vec![]), Err(Refused::Unknown));
-    let Some(Output::Send { to, packet }) = one.take() else { panic!("no datagram") };
-    assert!(to == peer(2).address && matches!(packet.word, Word::Carry(_)));
-    assert!(matches!(one.take(), Some(Output::Stream { .. })));
-    while other.take().is_some() {}
-    other.packet_came(3 * SECOND, peer(1).address, packet);
-    let came = std::iter::from_fn(|| other.take()).find_map(|output| match output {
-        Output::Came(came) => Some(came),
+    while one.poll_output().is_some() {}
+    let mut send = |to: &str, length: usize| one.send_to(to, Channel::Lease, vec![7; length]);
+    assert_eq!(send("gateway-9", 1), Err(SendError::UnknownGateway));
+    assert_eq!(send("gateway-2", Channel::Lease.max_bytes() + 1), Err(SendError::TooLong));
+    assert_eq!(send("gateway-2", MAX_DATAGRAM_PAYLOAD), Ok(()));
+    assert_eq!(send("gateway-2", MAX_DATAGRAM_PAYLOAD + 1), Ok(()));
+    assert_eq!(one.send_to_instance(Instance(9), Channel::Lease, vec![]), Err(SendError::UnknownGateway));
+    let Some(Output::SendDatagram { to, packet }) = one.poll_output() else { panic!("no datagram") };
+    assert!(to == peer(2).address && matches!(packet.body, PacketBody::Payload(_)));
+    assert!(matches!(one.poll_output(), Some(Output::SendStream { .. })));
+    while other.poll_output().is_some() {}
+    other.handle_packet(3 * SECOND, peer(1).address, packet);
+    let came = std::iter::from_fn(|| other.poll_output()).find_map(|output| match output {
+        Output::Received(came) => Some(came),
         _ => None,
     });
-    assert!(came.is_some_and(|came| came.from == peer(1) && came.body.len() == MOST_ON_DATAGRAM));
-    assert!(other.members().all(|member| member.state == State::Alive));
+    assert!(came.is_some_and(|came| came.sender == peer(1) && came.body.len() == MAX_DATAGRAM_PAYLOAD));
+    assert!(other.members().all(|member| member.state == MemberState::Alive));
     one.leave(4 * SECOND);
-    assert_eq!(one.carry_to("gateway-2", Kind::List, vec![1]), Err(Refused::Left));
+    assert_eq!(one.send_to("gateway-2", Channel::EndpointList, vec![1]), Err(SendError::NodeLeft));
 }
--- a/crates/lab/tests/mesh.rs
+++ b/crates/lab/tests/mesh.rs
@@ -3,8 +3,8 @@
 use fernscale_lab::mesh::{Mesh, Weather};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 use fernscale_membership::node::Event;
-use fernscale_membership::packet::{Packet, Peer, Word};
-use fernscale_membership::seal::{Key, Refused, Sealer};
+use fernscale_membership::packet::{Packet, PacketBody, Peer};
+use fernscale_membership::seal::{Key, OpenError, Sealer};
 use fernscale_shared_counter::vectors::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -57,14 +57,17 @@
     mesh.run(mesh.now + 45 * SECOND);
     assert!(mesh.converged(), "seed {seed}: views differ: {:?}", views(&mesh));
     for name in ["a", "b"] {
-        let totals: Vec<_> =
-            (0..count).filter_map(|at| mesh.node(at)).map(|node| node.total(mesh.now, name)).collect();
+        let totals: Vec<_> = (0..count)
+            .filter_map(|at| mesh.node(at))
+            .map(|node| node.counter_total(mesh.now, name))
+            .collect();
         assert!(totals.windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}, {name}: {totals:?}");
         let Some(node) = mesh.node(0) else { continue };
         for ((count, instance), truth) in mesh.truth.iter().filter(|((count, _), _)| count == name) {
-            let known = node.counts().part(count, *instance).map(|part| part.net());
-            let runs =
-                (0..mesh.count()).filter_map(|at| mesh.node(at)).any(|node| node.me().instance == *instance);
+            let known = node.counters().part(count, *instance).map(|part| part.net());
+            let runs = (0..mesh.count())
+                .filter_map(|at| mesh.node(at))
+                .any(|node| node.local().instance == *instance);
             // What a killed one had not told anybody is gone with it; nothing else is lost, and nothing is doubled.
             assert!(!runs || known == Some(*truth), "seed {seed}, {name}: {known:?}, {truth} added");
         }
@@ -73,7 +76,7 @@
 
 fn views(mesh: &Mesh) -> Vec<Vec<String>> {
     let view = |at| {
-        let members = mesh.node(at).into_iter().flat_map(|node| node.live());
+        let members = mesh.node(at).into_iter().flat_map(|node| node.live_members());
         members.map(|member| format!("{} {:?}", member.peer.name, member.state)).collect()
     };
     (0..mesh.count()).map(view).collect()
@@ -100,9 +103,10 @@
     }
     (0..3).for_each(|at| mesh.add(at, "n", 1.0, LIFE));
     mesh.run(mesh.now + 6 * SECOND);
-    let known = |mesh: &Mesh| [0, 1, 2].map(|at| mesh.node(at).and_then(|node| node.total(mesh.now, "n")));
+    let known =
+        |mesh: &Mesh| [0, 1, 2].map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n")));
     assert_eq!(known(&mesh), [Some(1.0), Some(2.0), Some(2.0)]);
-    assert_eq!(mesh.node(0).map(|node| node.live().count()), Some(0));
+    assert_eq!(mesh.node(0).map(|node| node.live_members().count()), Some(0));
     mesh.heal();
     mesh.run(mesh.now + 8 * SECOND);
     assert!(mesh.converged(), "{:?}", views(&mesh));
@@ -123,7 +127,7 @@
         mesh.run(mesh.now + 2 * SECOND);
         let others = (0..8).filter(|at| *at != 4);
         let known: Vec<_> =
-            others.map(|at| mesh.node(at).and_then(|node| node.total(mesh.now, "n"))).collect();
+            others.map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n"))).collect();
         assert!(known.iter().all(|total| *total == Some(13.0)), "seed {seed}: {known:?}");
     }
 }
@@ -147,7 +151,7 @@
             // Far sooner than all that is known is compared next.
             mesh.run(mesh.now + 4 * SECOND);
             let known: Vec<_> =
-                (0..5).map(|at| mesh.node(at).and_then(|node| node.total(mesh.now, "n"))).collect();
+                (0..5).map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n"))).collect();
             assert_eq!(known, [Some(10.0); 5], "seed {seed}, cut off for {lasts} ms");
         }
     }
@@ -158,7 +162,7 @@
     let mut mesh = settled(4);
     mesh.cut(0, 1);
     mesh.run(mesh.now + 20 * SECOND);
-    let gone = mesh.events.iter().any(|(.., event)| matches!(event, Event::Gone(_)));
+    let gone = mesh.events.iter().any(|(.., event)| matches!(event, Event::Died(_)));
     assert!(!gone, "{:?}", mesh.events);
 }
 
@@ -174,7 +178,7 @@
     let gone: Vec<_> = mesh
         .events
         .iter()
-        .filter(|(_, at, event)| *at != 2 && matches!(event, Event::Gone(peer) if peer.name != "gateway-2"))
+        .filter(|(_, at, event)| *at != 2 && matches!(event, Event::Died(peer) if peer.name != "gateway-2"))
         .collect();
     assert!(gone.is_empty(), "{gone:?}");
 }
@@ -191,10 +195,10 @@
     mesh.start(3);
     (0..3).for_each(|other| mesh.streams_fail(3, other));
     mesh.run(mesh.now + 2 * SECOND);
-    assert_eq!(mesh.node(3).and_then(|node| node.total(mesh.now, "n")), None);
+    assert_eq!(mesh.node(3).and_then(|node| node.counter_total(mesh.now, "n")), None);
     mesh.add(3, "n", 1.0, LIFE);
     mesh.run(mesh.now + SECOND);
-    assert_eq!(mesh.node(3).and_then(|node| node.total(mesh.now, "n")), Some(16.0));
+    assert_eq!(mesh.node(3).and_then(|node| node.counter_total(mesh.now, "n")), Some(16.0));
 }
 
 #[test]
@@ -211,7 +215,7 @@
     mesh.heal();
     (0..2).for_each(|one| mesh.streams_fail(one, 1 - one));
     mesh.run(mesh.now + 6 * SECOND);
-    assert_eq!(mesh.node(1).and_then(|node| node.total(mesh.now, "n")), Some(7.0));
+    assert_eq!(mesh.node(1).and_then(|node| node.counter_total(mesh.now, "n")), Some(7.0));
 }
 
 #[test]
@@ -224,7 +228,8 @@
     mesh.add(2, "n", 1.0, LIFE);
     mesh.run(mesh.now + 3 * SECOND);
     assert!(mesh.converged(), "{:?}", views(&mesh));
-    let totals: Vec<_> = (0..3).map(|at| mesh.node(at).and_then(|node| node.total(mesh.now, "n"))).collect();
+    let totals: Vec<_> =
+        (0..3).map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n"))).collect();
     assert_eq!(totals, [Some(6.0); 3]);
 }
 
@@ -253,7 +258,7 @@
         mesh.run(mesh.now + 10 * MILLISECOND);
         if step > 20 {
             let (known, truth) =
-                (mesh.node(1).and_then(|node| node.total(mesh.now, "q1:steady")), (step + 1) * 3);
+                (mesh.node(1).and_then(|node| node.counter_total(mesh.now, "q1:steady")), (step + 1) * 3);
             let behind = truth as f64 - known.unwrap_or(0.0);
             assert!(behind <= 60.0, "step {step}: {behind} behind, a fifth of a second's at the most");
         }
@@ -266,7 +271,13 @@
 
 fn packet() -> Packet {
     let me = Peer { name: "a".into(), instance: Instance(1), address: ([127, 0, 0, 1], 1).into() };
-    Packet { from: me, incarnation: 1, word: Word::Ping(3), news: Vec::new(), counts: Vec::new() }
+    Packet {
+        sender: me,
+        incarnation: 1,
+        body: PacketBody::Ping(3),
+        updates: Vec::new(),
+        counters: Vec::new(),
+    }
 }
 
 #[test]
@@ -284,7 +295,7 @@
         assert!(other.open::<Packet>(SECOND, &good[..at]).is_err(), "cut at {at}");
     }
     let mut stranger = Sealer::new(vec![key('2')], Instance(2)).expect("keys");
-    assert_eq!(stranger.open::<Packet>(SECOND, &good).err(), Some(Refused::Key));
+    assert_eq!(stranger.open::<Packet>(SECOND, &good).err(), Some(OpenError::UnknownKey));
 }
 
 #[test]
@@ -294,15 +305,15 @@
     let sealed: Vec<_> = (0..100).map(|_| one.seal(SECOND, &packet())).collect();
     for at in [0, 2, 1, 60, 40, 99] {
         assert!(other.open::<Packet>(SECOND, &sealed[at]).is_ok(), "{at}");
-        assert_eq!(other.open::<Packet>(SECOND, &sealed[at]).err(), Some(Refused::Again), "{at}");
+        assert_eq!(other.open::<Packet>(SECOND, &sealed[at]).err(), Some(OpenError::Replayed), "{at}");
     }
     assert_eq!(
         other.open::<Packet>(SECOND, &sealed[3]).err(),
-        Some(Refused::Again),
+        Some(OpenError::Replayed),
         "too far behind to be told"
     );
     let mut fresh = Sealer::new(vec![key('1')], Instance(3)).expect("keys");
-    assert_eq!(fresh.open::<Packet>(60 * SECOND, &sealed[0]).err(), Some(Refused::Time));
+    assert_eq!(fresh.open::<Packet>(60 * SECOND, &sealed[0]).err(), Some(OpenError::TimeOutOfRange));
     assert!(fresh.open::<Packet>(SECOND + 300 * MILLISECOND, &sealed[0]).is_ok(), "clocks differ by this");
 }
 
@@ -336,7 +347,7 @@
         }
         let before = mesh.events.len();
         mesh.run(mesh.now + 15 * SECOND);
-        let gone = mesh.events[before..].iter().filter(|(.., event)| matches!(event, Event::Gone(_))).count();
+        let gone = mesh.events[before..].iter().filter(|(.., event)| matches!(event, Event::Died(_))).count();
         assert_eq!(gone, 0, "seed {seed}");
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,8 +9,8 @@
 //! one run of a process, is what is a member: a gateway that starts again is another one, and its earlier counts stay. And
 //! a member taken for gone is asked now and then, and may say that it is not, as partitions heal.
 
-pub mod carry;
 pub mod node;
 pub mod packet;
+pub mod payload;
 mod recent;
 pub mod seal;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -11,8 +11,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::carry::{Came, Carried, Kind, Refused, MOST_ON_DATAGRAM};
-use crate::packet::{Full, News, Packet, Peer, State, Sum, Told, Word, MOST_BYTES, MOST_FULL};
+use crate::packet::{
+    CounterEntry, CounterTotal, FullState, MemberState, MemberUpdate, Packet, PacketBody, Peer,
+    MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES,
+};
+use crate::payload::{Channel, Payload, ReceivedPayload, SendError, MAX_DATAGRAM_PAYLOAD};
 use crate::recent::{PartKey, RecentChanges};
 
 /// Each period one member is probed. A gateway that is gone is known so to its prober within two of these, and to all
@@ -61,41 +64,41 @@
 /// How long the dead are kept: by then a partition has healed or the operators know of it.
 const REMEMBERED: Micros = 600 * SECOND;
 /// Members, dead ones too: several times the largest fleet thought of. Beyond, no stranger is taken in.
-pub const MOST_MEMBERS: usize = 4_096;
+pub const MAX_MEMBERS: usize = 4_096;
 /// Names of counts that are kept, and parts that wait to be told.
 const MOST_COUNTS: usize = 65_536;
 const MOST_DIRTY: usize = 32_768;
 /// Pings for others that are under way.
 const MOST_RELAYED: usize = 256;
 /// Sums that are told at once: each takes its name and less than twenty bytes.
-const MOST_SUMS: usize = MOST_FULL / (LONGEST_NAME + 20);
+const MOST_SUMS: usize = MAX_STREAM_BYTES / (LONGEST_NAME + 20);
 /// Bytes of a datagram that its seal and head take; the rest is for what rides along.
 const HEAD: usize = 220;
 
 #[derive(Clone, Debug)]
 pub struct Config {
-    pub me: Peer,
+    pub local: Peer,
     pub seeds: Vec<SocketAddr>,
 }
 
 /// What the caller is to do.
 #[derive(Clone, Debug)]
 pub enum Output {
-    Send {
+    SendDatagram {
         to: SocketAddr,
         packet: Packet,
     },
     /// Exchange all with this address, over a stream.
-    Exchange {
+    ExchangeState {
         to: SocketAddr,
     },
     /// Send this message over a stream.
-    Stream {
+    SendStream {
         to: SocketAddr,
-        carried: Carried,
+        carried: Payload,
     },
     /// A message for others than the mesh has come.
-    Came(Came),
+    Received(ReceivedPayload),
     Event(Event),
 }
 
@@ -105,22 +108,22 @@
     Joined(Peer),
     Suspected(Peer),
     /// It answered after all.
-    Cleared(Peer),
-    Gone(Peer),
+    Refuted(Peer),
+    Died(Peer),
     Left(Peer),
     /// Two live gateways go by one name.
-    NameTwice(Peer, Peer),
+    DuplicateName(Peer, Peer),
 }
 
 #[derive(Clone, Debug)]
 pub struct Member {
     pub peer: Peer,
     pub incarnation: u32,
-    pub state: State,
+    pub state: MemberState,
     /// When it came to that state.
-    pub since: Micros,
+    pub state_since: Micros,
     /// When anything of its own came.
-    pub heard: Micros,
+    pub last_heard: Micros,
 }
 
 struct Probe {
@@ -152,20 +155,20 @@
 /// Parts for one address, in datagrams that are not too large.
 #[derive(Clone, Default)]
 struct Datagrams {
-    all: Vec<Vec<Told>>,
+    all: Vec<Vec<CounterEntry>>,
     room: usize,
 }
 
 impl Datagrams {
     /// False where so many are full.
-    fn push(&mut self, told: &Told, most: usize) -> bool {
-        let size = told.count.len() + PART;
+    fn push(&mut self, told: &CounterEntry, most: usize) -> bool {
+        let size = told.key.len() + PART;
         if size > self.room {
             if self.all.len() == most {
                 return false;
             }
             self.all.push(Vec::new());
-            self.room = MOST_BYTES - HEAD;
+            self.room = MAX_DATAGRAM_BYTES - HEAD;
         }
         self.room -= size;
         if let Some(datagram) = self.all.last_mut() {
@@ -176,7 +179,7 @@
 }
 
 pub struct Node {
-    me: Peer,
+    local: Peer,
     incarnation: u32,
     seeds: Vec<SocketAddr>,
     chance: ChaCha8Rng,
@@ -188,7 +191,7 @@
     next_number: u64,
     /// Members of whom there is news, and how often it is still to be told.
     news: BTreeMap<Instance, u32>,
-    counts: Vectors,
+    counters: Vectors,
     dirty: BTreeMap<PartKey, Dirty>,
     orders: u64,
     /// Changes whose tellings may have been lost.
@@ -200,7 +203,7 @@
     leaving: bool,
     out: VecDeque<Output>,
     /// Parts that could not be kept or told, as a bound was reached.
-    pub refused: u64,
+    pub rejected_packets: u64,
 }
 
 impl Node {
@@ -210,7 +213,7 @@
         let mut soon = |within: Micros| now + chance.gen_range(1..=within);
         let times = [soon(PERIOD), soon(SPREAD), soon(MILLISECOND), soon(COMPARE)];
         Node {
-            me: config.me,
+            local: config.local,
             incarnation: 1,
             seeds: config.seeds,
             chance,
@@ -220,7 +223,7 @@
             relayed: BTreeMap::new(),
             next_number: 0,
             news: BTreeMap::new(),
-            counts: Vectors::new(MOST_COUNTS),
+            counters: Vectors::new(MOST_COUNTS),
             dirty: BTreeMap::new(),
             orders: 0,
             recent: RecentChanges::default(),
@@ -230,12 +233,12 @@
             next_compare: times[3],
             leaving: false,
             out: VecDeque::new(),
-            refused: 0,
+            rejected_packets: 0,
         }
     }
 
-    pub fn me(&self) -> &Peer {
-        &self.me
+    pub fn local(&self) -> &Peer {
+        &self.local
     }
 
     pub fn members(&self) -> impl Iterator<Item = &Member> {
@@ -243,54 +246,58 @@
     }
 
     /// Others that are not taken for gone.
-    pub fn live(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|member| member.state <= State::Suspect)
+    pub fn live_members(&self) -> impl Iterator<Item = &Member> {
+        self.members.values().filter(|member| member.state <= MemberState::Suspect)
     }
 
     /// When `tick` is to be called next.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let answer =
             self.probe.as_ref().filter(|probe| !probe.asked_others).map(|probe| probe.began + ANSWER);
         let all = [self.next_period, self.next_spread, self.next_reach, self.next_compare];
         all.into_iter().chain(answer).min().unwrap_or(self.next_period)
     }
 
-    pub fn take(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
     // Counts.
 
     /// This gateway has added an amount to a count whose name lives so long.
-    pub fn add(&mut self, now: Micros, count: &str, amount: f64, life: Micros) {
-        match self.counts.add(now, self.me.instance, count, amount, life) {
+    pub fn add_to_counter(&mut self, now: Micros, count: &str, amount: f64, life: Micros) {
+        match self.counters.add(now, self.local.instance, count, amount, life) {
             Some(change) => {
-                self.recent.changed(now, (change.name.clone(), self.me.instance));
-                self.tell(change, self.me.instance);
+                self.recent.changed(now, (change.name.clone(), self.local.instance));
+                self.tell(change, self.local.instance);
             }
-            None => self.refused += 1,
+            None => self.rejected_packets += 1,
         }
     }
 
     /// What all gateways have added, as far as it is known here.
-    pub fn total(&self, now: Micros, count: &str) -> Option<f64> {
-        self.counts.total(now, count)
+    pub fn counter_total(&self, now: Micros, count: &str) -> Option<f64> {
+        self.counters.total(now, count)
     }
 
-    pub fn counts(&self) -> &Vectors {
-        &self.counts
+    pub fn counters(&self) -> &Vectors {
+        &self.counters
     }
 
     /// The totals of all counts that live, in the order of their names; as many as go over a stream with certainty.
-    pub fn sums(&self, now: Micros) -> Vec<Sum> {
-        let mut sums: Vec<Sum> = Vec::new();
-        for (name, left, _, part) in self.counts.all(now) {
+    pub fn counter_totals(&self, now: Micros) -> Vec<CounterTotal> {
+        let mut sums: Vec<CounterTotal> = Vec::new();
+        for (name, left, _, part) in self.counters.all(now) {
             let room = sums.len() < MOST_SUMS;
             match sums.last_mut() {
-                Some(sum) if *sum.count == **name => sum.total += part.net(),
+                Some(sum) if *sum.key == **name => sum.total += part.net(),
                 _ if room => {
                     let left_ms = (left / MILLISECOND) as u32;
-                    sums.push(Sum { count: name.to_string(), total: part.net(), left_ms });
+                    sums.push(CounterTotal {
+                        key: name.to_string(),
+                        total: part.net(),
+                        expires_in_ms: left_ms,
+                    });
                 }
                 _ => break,
             }
@@ -300,7 +307,7 @@
 
     fn tell(&mut self, Change { name, fresh }: Change, of: Instance) {
         // What changes all the time is told anew before it could be told often.
-        let left = match (fresh, of == self.me.instance) {
+        let left = match (fresh, of == self.local.instance) {
             (true, _) => self.tellings(),
             (false, true) => CHANGED,
             (false, false) => RELAYED,
@@ -313,7 +320,7 @@
         self.orders += 1;
         let order = self.orders;
         if self.dirty.len() >= MOST_DIRTY && !self.dirty.contains_key(&(name.clone(), of)) {
-            self.refused += 1;
+            self.rejected_packets += 1;
             return;
         }
         let dirty =
@@ -327,14 +334,14 @@
         (TELLINGS * (u32::BITS - all.leading_zeros())).div_ceil(FANOUT as u32) + 1
     }
 
-    fn hear(&mut self, now: Micros, told: Vec<Told>) {
-        for Told { count, of, part, left_ms } in told {
+    fn hear(&mut self, now: Micros, told: Vec<CounterEntry>) {
+        for CounterEntry { key: count, instance: of, contribution: part, expires_in_ms: left_ms } in told {
             let life = Micros::from(left_ms) * MILLISECOND;
-            if of == self.me.instance {
+            if of == self.local.instance {
                 // Nobody knows better what was added here.
                 continue;
             }
-            if let Some(change) = self.counts.join(now, &count, of, part, life) {
+            if let Some(change) = self.counters.join(now, &count, of, part, life) {
                 if change.fresh {
                     self.tell_newcomer(now, &change.name);
                 }
@@ -346,12 +353,13 @@
     /// Somebody new adds to a count: it is to hear of the part of this gateway, which may not change any more, and of the
     /// parts of those who can't tell it themselves. Danger: whoever starts again would go by less than the total.
     fn tell_newcomer(&mut self, now: Micros, count: &Arc<str>) {
-        let me = self.me.instance;
-        if self.counts.part(count, me).is_none() {
+        let me = self.local.instance;
+        if self.counters.part(count, me).is_none() {
             return;
         }
-        let live = |of: &Instance| self.members.get(of).is_some_and(|member| member.state <= State::Suspect);
-        let silent: Vec<_> = self.counts.holders(count).filter(|of| !live(of)).collect();
+        let live =
+            |of: &Instance| self.members.get(of).is_some_and(|member| member.state <= MemberState::Suspect);
+        let silent: Vec<_> = self.counters.holders(count).filter(|of| !live(of)).collect();
         for of in silent {
             self.tell_holders(now, count.clone(), of);
         }
@@ -375,7 +383,7 @@
     /// What changed in a time in which a member may have heard nothing is told again to those who share a count with it.
     /// Danger: a part that does not change any more is else lost to it until all that is known is compared.
     fn tell_returned(&mut self, returned: Instance, from: Micros) {
-        let shared = |part: &&PartKey| self.counts.part(&part.0, returned).is_some();
+        let shared = |part: &&PartKey| self.counters.part(&part.0, returned).is_some();
         let missed: Vec<PartKey> = self.recent.since(from).filter(shared).cloned().collect();
         missed.iter().for_each(|part| self.tell_directly(part, CHANGED));
     }
@@ -388,7 +396,7 @@
 
     // Time.
 
-    pub fn tick(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         if self.leaving {
             (self.next_period, self.next_spread) = (Micros::MAX, Micros::MAX);
             (self.next_reach, self.next_compare, self.probe) = (Micros::MAX, Micros::MAX, None);
@@ -415,7 +423,7 @@
         if now >= self.next_compare {
             self.next_compare = now + COMPARE / 2 + self.chance.gen_range(0..COMPARE);
             let live = self.some_live(1, None);
-            self.out.extend(live.into_iter().map(|to| Output::Exchange { to }));
+            self.out.extend(live.into_iter().map(|to| Output::ExchangeState { to }));
         }
     }
 
@@ -429,7 +437,7 @@
         let (of, number) = (probe.of, probe.number);
         let Some(peer) = self.members.get(&of).map(|member| member.peer.clone()) else { return };
         for to in self.some_live(ASKED, Some(of)) {
-            self.send(now, to, Word::PingFor(number, peer.clone()));
+            self.send(now, to, PacketBody::PingRequest(number, peer.clone()));
         }
     }
 
@@ -439,19 +447,21 @@
             self.suspect(now, probe.of);
         }
         self.relayed.retain(|_, relayed| relayed.until > now);
-        self.counts.sweep(now);
+        self.counters.sweep(now);
         self.recent.sweep(now);
         let patience = self.patience();
         let gone: Vec<_> = self
             .members
             .values()
-            .filter(|member| member.state == State::Suspect && now >= member.since + patience)
+            .filter(|member| member.state == MemberState::Suspect && now >= member.state_since + patience)
             .map(|member| (member.peer.clone(), member.incarnation))
             .collect();
         for (of, incarnation) in gone {
-            self.learn(now, News { of, incarnation, state: State::Dead });
+            self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
         }
-        self.members.retain(|_, member| member.state <= State::Suspect || now < member.since + REMEMBERED);
+        self.members.retain(|_, member| {
+            member.state <= MemberState::Suspect || now < member.state_since + REMEMBERED
+        });
     }
 
     /// How long a suspicion stands before its member is taken for gone.
@@ -466,25 +476,25 @@
     }
 
     fn suspect(&mut self, now: Micros, of: Instance) {
-        let Some(member) = self.members.get(&of).filter(|member| member.state == State::Alive) else {
+        let Some(member) = self.members.get(&of).filter(|member| member.state == MemberState::Alive) else {
             return;
         };
         let (of, incarnation) = (member.peer.clone(), member.incarnation);
-        self.learn(now, News { of, incarnation, state: State::Suspect });
+        self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Suspect });
     }
 
     fn probe_next(&mut self, now: Micros) {
         for _ in 0..=self.members.len() {
             if self.round.is_empty() {
-                self.round = self.live().map(|member| member.peer.instance).collect();
+                self.round = self.live_members().map(|member| member.peer.instance).collect();
                 self.round.shuffle(&mut self.chance);
             }
             let Some(of) = self.round.pop() else { return };
-            let live = self.members.get(&of).filter(|member| member.state <= State::Suspect);
+            let live = self.members.get(&of).filter(|member| member.state <= MemberState::Suspect);
             let Some(to) = live.map(|member| member.peer.address) else { continue };
             let number = self.number();
             self.probe = Some(Probe { of, number, asked_others: false, began: now });
-            return self.send(now, to, Word::Ping(number));
+            return self.send(now, to, PacketBody::Ping(number));
         }
     }
 
@@ -492,14 +502,14 @@
     /// where some of those are lost one may miss it, and take a live gateway for gone. Some others are asked to ask as well,
     /// each time others: of a parted fleet perhaps only one sees both sides.
     fn ask_suspects(&mut self, now: Micros) {
-        let suspects = self.members.values().filter(|member| member.state == State::Suspect);
+        let suspects = self.members.values().filter(|member| member.state == MemberState::Suspect);
         let suspects: Vec<_> = suspects.map(|member| member.peer.clone()).collect();
         let some: Vec<_> = suspects.choose_multiple(&mut self.chance, ASKED).cloned().collect();
         for peer in some {
             let number = self.number();
-            self.send(now, peer.address, Word::Ping(number));
+            self.send(now, peer.address, PacketBody::Ping(number));
             for to in self.some_live(ASKED_OF_SUSPECTS, Some(peer.instance)) {
-                self.send(now, to, Word::PingFor(number, peer.clone()));
+                self.send(now, to, PacketBody::PingRequest(number, peer.clone()));
             }
         }
     }
@@ -511,25 +521,25 @@
 
     /// Asks somebody who is gone, or a seed that is no member, whether it is there.
     fn reach(&mut self, now: Micros) {
-        let known: Vec<SocketAddr> = self.live().map(|member| member.peer.address).collect();
+        let known: Vec<SocketAddr> = self.live_members().map(|member| member.peer.address).collect();
         let gone = self
             .members
             .values()
-            .filter(|member| member.state == State::Dead)
+            .filter(|member| member.state == MemberState::Dead)
             .map(|member| member.peer.address);
         let mut others: Vec<SocketAddr> = gone.chain(self.seeds.iter().copied()).collect();
-        others.retain(|address| *address != self.me.address && !known.contains(address));
+        others.retain(|address| *address != self.local.address && !known.contains(address));
         others.sort();
         others.dedup();
         if known.is_empty() {
             // Alone: every seed is asked, as the first may be down.
             for to in others {
                 let number = self.number();
-                self.send(now, to, Word::Ping(number));
+                self.send(now, to, PacketBody::Ping(number));
             }
         } else if let Some(to) = others.choose(&mut self.chance).copied() {
             let number = self.number();
-            self.send(now, to, Word::Ping(number));
+            self.send(now, to, PacketBody::Ping(number));
         }
     }
 
@@ -537,7 +547,7 @@
         let others = self
             .members
             .values()
-            .filter(|member| member.state <= State::Suspect && Some(member.peer.instance) != but);
+            .filter(|member| member.state <= MemberState::Suspect && Some(member.peer.instance) != but);
         let live: Vec<_> = others.map(|member| member.peer.address).collect();
         live.choose_multiple(&mut self.chance, count).copied().collect()
     }
@@ -548,7 +558,7 @@
         if self.dirty.is_empty() {
             return;
         }
-        let me = self.me.instance;
+        let me = self.local.instance;
         let class = |dirty: &Dirty, of: Instance| if of == me { 0 } else { 2 - dirty.fresh as u32 };
         let of_dirty = |(key, dirty): (&(Arc<str>, Instance), &Dirty)| {
             (class(dirty, key.1), u32::MAX - dirty.changes, dirty.order, key.clone())
@@ -562,7 +572,7 @@
         }
         all.sort_unstable();
         let live: BTreeMap<Instance, SocketAddr> =
-            self.live().map(|member| (member.peer.instance, member.peer.address)).collect();
+            self.live_members().map(|member| (member.peer.instance, member.peer.address)).collect();
         let mut direct: BTreeMap<Instance, Datagrams> = BTreeMap::new();
         let mut some = Datagrams::default();
         for (.., key) in all {
@@ -574,7 +584,7 @@
             let (mut out, mut full) = (false, false);
             if key.1 == me || dirty.direct {
                 let sharing: Vec<_> =
-                    self.counts.holders(&key.0).filter(|of| live.contains_key(of)).collect();
+                    self.counters.holders(&key.0).filter(|of| live.contains_key(of)).collect();
                 for of in sharing {
                     let sent = direct.entry(of).or_default().push(&told, MOST_DIRECT);
                     (out, full) = (out | sent, full | !sent);
@@ -603,24 +613,35 @@
 
     fn send_counts(&mut self, to: SocketAddr, datagrams: Datagrams) {
         for counts in datagrams.all {
-            let packet = self.packet(Word::Nothing, Vec::new(), counts);
-            self.out.push_back(Output::Send { to, packet });
+            let packet = self.packet(PacketBody::Empty, Vec::new(), counts);
+            self.out.push_back(Output::SendDatagram { to, packet });
         }
     }
 
-    fn told(&self, now: Micros, (name, of): &(Arc<str>, Instance)) -> Option<Told> {
-        let (part, left) = (self.counts.part(name, *of)?, self.counts.left(now, name)?);
+    fn told(&self, now: Micros, (name, of): &(Arc<str>, Instance)) -> Option<CounterEntry> {
+        let (part, left) = (self.counters.part(name, *of)?, self.counters.left(now, name)?);
         let left_ms = (left / MILLISECOND) as u32;
-        (left_ms > 0).then(|| Told { count: name.to_string(), of: *of, part, left_ms })
+        (left_ms > 0).then(|| CounterEntry {
+            key: name.to_string(),
+            instance: *of,
+            contribution: part,
+            expires_in_ms: left_ms,
+        })
     }
 
-    fn packet(&self, word: Word, news: Vec<News>, counts: Vec<Told>) -> Packet {
-        Packet { from: self.me.clone(), incarnation: self.incarnation, word, news, counts }
+    fn packet(&self, word: PacketBody, news: Vec<MemberUpdate>, counts: Vec<CounterEntry>) -> Packet {
+        Packet {
+            sender: self.local.clone(),
+            incarnation: self.incarnation,
+            body: word,
+            updates: news,
+            counters: counts,
+        }
     }
 
     /// Sends a word, with the news that was told least.
-    fn send(&mut self, now: Micros, to: SocketAddr, word: Word) {
-        let mut room = MOST_BYTES - HEAD;
+    fn send(&mut self, now: Micros, to: SocketAddr, word: PacketBody) {
+        let mut room = MAX_DATAGRAM_BYTES - HEAD;
         let mut least: Vec<_> = self.news.iter().map(|(of, left)| (*left, *of)).collect();
         least.sort_unstable_by(|one, other| other.cmp(one));
         let mut news = Vec::new();
@@ -634,7 +655,11 @@
                 break;
             }
             room -= size;
-            news.push(News { of: member.peer.clone(), incarnation: member.incarnation, state: member.state });
+            news.push(MemberUpdate {
+                peer: member.peer.clone(),
+                incarnation: member.incarnation,
+                state: member.state,
+            });
             if let Some(left) = self.news.get_mut(&of) {
                 *left -= 1;
                 if *left == 0 {
@@ -644,113 +669,116 @@
         }
         // To whoever is suspected it is said so, whatever else there is: only it can refute that. And to whoever is to ask it.
         let meant = |member: &&Member| match &word {
-            Word::PingFor(_, peer) => member.peer.instance == peer.instance,
+            PacketBody::PingRequest(_, peer) => member.peer.instance == peer.instance,
             _ => member.peer.address == to,
         };
-        let about = self.members.values().filter(meant).find(|member| member.state != State::Alive);
-        if let Some(member) = about.filter(|member| !news.iter().any(|own| own.of == member.peer)) {
+        let about = self.members.values().filter(meant).find(|member| member.state != MemberState::Alive);
+        if let Some(member) = about.filter(|member| !news.iter().any(|own| own.peer == member.peer)) {
             let (of, state) = (member.peer.clone(), member.state);
-            news.push(News { of, incarnation: member.incarnation, state });
+            news.push(MemberUpdate { peer: of, incarnation: member.incarnation, state });
         }
         let _ = now;
         let packet = self.packet(word, news, Vec::new());
-        self.out.push_back(Output::Send { to, packet });
+        self.out.push_back(Output::SendDatagram { to, packet });
     }
 
     // What comes.
 
     /// A packet that was believed has come from an address.
-    pub fn packet_came(&mut self, now: Micros, from: SocketAddr, packet: Packet) {
-        let Packet { from: sender, incarnation, word, news, counts } = packet;
-        if sender.instance == self.me.instance || self.leaving {
+    pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet) {
+        let Packet { sender: sender, incarnation, body: word, updates: news, counters: counts } = packet;
+        if sender.instance == self.local.instance || self.leaving {
             return;
         }
         let stranger = !self.members.contains_key(&sender.instance);
-        self.learn(now, News { of: sender.clone(), incarnation, state: State::Alive });
+        self.learn(now, MemberUpdate { peer: sender.clone(), incarnation, state: MemberState::Alive });
         if let Some(member) = self.members.get_mut(&sender.instance) {
-            member.heard = now;
+            member.last_heard = now;
         }
         if stranger && self.members.contains_key(&sender.instance) {
             // It may know much that was never told here.
-            self.out.push_back(Output::Exchange { to: sender.address });
+            self.out.push_back(Output::ExchangeState { to: sender.address });
         }
         news.into_iter().for_each(|news| self.told_of(now, news));
         self.hear(now, counts);
         match word {
-            Word::Ping(number) => self.send(now, from, Word::Ack(number)),
-            Word::Ack(number) => self.answered(now, &sender, number),
-            Word::PingFor(number, peer) => {
+            PacketBody::Ping(number) => self.send(now, from, PacketBody::Ack(number)),
+            PacketBody::Ack(number) => self.answered(now, &sender, number),
+            PacketBody::PingRequest(number, peer) => {
                 if self.relayed.len() < MOST_RELAYED {
                     let own = self.number();
                     self.relayed.insert(own, Relayed { to: from, number, until: now + PERIOD });
-                    self.send(now, peer.address, Word::Ping(own));
+                    self.send(now, peer.address, PacketBody::Ping(own));
                 }
             }
-            Word::Nothing => {}
-            Word::Carry(carried) => self.came(sender, carried),
+            PacketBody::Empty => {}
+            PacketBody::Payload(carried) => self.came(sender, carried),
         }
     }
 
     // For others.
 
     /// A message for the live gateway of this name: if several go by it, the one heard last.
-    pub fn carry_to(&mut self, name: &str, kind: Kind, body: Vec<u8>) -> Result<(), Refused> {
-        let named = self.live().filter(|member| member.peer.name == name);
-        let to = named.max_by_key(|member| member.heard).map(|member| member.peer.address);
+    pub fn send_to(&mut self, name: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let named = self.live_members().filter(|member| member.peer.name == name);
+        let to = named.max_by_key(|member| member.last_heard).map(|member| member.peer.address);
         self.carry(to, kind, body)
     }
 
     /// A message for one run of a gateway and no other.
-    pub fn carry_to_run(&mut self, run: Instance, kind: Kind, body: Vec<u8>) -> Result<(), Refused> {
-        let member = self.members.get(&run).filter(|member| member.state <= State::Suspect);
+    pub fn send_to_instance(&mut self, run: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let member = self.members.get(&run).filter(|member| member.state <= MemberState::Suspect);
         let to = member.map(|member| member.peer.address);
         self.carry(to, kind, body)
     }
 
-    fn carry(&mut self, to: Option<SocketAddr>, kind: Kind, body: Vec<u8>) -> Result<(), Refused> {
+    fn carry(&mut self, to: Option<SocketAddr>, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
         if self.leaving {
-            return Err(Refused::Left);
+            return Err(SendError::NodeLeft);
         }
-        let to = to.ok_or(Refused::Unknown)?;
-        if body.len() > kind.most_bytes() {
-            return Err(Refused::Long);
+        let to = to.ok_or(SendError::UnknownGateway)?;
+        if body.len() > kind.max_bytes() {
+            return Err(SendError::TooLong);
         }
-        let carried = Carried { kind, body };
-        self.out.push_back(if carried.body.len() <= MOST_ON_DATAGRAM {
-            Output::Send { to, packet: self.packet(Word::Carry(carried), Vec::new(), Vec::new()) }
+        let carried = Payload { channel: kind, body };
+        self.out.push_back(if carried.body.len() <= MAX_DATAGRAM_PAYLOAD {
+            Output::SendDatagram {
+                to,
+                packet: self.packet(PacketBody::Payload(carried), Vec::new(), Vec::new()),
+            }
         } else {
-            Output::Stream { to, carried }
+            Output::SendStream { to, carried }
         });
         Ok(())
     }
 
     /// A message that came over a stream, from a sender that was believed.
-    pub fn carried_came(&mut self, now: Micros, from: Peer, carried: Carried) {
-        if from.instance == self.me.instance || self.leaving {
+    pub fn handle_payload(&mut self, now: Micros, from: Peer, carried: Payload) {
+        if from.instance == self.local.instance || self.leaving {
             return;
         }
         if let Some(member) = self.members.get_mut(&from.instance) {
-            member.heard = now;
+            member.last_heard = now;
         }
         self.came(from, carried);
     }
 
-    fn came(&mut self, from: Peer, Carried { kind, body }: Carried) {
-        if body.len() <= kind.most_bytes() {
-            self.out.push_back(Output::Came(Came { from, kind, body }));
+    fn came(&mut self, from: Peer, Payload { channel: kind, body }: Payload) {
+        if body.len() <= kind.max_bytes() {
+            self.out.push_back(Output::Received(ReceivedPayload { sender: from, channel: kind, body }));
         }
     }
 
     fn answered(&mut self, now: Micros, sender: &Peer, number: u64) {
         if let Some(relayed) = self.relayed.remove(&number) {
             // Told on in its own name: whoever asked must know which instance it was that answered.
-            let mut packet = self.packet(Word::Ack(relayed.number), Vec::new(), Vec::new());
-            packet.news.push(News {
-                of: sender.clone(),
+            let mut packet = self.packet(PacketBody::Ack(relayed.number), Vec::new(), Vec::new());
+            packet.updates.push(MemberUpdate {
+                peer: sender.clone(),
                 incarnation: self.incarnation_of(sender),
-                state: State::Alive,
+                state: MemberState::Alive,
             });
-            self.out.push_back(Output::Send { to: relayed.to, packet });
+            self.out.push_back(Output::SendDatagram { to: relayed.to, packet });
             return;
         }
         let Some(probe) = self.probe.take_if(|probe| probe.number == number) else { return };
@@ -759,7 +787,7 @@
         if member.peer.instance != sender.instance {
             // Another run answers at its address: the one that was asked has ended.
             let (of, incarnation) = (member.peer.clone(), member.incarnation);
-            self.learn(now, News { of, incarnation, state: State::Dead });
+            self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
         }
     }
 
@@ -769,70 +797,75 @@
 
     /// What others say of a member: that it is gone is taken for a suspicion until that has stood here for a while. Danger:
     /// who can be heard by nobody takes all others for gone, and once it is heard again all would believe it.
-    fn told_of(&mut self, now: Micros, mut news: News) {
-        let known = self.members.get(&news.of.instance);
+    fn told_of(&mut self, now: Micros, mut news: MemberUpdate) {
+        let known = self.members.get(&news.peer.instance);
         let doubted = known.is_some_and(|known| match known.state {
-            State::Alive => true,
-            State::Suspect => now < known.since + REFUTED,
-            State::Dead | State::Left => false,
+            MemberState::Alive => true,
+            MemberState::Suspect => now < known.state_since + REFUTED,
+            MemberState::Dead | MemberState::Left => false,
         });
-        if news.state == State::Dead && doubted && news.of.instance != self.me.instance {
-            news.state = State::Suspect;
+        if news.state == MemberState::Dead && doubted && news.peer.instance != self.local.instance {
+            news.state = MemberState::Suspect;
         }
         self.learn(now, news);
     }
 
     /// Takes in what is so of a member, if it is newer than what is known.
-    fn learn(&mut self, now: Micros, news: News) {
-        let News { of, incarnation, state } = news;
-        if of.instance == self.me.instance {
-            if state != State::Alive && incarnation >= self.incarnation && !self.leaving {
+    fn learn(&mut self, now: Micros, news: MemberUpdate) {
+        let MemberUpdate { peer: of, incarnation, state } = news;
+        if of.instance == self.local.instance {
+            if state != MemberState::Alive && incarnation >= self.incarnation && !self.leaving {
                 // I am here. Danger: a partition or a pause would else have it gone for good.
                 self.incarnation = incarnation.saturating_add(1);
                 self.tell_all_recent(now.saturating_sub(self.unnoticed()));
-                let alive = News { of: self.me.clone(), incarnation: self.incarnation, state: State::Alive };
+                let alive = MemberUpdate {
+                    peer: self.local.clone(),
+                    incarnation: self.incarnation,
+                    state: MemberState::Alive,
+                };
                 for to in self.some_live(FANOUT, None) {
-                    let packet = self.packet(Word::Nothing, vec![alive.clone()], Vec::new());
-                    self.out.push_back(Output::Send { to, packet });
+                    let packet = self.packet(PacketBody::Empty, vec![alive.clone()], Vec::new());
+                    self.out.push_back(Output::SendDatagram { to, packet });
                 }
             }
             return;
         }
         let Some(known) = self.members.get(&of.instance) else {
-            if state <= State::Suspect && self.members.len() < MOST_MEMBERS {
+            if state <= MemberState::Suspect && self.members.len() < MAX_MEMBERS {
                 self.take_in(now, of, incarnation, state);
             }
             return;
         };
         let newer = match (known.state, state) {
-            (State::Left, _) => false,
+            (MemberState::Left, _) => false,
             // The later incarnation holds, and within one the worse: only the member itself can raise it.
             _ => (incarnation, state) > (known.incarnation, known.state),
         };
         if !newer {
             return;
         }
-        let (was, unheard) = (known.state, known.since.saturating_sub(self.unnoticed()));
-        let member = Member { peer: of.clone(), incarnation, state, since: now, heard: known.heard };
+        let (was, unheard) = (known.state, known.state_since.saturating_sub(self.unnoticed()));
+        let member =
+            Member { peer: of.clone(), incarnation, state, state_since: now, last_heard: known.last_heard };
         self.members.insert(of.instance, member);
         let left = self.tellings();
         self.news.insert(of.instance, left);
-        if was == State::Dead {
+        if was == MemberState::Dead {
             // It comes back, as when a partition heals: both sides know what the other was not told.
-            self.out.push_back(Output::Exchange { to: of.address });
+            self.out.push_back(Output::ExchangeState { to: of.address });
         }
-        if was > State::Alive && state == State::Alive {
+        if was > MemberState::Alive && state == MemberState::Alive {
             self.tell_returned(of.instance, unheard);
         }
-        if state > State::Suspect {
+        if state > MemberState::Suspect {
             self.tell_for(now, of.instance);
         }
         let event = match (was, state) {
-            (State::Dead, State::Alive | State::Suspect) => Some(Event::Joined(of)),
-            (State::Suspect, State::Alive) => Some(Event::Cleared(of)),
-            (State::Alive, State::Suspect) => Some(Event::Suspected(of)),
-            (State::Alive | State::Suspect, State::Dead) => Some(Event::Gone(of)),
-            (_, State::Left) => Some(Event::Left(of)),
+            (MemberState::Dead, MemberState::Alive | MemberState::Suspect) => Some(Event::Joined(of)),
+            (MemberState::Suspect, MemberState::Alive) => Some(Event::Refuted(of)),
+            (MemberState::Alive, MemberState::Suspect) => Some(Event::Suspected(of)),
+            (MemberState::Alive | MemberState::Suspect, MemberState::Dead) => Some(Event::Died(of)),
+            (_, MemberState::Left) => Some(Event::Left(of)),
             _ => None,
         };
         self.out.extend(event.map(Output::Event));
@@ -840,68 +873,70 @@
 
     /// Whoever is gone can tell nothing any more: those who share a count with it tell each other what they know of its part.
     fn tell_for(&mut self, now: Micros, gone: Instance) {
-        let me = self.me.instance;
-        let names: Vec<_> = self.counts.names_of(gone).collect();
+        let me = self.local.instance;
+        let names: Vec<_> = self.counters.names_of(gone).collect();
         for name in names {
-            if self.counts.part(&name, me).is_some() {
+            if self.counters.part(&name, me).is_some() {
                 self.tell_holders(now, name, gone);
             }
         }
     }
 
-    fn take_in(&mut self, now: Micros, of: Peer, incarnation: u32, state: State) {
-        let same_name =
-            self.live().find(|member| member.peer.name == of.name && member.peer.address != of.address);
-        if let Some(other) = same_name
-            .map(|member| member.peer.clone())
-            .or_else(|| (of.name == self.me.name && of.address != self.me.address).then(|| self.me.clone()))
-        {
-            self.out.push_back(Output::Event(Event::NameTwice(other, of.clone())));
+    fn take_in(&mut self, now: Micros, of: Peer, incarnation: u32, state: MemberState) {
+        let same_name = self
+            .live_members()
+            .find(|member| member.peer.name == of.name && member.peer.address != of.address);
+        if let Some(other) = same_name.map(|member| member.peer.clone()).or_else(|| {
+            (of.name == self.local.name && of.address != self.local.address).then(|| self.local.clone())
+        }) {
+            self.out.push_back(Output::Event(Event::DuplicateName(other, of.clone())));
         }
         // An earlier run at the same address has ended, or this one could not listen there.
         let earlier: Vec<_> =
-            self.live().filter(|member| member.peer.address == of.address).cloned().collect();
-        self.members
-            .insert(of.instance, Member { peer: of.clone(), incarnation, state, since: now, heard: now });
+            self.live_members().filter(|member| member.peer.address == of.address).cloned().collect();
+        self.members.insert(
+            of.instance,
+            Member { peer: of.clone(), incarnation, state, state_since: now, last_heard: now },
+        );
         let left = self.tellings();
         self.news.insert(of.instance, left);
         self.out.push_back(Output::Event(Event::Joined(of)));
         for Member { peer, incarnation, .. } in earlier {
-            self.learn(now, News { of: peer, incarnation, state: State::Dead });
+            self.learn(now, MemberUpdate { peer: peer, incarnation, state: MemberState::Dead });
         }
     }
 
     // All at once.
 
     /// All that is known here, for an exchange over a stream.
-    pub fn full(&self, now: Micros) -> Full {
-        let members = self.members.values().filter(|member| member.state != State::Left);
-        let news = members.map(|member| News {
-            of: member.peer.clone(),
+    pub fn full_state(&self, now: Micros) -> FullState {
+        let members = self.members.values().filter(|member| member.state != MemberState::Left);
+        let news = members.map(|member| MemberUpdate {
+            peer: member.peer.clone(),
             incarnation: member.incarnation,
             state: member.state,
         });
-        let counts = self.counts.all(now).map(|(name, left, of, part)| Told {
-            count: name.to_string(),
-            of,
-            part,
-            left_ms: (left / MILLISECOND) as u32,
+        let counts = self.counters.all(now).map(|(name, left, of, part)| CounterEntry {
+            key: name.to_string(),
+            instance: of,
+            contribution: part,
+            expires_in_ms: (left / MILLISECOND) as u32,
         });
-        Full {
-            from: self.me.clone(),
+        FullState {
+            sender: self.local.clone(),
             incarnation: self.incarnation,
-            news: news.collect(),
-            counts: counts.collect(),
+            updates: news.collect(),
+            counters: counts.collect(),
         }
     }
 
     /// Another's all has come.
-    pub fn full_came(&mut self, now: Micros, full: Full) {
-        let Full { from, incarnation, news, counts } = full;
-        if from.instance == self.me.instance || self.leaving {
+    pub fn handle_full_state(&mut self, now: Micros, full: FullState) {
+        let FullState { sender: from, incarnation, updates: news, counters: counts } = full;
+        if from.instance == self.local.instance || self.leaving {
             return;
         }
-        self.learn(now, News { of: from, incarnation, state: State::Alive });
+        self.learn(now, MemberUpdate { peer: from, incarnation, state: MemberState::Alive });
         news.into_iter().for_each(|news| self.told_of(now, news));
         self.hear(now, counts);
     }
@@ -909,13 +944,17 @@
     /// This gateway ends: some are told, two of them all that it knows, and nothing more is said.
     pub fn leave(&mut self, now: Micros) {
         self.spread(now);
-        let left = News { of: self.me.clone(), incarnation: self.incarnation, state: State::Left };
+        let left = MemberUpdate {
+            peer: self.local.clone(),
+            incarnation: self.incarnation,
+            state: MemberState::Left,
+        };
         for to in self.some_live(2 * FANOUT, None) {
-            let packet = self.packet(Word::Nothing, vec![left.clone()], Vec::new());
-            self.out.push_back(Output::Send { to, packet });
+            let packet = self.packet(PacketBody::Empty, vec![left.clone()], Vec::new());
+            self.out.push_back(Output::SendDatagram { to, packet });
         }
         let heirs = self.some_live(HEIRS, None);
-        self.out.extend(heirs.into_iter().map(|to| Output::Exchange { to }));
+        self.out.extend(heirs.into_iter().map(|to| Output::ExchangeState { to }));
         self.leaving = true;
     }
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -5,12 +5,12 @@
 use fernscale_shared_counter::vectors::{Instance, Part};
 use serde::{Deserialize, Serialize};
 
-use crate::carry::{Carried, Kind};
+use crate::payload::{Channel, Payload};
 
 /// A datagram holds no more bytes, sealed: it must pass every usual link in one piece.
-pub const MOST_BYTES: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// What goes over a stream holds no more: some eighty thousand parts.
-pub const MOST_FULL: usize = 4 * 1024 * 1024;
+pub const MAX_STREAM_BYTES: usize = 4 * 1024 * 1024;
 
 /// Who a node is: its configured name, this run of it, and where it listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     Alive,
     Suspect,
     /// Taken for gone.
@@ -32,105 +32,114 @@
 
 /// What is said of a member, by itself or by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
-    pub of: Peer,
+pub struct MemberUpdate {
+    pub peer: Peer,
     /// Raised by the member alone, to say that it is there after all.
     pub incarnation: u32,
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// What an instance has added to a count, all in all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    pub count: String,
-    pub of: Instance,
-    pub part: Part,
+pub struct CounterEntry {
+    pub key: String,
+    pub instance: Instance,
+    pub contribution: Part,
     /// Milliseconds that the count's name still lives: clocks differ, and spans don't.
-    pub left_ms: u32,
+    pub expires_in_ms: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum PacketBody {
     /// Are you there? With a number that the answer names.
     Ping(u64),
     Ack(u64),
     /// Ask another for me, and tell me if it answers.
-    PingFor(u64, Peer),
+    PingRequest(u64, Peer),
     /// Only what rides along.
-    Nothing,
+    Empty,
     /// A message for others than the mesh.
-    Carry(Carried),
+    Payload(Payload),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    pub from: Peer,
+    pub sender: Peer,
     pub incarnation: u32,
-    pub word: Word,
-    pub news: Vec<News>,
-    pub counts: Vec<Told>,
+    pub body: PacketBody,
+    pub updates: Vec<MemberUpdate>,
+    pub counters: Vec<CounterEntry>,
 }
 
 /// All that a node knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Full {
-    pub from: Peer,
+pub struct FullState {
+    pub sender: Peer,
     pub incarnation: u32,
-    pub news: Vec<News>,
-    pub counts: Vec<Told>,
+    pub updates: Vec<MemberUpdate>,
+    pub counters: Vec<CounterEntry>,
 }
 
 /// What is said over a stream, by either side.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Stream {
-    Full(Full),
+pub enum StreamMessage {
+    FullState(FullState),
     /// Who is there? By an operator's tool that has the key.
-    Who,
-    View(View),
+    ListMembers,
+    Members(MembershipView),
     /// What is known of all counts? By an operator's tool, too.
-    Counts,
-    Sums(Vec<Sum>),
+    ListCounters,
+    CounterTotals(Vec<CounterTotal>),
     /// A message for others than the mesh, too long for a datagram; nothing is answered.
-    Carry(Peer, Carried),
+    Payload(Peer, Payload),
     /// A question by an operator's tool to those whom a kind concerns, and their answer.
-    Ask(Kind, Vec<u8>),
-    Answer(Vec<u8>),
+    Query(Channel, Vec<u8>),
+    QueryReply(Vec<u8>),
 }
 
-/// What all gateways together have added to a count, as far as one of them knows.
+/// What all gateways together have added to a counter, as far as one of them knows.
+///
+/// Operators are shown it as JSON, where the older names are the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sum {
-    pub count: String,
+pub struct CounterTotal {
+    #[serde(rename = "count")]
+    pub key: String,
     pub total: f64,
     /// Milliseconds that the count's name still lives.
-    pub left_ms: u32,
+    #[serde(rename = "left_ms")]
+    pub expires_in_ms: u32,
 }
 
-/// What a node sees, for people.
+/// What a node sees, for people; as JSON too, where the older names are the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
-    pub me: Peer,
-    pub members: Vec<Viewed>,
+pub struct MembershipView {
+    #[serde(rename = "me")]
+    pub local: Peer,
+    pub members: Vec<MemberView>,
     /// Gateways that are configured.
-    pub gateways: u32,
+    #[serde(rename = "gateways")]
+    pub configured_gateways: u32,
     /// Counts that are known.
-    pub counts: u32,
+    #[serde(rename = "counts")]
+    pub counter_count: u32,
     /// How the shared counter stands, in a word.
-    pub counter: String,
+    #[serde(rename = "counter")]
+    pub counter_health: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Viewed {
+pub struct MemberView {
     pub peer: Peer,
-    pub state: State,
+    pub state: MemberState,
     pub incarnation: u32,
     /// Milliseconds since anything of its own came.
-    pub heard_ms: u32,
+    #[serde(rename = "heard_ms")]
+    pub last_heard_ms: u32,
 }
 
-impl Viewed {
+impl MemberView {
     /// It is not taken for gone.
-    pub fn alive(&self) -> bool {
-        self.state <= State::Suspect
+    pub fn is_alive(&self) -> bool {
+        self.state <= MemberState::Suspect
     }
 }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -58,23 +58,23 @@
 
 /// Why a packet is not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum OpenError {
     #[error("it is too short to be a packet")]
-    Short,
+    TooShort,
     #[error("it has another version")]
-    Version,
+    UnknownVersion,
     #[error("it is sealed with a key that is not in the ring")]
-    Key,
+    UnknownKey,
     #[error("its seal is wrong")]
-    Seal,
+    InvalidTag,
     #[error("its time is too far off")]
-    Time,
+    TimeOutOfRange,
     #[error("it has come before")]
-    Again,
+    Replayed,
     #[error("there are too many senders")]
-    Senders,
+    TooManySenders,
     #[error("its content can't be read")]
-    Content,
+    MalformedContent,
 }
 
 /// What has come of one sender: the highest number, and which of those just below it.
@@ -109,19 +109,19 @@
     /// The first seals; all of them open. A new key is added behind on every gateway, then put first on every one, then
     /// the old one is taken away: at no time does one seal what another can't open.
     keys: Vec<Key>,
-    own: Instance,
+    instance: Instance,
     next: u64,
-    heard: BTreeMap<Instance, Heard>,
+    senders: BTreeMap<Instance, Heard>,
 }
 
 impl Sealer {
     /// Without a key there is nothing to believe by.
     pub fn new(keys: Vec<Key>, own: Instance) -> Option<Self> {
-        (!keys.is_empty()).then(|| Sealer { keys, own, next: 0, heard: BTreeMap::new() })
+        (!keys.is_empty()).then(|| Sealer { keys, instance: own, next: 0, senders: BTreeMap::new() })
     }
 
     /// Another ring from now on; what was heard stays heard.
-    pub fn turn(&mut self, keys: Vec<Key>) {
+    pub fn set_keys(&mut self, keys: Vec<Key>) {
         if !keys.is_empty() {
             self.keys = keys;
         }
@@ -133,7 +133,7 @@
         let mut bytes = Vec::with_capacity(256);
         bytes.push(VERSION);
         bytes.extend(key.id().to_be_bytes());
-        for number in [self.own.0, self.next, unix] {
+        for number in [self.instance.0, self.next, unix] {
             bytes.extend(number.to_be_bytes());
         }
         // Plain data without maps or borrowed parts: there is nothing that could fail.
@@ -147,49 +147,49 @@
         &mut self,
         unix: Micros,
         bytes: &[u8],
-    ) -> Result<(Instance, T), Refused> {
+    ) -> Result<(Instance, T), OpenError> {
         if bytes.len() < HEAD + TAG {
-            return Err(Refused::Short);
+            return Err(OpenError::TooShort);
         }
         let (sealed, tag) = bytes.split_at(bytes.len() - TAG);
         if sealed[0] != VERSION {
-            return Err(Refused::Version);
+            return Err(OpenError::UnknownVersion);
         }
         let id = u32::from_be_bytes([sealed[1], sealed[2], sealed[3], sealed[4]]);
-        let key = self.keys.iter().find(|key| key.id() == id).ok_or(Refused::Key)?;
+        let key = self.keys.iter().find(|key| key.id() == id).ok_or(OpenError::UnknownKey)?;
         // All bytes are looked at whichever differs, so that time tells nothing of where.
         let wrong = key.tag(sealed).iter().zip(tag).fold(0, |wrong, (own, its)| wrong | (own ^ its));
         if wrong != 0 {
-            return Err(Refused::Seal);
+            return Err(OpenError::InvalidTag);
         }
         let number =
             |at: usize| sealed[at..at + 8].iter().fold(0u64, |number, byte| number << 8 | u64::from(*byte));
         let (from, count, time) = (Instance(number(5)), number(13), number(21));
         if time.abs_diff(unix) > OFF {
-            return Err(Refused::Time);
+            return Err(OpenError::TimeOutOfRange);
         }
-        if !self.heard.contains_key(&from) {
+        if !self.senders.contains_key(&from) {
             self.make_room(unix)?;
         }
-        let heard = self.heard.entry(from).or_insert(Heard { highest: 0, seen: 0, at: unix });
+        let heard = self.senders.entry(from).or_insert(Heard { highest: 0, seen: 0, at: unix });
         heard.at = unix;
         if !heard.fresh(count) {
-            return Err(Refused::Again);
+            return Err(OpenError::Replayed);
         }
-        let content = postcard::from_bytes(&sealed[HEAD..]).map_err(|_| Refused::Content)?;
+        let content = postcard::from_bytes(&sealed[HEAD..]).map_err(|_| OpenError::MalformedContent)?;
         Ok((from, content))
     }
 
     /// Whoever was not heard for longer than a packet is believed can be forgotten: nothing old of it would pass.
-    fn make_room(&mut self, unix: Micros) -> Result<(), Refused> {
-        if self.heard.len() < MOST_SENDERS {
+    fn make_room(&mut self, unix: Micros) -> Result<(), OpenError> {
+        if self.senders.len() < MOST_SENDERS {
             return Ok(());
         }
-        self.heard.retain(|_, heard| heard.at + 2 * OFF >= unix);
-        if self.heard.len() < MOST_SENDERS {
+        self.senders.retain(|_, heard| heard.at + 2 * OFF >= unix);
+        if self.senders.len() < MOST_SENDERS {
             Ok(())
         } else {
-            Err(Refused::Senders)
+            Err(OpenError::TooManySenders)
         }
     }
 }
