--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -5,11 +5,11 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use clap::Subcommand;
-use fernscale_store::files::Folder;
-use fernscale_store::{Batch, Durability, Options, Report, Store};
+use fernscale_store::files::DiskDirectory;
+use fernscale_store::{Batch, Durability, OpenReport, Options, Store};
 use serde_json::json;
 
-type Opened = (Store<Folder>, Report);
+type Opened = (Store<DiskDirectory>, OpenReport);
 type Done = Result<(), Vec<String>>;
 
 #[derive(Subcommand)]
@@ -54,13 +54,13 @@
     if !make && !folder.is_dir() {
         return Err(vec![format!("'{}' is no folder", folder.display())]);
     }
-    let files = Folder::new(folder).map_err(|why| vec![format!("'{}': {why}", folder.display())])?;
+    let files = DiskDirectory::new(folder).map_err(|why| vec![format!("'{}': {why}", folder.display())])?;
     let options = Options { salvage, ..Options::default() };
     let (store, report) = Store::open(files, options, now()).map_err(told(folder))?;
-    if let Some((segment, at, length)) = report.cut {
+    if let Some((segment, at, length)) = report.truncated {
         eprintln!("fernscale: a torn end was cut: segment {segment:x}, byte {at}, {length} bytes");
     }
-    for (segment, at, length) in &report.gaps {
+    for (segment, at, length) in &report.skipped {
         eprintln!("fernscale: damage was passed over: segment {segment:x}, byte {at}, {length} bytes");
     }
     Ok((store, report))
@@ -71,12 +71,12 @@
         Command::Put { folder, key, value } => {
             let (mut store, _) = open(&folder, true, false)?;
             let batch = Batch::new().put(key.as_bytes(), value.as_bytes());
-            store.write(&batch, Durability::Now, now()).map(drop).map_err(told(&folder))
+            store.write(&batch, Durability::Immediate, now()).map(drop).map_err(told(&folder))
         }
         Command::Delete { folder, key } => {
             let (mut store, _) = open(&folder, false, false)?;
             let batch = Batch::new().delete(key.as_bytes());
-            store.write(&batch, Durability::Now, now()).map(drop).map_err(told(&folder))
+            store.write(&batch, Durability::Immediate, now()).map(drop).map_err(told(&folder))
         }
         Command::Get { folder, key } => {
             let (store, _) = open(&folder, false, false)?;
@@ -105,15 +105,15 @@
                 folder.display(),
                 report.batches,
                 store.len(),
-                store.on_disk()
+                store.disk_bytes()
             );
             Ok(())
         }
         Command::Compact { folder } => {
             let (mut store, _) = open(&folder, false, false)?;
-            let before = store.on_disk();
+            let before = store.disk_bytes();
             while store.compact(SLICE, now()).map_err(told(&folder))? {}
-            println!("{}: {before} bytes on disk before, {} now", folder.display(), store.on_disk());
+            println!("{}: {before} bytes on disk before, {} now", folder.display(), store.disk_bytes());
             Ok(())
         }
         Command::Snapshot { folder, to } => copy(open(&folder, false, false)?, &folder, &to),
@@ -123,7 +123,7 @@
 
 /// Acts on each key and value in order.
 fn each(
-    store: &Store<Folder>,
+    store: &Store<DiskDirectory>,
     folder: &Path,
     prefix: &[u8],
     mut act: impl FnMut(&[u8], &[u8]) -> Done,
@@ -145,9 +145,9 @@
     let (mut other, _) = open(to, true, false)?;
     let mut failed = None;
     each(&store, folder, b"", |key, value| {
-        let ends = store.ends(key).unwrap_or(0);
+        let ends = store.expires_at(key).unwrap_or(0);
         let batch = Batch::new().put_until(key, value, ends);
-        if let Err(why) = other.write(&batch, Durability::Later, now()) {
+        if let Err(why) = other.write(&batch, Durability::Deferred, now()) {
             failed.get_or_insert(why);
         }
         Ok(())
--- a/crates/gateway/src/fleet/durable.rs
+++ b/crates/gateway/src/fleet/durable.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use async_channel::{Receiver, Sender};
-use fernscale_store::files::{Files, Folder};
-use fernscale_store::tried::{Tried, Wrong};
+use fernscale_store::fault_injection::{Faults, FaultyDirectory};
+use fernscale_store::files::{Directory, DiskDirectory};
 use fernscale_store::{Batch, Durability, Error, Options, Store};
 
 use crate::transport::clock::unix;
@@ -38,10 +38,10 @@
 }
 
 impl Trial {
-    fn sets(self, wrong: &Wrong) {
-        wrong.quota.set(self.quota);
-        wrong.slow.set(self.slow);
-        wrong.fails.set(self.fails);
+    fn sets(self, wrong: &Faults) {
+        wrong.quota_bytes.set(self.quota);
+        wrong.sync_delay.set(self.slow);
+        wrong.sync_fails.set(self.fails);
     }
 }
 
@@ -66,7 +66,7 @@
         let (opened, opens) = async_channel::bounded(1);
         let folder = PathBuf::from(folder);
         let work = move || {
-            let wrong = Rc::new(Wrong::default());
+            let wrong = Rc::new(Faults::default());
             trial.sets(&wrong);
             match open(&folder, &wrong) {
                 Ok((store, entries)) => {
@@ -101,18 +101,23 @@
     unix() / 1_000
 }
 
-type Opened = (Store<Tried<Folder>>, Entries);
-
-fn open(folder: &Path, wrong: &Rc<Wrong>) -> Result<Opened, Error> {
-    let files = Folder::new(folder).map_err(|why| Error::Io { what: "the folder", why })?;
-    let options = Options { disk: MOST_DISK, memory: MOST_INDEX, segment: SEGMENT, ..Options::default() };
-    let (store, _) = Store::open(Tried::new(files, wrong), options, now())?;
+type Opened = (Store<FaultyDirectory<DiskDirectory>>, Entries);
+
+fn open(folder: &Path, wrong: &Rc<Faults>) -> Result<Opened, Error> {
+    let files = DiskDirectory::new(folder).map_err(|why| Error::Io { what: "the folder", why })?;
+    let options = Options {
+        max_disk_bytes: MOST_DISK,
+        max_index_bytes: MOST_INDEX,
+        max_segment_bytes: SEGMENT,
+        ..Options::default()
+    };
+    let (store, _) = Store::open(FaultyDirectory::new(files, wrong), options, now())?;
     let entries = store.scan(b"", None, usize::MAX, now())?;
     Ok((store, entries))
 }
 
 /// Writes until nobody is left who could hand anything in, or nothing can be made durable any more.
-fn serve<F: Files>(mut store: Store<F>, wrong: &Wrong, orders: &mpsc::Receiver<Order>) {
+fn serve<F: Directory>(mut store: Store<F>, wrong: &Faults, orders: &mpsc::Receiver<Order>) {
     while let Ok(first) = orders.recv() {
         let mut waiting = Vec::new();
         let mut written = Ok(());
@@ -120,7 +125,7 @@
             match order {
                 Order::Write(batch, done) => {
                     waiting.push(done);
-                    let write = store.write(&batch, Durability::Later, now());
+                    let write = store.write(&batch, Durability::Deferred, now());
                     written = written.and(write.map(drop));
                 }
                 Order::Trial(trial) => trial.sets(wrong),
--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/mesh.rs
@@ -19,9 +19,9 @@
 use fernscale_membership::payload::{Channel, ReceivedPayload, SendError};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_policy::Micros;
-use fernscale_shared_counter::rumour::Live;
-use fernscale_shared_counter::tally;
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::gossip::LivePeer;
+use fernscale_shared_counter::monitor;
+use fernscale_shared_counter::pn_counter::Instance;
 use futures_lite::{future, StreamExt};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -88,7 +88,7 @@
     begun: Cell<usize>,
     streams: Cell<usize>,
     /// How the counter stood when last looked at, for who asks.
-    pub standing: Cell<tally::Standing>,
+    pub standing: Cell<monitor::CounterHealth>,
     /// Who takes in what is carried for others, and who answers operators' questions about it.
     takers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
     answerers: RefCell<BTreeMap<Channel, Answerer>>,
@@ -130,7 +130,7 @@
             gateways: gateways as usize,
             exchanges: Cell::new(0),
             begun: Cell::new(0),
-            standing: Cell::new(tally::Standing::Good),
+            standing: Cell::new(monitor::CounterHealth::Healthy),
             takers: RefCell::default(),
             answerers: RefCell::default(),
             streams: Cell::new(0),
@@ -150,7 +150,7 @@
     }
 
     /// This gateway has added an amount to a count: what all know of it with that.
-    pub fn add(&self, count: &str, amount: f64, life: Micros) -> Option<tally::Mesh> {
+    pub fn add(&self, count: &str, amount: f64, life: Micros) -> Option<monitor::GossipTotal> {
         self.node.borrow_mut().add_to_counter(self.shared.clock.now(), count, amount, life);
         self.known(count)
     }
@@ -163,10 +163,10 @@
         }
     }
 
-    pub fn known(&self, count: &str) -> Option<tally::Mesh> {
+    pub fn known(&self, count: &str) -> Option<monitor::GossipTotal> {
         let node = self.node.borrow();
         let total = node.counter_total(self.shared.clock.now(), count)?;
-        Some(tally::Mesh { total, whole: node.live_members().count() + 1 >= self.gateways })
+        Some(monitor::GossipTotal { total, is_complete: node.live_members().count() + 1 >= self.gateways })
     }
 
     /// Tells some that this gateway goes, and listens no more.
@@ -220,8 +220,8 @@
     }
 
     /// The same, as rumours know them.
-    pub fn live_runs(&self) -> Vec<Live> {
-        self.live().into_iter().map(|peer| Live { name: peer.name, run: peer.instance.0 }).collect()
+    pub fn live_runs(&self) -> Vec<LivePeer> {
+        self.live().into_iter().map(|peer| LivePeer { name: peer.name, instance: peer.instance.0 }).collect()
     }
 
     /// Works at something until this gateway leaves; then it is dropped, with the sockets that it has.
--- a/crates/gateway/src/fleet/owners.rs
+++ b/crates/gateway/src/fleet/owners.rs
@@ -19,7 +19,7 @@
 use fernscale_lease::{Fence, Name, Run, Terms, Voters};
 use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::Micros;
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use fernscale_store::{Batch, Error};
 use futures_lite::{future, StreamExt};
 use slog::{info, warn};
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsets.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros, Subset};
-use fernscale_subsetting::loads::{Known, Live, Loads, Note};
+use fernscale_subsetting::loads::{Known, LivePeer, Loads, Note};
 use fernscale_subsetting::own::{Own, View};
 use fernscale_subsetting::view::{Seen, Taken, View as Shown};
 use fernscale_subsetting::{Gateway, Server};
@@ -80,7 +80,7 @@
         let now = awake_or_not();
         let zone = settings.zone.clone().unwrap_or_default();
         let run = mesh.map(|mesh| mesh.me().instance.0);
-        let own = Live { name: me.name.clone(), run: run.unwrap_or(0) };
+        let own = LivePeer { name: me.name.clone(), instance: run.unwrap_or(0) };
         let name = mesh.map_or(me.number.to_string(), |_| me.name.clone());
         let dealt = fernscale_subsetting::Settings { least: settings.least, zones: settings.zone.is_some() };
         let core = Core {
@@ -176,7 +176,7 @@
     }
 
     /// The others that the mesh takes for live.
-    fn live(&self) -> Vec<Live> {
+    fn live(&self) -> Vec<LivePeer> {
         self.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.live_runs())
     }
 
--- a/crates/gateway/src/routing/handover.rs
+++ b/crates/gateway/src/routing/handover.rs
@@ -7,8 +7,8 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use fernscale_hot_restart::core::{Change, Handover, Micros, Part, Record};
-use fernscale_hot_restart::shell::Shell;
+use fernscale_hot_restart::directory::RecordDirectory;
+use fernscale_hot_restart::state::{Change, HotRestart, Micros, ProcessRecord, ProcessShare};
 use fernscale_policy::Id;
 use slog::{debug, info, warn};
 
@@ -26,9 +26,9 @@
 pub struct Link {
     shared: Rc<Shared>,
     orders: Sender<Order>,
-    shell: Shell,
-    core: RefCell<Handover>,
-    told: RefCell<Option<Record>>,
+    shell: RecordDirectory,
+    core: RefCell<HotRestart>,
+    told: RefCell<Option<ProcessRecord>>,
     /// The part that the module was told: all, until another is.
     of_all: Cell<f64>,
 }
@@ -56,9 +56,9 @@
         directory: &Path,
         sockets: usize,
         orders: Sender<Order>,
-    ) -> Result<Self, fernscale_hot_restart::shell::Error> {
-        let shell = Shell::open(directory)?;
-        let core = RefCell::new(Handover::new(shell.me(), sockets));
+    ) -> Result<Self, fernscale_hot_restart::directory::Error> {
+        let shell = RecordDirectory::open(directory)?;
+        let core = RefCell::new(HotRestart::new(shell.generation(), sockets));
         let link = Link {
             shared: shared.clone(),
             orders,
@@ -75,7 +75,7 @@
     pub async fn run(self: Rc<Self>) {
         loop {
             self.look().await;
-            let alone = self.core.borrow().alone();
+            let alone = self.core.borrow().is_alone();
             Timer::after(if alone { LOOK_ALONE } else { LOOK }).await;
         }
     }
@@ -86,17 +86,20 @@
             warn!(self.shared.log, #"handover.refused", "what another process left is not used"; "why" => error.to_string());
         }
         let held = self.shared.limits.held();
-        let changes = self.core.borrow_mut().look(&others, held, now());
+        let changes = self.core.borrow_mut().update(&others, held, now());
         for change in changes {
             match change {
-                Change::Out(server) => self.order(&server, None).await,
-                Change::Back(server, at) => self.order(&server, Some(at)).await,
-                Change::Part(part) => self.part(part).await,
+                Change::Cordoned(server) => self.order(&server, None).await,
+                Change::Uncordoned(server, at) => self.order(&server, Some(at)).await,
+                Change::Share(part) => self.part(part).await,
             }
         }
         if self.tell() {
             // What the dead left is here now, and may go.
-            others.iter().filter(|other| !other.lives).for_each(|other| self.shell.clear(other.generation));
+            others
+                .iter()
+                .filter(|other| !other.is_alive)
+                .for_each(|other| self.shell.clear(other.generation));
         }
     }
 
@@ -109,8 +112,8 @@
         let _ = self.orders.send(Order::Heard { server: Id::from(server), back }).await;
     }
 
-    async fn part(&self, part: Part) {
-        let Part { of_all, processes, sockets } = part;
+    async fn part(&self, part: ProcessShare) {
+        let ProcessShare { fraction: of_all, processes, descriptors: sockets } = part;
         debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => of_all, "processes" => processes, "sockets" => sockets);
         self.shared.limits.part(sockets, processes);
         self.shared.tightened.notify(1);
@@ -140,9 +143,9 @@
 
     /// Tells the others of an operator's word, and waits until they have heard it; false if they have not.
     pub async fn word(&self, server: &Id, out: bool) -> bool {
-        self.core.borrow_mut().word(server, out, now());
+        self.core.borrow_mut().set_cordon(server, out, now());
         let (version, until) = (self.core.borrow().version(), Instant::now() + HEARD);
-        while !self.tell() || !self.core.borrow().heard(version) {
+        while !self.tell() || !self.core.borrow().is_acknowledged(version) {
             if Instant::now() >= until {
                 return false;
             }
@@ -153,12 +156,12 @@
 
     /// Whether all others that live know of this process.
     pub fn settled(&self) -> bool {
-        self.core.borrow().settled()
+        self.core.borrow().is_settled()
     }
 
     /// No more clients come to this process.
     pub fn ends(&self) {
-        self.core.borrow_mut().ends();
+        self.core.borrow_mut().begin_shutdown();
         self.tell();
     }
 }
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/routing/module.rs
@@ -14,7 +14,7 @@
 use futures_lite::{future, StreamExt};
 use slog::{debug, info, warn};
 
-use fernscale_shared_counter::tally::{self, End, Step, Tally};
+use fernscale_shared_counter::monitor::{self, AddStep, CallOutcome, CounterMonitor};
 
 use super::counter::Add;
 use super::figures::Pool;
@@ -64,7 +64,7 @@
     events: Sender<Event>,
     counter: Option<Sender<Add>>,
     /// What is known of counts beside the counter's word; only where gateways know each other.
-    tally: Option<Tally>,
+    tally: Option<CounterMonitor>,
     list: Sender<list::Order>,
     held: HashMap<Id, Held>,
     peers: BTreeMap<Id, Peer>,
@@ -532,10 +532,10 @@
         if self.shared.speaks {
             let now = self.desk.borrow().now;
             let known = self.tell_others(now, &add.count, add.amount, add.life);
-            let tally = self.tally.get_or_insert_with(|| Tally::new(now));
+            let tally = self.tally.get_or_insert_with(|| CounterMonitor::new(now));
             match tally.add(now, &add.count, add.amount, add.life, known) {
-                Step::Call(amount) => add.amount = amount,
-                Step::Known(total) => {
+                AddStep::Forward(amount) => add.amount = amount,
+                AddStep::Reply(total) => {
                     let end = Ok(Told::Total(total));
                     return self.follows.push_back(Event::Known { count: add.count, end });
                 }
@@ -546,7 +546,13 @@
 
     /// Tells the other gateways of an amount, and gives what all know of its count with that. While another process of this
     /// gateway speaks with them the amounts are kept, and told once this one does.
-    fn tell_others(&self, now: Micros, count: &str, amount: f64, life: Micros) -> Option<tally::Mesh> {
+    fn tell_others(
+        &self,
+        now: Micros,
+        count: &str,
+        amount: f64,
+        life: Micros,
+    ) -> Option<monitor::GossipTotal> {
         match self.shared.mesh.get() {
             Some(mesh) => mesh.add(count, amount, life),
             None => {
@@ -561,14 +567,14 @@
         let Some(tally) = &mut self.tally else { return (outcome, total) };
         let mesh = self.shared.mesh.get();
         let end = match outcome {
-            Outcome::Ok => End::Total(total),
-            outcome if outcome.never_ran() => End::Never,
-            _ => End::Maybe,
+            Outcome::Ok => CallOutcome::Total(total),
+            outcome if outcome.never_ran() => CallOutcome::NotApplied,
+            _ => CallOutcome::Unknown,
         };
-        let before = tally.standing();
+        let before = tally.health();
         let now = self.desk.borrow().now;
-        let told = tally.counted(now, count, end, took, mesh.and_then(|mesh| mesh.known(count)));
-        let standing = tally.standing();
+        let told = tally.call_completed(now, count, end, took, mesh.and_then(|mesh| mesh.known(count)));
+        let standing = tally.health();
         if let Some(mesh) = mesh {
             mesh.standing.set(standing);
         }
@@ -577,13 +583,13 @@
             info!(self.shared.log, #"counter.stands", "the counter stands otherwise"; "from" => from, "to" => to);
         }
         match told {
-            tally::Told::Total(total) => (Outcome::Ok, total),
-            tally::Told::Never(amount) => {
+            monitor::CounterReply::Total(total) => (Outcome::Ok, total),
+            monitor::CounterReply::NotApplied(amount) => {
                 // The module takes it for not added, and adds it again itself: the others must not hear of it twice.
                 self.tell_others(now, count, -amount, 0);
                 (outcome, 0.0)
             }
-            tally::Told::Maybe => (outcome, 0.0),
+            monitor::CounterReply::Unknown => (outcome, 0.0),
         }
     }
 
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -19,8 +19,8 @@
 use fernscale_membership::payload::{Channel, Payload};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_outlier_detection::{view as servers, Level};
-use fernscale_shared_counter::rumour;
-use fernscale_shared_counter::vectors::{Instance, Part};
+use fernscale_shared_counter::gossip;
+use fernscale_shared_counter::pn_counter::{Contribution, Instance};
 use fernscale_subsetting::{loads, view as subsets};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -72,7 +72,7 @@
 
 fn counts() -> Vec<CounterEntry> {
     let told = |count: &str, plus, minus| {
-        let part = Part { plus, minus };
+        let part = Contribution { increments: plus, decrements: minus };
         CounterEntry { key: count.into(), instance: Instance(9), contribution: part, expires_in_ms: 59_000 }
     };
     vec![told("q60000000:tenant-1", 12.25, 0.0), told("o5:tenant-2", 3.0, 2.0)]
@@ -265,7 +265,10 @@
     };
     check(
         "subset-reports.bin",
-        &[rumour::Note::Words(vec![word(0, false), word(31, true)]), rumour::Note::Ask],
+        &[
+            gossip::GossipMessage::Reports(vec![word(0, false), word(31, true)]),
+            gossip::GossipMessage::RequestAll,
+        ],
     );
     let view = subsets::View {
         gateway: "gateway-1".into(),
@@ -293,7 +296,10 @@
     };
     check(
         "outlier-reports.bin",
-        &[fernscale_outlier_detection::Note::Words(vec![word]), fernscale_outlier_detection::Note::Ask],
+        &[
+            fernscale_outlier_detection::Note::Reports(vec![word]),
+            fernscale_outlier_detection::Note::RequestAll,
+        ],
     );
     let standings = [
         servers::Standing::Fine,
@@ -323,17 +329,22 @@
 /// JSON: here names are the encoding.
 #[test]
 fn records_that_two_processes_share() {
-    use fernscale_hot_restart::core::{Record, Word};
-    let word = |stamp, out| Word { stamp, by: 1_700_000_000_000_001, at: 1_700_000_000_000_002, out };
-    let record = Record {
+    use fernscale_hot_restart::state::{CordonRecord, ProcessRecord};
+    let word = |stamp, out| CordonRecord {
+        stamp,
+        by: 1_700_000_000_000_001,
+        at: 1_700_000_000_000_002,
+        cordoned: out,
+    };
+    let record = ProcessRecord {
         version: 3,
-        words: [("10.0.0.1:80".into(), word(2, true)), ("10.0.0.2:80".into(), word(3, false))].into(),
-        heard: [(1_700_000_000_000_001, 2)].into(),
-        sockets: 400,
+        cordons: [("10.0.0.1:80".into(), word(2, true)), ("10.0.0.2:80".into(), word(3, false))].into(),
+        acknowledged: [(1_700_000_000_000_001, 2)].into(),
+        descriptors: 400,
     };
     let recorded = recorded("process-record.json");
     assert_eq!(serde_json::to_string(&record).expect("it is encoded").as_bytes(), recorded);
-    assert_eq!(serde_json::from_slice::<Record>(&recorded).expect("it is decoded"), record);
+    assert_eq!(serde_json::from_slice::<ProcessRecord>(&recorded).expect("it is decoded"), record);
 }
 
 /// What `fernscale members --json` prints: here names are the encoding too.
@@ -363,8 +374,14 @@
 
 #[test]
 fn the_states_of_the_counter_have_the_names_that_logs_tell() {
-    use fernscale_shared_counter::tally::Standing;
-    let states =
-        [Standing::Good, Standing::Slow, Standing::Lost, Standing::Emptied, Standing::Old, Standing::Apart];
-    assert_eq!(states.map(Standing::name), ["good", "slow", "lost", "emptied", "old", "apart"]);
+    use fernscale_shared_counter::monitor::CounterHealth;
+    let states = [
+        CounterHealth::Healthy,
+        CounterHealth::Slow,
+        CounterHealth::Lost,
+        CounterHealth::Reset,
+        CounterHealth::Stale,
+        CounterHealth::Partitioned,
+    ];
+    assert_eq!(states.map(CounterHealth::name), ["good", "slow", "lost", "emptied", "old", "apart"]);
 }
--- a/crates/hot-restart/src/shell.rs
+++ b/crates/hot-restart/src/directory.rs
@@ -8,7 +8,7 @@
 
 use thiserror::Error;
 
-use crate::core::{Generation, Other, Record};
+use crate::state::{Generation, OtherProcess, ProcessRecord};
 
 /// Where the records stand in the directory that the processes share.
 const DIRECTORY: &str = "fernscale";
@@ -20,24 +20,24 @@
 #[derive(Debug, Error)]
 pub enum Error {
     #[error("'{path}' can't be used: {why}")]
-    Unusable { path: PathBuf, why: io::Error },
+    Io { path: PathBuf, why: io::Error },
     #[error("'{path}' is refused: {why}")]
-    Spoilt { path: PathBuf, why: &'static str },
+    Corrupt { path: PathBuf, why: &'static str },
 }
 
 /// This process's place among the records.
 #[derive(Debug)]
-pub struct Shell {
+pub struct RecordDirectory {
     directory: PathBuf,
-    me: Generation,
+    generation: Generation,
     _lock: File,
 }
 
-impl Shell {
+impl RecordDirectory {
     /// Takes a number greater than that of any process before.
     pub fn open(shared: &Path) -> Result<Self, Error> {
         let directory = shared.join(DIRECTORY);
-        let unusable = |why| Error::Unusable { path: directory.clone(), why };
+        let unusable = |why| Error::Io { path: directory.clone(), why };
         fs::create_dir_all(&directory).map_err(unusable)?;
         let time =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_micros() as Generation);
@@ -45,7 +45,7 @@
         let mut me = time.max(newest + 1);
         loop {
             let (path, fresh) = (directory.join(format!("{me}.lock")), directory.join(format!("new-{me}")));
-            let unusable = |why| Error::Unusable { path: path.clone(), why };
+            let unusable = |why| Error::Io { path: path.clone(), why };
             match OpenOptions::new().write(true).create_new(true).open(&fresh) {
                 Ok(_) if path.exists() => {
                     fs::remove_file(&fresh).map_err(unusable)?;
@@ -60,38 +60,39 @@
                         let _ = fs::remove_file(&fresh);
                         unusable(why)
                     })?;
-                    return Ok(Shell { directory, me, _lock: lock });
+                    return Ok(RecordDirectory { directory, generation: me, _lock: lock });
                 }
                 Err(why) if why.kind() == io::ErrorKind::AlreadyExists => me += 1,
-                Err(why) => return Err(Error::Unusable { path: fresh, why }),
+                Err(why) => return Err(Error::Io { path: fresh, why }),
             }
         }
     }
 
-    pub fn me(&self) -> Generation {
-        self.me
+    pub fn generation(&self) -> Generation {
+        self.generation
     }
 
-    pub fn write(&self, record: &Record) -> Result<(), Error> {
-        let path = self.directory.join(format!("{}.json", self.me));
-        let fresh = self.directory.join(format!("{}.fresh", self.me));
+    pub fn write(&self, record: &ProcessRecord) -> Result<(), Error> {
+        let path = self.directory.join(format!("{}.json", self.generation));
+        let fresh = self.directory.join(format!("{}.fresh", self.generation));
         let text = serde_json::to_string(record).unwrap_or_default();
         let text = format!("{:08x} {text}\n", crc32fast::hash(text.as_bytes()));
         let done = fs::write(&fresh, text).and_then(|()| fs::rename(&fresh, &path));
-        done.map_err(|why| Error::Unusable { path, why })
+        done.map_err(|why| Error::Io { path, why })
     }
 
     /// All other processes that left something here, and what of it could not be used.
-    pub fn read(&self) -> (Vec<Other>, Vec<Error>) {
+    pub fn read(&self) -> (Vec<OtherProcess>, Vec<Error>) {
         let (mut others, mut errors) = (Vec::new(), Vec::new());
         let numbers = match numbers(&self.directory) {
             Ok(numbers) => numbers,
             Err(why) => {
-                errors.push(Error::Unusable { path: self.directory.clone(), why });
+                errors.push(Error::Io { path: self.directory.clone(), why });
                 Vec::new()
             }
         };
-        for generation in numbers.into_iter().filter(|number| *number != self.me).take(MOST_PROCESSES) {
+        for generation in numbers.into_iter().filter(|number| *number != self.generation).take(MOST_PROCESSES)
+        {
             // Its life is looked at first: a record that is read afterwards is the last one of a process that ended.
             let lives = lives(&self.directory.join(format!("{generation}.lock")));
             let record = match read(&self.directory.join(format!("{generation}.json"))) {
@@ -101,7 +102,7 @@
                     None
                 }
             };
-            others.push(Other { generation, lives, record });
+            others.push(OtherProcess { generation, is_alive: lives, record });
         }
         (others, errors)
     }
@@ -133,15 +134,15 @@
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
-fn read(path: &Path) -> Result<Option<Record>, Error> {
-    let spoilt = |why| Error::Spoilt { path: path.into(), why };
+fn read(path: &Path) -> Result<Option<ProcessRecord>, Error> {
+    let spoilt = |why| Error::Corrupt { path: path.into(), why };
     match fs::metadata(path) {
         Ok(about) if about.len() > MOST_RECORD => return Err(spoilt("it is too long")),
         Ok(_) => {}
         Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(why) => return Err(Error::Unusable { path: path.into(), why }),
+        Err(why) => return Err(Error::Io { path: path.into(), why }),
     }
-    let text = fs::read(path).map_err(|why| Error::Unusable { path: path.into(), why })?;
+    let text = fs::read(path).map_err(|why| Error::Io { path: path.into(), why })?;
     let text = std::str::from_utf8(&text).map_err(|_| spoilt("it is no text"))?;
     let (sum, json) = text.trim_end().split_once(' ').ok_or_else(|| spoilt("it is cut short"))?;
     if u32::from_str_radix(sum, 16).ok() != Some(crc32fast::hash(json.as_bytes())) {
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_hot_restart::core::{Change, Generation, Handover, Other, Part, Record};
+use fernscale_hot_restart::state::{
+    Change, Generation, HotRestart, OtherProcess, ProcessRecord, ProcessShare,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -10,8 +12,8 @@
 const SERVERS: [&str; 3] = ["s0", "s1", "s2"];
 
 struct Process {
-    core: Handover,
-    part: Part,
+    core: HotRestart,
+    part: ProcessShare,
     held: usize,
     /// What its module has been told.
     out: BTreeMap<String, bool>,
@@ -21,7 +23,7 @@
 #[derive(Default)]
 struct World {
     live: BTreeMap<Generation, Process>,
-    files: BTreeMap<Generation, Option<Record>>,
+    files: BTreeMap<Generation, Option<ProcessRecord>>,
     next: Generation,
     now: u64,
 }
@@ -29,17 +31,17 @@
 impl World {
     fn come(&mut self) -> Generation {
         self.next += 1;
-        let core = Handover::new(self.next, SOCKETS);
+        let core = HotRestart::new(self.next, SOCKETS);
         self.files.insert(self.next, Some(core.record()));
-        let part = Part { of_all: 0.0, processes: 1, sockets: 0 };
+        let part = ProcessShare { fraction: 0.0, processes: 1, descriptors: 0 };
         self.live.insert(self.next, Process { core, part, held: 0, out: BTreeMap::new() });
         self.next
     }
 
-    fn others(&self) -> Vec<Other> {
-        let other = |(generation, record): (&Generation, &Option<Record>)| Other {
+    fn others(&self) -> Vec<OtherProcess> {
+        let other = |(generation, record): (&Generation, &Option<ProcessRecord>)| OtherProcess {
             generation: *generation,
-            lives: self.live.contains_key(generation),
+            is_alive: self.live.contains_key(generation),
             record: record.clone(),
         };
         self.files.iter().map(other).collect()
@@ -49,21 +51,22 @@
         self.now += 20_000;
         let others = self.others();
         let process = self.live.get_mut(&who).expect("it lives");
-        for change in process.core.look(&others, process.held, self.now) {
+        for change in process.core.update(&others, process.held, self.now) {
             match change {
-                Change::Out(server) => drop(process.out.insert(server, true)),
-                Change::Back(server, _) => drop(process.out.insert(server, false)),
-                Change::Part(part) => process.part = part,
+                Change::Cordoned(server) => drop(process.out.insert(server, true)),
+                Change::Uncordoned(server, _) => drop(process.out.insert(server, false)),
+                Change::Share(part) => process.part = part,
             }
         }
         // It takes what it may.
-        process.held = process.held.max(process.part.sockets / 2).min(process.part.sockets.max(process.held));
+        process.held =
+            process.held.max(process.part.descriptors / 2).min(process.part.descriptors.max(process.held));
         self.files.insert(who, Some(process.core.record()));
     }
 
     fn word(&mut self, who: Generation, server: &str, out: bool) {
         let process = self.live.get_mut(&who).expect("it lives");
-        process.core.word(server, out, self.now);
+        process.core.set_cordon(server, out, self.now);
         process.out.insert(server.into(), out);
         self.files.insert(who, Some(process.core.record()));
     }
@@ -77,7 +80,7 @@
     }
 
     fn parts(&self) -> f64 {
-        self.live.values().map(|process| process.part.of_all).sum()
+        self.live.values().map(|process| process.part.fraction).sum()
     }
 
     fn sees(&self, who: Generation, server: &str) -> bool {
@@ -98,7 +101,7 @@
             match (chance.gen_range(0..20), one) {
                 (0, _) | (_, None) if world.live.len() < 4 => drop(world.come()),
                 (1, Some(one)) => drop(world.live.remove(&one)),
-                (2, Some(one)) => world.live.get_mut(&one).expect("it lives").core.ends(),
+                (2, Some(one)) => world.live.get_mut(&one).expect("it lives").core.begin_shutdown(),
                 (3, Some(one)) if chance.gen() => drop(world.files.insert(one, None)),
                 (3..=5, Some(one)) => {
                     // As operators do: the next word once the last has been heard, at any process.
@@ -109,7 +112,10 @@
                     if chance.gen() {
                         world.settle();
                         let core = &world.live[&one].core;
-                        assert!(core.heard(core.version()), "seed {seed}: a word that is not heard");
+                        assert!(
+                            core.is_acknowledged(core.version()),
+                            "seed {seed}: a word that is not heard"
+                        );
                     }
                 }
                 (_, Some(one)) => world.look(one),
@@ -157,23 +163,23 @@
     world.look(old);
     let new = world.come();
     world.look(new);
-    assert_eq!((world.live[&old].part.of_all, world.live[&new].part.of_all), (1.0, 0.0));
-    assert!(!world.live[&new].core.settled());
+    assert_eq!((world.live[&old].part.fraction, world.live[&new].part.fraction), (1.0, 0.0));
+    assert!(!world.live[&new].core.is_settled());
     world.look(old);
-    assert_eq!((world.live[&old].part.of_all, world.live[&new].part.of_all), (0.5, 0.0));
+    assert_eq!((world.live[&old].part.fraction, world.live[&new].part.fraction), (0.5, 0.0));
     world.look(new);
-    assert_eq!((world.live[&new].part.of_all, world.live[&new].part.sockets), (0.5, SOCKETS / 2));
+    assert_eq!((world.live[&new].part.fraction, world.live[&new].part.descriptors), (0.5, SOCKETS / 2));
     // The old one ends: what it does not hold any more is the new one's, and all of it once it is gone.
     world.live.get_mut(&old).expect("it lives").held = 30;
-    world.live.get_mut(&old).expect("it lives").core.ends();
+    world.live.get_mut(&old).expect("it lives").core.begin_shutdown();
     world.look(old);
     world.look(new);
-    let [ends, comes] = [old, new].map(|who| world.live[&who].part.sockets);
+    let [ends, comes] = [old, new].map(|who| world.live[&who].part.descriptors);
     assert!(ends + comes <= SOCKETS && comes > SOCKETS * 3 / 4, "{ends} and {comes}");
     world.live.remove(&old);
     world.look(new);
     let part = world.live[&new].part;
-    assert_eq!((part.of_all, part.processes, part.sockets), (1.0, 1, SOCKETS));
+    assert_eq!((part.fraction, part.processes, part.descriptors), (1.0, 1, SOCKETS));
 }
 
 #[test]
@@ -183,8 +189,8 @@
     world.files.insert(old, None);
     let new = world.come();
     world.look(new);
-    assert_eq!(world.live[&new].part.of_all, 0.0);
+    assert_eq!(world.live[&new].part.fraction, 0.0);
     world.live.remove(&old);
     world.look(new);
-    assert_eq!(world.live[&new].part.of_all, 1.0);
+    assert_eq!(world.live[&new].part.fraction, 1.0);
 }
--- a/crates/hot-restart/tests/shell.rs
+++ b/crates/hot-restart/tests/shell.rs
@@ -3,12 +3,12 @@
 use std::fs;
 use std::path::Path;
 
-use fernscale_hot_restart::core::{Handover, Record};
-use fernscale_hot_restart::shell::Shell;
+use fernscale_hot_restart::directory::RecordDirectory;
+use fernscale_hot_restart::state::{HotRestart, ProcessRecord};
 
-fn record(server: &str) -> Record {
-    let mut core = Handover::new(1, 100);
-    core.word(server, true, 7);
+fn record(server: &str) -> ProcessRecord {
+    let mut core = HotRestart::new(1, 100);
+    core.set_cordon(server, true, 7);
     core.record()
 }
 
@@ -24,19 +24,19 @@
 #[test]
 fn what_one_writes_the_other_reads_and_a_lock_ends_with_its_process() {
     let shared = tempfile::tempdir().expect("a folder");
-    let old = Shell::open(shared.path()).expect("opened");
-    let new = Shell::open(shared.path()).expect("opened");
-    assert!(new.me() > old.me());
+    let old = RecordDirectory::open(shared.path()).expect("opened");
+    let new = RecordDirectory::open(shared.path()).expect("opened");
+    assert!(new.generation() > old.generation());
     old.write(&record("s0")).expect("written");
     let (others, errors) = new.read();
     assert!(errors.is_empty());
     assert_eq!(others.len(), 1);
-    assert!(others[0].lives && others[0].generation == old.me());
+    assert!(others[0].is_alive && others[0].generation == old.generation());
     assert_eq!(others[0].record, Some(record("s0")));
-    let gone = old.me();
+    let gone = old.generation();
     drop(old);
     let (others, _) = new.read();
-    assert!(!others[0].lives && others[0].record.is_some());
+    assert!(!others[0].is_alive && others[0].record.is_some());
     new.clear(gone);
     assert!(new.read().0.is_empty());
 }
@@ -44,14 +44,14 @@
 #[test]
 fn leftovers_cut_short_or_spoilt_are_refused_whole_and_named() {
     let shared = tempfile::tempdir().expect("a folder");
-    let dead = Shell::open(shared.path()).expect("opened");
+    let dead = RecordDirectory::open(shared.path()).expect("opened");
     dead.write(&record("s0")).expect("written");
     drop(dead);
     let file =
         left(shared.path()).into_iter().find(|file| file.extension().is_some_and(|kind| kind == "json"));
     let file = file.expect("a record");
     let good = fs::read(&file).expect("read");
-    let new = Shell::open(shared.path()).expect("opened");
+    let new = RecordDirectory::open(shared.path()).expect("opened");
     let cuts = (0..good.len() - 1).map(|length| good[..length].to_vec());
     let flips = (0..good.len() - 1).map(|at| {
         let mut bytes = good.clone();
@@ -77,6 +77,6 @@
     let shared = tempfile::tempdir().expect("a folder");
     let file = shared.path().join("file");
     fs::write(&file, "x").expect("written");
-    let error = Shell::open(&file).expect_err("no folder");
+    let error = RecordDirectory::open(&file).expect_err("no folder");
     assert!(error.to_string().contains("fernscale"), "{error}");
 }
--- a/crates/lab/src/live/ask.rs
+++ b/crates/lab/src/live/ask.rs
@@ -5,7 +5,7 @@
 
 use fernscale_membership::packet::{MemberState, StreamMessage as Said};
 use fernscale_membership::seal::{Key, Sealer};
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use futures_lite::future;
 
 use super::stream::Stream;
--- a/crates/lab/src/mesh.rs
+++ b/crates/lab/src/mesh.rs
@@ -7,7 +7,7 @@
 
 use fernscale_membership::node::{Config, Event, Node, Output};
 use fernscale_membership::packet::{FullState, MemberState, Packet, Peer};
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
--- a/crates/lab/src/signals.rs
+++ b/crates/lab/src/signals.rs
@@ -5,7 +5,7 @@
 
 use fernscale_outlier_detection::signals::{Me, Met, Server, Signals};
 use fernscale_outlier_detection::{Level, Note, Word};
-use fernscale_shared_counter::rumour::Live;
+use fernscale_shared_counter::gossip::LivePeer;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
@@ -29,7 +29,7 @@
 pub struct Fleet {
     pub now: Micros,
     pub signals: Vec<Signals>,
-    pub names: Vec<Live>,
+    pub names: Vec<LivePeer>,
     pub servers: Vec<Server>,
     /// How each gateway meets each server.
     pub does: Box<dyn Fn(Micros, usize, usize) -> Does>,
@@ -64,7 +64,7 @@
         Fleet {
             now: SECOND,
             signals: (0..gateways).map(|at| Signals::new(me(at), at as u64, SECOND)).collect(),
-            names: (0..gateways).map(|at| Live { name: me(at).name, run: me(at).run }).collect(),
+            names: (0..gateways).map(|at| LivePeer { name: me(at).name, instance: me(at).run }).collect(),
             servers: (0..servers).map(server).collect(),
             does: Box::new(|_, _, _| Does::Well),
             rate: 30.0,
@@ -136,7 +136,7 @@
             }
             self.signals[at].met(self.now, &name, 0, end);
         }
-        let live: Vec<Live> = (0..self.names.len())
+        let live: Vec<LivePeer> = (0..self.names.len())
             .filter(|other| *other != at)
             .map(|other| self.names[other].clone())
             .collect();
@@ -156,7 +156,7 @@
         if self.liars.contains(&at) {
             self.versions += 1;
             let word = Word {
-                run: self.names[at].run,
+                run: self.names[at].instance,
                 server: format!("box-{}", self.chance.gen_range(0..self.servers.len())),
                 started: 0,
                 version: self.versions,
@@ -165,7 +165,7 @@
                 speaks_for: 40,
             };
             let to = self.names[self.chance.gen_range(0..self.names.len())].name.clone();
-            notes = vec![(to, Note::Words(vec![word]))];
+            notes = vec![(to, Note::Reports(vec![word]))];
         }
         for (to, note) in notes {
             let to = to.trim_start_matches("gateway-").parse().unwrap_or(0);
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use fernscale_store::files::Folder;
+use fernscale_store::files::DiskDirectory;
 use fernscale_store::{Batch, Durability, Options, Store};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,15 +28,16 @@
 }
 
 pub fn measure(folder: &Path, keys: u64, seed: u64) -> Result<Value, fernscale_store::Error> {
-    let options = Options { memory: 1 << 36, disk: 1 << 36, ..Options::default() };
-    let files = || Folder::new(folder).map_err(|why| fernscale_store::Error::Io { what: "the folder", why });
+    let options = Options { max_index_bytes: 1 << 36, max_disk_bytes: 1 << 36, ..Options::default() };
+    let files =
+        || DiskDirectory::new(folder).map_err(|why| fernscale_store::Error::Io { what: "the folder", why });
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let before = resident_mb();
     let (mut store, _) = Store::open(files()?, options.clone(), 0)?;
     let value: [u8; VALUE] = chance.gen();
     let began = Instant::now();
     for number in 0..keys {
-        store.write(&Batch::new().put(&key(number), &value), Durability::Later, 0)?;
+        store.write(&Batch::new().put(&key(number), &value), Durability::Deferred, 0)?;
     }
     store.sync()?;
     let puts = keys as f64 / began.elapsed().as_secs_f64();
@@ -44,7 +45,7 @@
     let began = Instant::now();
     for _ in 0..SYNCED {
         let number = chance.gen_range(0..keys);
-        store.write(&Batch::new().put(&key(number), &value), Durability::Now, 0)?;
+        store.write(&Batch::new().put(&key(number), &value), Durability::Immediate, 0)?;
     }
     let synced = SYNCED as f64 / began.elapsed().as_secs_f64();
     let began = Instant::now();
@@ -58,9 +59,9 @@
     let recovery = began.elapsed().as_secs_f64();
     // Most are replaced, some are not: the oldest segments have both.
     for number in (0..keys).filter(|number| number % 4 != 0) {
-        store.write(&Batch::new().put(&key(number), &value), Durability::Later, 0)?;
+        store.write(&Batch::new().put(&key(number), &value), Durability::Deferred, 0)?;
     }
-    let (full, mut longest, mut slices) = (store.on_disk(), 0.0f64, 0);
+    let (full, mut longest, mut slices) = (store.disk_bytes(), 0.0f64, 0);
     let began = Instant::now();
     loop {
         let slice = Instant::now();
@@ -73,7 +74,7 @@
     Ok(json!({
         "keys": keys, "value_bytes": VALUE, "puts_a_second": puts, "durable_puts_a_second": synced, "read_us": read,
         "memory_a_key": memory, "recovery_s": recovery, "recovered_keys": report.keys, "full_bytes": full,
-        "compacted_bytes": store.on_disk(), "compaction_s": began.elapsed().as_secs_f64(), "slices": slices,
+        "compacted_bytes": store.disk_bytes(), "compaction_s": began.elapsed().as_secs_f64(), "slices": slices,
         "longest_slice_ms": longest * 1000.0,
     }))
 }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -10,7 +10,7 @@
 use fernscale_membership::node::{Config, Node, Output};
 use fernscale_membership::packet::{MemberState, PacketBody, Peer};
 use fernscale_membership::payload::{Channel, SendError, MAX_DATAGRAM_PAYLOAD};
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 
 /// Whoever adds the first one to a term's name has the lock of that term.
 fn locks(counter: &mut Counter, now: Micros, term: u64) -> bool {
--- a/crates/lab/tests/mesh.rs
+++ b/crates/lab/tests/mesh.rs
@@ -5,7 +5,7 @@
 use fernscale_membership::node::Event;
 use fernscale_membership::packet::{Packet, PacketBody, Peer};
 use fernscale_membership::seal::{Key, OpenError, Sealer};
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -64,7 +64,7 @@
         assert!(totals.windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}, {name}: {totals:?}");
         let Some(node) = mesh.node(0) else { continue };
         for ((count, instance), truth) in mesh.truth.iter().filter(|((count, _), _)| count == name) {
-            let known = node.counters().part(count, *instance).map(|part| part.net());
+            let known = node.counters().contribution(count, *instance).map(|part| part.net());
             let runs = (0..mesh.count())
                 .filter_map(|at| mesh.node(at))
                 .any(|node| node.local().instance == *instance);
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fernscale_shared_counter::vectors::{Change, Instance, Vectors, LONGEST_NAME};
+use fernscale_shared_counter::pn_counter::{Change, Instance, PnCounters, MAX_NAME_BYTES};
 use fernscale_shared_counter::{Micros, MILLISECOND, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -71,7 +71,7 @@
 /// Pings for others that are under way.
 const MOST_RELAYED: usize = 256;
 /// Sums that are told at once: each takes its name and less than twenty bytes.
-const MOST_SUMS: usize = MAX_STREAM_BYTES / (LONGEST_NAME + 20);
+const MOST_SUMS: usize = MAX_STREAM_BYTES / (MAX_NAME_BYTES + 20);
 /// Bytes of a datagram that its seal and head take; the rest is for what rides along.
 const HEAD: usize = 220;
 
@@ -191,7 +191,7 @@
     next_number: u64,
     /// Members of whom there is news, and how often it is still to be told.
     news: BTreeMap<Instance, u32>,
-    counters: Vectors,
+    counters: PnCounters,
     dirty: BTreeMap<PartKey, Dirty>,
     orders: u64,
     /// Changes whose tellings may have been lost.
@@ -223,7 +223,7 @@
             relayed: BTreeMap::new(),
             next_number: 0,
             news: BTreeMap::new(),
-            counters: Vectors::new(MOST_COUNTS),
+            counters: PnCounters::new(MOST_COUNTS),
             dirty: BTreeMap::new(),
             orders: 0,
             recent: RecentChanges::default(),
@@ -280,14 +280,14 @@
         self.counters.total(now, count)
     }
 
-    pub fn counters(&self) -> &Vectors {
+    pub fn counters(&self) -> &PnCounters {
         &self.counters
     }
 
     /// The totals of all counts that live, in the order of their names; as many as go over a stream with certainty.
     pub fn counter_totals(&self, now: Micros) -> Vec<CounterTotal> {
         let mut sums: Vec<CounterTotal> = Vec::new();
-        for (name, left, _, part) in self.counters.all(now) {
+        for (name, left, _, part) in self.counters.entries(now) {
             let room = sums.len() < MOST_SUMS;
             match sums.last_mut() {
                 Some(sum) if *sum.key == **name => sum.total += part.net(),
@@ -305,18 +305,18 @@
         sums
     }
 
-    fn tell(&mut self, Change { name, fresh }: Change, of: Instance) {
+    fn tell(&mut self, Change { name, is_new: fresh }: Change, of: Instance) {
         // What changes all the time is told anew before it could be told often.
         let left = match (fresh, of == self.local.instance) {
             (true, _) => self.tellings(),
             (false, true) => CHANGED,
             (false, false) => RELAYED,
         };
-        self.tell_times(Change { name, fresh }, of, left);
+        self.tell_times(Change { name, is_new: fresh }, of, left);
     }
 
     /// Tells a part so many times, and those that are still owed of it before.
-    fn tell_times(&mut self, Change { name, fresh }: Change, of: Instance, left: u32) {
+    fn tell_times(&mut self, Change { name, is_new: fresh }: Change, of: Instance, left: u32) {
         self.orders += 1;
         let order = self.orders;
         if self.dirty.len() >= MOST_DIRTY && !self.dirty.contains_key(&(name.clone(), of)) {
@@ -341,8 +341,8 @@
                 // Nobody knows better what was added here.
                 continue;
             }
-            if let Some(change) = self.counters.join(now, &count, of, part, life) {
-                if change.fresh {
+            if let Some(change) = self.counters.merge(now, &count, of, part, life) {
+                if change.is_new {
                     self.tell_newcomer(now, &change.name);
                 }
                 self.tell(change, of);
@@ -354,12 +354,12 @@
     /// parts of those who can't tell it themselves. Danger: whoever starts again would go by less than the total.
     fn tell_newcomer(&mut self, now: Micros, count: &Arc<str>) {
         let me = self.local.instance;
-        if self.counters.part(count, me).is_none() {
+        if self.counters.contribution(count, me).is_none() {
             return;
         }
         let live =
             |of: &Instance| self.members.get(of).is_some_and(|member| member.state <= MemberState::Suspect);
-        let silent: Vec<_> = self.counters.holders(count).filter(|of| !live(of)).collect();
+        let silent: Vec<_> = self.counters.contributors(count).filter(|of| !live(of)).collect();
         for of in silent {
             self.tell_holders(now, count.clone(), of);
         }
@@ -374,7 +374,7 @@
 
     /// A part is told so many times to all who have one of that count.
     fn tell_directly(&mut self, part: &PartKey, times: u32) {
-        self.tell_times(Change { name: part.0.clone(), fresh: false }, part.1, times);
+        self.tell_times(Change { name: part.0.clone(), is_new: false }, part.1, times);
         if let Some(dirty) = self.dirty.get_mut(part) {
             dirty.direct = true;
         }
@@ -383,7 +383,7 @@
     /// What changed in a time in which a member may have heard nothing is told again to those who share a count with it.
     /// Danger: a part that does not change any more is else lost to it until all that is known is compared.
     fn tell_returned(&mut self, returned: Instance, from: Micros) {
-        let shared = |part: &&PartKey| self.counters.part(&part.0, returned).is_some();
+        let shared = |part: &&PartKey| self.counters.contribution(&part.0, returned).is_some();
         let missed: Vec<PartKey> = self.recent.since(from).filter(shared).cloned().collect();
         missed.iter().for_each(|part| self.tell_directly(part, CHANGED));
     }
@@ -447,7 +447,7 @@
             self.suspect(now, probe.of);
         }
         self.relayed.retain(|_, relayed| relayed.until > now);
-        self.counters.sweep(now);
+        self.counters.remove_expired(now);
         self.recent.sweep(now);
         let patience = self.patience();
         let gone: Vec<_> = self
@@ -584,7 +584,7 @@
             let (mut out, mut full) = (false, false);
             if key.1 == me || dirty.direct {
                 let sharing: Vec<_> =
-                    self.counters.holders(&key.0).filter(|of| live.contains_key(of)).collect();
+                    self.counters.contributors(&key.0).filter(|of| live.contains_key(of)).collect();
                 for of in sharing {
                     let sent = direct.entry(of).or_default().push(&told, MOST_DIRECT);
                     (out, full) = (out | sent, full | !sent);
@@ -619,7 +619,7 @@
     }
 
     fn told(&self, now: Micros, (name, of): &(Arc<str>, Instance)) -> Option<CounterEntry> {
-        let (part, left) = (self.counters.part(name, *of)?, self.counters.left(now, name)?);
+        let (part, left) = (self.counters.contribution(name, *of)?, self.counters.expires_in(now, name)?);
         let left_ms = (left / MILLISECOND) as u32;
         (left_ms > 0).then(|| CounterEntry {
             key: name.to_string(),
@@ -874,9 +874,9 @@
     /// Whoever is gone can tell nothing any more: those who share a count with it tell each other what they know of its part.
     fn tell_for(&mut self, now: Micros, gone: Instance) {
         let me = self.local.instance;
-        let names: Vec<_> = self.counters.names_of(gone).collect();
+        let names: Vec<_> = self.counters.names_of_instance(gone).collect();
         for name in names {
-            if self.counters.part(&name, me).is_some() {
+            if self.counters.contribution(&name, me).is_some() {
                 self.tell_holders(now, name, gone);
             }
         }
@@ -916,7 +916,7 @@
             incarnation: member.incarnation,
             state: member.state,
         });
-        let counts = self.counters.all(now).map(|(name, left, of, part)| CounterEntry {
+        let counts = self.counters.entries(now).map(|(name, left, of, part)| CounterEntry {
             key: name.to_string(),
             instance: of,
             contribution: part,
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use fernscale_shared_counter::vectors::{Instance, Part};
+use fernscale_shared_counter::pn_counter::{Contribution, Instance};
 use serde::{Deserialize, Serialize};
 
 use crate::payload::{Channel, Payload};
@@ -44,7 +44,7 @@
 pub struct CounterEntry {
     pub key: String,
     pub instance: Instance,
-    pub contribution: Part,
+    pub contribution: Contribution,
     /// Milliseconds that the count's name still lives: clocks differ, and spans don't.
     pub expires_in_ms: u32,
 }
--- a/crates/membership/src/recent.rs
+++ b/crates/membership/src/recent.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use fernscale_shared_counter::{Micros, SECOND};
 
 /// A part that has not changed for so long is told once more: both of its tellings may be on datagrams that were lost in one
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-use fernscale_shared_counter::vectors::Instance;
+use fernscale_shared_counter::pn_counter::Instance;
 use fernscale_shared_counter::{Micros, SECOND};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -16,7 +16,7 @@
 
 use std::hash::Hasher;
 
-use fernscale_shared_counter::rumour;
+use fernscale_shared_counter::gossip;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
@@ -83,7 +83,7 @@
     pub speaks_for: u16,
 }
 
-impl rumour::Word for Word {
+impl gossip::Report for Word {
     type Key = (String, u64);
 
     fn key(&self) -> (String, u64) {
@@ -92,10 +92,10 @@
     fn version(&self) -> u64 {
         self.version.into()
     }
-    fn run(&self) -> u64 {
+    fn origin(&self) -> u64 {
         self.run
     }
-    fn sound(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         let Level { bad, slow, seen } = self.level;
         bad <= Level::WORST
             && slow <= Level::WORST
@@ -106,7 +106,7 @@
     }
 }
 
-pub type Note = rumour::Note<Word>;
+pub type Note = gossip::GossipMessage<Word>;
 
 /// The same as a fraction.
 pub(crate) fn chance(one: &str, other: &str, turn: u64) -> f64 {
--- a/crates/outlier-detection/src/signals.rs
+++ b/crates/outlier-detection/src/signals.rs
@@ -7,17 +7,17 @@
 use crate::turns;
 use crate::view::{Seen, Standing, View};
 use crate::{chance, drawn, Level, Micros, Note, Word, MILLISECOND, SECOND};
-use fernscale_shared_counter::rumour::{Live, Manner, Rumour};
+use fernscale_shared_counter::gossip::{Gossip, GossipConfig, LivePeer};
 
 /// Words go out fast, as each tenth of a second is some trips hurt at a bad server; with at most some ten words for each server
 /// of a large list that somebody speaks of.
-const MANNER: Manner = Manner {
-    turn: 100 * MILLISECOND,
-    all: 20 * SECOND,
-    at_once: 10,
-    notes: 2,
-    most: 16_384,
-    kept: 30 * SECOND,
+const MANNER: GossipConfig = GossipConfig {
+    interval: 100 * MILLISECOND,
+    full_sync_interval: 20 * SECOND,
+    reports_per_message: 10,
+    messages_per_peer: 2,
+    max_reports: 16_384,
+    retention: 30 * SECOND,
 };
 /// The share of the capacity that may be out of use by choice. Danger: gateways that eject half of the servers fell the rest.
 pub const MOST_OUT: f64 = 0.25;
@@ -97,7 +97,7 @@
 
 pub struct Signals {
     me: Me,
-    rumour: Rumour<Word>,
+    rumour: Gossip<Word>,
     version: u32,
     usual: Usual,
     own: BTreeMap<String, Own>,
@@ -114,7 +114,7 @@
     barred: BTreeSet<String>,
     servers: Vec<Server>,
     zones: BTreeMap<u64, String>,
-    live: Vec<Live>,
+    live: Vec<LivePeer>,
     /// Gateways that use a server, in the mean.
     observers: f64,
 }
@@ -130,7 +130,7 @@
 impl Signals {
     pub fn new(me: Me, seed: u64, now: Micros) -> Self {
         Signals {
-            rumour: Rumour::new(me.run, MANNER, seed, now),
+            rumour: Gossip::new(me.run, MANNER, seed, now),
             me,
             version: 0,
             usual: Usual::default(),
@@ -184,10 +184,10 @@
 
     /// A note has come from the gateway of a name.
     pub fn came(&mut self, now: Micros, from: &str, note: Note, observers: f64) {
-        let new = self.rumour.came(now, from, note);
+        let new = self.rumour.handle_message(now, from, note);
         self.observers = observers.max(1.0);
         for key in new {
-            if self.rumour.word(&key).is_some_and(|word| word.level.is_bad()) {
+            if self.rumour.report(&key).is_some_and(|word| word.level.is_bad()) {
                 self.accuse(now, &key.0);
             }
             self.heard.insert(key, now);
@@ -249,25 +249,31 @@
             speaks_for: if level.is_bad() { 1 } else { asked.unwrap_or(1).max(1) },
         };
         self.heard.insert((server.into(), self.me.run), now);
-        self.rumour.says(now, word);
-        self.rumour.hurries(now);
+        self.rumour.publish(now, word);
+        self.rumour.hurry(now);
     }
 
     /// When `tick` is to be called next.
     pub fn due(&self) -> Micros {
-        self.rumour.due()
+        self.rumour.next_deadline()
     }
 
     /// The next note that is to be sent, and to whom.
     pub fn take(&mut self) -> Option<(String, Note)> {
-        self.rumour.take()
+        self.rumour.poll_message()
     }
 
     /// Looks at everything anew. `live`: the others that the mesh takes for live; `shared`: the time of the clock that all share.
     /// What is to change for the module.
-    pub fn tick(&mut self, now: Micros, shared: Micros, live: &[Live], servers: Vec<Server>) -> Vec<Change> {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        shared: Micros,
+        live: &[LivePeer],
+        servers: Vec<Server>,
+    ) -> Vec<Change> {
         self.live = live.to_vec();
-        self.rumour.tick(now, live);
+        self.rumour.handle_timeout(now, live);
         for server in &servers {
             let own = self.own.entry(server.name.clone()).or_default();
             if own.started != server.started {
@@ -297,7 +303,7 @@
     /// What speaks against servers and for them, by the words that count now: of live runs, about servers as they started last.
     /// `near`: of the own zone's gateways alone.
     fn cases(&self, now: Micros, near: bool) -> BTreeMap<String, Case> {
-        let live: BTreeSet<u64> = self.live.iter().map(|live| live.run).chain([self.me.run]).collect();
+        let live: BTreeSet<u64> = self.live.iter().map(|live| live.instance).chain([self.me.run]).collect();
         let started: BTreeMap<&str, u64> =
             self.servers.iter().map(|server| (&*server.name, server.started)).collect();
         let counts = |word: &&Word| {
@@ -306,7 +312,7 @@
                 && started.get(&*word.server).is_some_and(|own| word.started >= *own)
         };
         let mut words: Vec<Heard> = Vec::new();
-        for word in self.rumour.words().filter(counts) {
+        for word in self.rumour.reports().filter(counts) {
             let at = self.heard.get(&rumour_key(word)).copied().unwrap_or(0);
             let age = now.saturating_sub(at);
             // Of one that was left only counts what was met since.
@@ -322,7 +328,7 @@
     }
 
     fn judge(&mut self, now: Micros) {
-        self.zones = self.rumour.words().map(|word| (word.run, word.zone.clone())).collect();
+        self.zones = self.rumour.reports().map(|word| (word.run, word.zone.clone())).collect();
         let (for_all, for_zone) = (self.cases(now, false), self.cases(now, true));
         let alone = self.me.zone.is_empty();
         // Who is bad, and how surely; worst first.
@@ -408,7 +414,7 @@
         }
         let spoken: BTreeSet<&String> = for_all.keys().collect();
         self.accused.retain(|name, since| spoken.contains(name) || now < *since + CONTEST);
-        let known: BTreeSet<(String, u64)> = self.rumour.words().map(rumour_key).collect();
+        let known: BTreeSet<(String, u64)> = self.rumour.reports().map(rumour_key).collect();
         self.heard.retain(|key, _| known.contains(key));
     }
 
@@ -416,8 +422,11 @@
     fn try_some(&mut self, now: Micros, shared: Micros) {
         let (began, number) = turns::turn(shared);
         let names: Vec<&str> = self.live.iter().map(|live| &*live.name).collect();
-        let zones: BTreeMap<&str, &str> =
-            self.live.iter().filter_map(|live| Some((&*live.name, &**self.zones.get(&live.run)?))).collect();
+        let zones: BTreeMap<&str, &str> = self
+            .live
+            .iter()
+            .filter_map(|live| Some((&*live.name, &**self.zones.get(&live.instance)?)))
+            .collect();
         let mut tries = BTreeSet::new();
         for server in &self.servers {
             let Some(_) = self.out.get(&server.name) else { continue };
--- a/crates/shared-counter/src/lib.rs
+++ b/crates/shared-counter/src/lib.rs
@@ -2,13 +2,13 @@
 //! and from what other gateways tell of theirs. It does no I/O and has no clock; times are whole microseconds of the
 //! caller's one clock, amounts are units as the decision module weighs them.
 //!
-//! `vectors` holds what each gateway has added, as mergeable state. `tally` stands between the decision module and the
+//! `pn_counter` holds what each gateway has added, as mergeable state. `monitor` stands between the decision module and the
 //! counter: it sees every call and every answer, tells a good counter from one that is lost, emptied or apart, and
-//! answers with the best total there is. `rumour` has words of any kind heard by everybody.
+//! answers with the best total there is. `gossip` has words of any kind heard by everybody.
 
-pub mod rumour;
-pub mod tally;
-pub mod vectors;
+pub mod gossip;
+pub mod monitor;
+pub mod pn_counter;
 
 /// Whole microseconds.
 pub type Micros = u64;
--- a/crates/shared-counter/src/tally.rs
+++ b/crates/shared-counter/src/monitor.rs
@@ -41,66 +41,66 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum CallOutcome {
     Total(f64),
     /// Surely not added.
-    Never,
+    NotApplied,
     /// Perhaps added, or yet to be.
-    Maybe,
+    Unknown,
 }
 
 /// What to do with an amount.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum AddStep {
     /// Ask the counter to add this much: the amount, and what it lacks of earlier ones.
-    Call(f64),
+    Forward(f64),
     /// The counter is lost; this is the total.
-    Known(f64),
+    Reply(f64),
 }
 
 /// What the module is to hear.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+pub enum CounterReply {
     Total(f64),
     /// Not added, and not kept: so much is to be taken back wherever else it was told.
-    Never(f64),
-    Maybe,
+    NotApplied(f64),
+    Unknown,
 }
 
 /// What the mesh knows of a count.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mesh {
+pub struct GossipTotal {
     pub total: f64,
     /// All configured gateways are in it. Those that were seen once are not enough: a partition would double a quota.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// How the counter stands, as far as the answers tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    Good,
+pub enum CounterHealth {
+    Healthy,
     /// Answers take several times what the quickest took.
     Slow,
     /// No answer comes.
     Lost,
     /// It has lost what was added, or is another that starts empty.
-    Emptied,
+    Reset,
     /// Its totals lack even what it has just been told: they are from some time ago.
-    Old,
+    Stale,
     /// It knows much less than all gateways together have added: others use another one.
-    Apart,
+    Partitioned,
 }
 
-impl Standing {
+impl CounterHealth {
     /// The word by which logs and operators are told.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Good => "good",
-            Standing::Slow => "slow",
-            Standing::Lost => "lost",
-            Standing::Emptied => "emptied",
-            Standing::Old => "old",
-            Standing::Apart => "apart",
+            CounterHealth::Healthy => "good",
+            CounterHealth::Slow => "slow",
+            CounterHealth::Lost => "lost",
+            CounterHealth::Reset => "emptied",
+            CounterHealth::Stale => "old",
+            CounterHealth::Partitioned => "apart",
         }
     }
 }
@@ -146,10 +146,10 @@
     much: bool,
 }
 
-pub struct Tally {
+pub struct CounterMonitor {
     counts: BTreeMap<Arc<str>, Count>,
     ends: BTreeMap<(Micros, Arc<str>), ()>,
-    standing: Standing,
+    health: CounterHealth,
     /// Calls in vain since the last answer, when that came, and when the counter was last asked while lost.
     vain: u32,
     answered: Micros,
@@ -164,12 +164,12 @@
     doubts: VecDeque<(Micros, Arc<str>)>,
 }
 
-impl Tally {
+impl CounterMonitor {
     pub fn new(now: Micros) -> Self {
-        Tally {
+        CounterMonitor {
             counts: BTreeMap::new(),
             ends: BTreeMap::new(),
-            standing: Standing::Good,
+            health: CounterHealth::Healthy,
             vain: 0,
             answered: now,
             asked: 0,
@@ -181,8 +181,8 @@
         }
     }
 
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn health(&self) -> CounterHealth {
+        self.health
     }
 
     pub fn len(&self) -> usize {
@@ -202,24 +202,31 @@
     }
 
     /// The module adds an amount to a count.
-    pub fn add(&mut self, now: Micros, name: &str, amount: f64, life: Micros, mesh: Option<Mesh>) -> Step {
+    pub fn add(
+        &mut self,
+        now: Micros,
+        name: &str,
+        amount: f64,
+        life: Micros,
+        mesh: Option<GossipTotal>,
+    ) -> AddStep {
         self.sweep(now);
-        let (standing, asked) = (self.standing, self.asked);
-        let Some(count) = self.count(now, name, life) else { return Step::Call(amount) };
-        if let Some(mesh) = mesh.filter(|mesh| mesh.whole && standing == Standing::Lost) {
+        let (standing, asked) = (self.health, self.asked);
+        let Some(count) = self.count(now, name, life) else { return AddStep::Forward(amount) };
+        if let Some(mesh) = mesh.filter(|mesh| mesh.is_complete && standing == CounterHealth::Lost) {
             if now < asked + ASK {
                 // It is kept here and told to the others; the counter hears of it when it is back.
                 count.kept += amount;
-                return Step::Known(mesh.total);
+                return AddStep::Reply(mesh.total);
             }
             self.asked = now;
         }
-        let Some(count) = self.counts.get_mut(name) else { return Step::Call(amount) };
+        let Some(count) = self.counts.get_mut(name) else { return AddStep::Forward(amount) };
         // While a doubt stands nothing is told anew on the strength of it.
         let anew = if count.doubt.is_none() { count.lacking() } else { 0.0 };
         count.kept += amount;
         count.out.push_back((amount + anew, amount));
-        Step::Call(amount + anew)
+        AddStep::Forward(amount + anew)
     }
 
     fn count(&mut self, now: Micros, name: &str, life: Micros) -> Option<&mut Count> {
@@ -245,75 +252,87 @@
     }
 
     /// A call has ended, so long after it was made. Calls of one count end in their order.
-    pub fn counted(&mut self, now: Micros, name: &str, end: End, took: Micros, mesh: Option<Mesh>) -> Told {
+    pub fn call_completed(
+        &mut self,
+        now: Micros,
+        name: &str,
+        end: CallOutcome,
+        took: Micros,
+        mesh: Option<GossipTotal>,
+    ) -> CounterReply {
         let amount =
             self.counts.get(name).and_then(|count| count.out.front()).map_or(0.0, |(amount, _)| *amount);
         self.heard(now, end, took, amount, mesh);
-        let whole = mesh.filter(|mesh| mesh.whole);
+        let whole = mesh.filter(|mesh| mesh.is_complete);
         let known = self.counts.get_mut(name).and_then(|count| count.out.pop_front().map(|out| (count, out)));
         let Some((count, (amount, own))) = known else {
             return match (end, whole) {
-                (End::Total(total), _) => Told::Total(total.max(mesh.map_or(total, |mesh| mesh.total))),
-                (_, Some(mesh)) => Told::Total(mesh.total),
-                (End::Never, None) => Told::Never(0.0),
-                (End::Maybe, None) => Told::Maybe,
+                (CallOutcome::Total(total), _) => {
+                    CounterReply::Total(total.max(mesh.map_or(total, |mesh| mesh.total)))
+                }
+                (_, Some(mesh)) => CounterReply::Total(mesh.total),
+                (CallOutcome::NotApplied, None) => CounterReply::NotApplied(0.0),
+                (CallOutcome::Unknown, None) => CounterReply::Unknown,
             };
         };
         match (end, whole) {
-            (End::Total(total), _) => {
+            (CallOutcome::Total(total), _) => {
                 count.inside += amount;
                 let total = self.lost_some(now, name, total, amount);
-                Told::Total(mesh.map_or(total, |mesh| total.max(mesh.total)))
+                CounterReply::Total(mesh.map_or(total, |mesh| total.max(mesh.total)))
             }
-            (End::Never, Some(mesh)) => Told::Total(mesh.total),
-            (End::Never, None) => {
+            (CallOutcome::NotApplied, Some(mesh)) => CounterReply::Total(mesh.total),
+            (CallOutcome::NotApplied, None) => {
                 // The module takes it for not added, and will add it again.
                 count.kept -= own;
-                Told::Never(own)
+                CounterReply::NotApplied(own)
             }
-            (End::Maybe, whole) => {
+            (CallOutcome::Unknown, whole) => {
                 count.perhaps += amount;
-                whole.map_or(Told::Maybe, |mesh| Told::Total(mesh.total))
+                whole.map_or(CounterReply::Unknown, |mesh| CounterReply::Total(mesh.total))
             }
         }
     }
 
     /// What the end of a call says of the counter.
-    fn heard(&mut self, now: Micros, end: End, took: Micros, amount: f64, mesh: Option<Mesh>) {
-        let End::Total(total) = end else {
+    fn heard(&mut self, now: Micros, end: CallOutcome, took: Micros, amount: f64, mesh: Option<GossipTotal>) {
+        let CallOutcome::Total(total) = end else {
             self.vain += 1;
-            if self.vain >= VAIN && now >= self.answered + WITHOUT && self.standing != Standing::Lost {
-                (self.standing, self.asked) = (Standing::Lost, now);
+            if self.vain >= VAIN && now >= self.answered + WITHOUT && self.health != CounterHealth::Lost {
+                (self.health, self.asked) = (CounterHealth::Lost, now);
             }
             return;
         };
-        if self.standing == Standing::Lost {
-            self.standing = Standing::Good;
+        if self.health == CounterHealth::Lost {
+            self.health = CounterHealth::Healthy;
         }
         (self.vain, self.answered) = (0, now);
         self.quickest = self.quickest.min(took.max(1));
         self.mean += NEWEST * (took as f64 - self.mean);
         self.old = if total + EXACT * amount.abs() < amount { self.old + 1 } else { 0 };
         let slow = self.mean > SLOW * self.quickest as f64 && self.mean > LEAST_SLOW as f64;
-        match self.standing {
-            Standing::Good | Standing::Slow if self.old >= OLD => self.standing = Standing::Old,
-            Standing::Old if self.old == 0 => self.standing = Standing::Good,
-            Standing::Good if slow => self.standing = Standing::Slow,
-            Standing::Slow if !slow => self.standing = Standing::Good,
+        match self.health {
+            CounterHealth::Healthy | CounterHealth::Slow if self.old >= OLD => {
+                self.health = CounterHealth::Stale
+            }
+            CounterHealth::Stale if self.old == 0 => self.health = CounterHealth::Healthy,
+            CounterHealth::Healthy if slow => self.health = CounterHealth::Slow,
+            CounterHealth::Slow if !slow => self.health = CounterHealth::Healthy,
             // What came after it was emptied has been answered: it is as good as any.
-            Standing::Emptied if self.counts.values().all(|count| count.doubt.is_none()) => {
-                self.standing = Standing::Good
+            CounterHealth::Reset if self.counts.values().all(|count| count.doubt.is_none()) => {
+                self.health = CounterHealth::Healthy
             }
             _ => {}
         }
-        let less = mesh.is_some_and(|mesh| mesh.whole && mesh.total > 0.0 && total < APART_PART * mesh.total);
+        let less =
+            mesh.is_some_and(|mesh| mesh.is_complete && mesh.total > 0.0 && total < APART_PART * mesh.total);
         if !less {
             self.less = None;
-            if self.standing == Standing::Apart {
-                self.standing = Standing::Good;
+            if self.health == CounterHealth::Partitioned {
+                self.health = CounterHealth::Healthy;
             }
         } else if now >= *self.less.get_or_insert(now) + APART {
-            self.standing = Standing::Apart;
+            self.health = CounterHealth::Partitioned;
         }
     }
 
@@ -364,7 +383,7 @@
         let (inside, perhaps) = count.sound;
         (count.inside, count.perhaps) = (count.inside - inside, count.perhaps - perhaps);
         (count.sound, count.doubt, count.highest) = ((count.inside, count.perhaps), None, total);
-        self.standing = Standing::Emptied;
+        self.health = CounterHealth::Reset;
         total + count.lacking().max(0.0)
     }
 }
--- a/crates/shared-counter/src/vectors.rs
+++ b/crates/shared-counter/src/pn_counter.rs
@@ -14,34 +14,34 @@
 
 /// What one instance has added to one count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Part {
-    pub plus: f64,
-    pub minus: f64,
+pub struct Contribution {
+    pub increments: f64,
+    pub decrements: f64,
 }
 
-impl Part {
+impl Contribution {
     pub fn net(&self) -> f64 {
-        self.plus - self.minus
+        self.increments - self.decrements
     }
 
     fn add(&mut self, amount: f64) {
         if amount >= 0.0 {
-            self.plus += amount
+            self.increments += amount
         } else {
-            self.minus -= amount
+            self.decrements -= amount
         }
     }
 
     /// Takes the larger of each, and says whether that changed anything.
-    fn join(&mut self, other: Part) -> bool {
+    fn join(&mut self, other: Contribution) -> bool {
         let before = *self;
-        self.plus = self.plus.max(other.plus);
-        self.minus = self.minus.max(other.minus);
+        self.increments = self.increments.max(other.increments);
+        self.decrements = self.decrements.max(other.decrements);
         *self != before
     }
 
     fn sound(&self) -> bool {
-        [self.plus, self.minus].iter().all(|sum| (0.0..=LARGEST).contains(sum))
+        [self.increments, self.decrements].iter().all(|sum| (0.0..=LARGEST).contains(sum))
     }
 }
 
@@ -50,12 +50,12 @@
 /// Instances that may have parts in one count. Each start of a gateway is one; more in a minute than this are no fleet.
 const MOST_PARTS: usize = 4_096;
 /// Bytes of a name, as of the counter.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, Debug)]
 struct Count {
     ends: Micros,
-    parts: BTreeMap<Instance, Part>,
+    parts: BTreeMap<Instance, Contribution>,
 }
 
 /// A part that is another one now, by the name as it is kept.
@@ -63,21 +63,21 @@
 pub struct Change {
     pub name: Arc<str>,
     /// Nothing was known of this instance's part before.
-    pub fresh: bool,
+    pub is_new: bool,
 }
 
 /// The counts that are known, up to a bound: at it, a new one is not taken, and nothing is known of it here.
 #[derive(Clone, Debug)]
-pub struct Vectors {
+pub struct PnCounters {
     counts: BTreeMap<Arc<str>, Count>,
     /// Names by when they end.
     ends: BTreeMap<(Micros, Arc<str>), ()>,
     most: usize,
 }
 
-impl Vectors {
+impl PnCounters {
     pub fn new(most: usize) -> Self {
-        Vectors { counts: BTreeMap::new(), ends: BTreeMap::new(), most }
+        PnCounters { counts: BTreeMap::new(), ends: BTreeMap::new(), most }
     }
 
     pub fn len(&self) -> usize {
@@ -89,7 +89,7 @@
     }
 
     /// Forgets what has ended.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn remove_expired(&mut self, now: Micros) {
         while let Some(((ends, _), ())) = self.ends.first_key_value() {
             if *ends > now {
                 return;
@@ -101,9 +101,9 @@
     }
 
     fn count(&mut self, now: Micros, name: &str, life: Micros) -> Option<(Arc<str>, &mut Count)> {
-        self.sweep(now);
+        self.remove_expired(now);
         if !self.counts.contains_key(name) {
-            if self.counts.len() >= self.most || name.len() > LONGEST_NAME || name.is_empty() || life == 0 {
+            if self.counts.len() >= self.most || name.len() > MAX_NAME_BYTES || name.is_empty() || life == 0 {
                 return None;
             }
             let (name, ends): (Arc<str>, _) = (name.into(), now.saturating_add(life));
@@ -129,16 +129,16 @@
         let (name, count) = self.count(now, name, life)?;
         let fresh = !count.parts.contains_key(&own);
         count.parts.entry(own).or_default().add(amount);
-        Some(Change { name, fresh })
+        Some(Change { name, is_new: fresh })
     }
 
     /// Merges what was told of an instance's part, and says what that changed, if anything.
-    pub fn join(
+    pub fn merge(
         &mut self,
         now: Micros,
         name: &str,
         of: Instance,
-        part: Part,
+        part: Contribution,
         life: Micros,
     ) -> Option<Change> {
         if !part.sound() {
@@ -149,20 +149,20 @@
         if count.parts.len() >= MOST_PARTS && fresh {
             return None;
         }
-        count.parts.entry(of).or_default().join(part).then_some(Change { name, fresh })
+        count.parts.entry(of).or_default().join(part).then_some(Change { name, is_new: fresh })
     }
 
-    pub fn part(&self, name: &str, of: Instance) -> Option<Part> {
+    pub fn contribution(&self, name: &str, of: Instance) -> Option<Contribution> {
         self.counts.get(name)?.parts.get(&of).copied()
     }
 
     /// The instances that have a part in a count.
-    pub fn holders(&self, name: &str) -> impl Iterator<Item = Instance> + '_ {
+    pub fn contributors(&self, name: &str) -> impl Iterator<Item = Instance> + '_ {
         self.counts.get(name).into_iter().flat_map(|count| count.parts.keys().copied())
     }
 
     /// The counts that an instance has a part in.
-    pub fn names_of(&self, of: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
+    pub fn names_of_instance(&self, of: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
         let its = self.counts.iter().filter(move |(_, count)| count.parts.contains_key(&of));
         its.map(|(name, _)| name.clone())
     }
@@ -170,16 +170,16 @@
     /// What all together have added, as far as is known here.
     pub fn total(&self, now: Micros, name: &str) -> Option<f64> {
         let count = self.counts.get(name).filter(|count| count.ends > now)?;
-        Some(count.parts.values().map(Part::net).sum())
+        Some(count.parts.values().map(Contribution::net).sum())
     }
 
     /// How long a name still lives.
-    pub fn left(&self, now: Micros, name: &str) -> Option<Micros> {
+    pub fn expires_in(&self, now: Micros, name: &str) -> Option<Micros> {
         self.counts.get(name).map(|count| count.ends.saturating_sub(now))
     }
 
     /// All parts of all counts, with the life that is left.
-    pub fn all(&self, now: Micros) -> impl Iterator<Item = (&Arc<str>, Micros, Instance, Part)> {
+    pub fn entries(&self, now: Micros) -> impl Iterator<Item = (&Arc<str>, Micros, Instance, Contribution)> {
         let live = self.counts.iter().filter(move |(_, count)| count.ends > now);
         live.flat_map(move |(name, count)| {
             count.parts.iter().map(move |(of, part)| (name, count.ends - now, *of, *part))
--- a/crates/store/src/tried.rs
+++ b/crates/store/src/fault_injection.rs
@@ -9,21 +9,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::files::{Files, Handle};
+use crate::files::{Directory, FileHandle};
 
 /// What is wrong with a folder; it may change while the folder is in use.
 #[derive(Debug, Default)]
-pub struct Wrong {
+pub struct Faults {
     /// Bytes that all files together may hold.
-    pub quota: Cell<Option<u64>>,
+    pub quota_bytes: Cell<Option<u64>>,
     /// Every sync takes so much longer. The caller waits for it, as it would for a slow disk.
-    pub slow: Cell<Duration>,
+    pub sync_delay: Cell<Duration>,
     /// Every sync fails, and nobody knows what of it was done.
-    pub fails: Cell<bool>,
+    pub sync_fails: Cell<bool>,
     lengths: RefCell<BTreeMap<String, u64>>,
 }
 
-impl Wrong {
+impl Faults {
     fn full() -> io::Error {
         io::Error::from(io::ErrorKind::StorageFull)
     }
@@ -33,18 +33,18 @@
         let mut lengths = self.lengths.borrow_mut();
         let others: u64 = lengths.iter().filter(|(own, _)| *own != name).map(|(_, length)| length).sum();
         let known = lengths.get(name).copied().unwrap_or(0);
-        if length > known && self.quota.get().is_some_and(|quota| others + length > quota) {
-            return Err(Wrong::full());
+        if length > known && self.quota_bytes.get().is_some_and(|quota| others + length > quota) {
+            return Err(Faults::full());
         }
         lengths.insert(name.into(), length);
         Ok(())
     }
 
     fn syncs(&self) -> io::Result<()> {
-        if !self.slow.get().is_zero() {
-            std::thread::sleep(self.slow.get());
+        if !self.sync_delay.get().is_zero() {
+            std::thread::sleep(self.sync_delay.get());
         }
-        match self.fails.get() {
+        match self.sync_fails.get() {
             true => Err(io::Error::other("a sync that fails on purpose")),
             false => Ok(()),
         }
@@ -52,26 +52,26 @@
 }
 
 #[derive(Debug)]
-pub struct Tried<F> {
+pub struct FaultyDirectory<F> {
     inner: F,
-    wrong: Rc<Wrong>,
+    wrong: Rc<Faults>,
 }
 
-impl<F> Tried<F> {
-    pub fn new(inner: F, wrong: &Rc<Wrong>) -> Self {
-        Tried { inner, wrong: wrong.clone() }
+impl<F> FaultyDirectory<F> {
+    pub fn new(inner: F, wrong: &Rc<Faults>) -> Self {
+        FaultyDirectory { inner, wrong: wrong.clone() }
     }
 }
 
 #[derive(Debug)]
-pub struct TriedFile<H> {
+pub struct FaultyFile<H> {
     inner: H,
     name: String,
-    wrong: Rc<Wrong>,
+    wrong: Rc<Faults>,
 }
 
-impl<F: Files> Files for Tried<F> {
-    type Handle = TriedFile<F::Handle>;
+impl<F: Directory> Directory for FaultyDirectory<F> {
+    type Handle = FaultyFile<F::Handle>;
 
     fn lock(&mut self) -> io::Result<()> {
         self.inner.lock()
@@ -82,12 +82,12 @@
     }
 
     fn open(&mut self, name: &str, create: bool) -> io::Result<Self::Handle> {
-        if create && self.wrong.quota.get() == Some(0) {
-            return Err(Wrong::full());
+        if create && self.wrong.quota_bytes.get() == Some(0) {
+            return Err(Faults::full());
         }
         let inner = self.inner.open(name, create)?;
         self.wrong.lengths.borrow_mut().insert(name.into(), inner.length()?);
-        Ok(TriedFile { inner, name: name.into(), wrong: self.wrong.clone() })
+        Ok(FaultyFile { inner, name: name.into(), wrong: self.wrong.clone() })
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -102,7 +102,7 @@
     }
 }
 
-impl<H: Handle> Handle for TriedFile<H> {
+impl<H: FileHandle> FileHandle for FaultyFile<H> {
     fn length(&self) -> io::Result<u64> {
         self.inner.length()
     }
@@ -117,8 +117,8 @@
         self.inner.write(at, bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
-        self.inner.cut(length)?;
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
+        self.inner.truncate(length)?;
         self.wrong.lengths.borrow_mut().insert(self.name.clone(), length);
         Ok(())
     }
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -8,8 +8,8 @@
 use rustix::fs::{flock, FlockOperation};
 
 /// One folder of files. Names have no slashes.
-pub trait Files {
-    type Handle: Handle;
+pub trait Directory {
+    type Handle: FileHandle;
     /// Takes the folder for this process alone; an error of kind `WouldBlock` if another has it.
     fn lock(&mut self) -> io::Result<()>;
     fn list(&mut self) -> io::Result<Vec<String>>;
@@ -20,34 +20,34 @@
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-pub trait Handle {
+pub trait FileHandle {
     fn length(&self) -> io::Result<u64>;
     /// Reads all of a range, or fails.
     fn read(&self, at: u64, into: &mut [u8]) -> io::Result<()>;
     fn write(&mut self, at: u64, bytes: &[u8]) -> io::Result<()>;
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Makes what was written durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A folder of the file system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DiskDirectory {
     path: PathBuf,
     lock: Option<File>,
 }
 
 const LOCK: &str = "lock";
 
-impl Folder {
+impl DiskDirectory {
     /// The folder is made if it is not there.
-    pub fn new(path: &Path) -> io::Result<Folder> {
+    pub fn new(path: &Path) -> io::Result<DiskDirectory> {
         std::fs::create_dir_all(path)?;
-        Ok(Folder { path: path.into(), lock: None })
+        Ok(DiskDirectory { path: path.into(), lock: None })
     }
 }
 
-impl Files for Folder {
+impl Directory for DiskDirectory {
     type Handle = File;
 
     fn lock(&mut self) -> io::Result<()> {
@@ -79,7 +79,7 @@
     }
 }
 
-impl Handle for File {
+impl FileHandle for File {
     fn length(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
@@ -92,7 +92,7 @@
         self.write_all_at(bytes, at)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -14,13 +14,13 @@
 //! in a file that was used before, are no frame there.
 
 /// Longest content: it bounds what a length that was damaged can make anybody read.
-pub const MOST_CONTENT: usize = 64 * 1024 * 1024;
-pub const HEAD: usize = 8;
+pub const MAX_CONTENT_BYTES: usize = 64 * 1024 * 1024;
+pub const HEADER_BYTES: usize = 8;
 const CONTENT_HEAD: usize = 8 + 8 + 8 + 4;
 const OPERATION_HEAD: usize = 1 + 8 + 4 + 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum OperationKind {
     Put,
     Delete,
 }
@@ -28,20 +28,20 @@
 /// One operation, within the content's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation<'b> {
-    pub kind: Kind,
+    pub kind: OperationKind,
     /// When the key ends, Unix milliseconds; 0: never.
-    pub ends: u64,
+    pub expires_at: u64,
     pub key: &'b [u8],
     pub value: &'b [u8],
     /// Where the value stands, from the frame's start.
-    pub value_at: usize,
+    pub value_offset: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'b> {
-    pub number: u64,
-    pub durable: u64,
-    pub time: u64,
+    pub sequence: u64,
+    pub durable_sequence: u64,
+    pub written_at: u64,
     /// Bytes of the whole frame.
     pub length: usize,
     /// All operations, known to be whole.
@@ -53,7 +53,7 @@
         let (content, mut at) = (self.content, CONTENT_HEAD);
         std::iter::from_fn(move || {
             let operation = operation(content, at)?;
-            at = operation.value_at - HEAD + operation.value.len();
+            at = operation.value_offset - HEADER_BYTES + operation.value.len();
             Some(operation)
         })
     }
@@ -61,21 +61,21 @@
 
 /// Builds the content of a frame.
 #[derive(Clone, Debug, Default)]
-pub struct Builder {
+pub struct FrameBuilder {
     operations: Vec<u8>,
     count: u32,
 }
 
-impl Builder {
+impl FrameBuilder {
     /// Adds an operation, and says where its value will stand, from the frame's start.
-    pub fn push(&mut self, kind: Kind, ends: u64, key: &[u8], value: &[u8]) -> usize {
+    pub fn push(&mut self, kind: OperationKind, ends: u64, key: &[u8], value: &[u8]) -> usize {
         let bytes = &mut self.operations;
-        bytes.push(matches!(kind, Kind::Delete) as u8);
+        bytes.push(matches!(kind, OperationKind::Delete) as u8);
         bytes.extend(ends.to_le_bytes());
         bytes.extend((key.len() as u32).to_le_bytes());
         bytes.extend((value.len() as u32).to_le_bytes());
         bytes.extend(key);
-        let at = HEAD + CONTENT_HEAD + bytes.len();
+        let at = HEADER_BYTES + CONTENT_HEAD + bytes.len();
         bytes.extend(value);
         self.count += 1;
         at
@@ -87,7 +87,7 @@
 
     /// Bytes of the frame that it would make.
     pub fn length(&self) -> usize {
-        HEAD + CONTENT_HEAD + self.operations.len()
+        HEADER_BYTES + CONTENT_HEAD + self.operations.len()
     }
 
     pub fn frame(&self, segment: u64, place: u64, (number, durable): (u64, u64), time: u64) -> Vec<u8> {
@@ -99,8 +99,8 @@
         bytes.extend(time.to_le_bytes());
         bytes.extend(self.count.to_le_bytes());
         bytes.extend(&self.operations);
-        let sum = checksum(segment, place, &bytes[HEAD..]);
-        bytes[4..HEAD].copy_from_slice(&sum.to_le_bytes());
+        let sum = checksum(segment, place, &bytes[HEADER_BYTES..]);
+        bytes[4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
         bytes
     }
 }
@@ -118,12 +118,12 @@
 }
 
 /// Reads the frame at the front of some bytes, which stand at a place of a segment; nothing if there is none, whole.
-pub fn read(bytes: &[u8], segment: u64, place: u64) -> Option<Frame<'_>> {
+pub fn decode(bytes: &[u8], segment: u64, place: u64) -> Option<Frame<'_>> {
     let length = u32::from_le_bytes(number(bytes, 0)?) as usize;
-    if !(CONTENT_HEAD..=MOST_CONTENT).contains(&length) {
+    if !(CONTENT_HEAD..=MAX_CONTENT_BYTES).contains(&length) {
         return None;
     }
-    let content = bytes.get(HEAD..HEAD + length)?;
+    let content = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
     if checksum(segment, place, content) != u32::from_le_bytes(number(bytes, 4)?) {
         return None;
     }
@@ -133,16 +133,22 @@
     let mut at = CONTENT_HEAD;
     for _ in 0..count {
         let operation = operation(content, at)?;
-        at = operation.value_at - HEAD + operation.value.len();
+        at = operation.value_offset - HEADER_BYTES + operation.value.len();
     }
-    (at == content.len()).then_some(Frame { number: batch, durable, time, length: HEAD + length, content })
+    (at == content.len()).then_some(Frame {
+        sequence: batch,
+        durable_sequence: durable,
+        written_at: time,
+        length: HEADER_BYTES + length,
+        content,
+    })
 }
 
 /// The operation that begins at a place of a frame's content.
 fn operation(content: &[u8], at: usize) -> Option<Operation<'_>> {
     let kind = match content.get(at)? {
-        0 => Kind::Put,
-        1 => Kind::Delete,
+        0 => OperationKind::Put,
+        1 => OperationKind::Delete,
         _ => return None,
     };
     let ends = u64::from_le_bytes(number(content, at + 1)?);
@@ -150,5 +156,5 @@
     let value = u32::from_le_bytes(number(content, at + 13)?) as usize;
     let (key_at, value_at) = (at + OPERATION_HEAD, at + OPERATION_HEAD + key);
     let (key, value) = (content.get(key_at..value_at)?, content.get(value_at..value_at + value)?);
-    Some(Operation { kind, ends, key, value, value_at: HEAD + value_at })
+    Some(Operation { kind, expires_at: ends, key, value, value_offset: HEADER_BYTES + value_at })
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,9 +6,9 @@
 //! batch stands in the log. `store` is the rest. There is no thread and no clock: times are handed in, in milliseconds of
 //! Unix time, and compaction is done in slices by the caller.
 
+pub mod fault_injection;
 pub mod files;
 pub mod frame;
 pub mod store;
-pub mod tried;
 
-pub use store::{Batch, Durability, Error, Options, Report, Store};
+pub use store::{Batch, Durability, Error, OpenReport, Options, Store};
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -8,15 +8,15 @@
 use std::io;
 use std::ops::Bound;
 
-use crate::files::{Files, Handle};
-use crate::frame::{self, Builder, Kind};
+use crate::files::{Directory, FileHandle};
+use crate::frame::{self, FrameBuilder, OperationKind};
 
 const MAGIC: [u8; 8] = *b"fernstor";
 const VERSION: u32 = 1;
 const HEADER: u64 = 16;
 /// Longest key, and longest value: a batch of one always fits in a frame.
-pub const MOST_KEY: usize = 64 * 1024;
-pub const MOST_VALUE: usize = 16 * 1024 * 1024;
+pub const MAX_KEY_BYTES: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 16 * 1024 * 1024;
 /// Bytes that a key takes in the index beside its own, generously.
 const ENTRY: u64 = 96;
 /// A segment is compacted once this part of what is in all of them is of no use any more.
@@ -32,19 +32,19 @@
     #[error("what was written could not be made durable, and nothing more is taken: {0}")]
     Sync(io::Error),
     #[error("nothing is taken any more since a write could not be made durable")]
-    Stuck,
+    Failed,
     #[error("segment {segment:x} is damaged at byte {at}, {length} bytes long; the rest opens with salvage")]
     Damaged { segment: u64, at: u64, length: u64 },
     #[error("segment {segment:x} is missing")]
     Missing { segment: u64 },
     #[error("segment {segment:x} is no segment of this version")]
-    Foreign { segment: u64 },
+    UnknownFormat { segment: u64 },
     #[error("the store may hold {most} bytes on disk, and this needs {needed}")]
-    Disk { needed: u64, most: u64 },
+    DiskBound { needed: u64, most: u64 },
     #[error("the index may hold {most} bytes in memory, and this needs {needed}")]
-    Memory { needed: u64, most: u64 },
+    IndexBound { needed: u64, most: u64 },
     #[error("a {what} of {length} bytes is too long; {most} are the most")]
-    Long { what: &'static str, length: usize, most: usize },
+    TooLong { what: &'static str, length: usize, most: usize },
 }
 
 type Done<T> = Result<T, Error>;
@@ -58,16 +58,21 @@
     /// Opens what is left round damage. Keys may be lost, and some that were deleted or replaced may be back.
     pub salvage: bool,
     /// A segment that would grow longer is followed by another.
-    pub segment: u64,
+    pub max_segment_bytes: u64,
     /// Bounds, in bytes, of all segments and of the index.
-    pub disk: u64,
-    pub memory: u64,
+    pub max_disk_bytes: u64,
+    pub max_index_bytes: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         const MIB: u64 = 1024 * 1024;
-        Options { salvage: false, segment: 32 * MIB, disk: 4096 * MIB, memory: 512 * MIB }
+        Options {
+            salvage: false,
+            max_segment_bytes: 32 * MIB,
+            max_disk_bytes: 4096 * MIB,
+            max_index_bytes: 512 * MIB,
+        }
     }
 }
 
@@ -75,22 +80,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
     /// At some later `sync`, whenever that comes.
-    Later,
+    Deferred,
     /// Within so many milliseconds, together with others: at the `tick` that `due` asks for.
     Within(u64),
     /// Before it is acknowledged.
-    Now,
+    Immediate,
 }
 
 /// What opening found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct OpenReport {
     pub batches: u64,
     pub keys: usize,
     /// A torn end was cut: its segment, where, and how many bytes.
-    pub cut: Option<(u64, u64, u64)>,
+    pub truncated: Option<(u64, u64, u64)>,
     /// Damage that was passed over, likewise.
-    pub gaps: Vec<(u64, u64, u64)>,
+    pub skipped: Vec<(u64, u64, u64)>,
 }
 
 /// A value, and when it ends.
@@ -138,7 +143,7 @@
     live: u64,
 }
 
-pub struct Store<F: Files> {
+pub struct Store<F: Directory> {
     files: F,
     options: Options,
     segments: BTreeMap<u64, Segment<F::Handle>>,
@@ -167,9 +172,9 @@
     header
 }
 
-impl<F: Files> Store<F> {
+impl<F: Directory> Store<F> {
     /// Opens a store, and an empty one where there is none.
-    pub fn open(mut files: F, options: Options, now: u64) -> Done<(Self, Report)> {
+    pub fn open(mut files: F, options: Options, now: u64) -> Done<(Self, OpenReport)> {
         files.lock().map_err(|why| match why.kind() {
             io::ErrorKind::WouldBlock => Error::Locked,
             _ => Error::Io { what: "the folder's lock", why },
@@ -196,7 +201,7 @@
             stuck: false,
             cursor: 0,
         };
-        let mut report = Report::default();
+        let mut report = OpenReport::default();
         for (place, number) in numbers.iter().copied().enumerate() {
             let expected = place.checked_sub(1).map(|before| numbers[before] + 1);
             if let Some(segment) = expected.filter(|expected| *expected != number && !store.options.salvage) {
@@ -215,12 +220,12 @@
         Ok((store, report))
     }
 
-    fn recover(&mut self, number: u64, last: bool, report: &mut Report) -> Done<()> {
+    fn recover(&mut self, number: u64, last: bool, report: &mut OpenReport) -> Done<()> {
         let file = self.files.open(&name(number), false).map_err(at("a segment"))?;
         let length = file.length().map_err(at("a segment's length"))?;
         if length < HEADER && last {
             // It was just being made.
-            report.cut = Some((number, 0, length));
+            report.truncated = Some((number, 0, length));
             drop(file);
             return self.files.remove(&name(number)).map_err(at("a torn segment"));
         }
@@ -228,30 +233,30 @@
         file.read(0, &mut bytes).map_err(at("a segment's content"))?;
         if bytes.get(..HEADER as usize) != Some(&header()) {
             if last && bytes.iter().all(|byte| *byte == 0) {
-                report.cut = Some((number, 0, length));
+                report.truncated = Some((number, 0, length));
                 drop(file);
                 return self.files.remove(&name(number)).map_err(at("a torn segment"));
             }
             if !self.options.salvage {
-                return Err(Error::Foreign { segment: number });
+                return Err(Error::UnknownFormat { segment: number });
             }
         }
         let mut place = HEADER.min(length);
         let mut end = length;
         self.segments.insert(number, Segment { file, length, live: 0 });
         while place < length {
-            let read =
-                frame::read(&bytes[place as usize..], number, place).filter(|frame| frame.number > self.last);
+            let read = frame::decode(&bytes[place as usize..], number, place)
+                .filter(|frame| frame.sequence > self.last);
             if let Some(frame) = read {
-                (self.last, self.time) = (frame.number, self.time.max(frame.time));
+                (self.last, self.time) = (frame.sequence, self.time.max(frame.written_at));
                 for operation in frame.operations() {
                     let value = Place {
                         segment: number,
-                        at: place + operation.value_at as u64,
+                        at: place + operation.value_offset as u64,
                         length: operation.value.len() as u32,
-                        ends: operation.ends,
+                        ends: operation.expires_at,
                     };
-                    self.point(operation.key, (operation.kind == Kind::Put).then_some(value));
+                    self.point(operation.key, (operation.kind == OperationKind::Put).then_some(value));
                 }
                 report.batches += 1;
                 place += frame.length as u64;
@@ -260,15 +265,15 @@
             // Whole frames behind it tell damage from an end that was being written, if they knew that what is missing
             // was durable: of what was not, a crash may lose any part.
             let behind = |next: u64| {
-                let frame = frame::read(&bytes[next as usize..], number, next)?;
-                (frame.number > self.last).then_some((next, frame.durable))
+                let frame = frame::decode(&bytes[next as usize..], number, next)?;
+                (frame.sequence > self.last).then_some((next, frame.durable_sequence))
             };
             let found: Vec<_> = (place + 1..length).filter_map(behind).collect();
             let next = found.first().map(|(next, _)| *next);
             let lost = found.iter().any(|(_, durable)| *durable > self.last);
             match next {
                 _ if last && !lost => {
-                    report.cut = Some((number, place, length - place));
+                    report.truncated = Some((number, place, length - place));
                     end = place;
                     break;
                 }
@@ -278,14 +283,14 @@
                 }
                 next => {
                     let next = next.unwrap_or(length);
-                    report.gaps.push((number, place, next - place));
+                    report.skipped.push((number, place, next - place));
                     place = next;
                 }
             }
         }
         if end < length {
             if let Some(segment) = self.segments.get_mut(&number) {
-                segment.file.cut(end).map_err(at("the torn end of a segment"))?;
+                segment.file.truncate(end).map_err(at("the torn end of a segment"))?;
                 segment.length = end;
             }
         }
@@ -327,7 +332,7 @@
     }
 
     /// Bytes of all segments.
-    pub fn on_disk(&self) -> u64 {
+    pub fn disk_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.length).sum()
     }
 
@@ -340,23 +345,25 @@
     }
 
     /// Numbers of the last batch and of the last that is durable.
-    pub fn numbers(&self) -> (u64, u64) {
+    pub fn sequences(&self) -> (u64, u64) {
         (self.last, self.durable)
     }
 
     /// Writes a batch, whole or not at all, and gives its number.
     pub fn write(&mut self, batch: &Batch, durability: Durability, now: u64) -> Done<u64> {
         self.time = self.time.max(now);
-        let mut builder = Builder::default();
+        let mut builder = FrameBuilder::default();
         let mut grows = 0;
         for (key, change) in &batch.changes {
             let value = change.as_ref().map_or(&[][..], |(value, _)| value);
-            for (what, length, most) in [("key", key.len(), MOST_KEY), ("value", value.len(), MOST_VALUE)] {
+            for (what, length, most) in
+                [("key", key.len(), MAX_KEY_BYTES), ("value", value.len(), MAX_VALUE_BYTES)]
+            {
                 if length > most {
-                    return Err(Error::Long { what, length, most });
+                    return Err(Error::TooLong { what, length, most });
                 }
             }
-            let kind = if change.is_some() { Kind::Put } else { Kind::Delete };
+            let kind = if change.is_some() { OperationKind::Put } else { OperationKind::Delete };
             builder.push(kind, change.as_ref().map_or(0, |(_, ends)| *ends), key, value);
             if change.is_some() && !self.index.contains_key(&key[..]) {
                 grows += key.len() as u64 + ENTRY;
@@ -364,38 +371,38 @@
         }
         // What only deletes must be taken at the bounds: it is the way out.
         let deletes = batch.changes.iter().all(|(_, change)| change.is_none());
-        let (needed, most) = (self.memory + grows, self.options.memory);
+        let (needed, most) = (self.memory + grows, self.options.max_index_bytes);
         if needed > most && grows > 0 {
-            return Err(Error::Memory { needed, most });
+            return Err(Error::IndexBound { needed, most });
         }
-        let (needed, most) = (self.on_disk() + builder.length() as u64, self.options.disk);
+        let (needed, most) = (self.disk_bytes() + builder.length() as u64, self.options.max_disk_bytes);
         if needed > most && !deletes {
-            return Err(Error::Disk { needed, most });
+            return Err(Error::DiskBound { needed, most });
         }
         let number = self.append(builder)?;
         match durability {
-            Durability::Later => {}
+            Durability::Deferred => {}
             Durability::Within(time) => {
                 let by = self.time.saturating_add(time);
                 self.due = Some(self.due.map_or(by, |due| due.min(by)));
             }
-            Durability::Now => self.sync()?,
+            Durability::Immediate => self.sync()?,
         }
         Ok(number)
     }
 
     /// Appends a frame, and points the index at what is in it.
-    fn append(&mut self, builder: Builder) -> Done<u64> {
+    fn append(&mut self, builder: FrameBuilder) -> Done<u64> {
         if self.stuck {
-            return Err(Error::Stuck);
+            return Err(Error::Failed);
         }
         let length = builder.length();
-        if length - frame::HEAD > frame::MOST_CONTENT {
-            return Err(Error::Long { what: "batch", length, most: frame::MOST_CONTENT });
+        if length - frame::HEADER_BYTES > frame::MAX_CONTENT_BYTES {
+            return Err(Error::TooLong { what: "batch", length, most: frame::MAX_CONTENT_BYTES });
         }
         let active = self.segments.last_key_value().map(|(number, segment)| (*number, segment.length));
-        let (mut segment, mut place) = active.ok_or(Error::Stuck)?;
-        if place > HEADER && place + length as u64 > self.options.segment {
+        let (mut segment, mut place) = active.ok_or(Error::Failed)?;
+        if place > HEADER && place + length as u64 > self.options.max_segment_bytes {
             // What stands in the new one must not outlive what stands here.
             self.sync()?;
             segment += 1;
@@ -404,25 +411,25 @@
         }
         let number = self.last + 1;
         let bytes = builder.frame(segment, place, (number, self.durable), self.time);
-        let own = self.segments.get_mut(&segment).ok_or(Error::Stuck)?;
+        let own = self.segments.get_mut(&segment).ok_or(Error::Failed)?;
         if let Err(why) = own.file.write(place, &bytes) {
             // The half that may be there must not be found whole after a crash, when it was said to have failed.
-            if own.file.cut(place).is_err() {
+            if own.file.truncate(place).is_err() {
                 self.stuck = true;
             }
             return Err(Error::Io { what: "a batch", why });
         }
         own.length = place + bytes.len() as u64;
         self.last = number;
-        let written = frame::read(&bytes, segment, place).ok_or(Error::Stuck)?;
+        let written = frame::decode(&bytes, segment, place).ok_or(Error::Failed)?;
         for operation in written.operations() {
             let value = Place {
                 segment,
-                at: place + operation.value_at as u64,
+                at: place + operation.value_offset as u64,
                 length: operation.value.len() as u32,
-                ends: operation.ends,
+                ends: operation.expires_at,
             };
-            self.point(operation.key, (operation.kind == Kind::Put).then_some(value));
+            self.point(operation.key, (operation.kind == OperationKind::Put).then_some(value));
         }
         Ok(number)
     }
@@ -444,7 +451,7 @@
     /// Makes all that was written durable. Where that fails nobody knows what the disk has: nothing more is taken.
     pub fn sync(&mut self) -> Done<()> {
         if self.stuck {
-            return Err(Error::Stuck);
+            return Err(Error::Failed);
         }
         let Some(mut active) = self.segments.last_entry() else { return Ok(()) };
         if let Err(why) = active.get_mut().file.sync() {
@@ -467,7 +474,7 @@
     }
 
     /// When a key's value ends; 0: never.
-    pub fn ends(&self, key: &[u8]) -> Option<u64> {
+    pub fn expires_at(&self, key: &[u8]) -> Option<u64> {
         self.index.get(key).map(|place| place.ends)
     }
 
@@ -498,7 +505,7 @@
     pub fn compact(&mut self, budget: usize, now: u64) -> Done<bool> {
         self.time = self.time.max(now);
         let used: u64 = self.segments.values().map(|segment| segment.live).sum();
-        let all = self.on_disk();
+        let all = self.disk_bytes();
         let (oldest, length) = match (self.segments.first_key_value(), self.segments.last_key_value()) {
             (Some((oldest, segment)), Some((active, _))) if oldest != active => (*oldest, segment.length),
             _ => return Ok(false),
@@ -506,7 +513,7 @@
         if self.cursor <= HEADER && (all - used) as f64 <= WASTE * all as f64 {
             return Ok(false);
         }
-        let mut moved = Builder::default();
+        let mut moved = FrameBuilder::default();
         let until = length.min(self.cursor + budget as u64);
         while self.cursor < until {
             let Some(bytes) = self.frame_at(oldest, self.cursor, length)? else {
@@ -514,18 +521,18 @@
                 self.cursor += 1;
                 continue;
             };
-            let Some(frame) = frame::read(&bytes, oldest, self.cursor) else {
+            let Some(frame) = frame::decode(&bytes, oldest, self.cursor) else {
                 self.cursor += 1;
                 continue;
             };
-            for operation in frame.operations().filter(|operation| operation.kind == Kind::Put) {
-                let here = self.cursor + operation.value_at as u64;
+            for operation in frame.operations().filter(|operation| operation.kind == OperationKind::Put) {
+                let here = self.cursor + operation.value_offset as u64;
                 let known = self.index.get(operation.key).copied();
                 let Some(place) = known.filter(|place| place.segment == oldest && place.at == here) else {
                     continue;
                 };
                 if self.live(&place, now) {
-                    moved.push(Kind::Put, operation.ends, operation.key, operation.value);
+                    moved.push(OperationKind::Put, operation.expires_at, operation.key, operation.value);
                 } else {
                     self.point(operation.key, None);
                 }
@@ -549,12 +556,12 @@
     fn frame_at(&self, segment: u64, place: u64, length: u64) -> Done<Option<Vec<u8>>> {
         let Some(own) = self.segments.get(&segment) else { return Ok(None) };
         let mut head = [0; 4];
-        if place + frame::HEAD as u64 > length {
+        if place + frame::HEADER_BYTES as u64 > length {
             return Ok(None);
         }
         own.file.read(place, &mut head).map_err(at("a frame's length"))?;
-        let whole = frame::HEAD as u64 + u64::from(u32::from_le_bytes(head));
-        if whole > frame::MOST_CONTENT as u64 || place + whole > length {
+        let whole = frame::HEADER_BYTES as u64 + u64::from(u32::from_le_bytes(head));
+        if whole > frame::MAX_CONTENT_BYTES as u64 || place + whole > length {
             return Ok(None);
         }
         let mut bytes = vec![0; whole as usize];
--- a/crates/store/tests/first_version.rs
+++ b/crates/store/tests/first_version.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use fernscale_store::files::Folder;
+use fernscale_store::files::DiskDirectory;
 use fernscale_store::{Batch, Durability, Options, Store};
 
 const NOW: u64 = 1_700_000_000_000;
@@ -15,11 +15,11 @@
 }
 
 fn options() -> Options {
-    Options { segment: 400, ..Options::default() }
+    Options { max_segment_bytes: 400, ..Options::default() }
 }
 
-fn opened(folder: &Path) -> Store<Folder> {
-    let files = Folder::new(folder).expect("a folder");
+fn opened(folder: &Path) -> Store<DiskDirectory> {
+    let files = DiskDirectory::new(folder).expect("a folder");
     Store::open(files, options(), NOW).expect("it opens").0
 }
 
@@ -40,7 +40,7 @@
             .put(format!("owner/promise/job-{}", step % 5).as_bytes(), &step.to_le_bytes())
             .put_until(format!("span/{step}").as_bytes(), b"ends", NOW + 1_000 * (step % 2) + 1)
             .delete(format!("owner/promise/job-{}", (step + 3) % 5).as_bytes());
-        store.write(&batch, Durability::Now, NOW + step).expect("written");
+        store.write(&batch, Durability::Immediate, NOW + step).expect("written");
     }
 }
 
@@ -53,7 +53,7 @@
         std::fs::write(copy.path().join(name), bytes).expect("copied");
     }
     let store = opened(copy.path());
-    assert_eq!((store.numbers(), store.len()), ((12, 12), 15));
+    assert_eq!((store.sequences(), store.len()), ((12, 12), 15));
     let promise =
         |job: u64| store.get(format!("owner/promise/job-{job}").as_bytes(), NOW + 20).expect("read");
     assert_eq!(store.get(b"owner/head", NOW + 20).expect("read"), Some(vec![11; 20]));
--- a/crates/store/tests/shaky/mod.rs
+++ b/crates/store/tests/shaky/mod.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::rc::Rc;
 
-use fernscale_store::files::{Files, Handle};
+use fernscale_store::files::{Directory, FileHandle};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
@@ -82,7 +82,7 @@
     }
 }
 
-impl Files for Shaky {
+impl Directory for Shaky {
     type Handle = Open;
 
     fn lock(&mut self) -> io::Result<()> {
@@ -136,7 +136,7 @@
     }
 }
 
-impl Handle for Open {
+impl FileHandle for Open {
     fn length(&self) -> io::Result<u64> {
         self.with(|content| content.now.len() as u64)
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.with(|content| {
             apply(&mut content.now, length, None);
             content.since.push((length, None));
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_store::frame::{self, Builder, Kind};
+use fernscale_store::frame::{self, FrameBuilder, OperationKind};
 use fernscale_store::{Batch, Durability, Error, Options, Store};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
 type Map = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn options() -> Options {
-    Options { segment: 400, ..Options::default() }
+    Options { max_segment_bytes: 400, ..Options::default() }
 }
 
 fn state(store: &Store<Shaky>, now: u64) -> Map {
@@ -33,7 +33,7 @@
         let (key, value) = (vec![b'k', step % 5], vec![step; 10 + 5 * step as usize]);
         let other = vec![b'k', (step + 2) % 5];
         let batch = Batch::new().put(&key, &value).delete(&other).put(&[b'n', step], b"");
-        store.write(&batch, Durability::Now, 1).expect("written");
+        store.write(&batch, Durability::Immediate, 1).expect("written");
         map.insert(key, value);
         map.remove(&other);
         map.insert(vec![b'n', step], Vec::new());
@@ -90,7 +90,7 @@
                         assert!(states.contains(&found), "{name}, byte {at}: a state that never was");
                         assert!(*name == last, "{name}, byte {at}: damage in the middle went unseen");
                     }
-                    Err(Error::Damaged { .. } | Error::Foreign { .. }) => {}
+                    Err(Error::Damaged { .. } | Error::UnknownFormat { .. }) => {}
                     Err(other) => panic!("{name}, byte {at}: {other}"),
                 }
                 left.kill();
@@ -116,11 +116,11 @@
     for _ in 0..chance.gen_range(10..120) {
         match chance.gen_range(0..20) {
             0 => {
-                let durable = store.numbers().1;
+                let durable = store.sequences().1;
                 drop(store);
                 files.crash(&mut chance);
                 store = open(&files, 0).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-                let (found, last) = (state(&store, 0), store.numbers().0);
+                let (found, last) = (state(&store, 0), store.sequences().0);
                 assert!(last >= durable, "seed {seed}: {durable} were durable, {last} are there");
                 let (_, expected) = states.range(..=last).next_back().expect("the first");
                 assert_eq!(&found, expected, "seed {seed}: not the state after batch {last}");
@@ -145,7 +145,8 @@
                         map.insert(key, value);
                     }
                 }
-                let durability = if chance.gen_bool(0.3) { Durability::Now } else { Durability::Later };
+                let durability =
+                    if chance.gen_bool(0.3) { Durability::Immediate } else { Durability::Deferred };
                 let number = store.write(&batch, durability, 0).expect("written");
                 states.insert(number, map);
             }
@@ -166,12 +167,12 @@
     let mut store = open(&files, 0).expect("opened");
     for step in 0..200u32 {
         let key = (step % 4).to_le_bytes();
-        store.write(&Batch::new().put(&key, &[step as u8; 50]), Durability::Later, 0).expect("written");
+        store.write(&Batch::new().put(&key, &[step as u8; 50]), Durability::Deferred, 0).expect("written");
     }
-    store.write(&Batch::new().delete(&0u32.to_le_bytes()), Durability::Later, 0).expect("deleted");
-    let (before, expected) = (store.on_disk(), state(&store, 0));
+    store.write(&Batch::new().delete(&0u32.to_le_bytes()), Durability::Deferred, 0).expect("deleted");
+    let (before, expected) = (store.disk_bytes(), state(&store, 0));
     while store.compact(100, 0).expect("compacted") {}
-    assert!(store.on_disk() < before / 8, "{before} to {}", store.on_disk());
+    assert!(store.disk_bytes() < before / 8, "{before} to {}", store.disk_bytes());
     assert_eq!(state(&store, 0), expected);
     drop(store);
     files.kill();
@@ -183,13 +184,16 @@
     for room in 0..90 {
         let files = Shaky::default();
         let mut store = open(&files, 0).expect("opened");
-        store.write(&Batch::new().put(b"a", b"one"), Durability::Now, 0).expect("written");
+        store.write(&Batch::new().put(b"a", b"one"), Durability::Immediate, 0).expect("written");
         files.0.borrow_mut().room = Some(room);
-        let second = store.write(&Batch::new().put(b"a", b"two").put(b"b", &[7; 30]), Durability::Now, 0);
+        let second =
+            store.write(&Batch::new().put(b"a", b"two").put(b"b", &[7; 30]), Durability::Immediate, 0);
         files.0.borrow_mut().room = None;
         let expected: &[u8] = if second.is_ok() { b"two" } else { b"one" };
         assert_eq!(store.get(b"a", 0).expect("read").as_deref(), Some(expected), "{room}");
-        store.write(&Batch::new().put(b"c", b"three"), Durability::Now, 0).expect("there is room again");
+        store
+            .write(&Batch::new().put(b"c", b"three"), Durability::Immediate, 0)
+            .expect("there is room again");
         drop(store);
         files.crash(&mut ChaCha8Rng::seed_from_u64(room));
         let store = open(&files, 0).expect("opened");
@@ -202,16 +206,22 @@
 fn what_could_not_be_made_durable_is_not_taken_for_it() {
     let files = Shaky::default();
     let mut store = open(&files, 0).expect("opened");
-    store.write(&Batch::new().put(b"a", b"1"), Durability::Now, 0).expect("written");
+    store.write(&Batch::new().put(b"a", b"1"), Durability::Immediate, 0).expect("written");
     files.0.borrow_mut().fail_sync = true;
-    assert!(matches!(store.write(&Batch::new().put(b"b", b"2"), Durability::Now, 0), Err(Error::Sync(_))));
+    assert!(matches!(
+        store.write(&Batch::new().put(b"b", b"2"), Durability::Immediate, 0),
+        Err(Error::Sync(_))
+    ));
     files.0.borrow_mut().fail_sync = false;
-    assert!(matches!(store.write(&Batch::new().put(b"c", b"3"), Durability::Now, 0), Err(Error::Stuck)));
+    assert!(matches!(
+        store.write(&Batch::new().put(b"c", b"3"), Durability::Immediate, 0),
+        Err(Error::Failed)
+    ));
     assert!(
-        matches!(store.sync(), Err(Error::Stuck)),
+        matches!(store.sync(), Err(Error::Failed)),
         "the second try would say what the disk does not know"
     );
-    assert_eq!(store.numbers().1, 1);
+    assert_eq!(store.sequences().1, 1);
 }
 
 #[test]
@@ -222,11 +232,11 @@
     store.write(&put(b"a"), Durability::Within(50), 1000).expect("written");
     store.write(&put(b"b"), Durability::Within(20), 1010).expect("written");
     store.write(&put(b"c"), Durability::Within(500), 1015).expect("written");
-    assert_eq!((store.due(), store.numbers()), (Some(1030), (3, 0)));
+    assert_eq!((store.due(), store.sequences()), (Some(1030), (3, 0)));
     store.tick(1029).expect("not yet");
-    assert_eq!(store.numbers(), (3, 0));
+    assert_eq!(store.sequences(), (3, 0));
     store.tick(1030).expect("synced");
-    assert_eq!((store.due(), store.numbers()), (None, (3, 3)));
+    assert_eq!((store.due(), store.sequences()), (None, (3, 3)));
     store.write(&put(b"d"), Durability::Within(5), 900).expect("a clock that went back");
     assert_eq!(store.due(), Some(1035));
 }
@@ -237,21 +247,29 @@
 fn no_bytes_break_the_reader_of_frames() {
     let mut chance = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
-        let mut builder = Builder::default();
+        let mut builder = FrameBuilder::default();
         for _ in 0..chance.gen_range(0..4) {
             let bytes = |chance: &mut ChaCha8Rng| {
                 (0..chance.gen_range(0..20)).map(|_| chance.gen()).collect::<Vec<u8>>()
             };
             let (key, value) = (bytes(&mut chance), bytes(&mut chance));
-            builder.push(if chance.gen() { Kind::Put } else { Kind::Delete }, chance.gen(), &key, &value);
+            builder.push(
+                if chance.gen() { OperationKind::Put } else { OperationKind::Delete },
+                chance.gen(),
+                &key,
+                &value,
+            );
         }
         let (segment, place) = (chance.gen_range(0..3), chance.gen_range(0..100));
         let whole = builder.frame(segment, place, (7, 6), 5);
-        let read = frame::read(&whole, segment, place).expect("as it was written");
-        assert_eq!((read.number, read.durable, read.time, read.length), (7, 6, 5, whole.len()));
+        let read = frame::decode(&whole, segment, place).expect("as it was written");
+        assert_eq!(
+            (read.sequence, read.durable_sequence, read.written_at, read.length),
+            (7, 6, 5, whole.len())
+        );
         assert_eq!(read.operations().count(), builder.count() as usize);
-        assert_eq!(frame::read(&whole, segment, place + 1), None, "another place");
-        assert_eq!(frame::read(&whole, segment + 1, place), None, "another segment");
+        assert_eq!(frame::decode(&whole, segment, place + 1), None, "another place");
+        assert_eq!(frame::decode(&whole, segment + 1, place), None, "another segment");
         let mut bad = whole.clone();
         match chance.gen_range(0..4) {
             0 => bad.truncate(chance.gen_range(0..whole.len())),
@@ -263,7 +281,7 @@
             _ => bad[..4].copy_from_slice(&chance.gen::<[u8; 4]>()),
         }
         if bad[..] != whole[..] {
-            assert_eq!(frame::read(&bad, segment, place), None);
+            assert_eq!(frame::decode(&bad, segment, place), None);
         }
     }
 }
@@ -273,11 +291,11 @@
     let files = Shaky::default();
     let mut store = open(&files, 1000).expect("opened");
     store
-        .write(&Batch::new().put_until(b"a", b"1", 2000).put(b"b", b"2"), Durability::Now, 1000)
+        .write(&Batch::new().put_until(b"a", b"1", 2000).put(b"b", b"2"), Durability::Immediate, 1000)
         .expect("written");
     assert!(store.get(b"a", 1999).expect("read").is_some());
     assert!(store.get(b"a", 2000).expect("read").is_none());
-    store.write(&Batch::new().put(b"c", b"3"), Durability::Now, 2000).expect("written");
+    store.write(&Batch::new().put(b"c", b"3"), Durability::Immediate, 2000).expect("written");
     drop(store);
     files.kill();
     let store = open(&files, 500).expect("opened");
@@ -292,7 +310,7 @@
     let inner = files.0.borrow().files[&names[0]].now.clone();
     let other = Shaky::default();
     let mut store = open(&other, 0).expect("opened");
-    store.write(&Batch::new().put(b"v", &inner), Durability::Now, 0).expect("written");
+    store.write(&Batch::new().put(b"v", &inner), Durability::Immediate, 0).expect("written");
     let expected = state(&store, 0);
     drop(store);
     other.kill();
@@ -305,26 +323,26 @@
 
 #[test]
 fn bounds_refuse_and_deleting_is_the_way_out() {
-    let bounds = Options { disk: 600, memory: 200, ..options() };
+    let bounds = Options { max_disk_bytes: 600, max_index_bytes: 200, ..options() };
     let (mut store, _) = Store::open(Shaky::default(), bounds, 0).expect("opened");
     let put = |key: &[u8], size| Batch::new().put(key, &vec![1; size]);
-    store.write(&put(b"a", 10), Durability::Later, 0).expect("written");
-    store.write(&put(b"b", 10), Durability::Later, 0).expect("written");
-    assert!(matches!(store.write(&put(b"c", 10), Durability::Later, 0), Err(Error::Memory { .. })));
-    assert!(matches!(store.write(&put(b"a", 900), Durability::Later, 0), Err(Error::Disk { .. })));
-    store.write(&Batch::new().delete(b"b"), Durability::Later, 0).expect("deleted");
-    store.write(&put(b"c", 10), Durability::Later, 0).expect("there is room again");
+    store.write(&put(b"a", 10), Durability::Deferred, 0).expect("written");
+    store.write(&put(b"b", 10), Durability::Deferred, 0).expect("written");
+    assert!(matches!(store.write(&put(b"c", 10), Durability::Deferred, 0), Err(Error::IndexBound { .. })));
+    assert!(matches!(store.write(&put(b"a", 900), Durability::Deferred, 0), Err(Error::DiskBound { .. })));
+    store.write(&Batch::new().delete(b"b"), Durability::Deferred, 0).expect("deleted");
+    store.write(&put(b"c", 10), Durability::Deferred, 0).expect("there is room again");
     let long = Batch::new().put(&vec![0; 100_000], b"");
-    assert!(matches!(store.write(&long, Durability::Later, 0), Err(Error::Long { what: "key", .. })));
+    assert!(matches!(store.write(&long, Durability::Deferred, 0), Err(Error::TooLong { what: "key", .. })));
     assert_eq!(state(&store, 0).len(), 2);
 }
 
 #[test]
 fn one_folder_is_one_processes_and_a_real_folder_keeps_what_it_has() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = || fernscale_store::files::Folder::new(folder.path()).expect("made");
+    let files = || fernscale_store::files::DiskDirectory::new(folder.path()).expect("made");
     let (mut store, _) = Store::open(files(), Options::default(), 0).expect("opened");
-    store.write(&Batch::new().put(b"a", b"1"), Durability::Now, 0).expect("written");
+    store.write(&Batch::new().put(b"a", b"1"), Durability::Immediate, 0).expect("written");
     assert!(matches!(Store::open(files(), Options::default(), 0), Err(Error::Locked)));
     drop(store);
     let (store, report) = Store::open(files(), Options::default(), 0).expect("opened");
--- a/crates/subsetting/src/loads.rs
+++ b/crates/subsetting/src/loads.rs
@@ -7,16 +7,22 @@
 
 use std::collections::BTreeMap;
 
-pub use fernscale_shared_counter::rumour::Live;
-use fernscale_shared_counter::rumour::{self, Manner, Rumour};
+pub use fernscale_shared_counter::gossip::LivePeer;
+use fernscale_shared_counter::gossip::{self, Gossip, GossipConfig};
 use serde::{Deserialize, Serialize};
 
 use crate::{Micros, SECOND};
 
 /// A fleet that starts together has all words to tell: up to three notes to each, of as many words as go on one datagram. There are
 /// as many words as members of the mesh at the most.
-const MANNER: Manner =
-    Manner { turn: SECOND / 2, all: 10 * SECOND, at_once: 20, notes: 3, most: 4_096, kept: 60 * SECOND };
+const MANNER: GossipConfig = GossipConfig {
+    interval: SECOND / 2,
+    full_sync_interval: 10 * SECOND,
+    reports_per_message: 20,
+    messages_per_peer: 3,
+    max_reports: 4_096,
+    retention: 60 * SECOND,
+};
 /// Time in which what a gateway carries is averaged: shorter, a burst would deal the servers anew.
 const AVERAGE: Micros = 4 * SECOND;
 /// Trips a second of the first step, and what each step has more than the one before.
@@ -43,7 +49,7 @@
     pub leaves: bool,
 }
 
-impl rumour::Word for Word {
+impl gossip::Report for Word {
     type Key = u64;
 
     fn key(&self) -> u64 {
@@ -52,17 +58,17 @@
     fn version(&self) -> u64 {
         self.version.into()
     }
-    fn run(&self) -> u64 {
+    fn origin(&self) -> u64 {
         self.run
     }
-    fn sound(&self) -> bool {
+    fn is_plausible(&self) -> bool {
         self.step <= HIGHEST
             && (1..=LONGEST_NAME).contains(&self.name.len())
             && self.zone.len() <= LONGEST_NAME
     }
 }
 
-pub type Note = rumour::Note<Word>;
+pub type Note = gossip::GossipMessage<Word>;
 
 /// A gateway with what is known of it.
 #[derive(Clone, Debug, PartialEq)]
@@ -76,7 +82,7 @@
 
 pub struct Loads {
     me: Word,
-    words: Rumour<Word>,
+    words: Gossip<Word>,
     /// Trips a second of late, and how much of the time that is averaged over has gone by.
     average: f64,
     filled: f64,
@@ -84,9 +90,10 @@
 }
 
 impl Loads {
-    pub fn new(me: Live, zone: &str, seed: u64, now: Micros) -> Self {
-        let words = Rumour::new(me.run, MANNER, seed, now);
-        let me = Word { name: me.name, run: me.run, version: 1, step: 0, zone: zone.into(), leaves: false };
+    pub fn new(me: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
+        let words = Gossip::new(me.instance, MANNER, seed, now);
+        let me =
+            Word { name: me.name, run: me.instance, version: 1, step: 0, zone: zone.into(), leaves: false };
         let mut loads = Loads { me, words, average: 0.0, filled: 0.0, counted: now };
         loads.says(now);
         loads
@@ -113,47 +120,47 @@
     }
 
     /// This gateway ends: that is told at once.
-    pub fn leaves(&mut self, now: Micros, live: &[Live]) {
+    pub fn leaves(&mut self, now: Micros, live: &[LivePeer]) {
         if !self.me.leaves {
             self.me.leaves = true;
             self.says(now);
-            self.words.hurries(now);
-            self.words.tick(now, live);
+            self.words.hurry(now);
+            self.words.handle_timeout(now, live);
         }
     }
 
     fn says(&mut self, now: Micros) {
         self.me.version += 1;
-        self.words.says(now, self.me.clone());
+        self.words.publish(now, self.me.clone());
     }
 
     /// A note has come from the gateway of a name.
     pub fn came(&mut self, now: Micros, from: &str, note: Note) {
-        self.words.came(now, from, note);
+        self.words.handle_message(now, from, note);
     }
 
     /// When `tick` is to be called next.
     pub fn due(&self) -> Micros {
-        self.words.due()
+        self.words.next_deadline()
     }
 
     /// `live`: the others that the mesh takes for live.
-    pub fn tick(&mut self, now: Micros, live: &[Live]) {
-        self.words.tick(now, live);
+    pub fn tick(&mut self, now: Micros, live: &[LivePeer]) {
+        self.words.handle_timeout(now, live);
     }
 
     /// The next note that is to be sent, and to whom.
     pub fn take(&mut self) -> Option<(String, Note)> {
-        self.words.take()
+        self.words.poll_message()
     }
 
     /// This gateway and the live others, each name once, with what they say. Two runs of one name, as in an upgrade or by mistake,
     /// are one gateway that carries what both do.
-    pub fn known(&self, live: &[Live]) -> Vec<Known> {
-        let own = Live { name: self.me.name.clone(), run: self.me.run };
+    pub fn known(&self, live: &[LivePeer]) -> Vec<Known> {
+        let own = LivePeer { name: self.me.name.clone(), instance: self.me.run };
         let mut known: BTreeMap<&str, Known> = BTreeMap::new();
-        for Live { name, run } in live.iter().chain([&own]) {
-            let word = self.words.word(run).filter(|word| word.name == *name);
+        for LivePeer { name, instance: run } in live.iter().chain([&own]) {
+            let word = self.words.report(run).filter(|word| word.name == *name);
             let load = word.map(|word| load_of(word.step));
             let zone = word.map_or(String::new(), |word| word.zone.clone());
             let leaves = word.is_some_and(|word| word.leaves);
--- a/crates/subsetting/tests/fleet.rs
+++ b/crates/subsetting/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fernscale_subsetting::loads::{Live, Loads, Note, Word};
+use fernscale_subsetting::loads::{LivePeer, Loads, Note, Word};
 use fernscale_subsetting::own::{Own, View};
 use fernscale_subsetting::{Gateway, Micros, Server, Settings, FLOOR};
 
@@ -249,19 +249,19 @@
 /// Gateways that tell each other what they carry, over a way that loses a fifth of the notes and doubles some.
 struct Talk {
     now: Micros,
-    all: Vec<(Live, Loads)>,
+    all: Vec<(LivePeer, Loads)>,
     sent: usize,
     bytes: usize,
 }
 
 impl Talk {
     fn of(count: usize) -> Talk {
-        let live = |at: usize| Live { name: format!("gateway-{at}"), run: 1_000 + at as u64 };
+        let live = |at: usize| LivePeer { name: format!("gateway-{at}"), instance: 1_000 + at as u64 };
         let all = (0..count).map(|at| (live(at), Loads::new(live(at), "a", at as u64, SECOND)));
         Talk { now: SECOND, all: all.collect(), sent: 0, bytes: 0 }
     }
 
-    fn others(&self, but: usize) -> Vec<Live> {
+    fn others(&self, but: usize) -> Vec<LivePeer> {
         let others = self.all.iter().enumerate().filter(|(at, _)| *at != but);
         others.map(|(_, (live, _))| live.clone()).collect()
     }
@@ -281,7 +281,7 @@
             }
             for (from, to, note) in notes {
                 self.sent += 1;
-                if let Note::Words(words) = &note {
+                if let Note::Reports(words) = &note {
                     assert!(words.len() <= 20);
                     self.bytes += words.len() * 30;
                 }
@@ -342,7 +342,7 @@
         word("gateway-1", 77, 90),
         word("", 1_002, 90),
     ];
-    talk.all[0].1.came(now, "gateway-2", Note::Words(lies));
+    talk.all[0].1.came(now, "gateway-2", Note::Reports(lies));
     assert_eq!(talk.all[0].1.known(&others), before);
 }
 
@@ -361,7 +361,7 @@
     let (now, others) = (talk.now, talk.others(2));
     talk.all[2].1.leaves(now, &others);
     let told = std::iter::from_fn(|| talk.all[2].1.take()).filter(|(_, note)| {
-        matches!(note, Note::Words(words) if words.iter().any(|word| word.run == 1_002 && word.leaves))
+        matches!(note, Note::Reports(words) if words.iter().any(|word| word.run == 1_002 && word.leaves))
     });
     assert!(told.count() >= 2, "it ends and nobody hears");
 }
