--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -5,7 +5,7 @@
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::Source;
 use fernscale_membership::payload::Channel;
-use fernscale_outlier_detection::view::{Seen, View};
+use fernscale_outlier_detection::status::{OutlierView, ServerView};
 use serde_json::json;
 
 pub fn servers(own: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
@@ -18,7 +18,7 @@
     let answer =
         mesh::question(at, &settings.keys, Channel::OutlierDetection, Vec::new()).map_err(|why| vec![why])?;
     let nothing = |_| vec![format!("the gateway at {at} has no [signals], or has just started")];
-    let view: View = postcard::from_bytes(&answer).map_err(nothing)?;
+    let view: OutlierView = postcard::from_bytes(&answer).map_err(nothing)?;
     if json {
         println!("{}", shown(&view));
     } else {
@@ -27,39 +27,39 @@
     Ok(())
 }
 
-fn shown(view: &View) -> serde_json::Value {
-    let server = |seen: &Seen| {
-        json!({ "server": seen.server, "standing": seen.standing.told(), "against": seen.against,
-            "for_it": seen.for_it, "by": seen.by, "out_ms": seen.out_ms, "next": seen.next,
-            "here": seen.here.map(|level| json!({ "bad_eighths": level.bad, "slow_doublings": level.slow })) })
+fn shown(view: &OutlierView) -> serde_json::Value {
+    let server = |seen: &ServerView| {
+        json!({ "server": seen.server, "standing": seen.status.description(), "against": seen.against,
+            "for_it": seen.in_favor, "by": seen.reporters, "out_ms": seen.ejected_ms, "next": seen.next_trial,
+            "here": seen.observed.map(|level| json!({ "bad_eighths": level.failures, "slow_doublings": level.slowness })) })
     };
-    json!({ "gateway": view.gateway, "out": view.out, "most_out": view.most_out,
+    json!({ "gateway": view.gateway, "out": view.ejected_share, "most_out": view.max_ejected_share,
         "servers": view.servers.iter().map(server).collect::<Vec<_>>() })
 }
 
-fn print(view: &View) {
+fn print(view: &OutlierView) {
     println!(
         "{}: {} servers, {:.1} in 100 of the capacity out of use by choice, {:.0} at the most",
         view.gateway,
         view.servers.len(),
-        100.0 * view.out,
-        100.0 * view.most_out
+        100.0 * view.ejected_share,
+        100.0 * view.max_ejected_share
     );
     for seen in &view.servers {
-        let here = seen.here.map_or(String::new(), |level| {
-            let slow = if level.slow > 0 {
-                format!(", {} times as slow", 1u32 << level.slow)
+        let here = seen.observed.map_or(String::new(), |level| {
+            let slow = if level.slowness > 0 {
+                format!(", {} times as slow", 1u32 << level.slowness)
             } else {
                 String::new()
             };
-            format!(", here {} of 8 trips lost{slow}", level.bad)
+            format!(", here {} of 8 trips lost{slow}", level.failures)
         });
-        let said = match seen.by {
+        let said = match seen.reporters {
             0 => String::new(),
-            by => format!(", {by} gateways against it ({:.1} to {:.1})", seen.against, seen.for_it),
+            by => format!(", {by} gateways against it ({:.1} to {:.1})", seen.against, seen.in_favor),
         };
-        let out = seen.out_ms.map_or(String::new(), |ms| format!(", for {:.1} s", ms as f64 / 1e3));
-        let next = seen.next.as_ref().map_or(String::new(), |next| format!(", {next} tries it next"));
-        println!("  {:<24} {}{out}{said}{here}{next}", seen.server, seen.standing.told());
+        let out = seen.ejected_ms.map_or(String::new(), |ms| format!(", for {:.1} s", ms as f64 / 1e3));
+        let next = seen.next_trial.as_ref().map_or(String::new(), |next| format!(", {next} tries it next"));
+        println!("  {:<24} {}{out}{said}{here}{next}", seen.server, seen.status.description());
     }
 }
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -8,8 +8,10 @@
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::Source;
 use fernscale_membership::payload::Channel;
-use fernscale_subsetting::view::View;
-use fernscale_subsetting::{deal, moved, picture, Deal, Gateway, Server, Settings, FLOOR};
+use fernscale_subsetting::status::SubsetView;
+use fernscale_subsetting::{
+    assign, evenness, moved_share, Assignments, Gateway, Server, Settings, MIN_SUBSET_SIZE,
+};
 use serde_json::{json, Value};
 
 /// More of either than anybody has.
@@ -46,14 +48,19 @@
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
     settings: Settings,
-    deal: Deal,
+    deal: Assignments,
     /// The gateway that was asked, if it is one that runs.
-    own: Option<View>,
+    own: Option<SubsetView>,
 }
 
 impl Fleet {
-    fn of(gateways: Vec<Gateway>, servers: Vec<Server>, settings: Settings, own: Option<View>) -> Fleet {
-        let deal = deal(&gateways, &servers, settings);
+    fn of(
+        gateways: Vec<Gateway>,
+        servers: Vec<Server>,
+        settings: Settings,
+        own: Option<SubsetView>,
+    ) -> Fleet {
+        let deal = assign(&gateways, &servers, settings);
         Fleet { gateways, servers, settings, deal, own }
     }
 
@@ -65,7 +72,7 @@
         }
         let gateway = |at| Gateway { name: format!("gateway-{at}"), load: 1.0, zone: 0 };
         let server = |at| Server { name: format!("server-{at}"), weight: 1.0, zone: 0 };
-        let settings = Settings { least, zones: false };
+        let settings = Settings { min_servers: least, prefers_own_zone: false };
         let (all, taken) = ((0..gateways).map(gateway), (0..servers).map(server));
         Ok(Fleet::of(all.collect(), taken.collect(), settings, None))
     }
@@ -86,7 +93,7 @@
             mesh::question(at, &settings.keys, Channel::Subsetting, Vec::new()).map_err(|why| vec![why])?;
         let nothing =
             |_| vec![format!("the gateway at {at} has no subset: it has no [subsets], or has just started")];
-        let view: View = postcard::from_bytes(&answer).map_err(nothing)?;
+        let view: SubsetView = postcard::from_bytes(&answer).map_err(nothing)?;
         let gateways = view.gateways.iter().map(|seen| Gateway {
             name: seen.name.clone(),
             load: seen.load,
@@ -97,7 +104,10 @@
             weight: taken.weight,
             zone: taken.zone,
         });
-        let settings = Settings { least: asked.least.unwrap_or(view.least as usize), zones: view.zones };
+        let settings = Settings {
+            min_servers: asked.least.unwrap_or(view.min_servers as usize),
+            prefers_own_zone: view.prefers_own_zone,
+        };
         Ok(Fleet::of(gateways.collect(), servers.collect(), settings, Some(view)))
     }
 
@@ -107,21 +117,21 @@
         let fewer = &gateways[..gateways.len().saturating_sub(1).max(1)];
         let left = &servers[..servers.len().saturating_sub(1).max(1)];
         let by = |all: &[Gateway], taken: &[Server]| {
-            moved((gateways, servers, own), (all, taken, &deal(all, taken, *settings)))
+            moved_share((gateways, servers, own), (all, taken, &assign(all, taken, *settings)))
         };
         (by(fewer, servers), by(gateways, left))
     }
 
     fn figures(&self) -> Value {
-        let picture = picture(&self.gateways, &self.servers, &self.deal);
+        let picture = evenness(&self.gateways, &self.servers, &self.deal);
         let (by_gateway, by_server) = self.moves();
         let least = |counts: &mut dyn Iterator<Item = usize>| counts.min().unwrap_or(0);
         json!({
-            "gateways": self.gateways.len(), "servers": self.servers.len(), "least": self.settings.least,
+            "gateways": self.gateways.len(), "servers": self.servers.len(), "least": self.settings.min_servers,
             "pairs": picture.pairs, "all_pairs": self.gateways.len() * self.servers.len(),
-            "busiest": picture.most, "idlest": picture.least, "uncovered": picture.uncovered,
-            "servers_of_a_gateway": [least(&mut self.deal.parts.iter().map(Vec::len)), picture.most_of_gateway],
-            "most_gateways_of_a_server": picture.most_of_server,
+            "busiest": picture.max_load, "idlest": picture.min_load, "uncovered": picture.uncovered,
+            "servers_of_a_gateway": [least(&mut self.deal.by_gateway.iter().map(Vec::len)), picture.max_servers_of_gateway],
+            "most_gateways_of_a_server": picture.max_gateways_of_server,
             "moved_by_a_gateway": by_gateway, "moved_by_a_server": by_server,
         })
     }
@@ -130,16 +140,17 @@
     fn svg(&self) -> String {
         const CELL: usize = 6;
         let (width, height) = (CELL * self.servers.len(), CELL * self.gateways.len());
-        let most = self.deal.parts.iter().flatten().map(|part| part.share).fold(f64::MIN_POSITIVE, f64::max);
+        let most =
+            self.deal.by_gateway.iter().flatten().map(|part| part.weight).fold(f64::MIN_POSITIVE, f64::max);
         let mut to = String::new();
         let _ = writeln!(
             to,
             "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {width} {height}\" width=\"{width}\" height=\"{height}\">\n\
              <rect width=\"{width}\" height=\"{height}\" fill=\"#f6f6f2\"/>"
         );
-        for (row, parts) in self.deal.parts.iter().enumerate() {
+        for (row, parts) in self.deal.by_gateway.iter().enumerate() {
             for part in parts {
-                let dark = 0.15 + 0.85 * part.share / most;
+                let dark = 0.15 + 0.85 * part.weight / most;
                 let (x, y) = (CELL * part.server, CELL * row);
                 let (who, whom) =
                     (escaped(&self.gateways[row].name), escaped(&self.servers[part.server].name));
@@ -147,7 +158,7 @@
                     to,
                     "<rect x=\"{x}\" y=\"{y}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"#1d4e5f\" fill-opacity=\"{dark:.2}\">\
                      <title>{who}: {whom}, {:.1} in 100</title></rect>",
-                    100.0 * part.share
+                    100.0 * part.weight
                 );
             }
         }
@@ -161,12 +172,12 @@
 }
 
 pub fn run(asked: Asked) -> Result<(), Failed> {
-    if let Some(least) = asked.least.filter(|least| *least < FLOOR) {
+    if let Some(least) = asked.least.filter(|least| *least < MIN_SUBSET_SIZE) {
         return Err(vec![format!(
-            "--least is {FLOOR} at the least, not {least}: a gateway must survive losing two"
+            "--least is {MIN_SUBSET_SIZE} at the least, not {least}: a gateway must survive losing two"
         )]);
     }
-    let usual = Settings::default().least;
+    let usual = Settings::default().min_servers;
     let fleet = match (asked.gateways, asked.servers) {
         (Some(gateways), Some(servers)) => {
             Fleet::thought_of(gateways, servers, asked.least.unwrap_or(usual))?
@@ -177,12 +188,12 @@
         let failed = |why| vec![format!("'{}' can't be written: {why}", file.display())];
         std::fs::write(file, fleet.svg()).map_err(failed)?;
     }
-    if fleet.deal.parts.is_empty() || fleet.servers.is_empty() {
+    if fleet.deal.by_gateway.is_empty() || fleet.servers.is_empty() {
         return Err(vec!["nothing is dealt yet: the fleet has not settled, or no server is known".into()]);
     }
     let mut figures = fleet.figures();
     if asked.json {
-        if let Some(View { gateway, uses, avoids, .. }) = &fleet.own {
+        if let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.own {
             figures["gateway"] = json!(gateway);
             figures["uses"] =
                 uses.iter().map(|(name, share)| json!({ "server": name, "share": share })).collect();
@@ -222,7 +233,7 @@
         100.0 * number("moved_by_a_gateway"),
         100.0 * number("moved_by_a_server"),
     );
-    let Some(View { gateway, uses, avoids, .. }) = &fleet.own else { return };
+    let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.own else { return };
     let avoided: BTreeSet<&String> = avoids.iter().collect();
     println!("{gateway} uses {} servers now:", uses.len());
     for (name, share) in uses {
--- a/crates/gateway/src/fleet/signals.rs
+++ b/crates/gateway/src/fleet/signals.rs
@@ -8,9 +8,11 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use fernscale_membership::payload::{Channel, ReceivedPayload};
-use fernscale_outlier_detection::signals::{Change, Me, Met, Server, Signals as Core};
-use fernscale_outlier_detection::view::View;
-use fernscale_outlier_detection::Note;
+use fernscale_outlier_detection::detector::{
+    AttemptResult, EjectionChange, LocalGateway, OutlierDetector as Core, Server,
+};
+use fernscale_outlier_detection::status::OutlierView;
+use fernscale_outlier_detection::Message;
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 use futures_lite::StreamExt;
 use slog::{info, warn};
@@ -46,7 +48,7 @@
         let peer = mesh.me();
         let zone = settings.zone.unwrap_or_default();
         info!(shared.log, #"signals.starts", "tells other gateways what servers are like, and goes by what they tell"; "zone" => &zone);
-        let me = Me { name: peer.name, run: peer.instance.0, zone };
+        let me = LocalGateway { name: peer.name, instance: peer.instance.0, zone };
         let core = RefCell::new(Core::new(me, rand::random(), awake_or_not()));
         let signals = Rc::new(Signals { shared: shared.clone(), mesh: mesh.clone(), core });
         let answers = signals.clone();
@@ -58,17 +60,17 @@
     }
 
     /// A trip has ended there.
-    pub fn met(&self, server: &str, lane: usize, met: Met) {
-        self.core.borrow_mut().met(awake_or_not(), server, lane, met);
+    pub fn met(&self, server: &str, lane: usize, met: AttemptResult) {
+        self.core.borrow_mut().attempt_completed(awake_or_not(), server, lane, met);
     }
 
     /// A trip goes there. True: that was this gateway's turn to try it, and no other may follow.
     pub fn sends(&self, server: &str) -> bool {
-        self.core.borrow_mut().sends(self.shared.clock.now(), server)
+        self.core.borrow_mut().may_forward(self.shared.clock.now(), server)
     }
 
     /// Looks at the list and at what was said: which servers are to be left from now on, and which are not any more.
-    pub fn turn<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<Change> {
+    pub fn turn<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<EjectionChange> {
         let zone = |zone: u32| self.shared.outside.zones.get(zone as usize).cloned().unwrap_or_default();
         let server = |listed: &Endpoint| Server {
             name: listed.server.to_string(),
@@ -78,7 +80,7 @@
         };
         let servers = listed.filter(|listed| listed.state == EndpointState::Ready).map(server).collect();
         let (now, shared) = (awake_or_not(), self.shared.clock.now());
-        let changes = self.core.borrow_mut().tick(now, shared, &self.mesh.live_runs(), servers);
+        let changes = self.core.borrow_mut().handle_timeout(now, shared, &self.mesh.live_runs(), servers);
         self.carry();
         changes
     }
@@ -86,7 +88,7 @@
     async fn keep_time(self: Rc<Self>, events: Sender<Event>) {
         let mut out = BTreeSet::new();
         while events.send(Event::Signals).await.is_ok() {
-            let now: BTreeSet<String> = self.core.borrow().out().map(String::from).collect();
+            let now: BTreeSet<String> = self.core.borrow().ejected().map(String::from).collect();
             // Those that are used again first: at no moment does the log have more of them out than there are.
             let back = out.difference(&now).map(|server| (server, false));
             for (server, left) in back.chain(now.difference(&out).map(|server| (server, true))) {
@@ -94,7 +96,7 @@
                     "server" => server, "out" => left);
             }
             out = now;
-            let due = self.core.borrow().due();
+            let due = self.core.borrow().next_deadline();
             Timer::after(until(due.saturating_sub(awake_or_not()).max(LEAST))).await;
         }
     }
@@ -102,11 +104,11 @@
     async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            match postcard::from_bytes::<Note>(&body) {
+            match postcard::from_bytes::<Message>(&body) {
                 Ok(note) => {
                     let all = self.mesh.live().len() as f64 + 1.0;
                     let observers = self.shared.subsets.get().map_or(all, |subsets| subsets.shared_by());
-                    self.core.borrow_mut().came(awake_or_not(), &from.name, note, observers);
+                    self.core.borrow_mut().handle_message(awake_or_not(), &from.name, note, observers);
                 }
                 Err(_) => {
                     let why = "a note about servers that can't be read";
@@ -119,7 +121,7 @@
 
     fn carry(&self) {
         loop {
-            let note = self.core.borrow_mut().take();
+            let note = self.core.borrow_mut().poll_message();
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
             let _ = self.mesh.send(
@@ -130,12 +132,12 @@
         }
     }
 
-    fn shown(&self) -> View {
-        self.core.borrow().shown(awake_or_not(), self.shared.clock.now())
+    fn shown(&self) -> OutlierView {
+        self.core.borrow().status(awake_or_not(), self.shared.clock.now())
     }
 }
 
 /// The id of a server that a change is about.
-pub fn id(change: &Change) -> Id {
+pub fn id(change: &EjectionChange) -> Id {
     Id::from(&*change.server)
 }
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsets.rs
@@ -9,9 +9,9 @@
 use async_io::Timer;
 use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros, Subset};
-use fernscale_subsetting::loads::{Known, LivePeer, Loads, Note};
-use fernscale_subsetting::own::{Own, View};
-use fernscale_subsetting::view::{Seen, Taken, View as Shown};
+use fernscale_subsetting::load_reports::{GatewayLoad, LivePeer, LoadReports, Message};
+use fernscale_subsetting::status::{GatewayView, ServerView, SubsetView as Shown};
+use fernscale_subsetting::subset::{FleetView, SubsetTracker};
 use fernscale_subsetting::{Gateway, Server};
 use futures_lite::StreamExt;
 use slog::{info, warn};
@@ -39,9 +39,9 @@
 }
 
 struct Core {
-    own: Own,
+    own: SubsetTracker,
     /// Nothing where gateways have no way to each other.
-    loads: Option<Loads>,
+    loads: Option<LoadReports>,
     /// What was told last, and the servers avoided then.
     used: BTreeSet<String>,
     avoided: BTreeSet<String>,
@@ -82,10 +82,13 @@
         let run = mesh.map(|mesh| mesh.me().instance.0);
         let own = LivePeer { name: me.name.clone(), instance: run.unwrap_or(0) };
         let name = mesh.map_or(me.number.to_string(), |_| me.name.clone());
-        let dealt = fernscale_subsetting::Settings { least: settings.least, zones: settings.zone.is_some() };
+        let dealt = fernscale_subsetting::Settings {
+            min_servers: settings.least,
+            prefers_own_zone: settings.zone.is_some(),
+        };
         let core = Core {
-            own: Own::new(&name, dealt, rand::random()),
-            loads: mesh.map(|_| Loads::new(own, &zone, rand::random(), now)),
+            own: SubsetTracker::new(&name, dealt, rand::random()),
+            loads: mesh.map(|_| LoadReports::new(own, &zone, rand::random(), now)),
             used: BTreeSet::new(),
             avoided: BTreeSet::new(),
         };
@@ -115,14 +118,14 @@
 
     /// How many gateways use a server, in the mean.
     pub fn shared_by(&self) -> f64 {
-        self.core.borrow().own.used().shared_by.max(1.0)
+        self.core.borrow().own.current().gateways_per_server.max(1.0)
     }
 
     /// This gateway ends, and no other process of it goes on.
     pub fn end(&self) {
         let live = self.live();
         if let Some(loads) = &mut self.core.borrow_mut().loads {
-            loads.leaves(awake_or_not(), &live);
+            loads.leave(awake_or_not(), &live);
         }
         self.carry();
     }
@@ -132,8 +135,8 @@
             let now = awake_or_not();
             let live = self.live();
             if let Some(loads) = &mut self.core.borrow_mut().loads {
-                loads.carried(now, self.trips.take());
-                loads.tick(now, &live);
+                loads.record_attempts(now, self.trips.take());
+                loads.handle_timeout(now, &live);
             }
             self.carry();
             if events.send(Event::Subsets).await.is_err() {
@@ -141,7 +144,10 @@
             }
             let due = {
                 let core = self.core.borrow();
-                core.loads.as_ref().map_or(Micros::MAX, Loads::due).min(core.own.due())
+                core.loads
+                    .as_ref()
+                    .map_or(Micros::MAX, LoadReports::next_deadline)
+                    .min(core.own.next_deadline())
             };
             Timer::after(until(due.saturating_sub(awake_or_not()).max(LEAST))).await;
         }
@@ -150,10 +156,10 @@
     async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            match postcard::from_bytes::<Note>(&body) {
+            match postcard::from_bytes::<Message>(&body) {
                 Ok(note) => {
                     if let Some(loads) = &mut self.core.borrow_mut().loads {
-                        loads.came(awake_or_not(), &from.name, note);
+                        loads.handle_message(awake_or_not(), &from.name, note);
                     }
                 }
                 Err(_) => {
@@ -168,7 +174,7 @@
     fn carry(&self) {
         let Some(mesh) = &self.mesh else { return };
         loop {
-            let note = self.core.borrow_mut().loads.as_mut().and_then(Loads::take);
+            let note = self.core.borrow_mut().loads.as_mut().and_then(LoadReports::poll_message);
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
             let _ = mesh.send(&to, Channel::Subsetting, postcard::to_stdvec(&note).unwrap_or_default());
@@ -197,35 +203,38 @@
         let live = self.live();
         let core = &mut *self.core.borrow_mut();
         let (gateways, whole) = match &core.loads {
-            Some(loads) => (self.gateways(loads.known(&live)), live.len() + 1 >= self.me.gateways as usize),
+            Some(loads) => {
+                (self.gateways(loads.gateway_loads(&live)), live.len() + 1 >= self.me.gateways as usize)
+            }
             None => {
                 let zone = self.zone(self.settings.zone.as_deref().unwrap_or_default());
                 let one = |number: u32| Gateway { name: number.to_string(), load: 1.0, zone };
                 ((0..self.me.gateways.max(1)).map(one).collect(), true)
             }
         };
-        core.own.avoids(avoided.clone());
+        core.own.set_avoided(avoided.clone());
         core.avoided = avoided;
-        core.own.saw(now, View { gateways, servers }, whole);
-        let changed = core.own.tick(now);
+        core.own.fleet_changed(now, FleetView { gateways, servers }, whole);
+        let changed = core.own.handle_timeout(now);
         let mut change = Change::default();
-        let opens = core.own.opens(now).into_iter().filter(|name| !cold.contains(name));
+        let opens = core.own.take_preconnects(now).into_iter().filter(|name| !cold.contains(name));
         change.opens = opens.map(Id::from).collect();
-        if !changed || core.own.used().shares.is_empty() {
+        if !changed || core.own.current().weights.is_empty() {
             return change;
         }
-        let used = core.own.used();
-        let names: BTreeSet<String> = used.shares.keys().cloned().collect();
+        let used = core.own.current();
+        let names: BTreeSet<String> = used.weights.keys().cloned().collect();
         change.leaves = core.used.difference(&names).map(|name| Id::from(&**name)).collect();
         if core.used != names {
             info!(self.shared.log, #"subset.changes", "uses other servers"; "servers" => names.len(),
                 "more" => names.difference(&core.used).count(), "fewer" => change.leaves.len(),
-                "gateways" => core.own.settled().gateways.len());
+                "gateways" => core.own.settled_view().gateways.len());
         }
         // Beside the others' mean, as ratings are.
-        let count = used.shares.len() as f64;
-        let parts = used.shares.iter().map(|(name, share)| (Id::from(&**name), share * count));
-        change.subset = Some(Subset { weights: parts.collect(), gateways_per_server: used.shared_by });
+        let count = used.weights.len() as f64;
+        let parts = used.weights.iter().map(|(name, share)| (Id::from(&**name), share * count));
+        change.subset =
+            Some(Subset { weights: parts.collect(), gateways_per_server: used.gateways_per_server });
         core.used = names;
         change
     }
@@ -236,11 +245,11 @@
     }
 
     /// The fleet as the deal takes it. Whoever has not told what it carries is taken to carry what the others do.
-    fn gateways(&self, known: Vec<Known>) -> Vec<Gateway> {
+    fn gateways(&self, known: Vec<GatewayLoad>) -> Vec<Gateway> {
         let told: Vec<f64> = known.iter().filter_map(|known| known.load).filter(|load| *load > 0.0).collect();
         let mean = if told.is_empty() { 1.0 } else { told.iter().sum::<f64>() / told.len() as f64 };
-        let there = known.into_iter().filter(|known| !known.leaves || known.name == self.me.name);
-        let gateway = |known: Known| Gateway {
+        let there = known.into_iter().filter(|known| !known.is_leaving || known.name == self.me.name);
+        let gateway = |known: GatewayLoad| Gateway {
             zone: self.zone(&known.zone),
             load: known.load.unwrap_or(mean),
             name: known.name,
@@ -250,16 +259,22 @@
 
     fn shown(&self) -> Shown {
         let core = self.core.borrow();
-        let View { gateways, servers } = core.own.settled();
-        let seen =
-            |gateway: &Gateway| Seen { name: gateway.name.clone(), load: gateway.load, zone: gateway.zone };
-        let taken =
-            |server: &Server| Taken { name: server.name.clone(), weight: server.weight, zone: server.zone };
-        let uses = core.own.used().shares.iter().map(|(name, share)| (name.clone(), *share));
+        let FleetView { gateways, servers } = core.own.settled_view();
+        let seen = |gateway: &Gateway| GatewayView {
+            name: gateway.name.clone(),
+            load: gateway.load,
+            zone: gateway.zone,
+        };
+        let taken = |server: &Server| ServerView {
+            name: server.name.clone(),
+            weight: server.weight,
+            zone: server.zone,
+        };
+        let uses = core.own.current().weights.iter().map(|(name, share)| (name.clone(), *share));
         Shown {
             gateway: self.me.name.clone(),
-            least: self.settings.least as u32,
-            zones: self.settings.zone.is_some(),
+            min_servers: self.settings.least as u32,
+            prefers_own_zone: self.settings.zone.is_some(),
             gateways: gateways.iter().map(seen).collect(),
             servers: servers.iter().map(taken).collect(),
             uses: uses.collect(),
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -373,8 +373,8 @@
 const MOST_LEAST: u64 = 10_000;
 
 fn subsets_section(section: &mut Section, zones: &[String]) -> subsets::Settings {
-    let usual = fernscale_subsetting::Settings::default().least;
-    let least = section.count("least", fernscale_subsetting::FLOOR as u64..=MOST_LEAST);
+    let usual = fernscale_subsetting::Settings::default().min_servers;
+    let least = section.count("least", fernscale_subsetting::MIN_SUBSET_SIZE as u64..=MOST_LEAST);
     let least = least.map_or(usual, |least| least.value as usize);
     subsets::Settings { least, zone: own_zone(section, zones) }
 }
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/routing/module.rs
@@ -434,7 +434,7 @@
     fn look_at_signals(&mut self) {
         let Some(signals) = self.shared.signals.get() else { return };
         for change in signals.turn(self.peers.values().map(|peer| &peer.listed)) {
-            self.gateway.set_ejected(&signals::id(&change), change.barred);
+            self.gateway.set_ejected(&signals::id(&change), change.ejected);
         }
     }
 
--- a/crates/gateway/src/routing/outcome.rs
+++ b/crates/gateway/src/routing/outcome.rs
@@ -1,6 +1,6 @@
 //! What the end of a connection means for what was asked on it. Nowhere else is this decided.
 
-use fernscale_outlier_detection::signals::Met;
+use fernscale_outlier_detection::detector::AttemptResult;
 use fernscale_policy::{Micros, Outcome};
 
 use crate::protocol::call::Said;
@@ -59,11 +59,13 @@
 
 /// What a trip that took so long says of its server to other gateways; nothing where it is not the server's doing, or all may have
 /// too much to do.
-pub fn met<T>(took: Micros, end: &Result<(Said, T), Lost>) -> Option<Met> {
+pub fn met<T>(took: Micros, end: &Result<(Said, T), Lost>) -> Option<AttemptResult> {
     match (of_trip(end), end) {
-        (Outcome::Ok, Ok((Said::Passed { .. }, _))) => Some(Met::Passed),
-        (Outcome::Ok, _) => Some(Met::Answered(took)),
-        (Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::NotConnected, _) => Some(Met::Bad),
+        (Outcome::Ok, Ok((Said::Passed { .. }, _))) => Some(AttemptResult::Forwarded),
+        (Outcome::Ok, _) => Some(AttemptResult::Answered(took)),
+        (Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::NotConnected, _) => {
+            Some(AttemptResult::Failed)
+        }
         (Outcome::Overloaded | Outcome::Cancelled | Outcome::NeverSent, _) => None,
     }
 }
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -18,10 +18,10 @@
 };
 use fernscale_membership::payload::{Channel, Payload};
 use fernscale_membership::seal::{Key, Sealer};
-use fernscale_outlier_detection::{view as servers, Level};
+use fernscale_outlier_detection::{status as servers, HealthLevel};
 use fernscale_shared_counter::gossip;
 use fernscale_shared_counter::pn_counter::{Contribution, Instance};
-use fernscale_subsetting::{loads, view as subsets};
+use fernscale_subsetting::{load_reports, status as subsets};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -255,13 +255,13 @@
 
 #[test]
 fn load_reports_for_subsets() {
-    let word = |step, leaves| loads::Word {
+    let word = |step, leaves| load_reports::LoadReport {
         name: "gateway-1".into(),
-        run: 0x55,
+        instance: 0x55,
         version: 3,
         step,
         zone: "north".into(),
-        leaves,
+        is_leaving: leaves,
     };
     check(
         "subset-reports.bin",
@@ -270,12 +270,12 @@
             gossip::GossipMessage::RequestAll,
         ],
     );
-    let view = subsets::View {
+    let view = subsets::SubsetView {
         gateway: "gateway-1".into(),
-        least: 12,
-        zones: true,
-        gateways: vec![subsets::Seen { name: "gateway-2".into(), load: 1.5, zone: 1 }],
-        servers: vec![subsets::Taken { name: "10.0.0.1:80".into(), weight: 2.0, zone: 0 }],
+        min_servers: 12,
+        prefers_own_zone: true,
+        gateways: vec![subsets::GatewayView { name: "gateway-2".into(), load: 1.5, zone: 1 }],
+        servers: vec![subsets::ServerView { name: "10.0.0.1:80".into(), weight: 2.0, zone: 0 }],
         uses: vec![("10.0.0.1:80".into(), 0.75)],
         avoids: vec!["10.0.0.2:80".into()],
     };
@@ -284,45 +284,50 @@
 
 #[test]
 fn outlier_reports() {
-    let level = Level { bad: 3, slow: 1, seen: 4 };
-    let word = fernscale_outlier_detection::Word {
-        run: 0x66,
+    let level = HealthLevel { failures: 3, slowness: 1, samples: 4 };
+    let word = fernscale_outlier_detection::ServerReport {
+        instance: 0x66,
         server: "10.0.0.1:80".into(),
-        started: 1_700_000_000_000_000,
+        started_at: 1_700_000_000_000_000,
         version: 2,
         zone: String::new(),
-        level,
-        speaks_for: 5,
+        health: level,
+        represents: 5,
     };
     check(
         "outlier-reports.bin",
         &[
-            fernscale_outlier_detection::Note::Reports(vec![word]),
-            fernscale_outlier_detection::Note::RequestAll,
+            fernscale_outlier_detection::Message::Reports(vec![word]),
+            fernscale_outlier_detection::Message::RequestAll,
         ],
     );
     let standings = [
-        servers::Standing::Fine,
-        servers::Standing::BadHere,
-        servers::Standing::BadForZone,
-        servers::Standing::BadForAll,
-        servers::Standing::Spared,
-        servers::Standing::Returns,
+        servers::ServerStatus::Healthy,
+        servers::ServerStatus::OutlierHere,
+        servers::ServerStatus::EjectedForZone,
+        servers::ServerStatus::EjectedForAll,
+        servers::ServerStatus::Spared,
+        servers::ServerStatus::Returning,
     ];
-    let seen = |standing| servers::Seen {
+    let seen = |standing| servers::ServerView {
         server: "10.0.0.1:80".into(),
-        standing,
-        here: Some(level),
+        status: standing,
+        observed: Some(level),
         against: 2.5,
-        for_it: 1.0,
-        by: 3,
-        out_ms: Some(1_200),
-        next: Some("gateway-2".into()),
+        in_favor: 1.0,
+        reporters: 3,
+        ejected_ms: Some(1_200),
+        next_trial: Some("gateway-2".into()),
     };
     let seen = standings.map(seen).to_vec();
     check(
         "outlier-views.bin",
-        &[servers::View { gateway: "gateway-1".into(), out: 0.1, most_out: 0.25, servers: seen }],
+        &[servers::OutlierView {
+            gateway: "gateway-1".into(),
+            ejected_share: 0.1,
+            max_ejected_share: 0.25,
+            servers: seen,
+        }],
     );
 }
 
--- a/crates/lab/src/signals.rs
+++ b/crates/lab/src/signals.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fernscale_outlier_detection::signals::{Me, Met, Server, Signals};
-use fernscale_outlier_detection::{Level, Note, Word};
+use fernscale_outlier_detection::detector::{AttemptResult, LocalGateway, OutlierDetector, Server};
+use fernscale_outlier_detection::{HealthLevel, Message, ServerReport};
 use fernscale_shared_counter::gossip::LivePeer;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
 
 pub struct Fleet {
     pub now: Micros,
-    pub signals: Vec<Signals>,
+    pub signals: Vec<OutlierDetector>,
     pub names: Vec<LivePeer>,
     pub servers: Vec<Server>,
     /// How each gateway meets each server.
@@ -42,7 +42,7 @@
     pub parted: Box<dyn Fn(usize, usize) -> bool>,
     pub loss: f64,
     barred: Vec<BTreeSet<String>>,
-    way: BTreeMap<(Micros, u64), (usize, usize, Note)>,
+    way: BTreeMap<(Micros, u64), (usize, usize, Message)>,
     order: u64,
     chance: ChaCha8Rng,
     versions: u32,
@@ -58,13 +58,19 @@
 impl Fleet {
     pub fn of(gateways: usize, servers: usize, zones: usize) -> Fleet {
         let zone = |at: usize| if zones < 2 { String::new() } else { format!("zone-{}", at % zones) };
-        let me = |at: usize| Me { name: format!("gateway-{at}"), run: 1 + at as u64, zone: zone(at) };
+        let me = |at: usize| LocalGateway {
+            name: format!("gateway-{at}"),
+            instance: 1 + at as u64,
+            zone: zone(at),
+        };
         let server =
             |at: usize| Server { name: format!("box-{at}"), weight: 1.0, zone: zone(at), started: 0 };
         Fleet {
             now: SECOND,
-            signals: (0..gateways).map(|at| Signals::new(me(at), at as u64, SECOND)).collect(),
-            names: (0..gateways).map(|at| LivePeer { name: me(at).name, instance: me(at).run }).collect(),
+            signals: (0..gateways).map(|at| OutlierDetector::new(me(at), at as u64, SECOND)).collect(),
+            names: (0..gateways)
+                .map(|at| LivePeer { name: me(at).name, instance: me(at).instance })
+                .collect(),
             servers: (0..servers).map(server).collect(),
             does: Box::new(|_, _, _| Does::Well),
             rate: 30.0,
@@ -104,7 +110,7 @@
             let (from, to, note) = first.remove();
             if !self.paused.contains(&to) {
                 let (name, observers) = (self.names[from].name.clone(), self.signals.len() as f64);
-                self.signals[to].came(self.now, &name, note, observers);
+                self.signals[to].handle_message(self.now, &name, note, observers);
             }
         }
     }
@@ -122,50 +128,52 @@
             };
             let name = self.servers[server].name.clone();
             self.sent += 1;
-            if self.signals[at].sends(shared, &name) {
+            if self.signals[at].may_forward(shared, &name) {
                 *self.tries.entry(server).or_default() += 1;
                 self.barred[at].insert(name.clone());
             }
             let end = match (self.does)(self.now, at, server) {
-                Does::Fails(share) if self.chance.gen_bool(share) => Met::Bad,
-                Does::Slow(times) => Met::Answered(times * USUAL),
-                _ => Met::Answered(self.chance.gen_range(USUAL / 2..2 * USUAL)),
+                Does::Fails(share) if self.chance.gen_bool(share) => AttemptResult::Failed,
+                Does::Slow(times) => AttemptResult::Answered(times * USUAL),
+                _ => AttemptResult::Answered(self.chance.gen_range(USUAL / 2..2 * USUAL)),
             };
-            if end == Met::Bad || matches!(end, Met::Answered(took) if took > 3 * USUAL) {
+            if end == AttemptResult::Failed
+                || matches!(end, AttemptResult::Answered(took) if took > 3 * USUAL)
+            {
                 *self.hurt.entry(server).or_default() += 1;
             }
-            self.signals[at].met(self.now, &name, 0, end);
+            self.signals[at].attempt_completed(self.now, &name, 0, end);
         }
         let live: Vec<LivePeer> = (0..self.names.len())
             .filter(|other| *other != at)
             .map(|other| self.names[other].clone())
             .collect();
-        let changes = self.signals[at].tick(self.now, shared, &live, self.servers.clone());
+        let changes = self.signals[at].handle_timeout(self.now, shared, &live, self.servers.clone());
         self.changes += changes.len() as u64;
         for change in changes {
-            if change.barred {
+            if change.ejected {
                 self.barred[at].insert(change.server);
             } else {
                 self.barred[at].remove(&change.server);
             }
         }
         let mut notes = Vec::new();
-        while let Some(note) = self.signals[at].take() {
+        while let Some(note) = self.signals[at].poll_message() {
             notes.push(note);
         }
         if self.liars.contains(&at) {
             self.versions += 1;
-            let word = Word {
-                run: self.names[at].instance,
+            let word = ServerReport {
+                instance: self.names[at].instance,
                 server: format!("box-{}", self.chance.gen_range(0..self.servers.len())),
-                started: 0,
+                started_at: 0,
                 version: self.versions,
                 zone: String::new(),
-                level: Level { bad: self.chance.gen_range(0..=8), slow: 0, seen: 9 },
-                speaks_for: 40,
+                health: HealthLevel { failures: self.chance.gen_range(0..=8), slowness: 0, samples: 9 },
+                represents: 40,
             };
             let to = self.names[self.chance.gen_range(0..self.names.len())].name.clone();
-            notes = vec![(to, Note::Reports(vec![word]))];
+            notes = vec![(to, Message::Reports(vec![word]))];
         }
         for (to, note) in notes {
             let to = to.trim_start_matches("gateway-").parse().unwrap_or(0);
--- a/crates/lab/src/subsets.rs
+++ b/crates/lab/src/subsets.rs
@@ -2,8 +2,10 @@
 
 use std::time::Instant;
 
-use fernscale_subsetting::dealer::Dealer;
-use fernscale_subsetting::{baselines, deal, moved, picture, Deal, Gateway, Server, Settings};
+use fernscale_subsetting::assigner::Assigner;
+use fernscale_subsetting::{
+    assign, baselines, evenness, moved_share, Assignments, Gateway, Server, Settings,
+};
 use serde_json::{json, Value};
 
 /// Loads as they are seen: a quarter of the gateways carries most.
@@ -19,22 +21,22 @@
 }
 
 /// One way to deal, at this size.
-fn one(way: &str, of: &dyn Fn(&[Gateway], &[Server]) -> Deal, many: usize, few: usize) -> Value {
+fn one(way: &str, of: &dyn Fn(&[Gateway], &[Server]) -> Assignments, many: usize, few: usize) -> Value {
     let (all, taken) = (gateways(many, false), servers(few));
     let began = Instant::now();
     let own = of(&all, &taken);
     let took = began.elapsed().as_secs_f64() * 1e3;
-    let even = picture(&all, &taken, &own);
+    let even = evenness(&all, &taken, &own);
     let uneven = gateways(many, true);
-    let other = picture(&uneven, &taken, &of(&uneven, &taken));
+    let other = evenness(&uneven, &taken, &of(&uneven, &taken));
     let fewer = &all[..many.saturating_sub(1).max(1)];
-    let by_gateway = moved((&all, &taken, &own), (fewer, &taken, &of(fewer, &taken)));
+    let by_gateway = moved_share((&all, &taken, &own), (fewer, &taken, &of(fewer, &taken)));
     let left = &taken[..few.saturating_sub(1).max(1)];
-    let by_server = moved((&all, &taken, &own), (&all, left, &of(&all, left)));
+    let by_server = moved_share((&all, &taken, &own), (&all, left, &of(&all, left)));
     json!({
-        "way": way, "gateways": many, "servers": few, "pairs": even.pairs, "busiest": even.most, "idlest": even.least,
-        "busiest_uneven": other.most, "uncovered": even.uncovered, "most_of_gateway": even.most_of_gateway,
-        "most_of_server": even.most_of_server, "moved_by_a_gateway": by_gateway, "moved_by_a_server": by_server,
+        "way": way, "gateways": many, "servers": few, "pairs": even.pairs, "busiest": even.max_load, "idlest": even.min_load,
+        "busiest_uneven": other.max_load, "uncovered": even.uncovered, "most_of_gateway": even.max_servers_of_gateway,
+        "most_of_server": even.max_gateways_of_server, "moved_by_a_gateway": by_gateway, "moved_by_a_server": by_server,
         "took_ms": took,
     })
 }
@@ -42,10 +44,10 @@
 /// How long a dealer takes that goes on from the deal before: at first, with one gateway less, with one server less.
 fn one_change(many: usize, few: usize, settings: Settings) -> Value {
     let (all, taken) = (gateways(many, false), servers(few));
-    let mut dealer = Dealer::default();
+    let mut dealer = Assigner::default();
     let mut took = |all: &[Gateway], taken: &[Server]| {
         let began = Instant::now();
-        let pairs: usize = dealer.deal(all, taken, settings).parts.iter().map(Vec::len).sum();
+        let pairs: usize = dealer.assign(all, taken, settings).by_gateway.iter().map(Vec::len).sum();
         (began.elapsed().as_secs_f64() * 1e3, pairs)
     };
     let first = took(&all, &taken).0;
@@ -58,12 +60,12 @@
 
 /// All ways at this size, with so many servers for each gateway at the least.
 pub fn measure(many: usize, few: usize, least: usize) -> Vec<Value> {
-    let settings = Settings { least, zones: true };
-    let fitted = |all: &[Gateway], taken: &[Server]| deal(all, taken, settings);
-    let rows = |all: &[Gateway], taken: &[Server]| baselines::rows(all, taken, least);
-    let rounds = |all: &[Gateway], taken: &[Server]| baselines::rounds(all, taken, least);
+    let settings = Settings { min_servers: least, prefers_own_zone: true };
+    let fitted = |all: &[Gateway], taken: &[Server]| assign(all, taken, settings);
+    let rows = |all: &[Gateway], taken: &[Server]| baselines::contiguous(all, taken, least);
+    let rounds = |all: &[Gateway], taken: &[Server]| baselines::round_robin(all, taken, least);
     vec![
-        one("everybody", &baselines::everybody, many, few),
+        one("everybody", &baselines::all_servers, many, few),
         one("rows by hash", &rows, many, few),
         one("rounds", &rounds, many, few),
         one("drawn and fitted", &fitted, many, few),
--- a/crates/lab/tests/signals.rs
+++ b/crates/lab/tests/signals.rs
@@ -2,7 +2,7 @@
 
 use fernscale_lab::signals::{Does, Fleet};
 use fernscale_lab::SECOND;
-use fernscale_outlier_detection::signals::MOST_OUT;
+use fernscale_outlier_detection::detector::MAX_EJECTED_SHARE;
 
 #[test]
 fn while_all_is_well_nobody_says_anything() {
@@ -99,7 +99,7 @@
         // By zone, what is out at any gateway of the others is nothing.
         let in_others: usize = (0..24).map(|server| fleet.leave_out(server).saturating_sub(6)).sum();
         assert_eq!(in_others, 0);
-        assert!(fleet.most_out() <= MOST_OUT + 1e-9);
+        assert!(fleet.most_out() <= MAX_EJECTED_SHARE + 1e-9);
     }
 }
 
@@ -110,7 +110,11 @@
         fleet.does = Box::new(move |_, _, server| if server < bad { Does::Fails(0.8) } else { Does::Well });
         for _ in 0..60 {
             fleet.pass(SECOND / 5);
-            assert!(fleet.most_out() <= MOST_OUT + 1e-9, "{bad} of 24 are bad: {} out", fleet.most_out());
+            assert!(
+                fleet.most_out() <= MAX_EJECTED_SHARE + 1e-9,
+                "{bad} of 24 are bad: {} out",
+                fleet.most_out()
+            );
         }
         let out = (0..24).filter(|server| fleet.leave_out(*server) > 10).count();
         assert!(out >= 4.min(bad), "{bad} are bad, {out} are out");
--- a/crates/outlier-detection/src/signals.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::judge::{cases, Case, Heard};
-use crate::sight::{End, Sight, Usual};
-use crate::turns;
-use crate::view::{Seen, Standing, View};
-use crate::{chance, drawn, Level, Micros, Note, Word, MILLISECOND, SECOND};
+use crate::evidence::{evaluate, BelievedReport, Evidence};
+use crate::observation::{AttemptEnd, Observation, UsualTimes};
+use crate::status::{OutlierView, ServerStatus, ServerView};
+use crate::trial_permit;
+use crate::{chance, drawn, HealthLevel, Message, Micros, ServerReport, MILLISECOND, SECOND};
 use fernscale_shared_counter::gossip::{Gossip, GossipConfig, LivePeer};
 
 /// Words go out fast, as each tenth of a second is some trips hurt at a bad server; with at most some ten words for each server
@@ -20,7 +20,7 @@
     retention: 30 * SECOND,
 };
 /// The share of the capacity that may be out of use by choice. Danger: gateways that eject half of the servers fell the rest.
-pub const MOST_OUT: f64 = 0.25;
+pub const MAX_EJECTED_SHARE: f64 = 0.25;
 /// So soon after the first word against it nothing is done about a server: whoever knows better is heard first.
 const CONTEST: Micros = 500 * MILLISECOND;
 /// Those who know better that are to speak, of all who do: more say no more.
@@ -55,35 +55,35 @@
 
 /// Who this gateway is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Me {
+pub struct LocalGateway {
     pub name: String,
-    pub run: u64,
+    pub instance: u64,
     pub zone: String,
 }
 
 /// How a trip to a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum AttemptResult {
     /// Answered after so long.
     Answered(Micros),
     /// Answered with so much that its time says nothing.
-    Passed,
+    Forwarded,
     /// Lost, or failed. Not one that was turned away: where all have too much to do, none is bad.
-    Bad,
+    Failed,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Own {
-    sight: Sight,
+    sight: Observation,
     started: u64,
     /// What was said last, and when.
-    said: Option<(Level, Micros)>,
+    said: Option<(HealthLevel, Micros)>,
 }
 
 #[derive(Clone, Debug)]
 struct Out {
     since: Micros,
-    standing: Standing,
+    standing: ServerStatus,
     /// From when on it may be used again, once it is well.
     back: Option<Micros>,
 }
@@ -95,11 +95,11 @@
     back: Micros,
 }
 
-pub struct Signals {
-    me: Me,
-    rumour: Gossip<Word>,
+pub struct OutlierDetector {
+    me: LocalGateway,
+    rumour: Gossip<ServerReport>,
     version: u32,
-    usual: Usual,
+    usual: UsualTimes,
     own: BTreeMap<String, Own>,
     /// When each word was heard first.
     heard: BTreeMap<(String, u64), Micros>,
@@ -121,19 +121,19 @@
 
 /// What is to change for one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct EjectionChange {
     pub server: String,
     /// No trip is to go there.
-    pub barred: bool,
+    pub ejected: bool,
 }
 
-impl Signals {
-    pub fn new(me: Me, seed: u64, now: Micros) -> Self {
-        Signals {
-            rumour: Gossip::new(me.run, MANNER, seed, now),
+impl OutlierDetector {
+    pub fn new(me: LocalGateway, seed: u64, now: Micros) -> Self {
+        OutlierDetector {
+            rumour: Gossip::new(me.instance, MANNER, seed, now),
             me,
             version: 0,
-            usual: Usual::default(),
+            usual: UsualTimes::default(),
             own: BTreeMap::new(),
             heard: BTreeMap::new(),
             accused: BTreeMap::new(),
@@ -152,11 +152,11 @@
 
     /// A trip to a server has ended. What says nothing of the server, as a trip that was given up for another reason, is not told
     /// here.
-    pub fn met(&mut self, now: Micros, server: &str, lane: usize, met: Met) {
+    pub fn attempt_completed(&mut self, now: Micros, server: &str, lane: usize, met: AttemptResult) {
         let end = match met {
-            Met::Answered(took) => End::Answered { times: self.usual.times(lane, took) },
-            Met::Passed => End::Answered { times: 1.0 },
-            Met::Bad => End::Bad,
+            AttemptResult::Answered(took) => AttemptEnd::Answered { times: self.usual.slowdown(lane, took) },
+            AttemptResult::Forwarded => AttemptEnd::Answered { times: 1.0 },
+            AttemptResult::Failed => AttemptEnd::Failed,
         };
         if self.own.len() >= MOST_SIGHTS && !self.own.contains_key(server) {
             return;
@@ -165,29 +165,29 @@
         let own = self.own.entry(server.into()).or_default();
         if out && self.tried.contains_key(server) {
             // What a try shows goes before what was met there earlier.
-            own.sight = Sight::default();
+            own.sight = Observation::default();
             own.said = None;
         }
-        own.sight.met(now, end);
+        own.sight.record(now, end);
         self.look_at_own(now, server, self.speaks(now, server));
     }
 
     /// A trip goes to a server. True: it was this gateway's turn to try it, which is over with that.
-    pub fn sends(&mut self, shared: Micros, server: &str) -> bool {
+    pub fn may_forward(&mut self, shared: Micros, server: &str) -> bool {
         let tries = self.tries.remove(server);
         if tries {
-            self.tried.insert(server.into(), turns::turn(shared).1);
+            self.tried.insert(server.into(), trial_permit::current_interval(shared).1);
             self.barred.insert(server.into());
         }
         tries
     }
 
     /// A note has come from the gateway of a name.
-    pub fn came(&mut self, now: Micros, from: &str, note: Note, observers: f64) {
+    pub fn handle_message(&mut self, now: Micros, from: &str, note: Message, observers: f64) {
         let new = self.rumour.handle_message(now, from, note);
         self.observers = observers.max(1.0);
         for key in new {
-            if self.rumour.report(&key).is_some_and(|word| word.level.is_bad()) {
+            if self.rumour.report(&key).is_some_and(|word| word.health.is_outlier()) {
                 self.accuse(now, &key.0);
             }
             self.heard.insert(key, now);
@@ -202,7 +202,7 @@
         }
         self.accused.insert(server.into(), now);
         if let Some(own) = self.own.get_mut(server).filter(|own| own.said.is_none()) {
-            own.sight = Sight::default();
+            own.sight = Observation::default();
         }
     }
 
@@ -216,17 +216,18 @@
     /// Says how a server does here, if that has changed; or, asked to speak for so many, if it was not said of late.
     fn look_at_own(&mut self, now: Micros, server: &str, asked: Option<u16>) {
         let Some(own) = self.own.get_mut(server) else { return };
-        let Some(level) = own.sight.level(now) else { return };
+        let Some(level) = own.sight.health(now) else { return };
         let said = own.said.filter(|(_, at)| now < at + SPOKEN);
         // One that is good and bad from one trip to the next is not spoken of with each.
         if said.is_some_and(|(_, at)| now < at + SPACED) {
             return;
         }
         let changed = match said {
-            None => level.is_bad() || asked.is_some(),
+            None => level.is_outlier() || asked.is_some(),
             Some((said, _)) => {
                 // What rests on more is said again, as it weighs more.
-                said.is_bad() != level.is_bad() || level.is_bad() && level.seen > said.seen && said.seen < 2
+                said.is_outlier() != level.is_outlier()
+                    || level.is_outlier() && level.samples > said.samples && said.samples < 2
             }
         };
         let of_try = self.tried.contains_key(server) && self.out.contains_key(server) && own.said.is_none();
@@ -234,44 +235,44 @@
             return;
         }
         own.said = Some((level, now));
-        if level.is_bad() && !self.accused.contains_key(server) {
+        if level.is_outlier() && !self.accused.contains_key(server) {
             self.accused.insert(server.into(), now);
         }
         let started = own.started;
         self.version += 1;
-        let word = Word {
-            run: self.me.run,
+        let word = ServerReport {
+            instance: self.me.instance,
             server: server.into(),
-            started,
+            started_at: started,
             version: self.version,
             zone: self.me.zone.clone(),
-            level,
-            speaks_for: if level.is_bad() { 1 } else { asked.unwrap_or(1).max(1) },
+            health: level,
+            represents: if level.is_outlier() { 1 } else { asked.unwrap_or(1).max(1) },
         };
-        self.heard.insert((server.into(), self.me.run), now);
+        self.heard.insert((server.into(), self.me.instance), now);
         self.rumour.publish(now, word);
         self.rumour.hurry(now);
     }
 
     /// When `tick` is to be called next.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         self.rumour.next_deadline()
     }
 
     /// The next note that is to be sent, and to whom.
-    pub fn take(&mut self) -> Option<(String, Note)> {
+    pub fn poll_message(&mut self) -> Option<(String, Message)> {
         self.rumour.poll_message()
     }
 
     /// Looks at everything anew. `live`: the others that the mesh takes for live; `shared`: the time of the clock that all share.
     /// What is to change for the module.
-    pub fn tick(
+    pub fn handle_timeout(
         &mut self,
         now: Micros,
         shared: Micros,
         live: &[LivePeer],
         servers: Vec<Server>,
-    ) -> Vec<Change> {
+    ) -> Vec<EjectionChange> {
         self.live = live.to_vec();
         self.rumour.handle_timeout(now, live);
         for server in &servers {
@@ -294,7 +295,7 @@
             self.out.keys().filter(|name| !self.tries.contains(*name)).cloned().collect();
         let changes = barred.symmetric_difference(&self.barred);
         let changes = changes
-            .map(|server| Change { server: server.clone(), barred: barred.contains(server) })
+            .map(|server| EjectionChange { server: server.clone(), ejected: barred.contains(server) })
             .collect();
         self.barred = barred;
         changes
@@ -302,16 +303,17 @@
 
     /// What speaks against servers and for them, by the words that count now: of live runs, about servers as they started last.
     /// `near`: of the own zone's gateways alone.
-    fn cases(&self, now: Micros, near: bool) -> BTreeMap<String, Case> {
-        let live: BTreeSet<u64> = self.live.iter().map(|live| live.instance).chain([self.me.run]).collect();
+    fn cases(&self, now: Micros, near: bool) -> BTreeMap<String, Evidence> {
+        let live: BTreeSet<u64> =
+            self.live.iter().map(|live| live.instance).chain([self.me.instance]).collect();
         let started: BTreeMap<&str, u64> =
             self.servers.iter().map(|server| (&*server.name, server.started)).collect();
-        let counts = |word: &&Word| {
-            live.contains(&word.run)
+        let counts = |word: &&ServerReport| {
+            live.contains(&word.instance)
                 && (!near || word.zone == self.me.zone)
-                && started.get(&*word.server).is_some_and(|own| word.started >= *own)
+                && started.get(&*word.server).is_some_and(|own| word.started_at >= *own)
         };
-        let mut words: Vec<Heard> = Vec::new();
+        let mut words: Vec<BelievedReport> = Vec::new();
         for word in self.rumour.reports().filter(counts) {
             let at = self.heard.get(&rumour_key(word)).copied().unwrap_or(0);
             let age = now.saturating_sub(at);
@@ -319,25 +321,33 @@
             if self.out.get(&word.server).is_some_and(|out| at < out.since + OVER) {
                 continue;
             }
-            let (run, zone, level) = (word.run, &*word.zone, word.level);
+            let (run, zone, level) = (word.instance, &*word.zone, word.health);
             // Nobody speaks for more than there are.
-            let for_all = f64::from(word.speaks_for).min((self.live.len() as f64 + 1.0) / SPEAKERS).max(1.0);
-            words.push(Heard { run, server: &word.server, zone, level, for_all, age });
+            let for_all = f64::from(word.represents).min((self.live.len() as f64 + 1.0) / SPEAKERS).max(1.0);
+            words.push(BelievedReport {
+                instance: run,
+                server: &word.server,
+                zone,
+                health: level,
+                for_all,
+                age,
+            });
         }
-        cases(&words).into_iter().map(|(server, case)| (server.to_string(), case)).collect()
+        evaluate(&words).into_iter().map(|(server, case)| (server.to_string(), case)).collect()
     }
 
     fn judge(&mut self, now: Micros) {
-        self.zones = self.rumour.reports().map(|word| (word.run, word.zone.clone())).collect();
+        self.zones = self.rumour.reports().map(|word| (word.instance, word.zone.clone())).collect();
         let (for_all, for_zone) = (self.cases(now, false), self.cases(now, true));
         let alone = self.me.zone.is_empty();
         // Who is bad, and how surely; worst first.
-        let mut bad: Vec<(f64, u64, String, Standing)> = Vec::new();
+        let mut bad: Vec<(f64, u64, String, ServerStatus)> = Vec::new();
         for server in &self.servers {
             let contested = self.accused.get(&server.name).is_some_and(|since| now < since + CONTEST);
             let (all, zone) = (for_all.get(&server.name), for_zone.get(&server.name).filter(|_| !alone));
             let was_out = self.out.contains_key(&server.name);
-            let is_bad = |case: &&Case| if was_out { !case.is_well() } else { case.is_bad() && !contested };
+            let is_bad =
+                |case: &&Evidence| if was_out { !case.is_healthy() } else { case.is_outlier() && !contested };
             if let Some(known) = self.out.get(&server.name).filter(|_| all.is_none()) {
                 // Nothing has been said since: it stays as it is for a while.
                 if now < known.since + FORGOTTEN {
@@ -345,11 +355,12 @@
                     continue;
                 }
             }
-            let apart = |case: &&Case| alone || was_out || case.is_known_apart();
-            let found = all.filter(is_bad).filter(apart).map(|case| (case, Standing::BadForAll));
-            let found = found.or_else(|| zone.filter(is_bad).map(|case| (case, Standing::BadForZone)));
+            let apart = |case: &&Evidence| alone || was_out || case.is_known_apart();
+            let found = all.filter(is_bad).filter(apart).map(|case| (case, ServerStatus::EjectedForAll));
+            let found =
+                found.or_else(|| zone.filter(is_bad).map(|case| (case, ServerStatus::EjectedForZone)));
             if let Some((case, standing)) = found {
-                bad.push((case.badness(), drawn(&server.name, "", 0), server.name.clone(), standing));
+                bad.push((case.severity(), drawn(&server.name, "", 0), server.name.clone(), standing));
             }
         }
         bad.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
@@ -357,7 +368,7 @@
             self.servers.iter().map(|server| (&*server.name, server.weight)).collect();
         let sum: f64 = weight.values().sum();
         // One of three or more may always be out: with so few a share of them is none.
-        let most = (MOST_OUT * sum).max(if weight.len() >= 3 {
+        let most = (MAX_EJECTED_SHARE * sum).max(if weight.len() >= 3 {
             weight.values().copied().fold(0.0, f64::max)
         } else {
             0.0
@@ -420,7 +431,7 @@
 
     /// Which of the servers that are out it is this gateway's turn to try.
     fn try_some(&mut self, now: Micros, shared: Micros) {
-        let (began, number) = turns::turn(shared);
+        let (began, number) = trial_permit::current_interval(shared);
         let names: Vec<&str> = self.live.iter().map(|live| &*live.name).collect();
         let zones: BTreeMap<&str, &str> = self
             .live
@@ -437,7 +448,8 @@
             };
             // Whoever has tried it in this turn has said so.
             let told = self.told_since(&server.name, now.saturating_sub(shared - began));
-            if !tried && !told && turns::may(shared, &self.me.name, &server.name, &names, near) {
+            if !tried && !told && trial_permit::is_granted(shared, &self.me.name, &server.name, &names, near)
+            {
                 tries.insert(server.name.clone());
             }
         }
@@ -447,52 +459,57 @@
     /// Another has spoken of a server since then.
     fn told_since(&self, server: &str, since: Micros) -> bool {
         let (from, to) = ((server.to_string(), 0), (server.to_string(), u64::MAX));
-        self.heard.range(from..=to).any(|((_, run), at)| *run != self.me.run && *at >= since)
+        self.heard.range(from..=to).any(|((_, run), at)| *run != self.me.instance && *at >= since)
     }
 
     /// Servers that are left out of use.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
+    pub fn ejected(&self) -> impl Iterator<Item = &str> {
         self.out.keys().map(|name| &**name)
     }
 
     /// For operators.
-    pub fn shown(&self, now: Micros, shared: Micros) -> View {
+    pub fn status(&self, now: Micros, shared: Micros) -> OutlierView {
         let cases = self.cases(now, false);
         let sum: f64 = self.servers.iter().map(|server| server.weight).sum();
         let mut names: Vec<&str> = self.live.iter().map(|live| &*live.name).collect();
         names.push(&self.me.name);
-        let number = turns::turn(shared).1;
+        let number = trial_permit::current_interval(shared).1;
         let mut out = 0.0;
         let servers = self.servers.iter().map(|server| {
-            let here = self.own.get(&server.name).and_then(|own| own.sight.level(now));
+            let here = self.own.get(&server.name).and_then(|own| own.sight.health(now));
             let known = self.out.get(&server.name);
             out += known.map_or(0.0, |_| server.weight);
             let standing = match known {
-                Some(Out { back: Some(_), .. }) => Standing::Returns,
+                Some(Out { back: Some(_), .. }) => ServerStatus::Returning,
                 Some(known) => known.standing,
-                None if self.spared.contains(&server.name) => Standing::Spared,
-                None if here.is_some_and(Level::is_bad) => Standing::BadHere,
-                None => Standing::Fine,
+                None if self.spared.contains(&server.name) => ServerStatus::Spared,
+                None if here.is_some_and(HealthLevel::is_outlier) => ServerStatus::OutlierHere,
+                None => ServerStatus::Healthy,
             };
             let case = cases.get(&server.name).cloned().unwrap_or_default();
             let first = names.iter().min_by_key(|name| drawn(name, &server.name, number));
-            Seen {
+            ServerView {
                 server: server.name.clone(),
-                standing,
-                here,
+                status: standing,
+                observed: here,
                 against: case.against,
-                for_it: case.for_it,
-                by: case.by.len() as u32,
-                out_ms: known.map(|known| now.saturating_sub(known.since) / MILLISECOND),
-                next: known.and(first).map(|name| name.to_string()),
+                in_favor: case.in_favor,
+                reporters: case.reporters.len() as u32,
+                ejected_ms: known.map(|known| now.saturating_sub(known.since) / MILLISECOND),
+                next_trial: known.and(first).map(|name| name.to_string()),
             }
         });
         let servers = servers.collect();
         let out = if sum > 0.0 { out / sum } else { 0.0 };
-        View { gateway: self.me.name.clone(), out, most_out: MOST_OUT, servers }
+        OutlierView {
+            gateway: self.me.name.clone(),
+            ejected_share: out,
+            max_ejected_share: MAX_EJECTED_SHARE,
+            servers,
+        }
     }
 }
 
-fn rumour_key(word: &Word) -> (String, u64) {
-    (word.server.clone(), word.run)
+fn rumour_key(word: &ServerReport) -> (String, u64) {
+    (word.server.clone(), word.instance)
 }
--- a/crates/outlier-detection/src/judge.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Level, Micros, SECOND};
+use crate::{HealthLevel, Micros, SECOND};
 
 /// Time in which a word loses half of its weight.
 const HALF: Micros = 3 * SECOND;
@@ -22,21 +22,21 @@
 
 /// A word, with how long ago it was heard.
 #[derive(Clone, Debug)]
-pub struct Heard<'w> {
-    pub run: u64,
+pub struct BelievedReport<'w> {
+    pub instance: u64,
     pub server: &'w str,
     /// Where its gateway stands.
     pub zone: &'w str,
-    pub level: Level,
+    pub health: HealthLevel,
     /// How many it speaks for.
     pub for_all: f64,
     pub age: Micros,
 }
 
-impl Heard<'_> {
+impl BelievedReport<'_> {
     /// Trips behind it, as far as they still count.
     fn weight(&self) -> f64 {
-        let weight = self.level.trips() * 0.5f64.powf(self.age as f64 / HALF as f64);
+        let weight = self.health.confidence() * 0.5f64.powf(self.age as f64 / HALF as f64);
         if weight < NOTHING {
             0.0
         } else {
@@ -47,24 +47,24 @@
 
 /// What speaks against a server, and for it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Case {
+pub struct Evidence {
     pub against: f64,
-    pub for_it: f64,
+    pub in_favor: f64,
     /// What those say who are sure, one way and the other.
     pub surely_bad: f64,
     pub surely_good: f64,
     /// Gateways that speak against it.
-    pub by: BTreeSet<u64>,
+    pub reporters: BTreeSet<u64>,
     /// And where they stand.
     pub zones: BTreeSet<String>,
 }
 
-impl Case {
-    pub fn is_bad(&self) -> bool {
-        let sum = self.against + self.for_it;
+impl Evidence {
+    pub fn is_outlier(&self) -> bool {
+        let sum = self.against + self.in_favor;
         // Where as many are sure that it is good, it is the way to it that is bad.
         let of_ways = self.surely_good > self.surely_bad;
-        self.against >= ENOUGH && self.by.len() >= GATEWAYS && self.against >= SHARE * sum && !of_ways
+        self.against >= ENOUGH && self.reporters.len() >= GATEWAYS && self.against >= SHARE * sum && !of_ways
     }
 
     /// Gateways of more than one place speak against it. Danger: a zone that is cut off sees the rest die, and all of it agrees.
@@ -73,33 +73,33 @@
     }
 
     /// Of one that was left: what has been met there since speaks for it.
-    pub fn is_well(&self) -> bool {
-        let sum = self.against + self.for_it;
+    pub fn is_healthy(&self) -> bool {
+        let sum = self.against + self.in_favor;
         sum >= KNOWN && self.against < WELL * sum
     }
 
     /// The more, the surer it is bad.
-    pub fn badness(&self) -> f64 {
-        self.against / (self.against + self.for_it).max(f64::MIN_POSITIVE)
+    pub fn severity(&self) -> f64 {
+        self.against / (self.against + self.in_favor).max(f64::MIN_POSITIVE)
     }
 }
 
 /// How far each gateway is believed: not at all where half of what it says is contradicted by the others together. Danger: one
 /// with a bad link of its own says of all servers that they are bad, and is surest of it.
-fn believed(words: &[Heard]) -> BTreeMap<u64, f64> {
+fn believed(words: &[BelievedReport]) -> BTreeMap<u64, f64> {
     let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
     for word in words {
         let (against, for_it) = sums.entry(word.server).or_default();
-        *(if word.level.is_bad() { against } else { for_it }) += word.weight();
+        *(if word.health.is_outlier() { against } else { for_it }) += word.weight();
     }
     let mut judged: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
     for word in words.iter().filter(|word| word.weight() > 0.0) {
         let (mut against, mut for_it) = sums[word.server];
-        *(if word.level.is_bad() { &mut against } else { &mut for_it }) -= word.weight();
-        let (judged, wrong) = judged.entry(word.run).or_default();
+        *(if word.health.is_outlier() { &mut against } else { &mut for_it }) -= word.weight();
+        let (judged, wrong) = judged.entry(word.instance).or_default();
         if against.max(for_it) >= 1.0 && (against - for_it).abs() > 0.5 {
             *judged += 1;
-            *wrong += usize::from((against > for_it) != word.level.is_bad());
+            *wrong += usize::from((against > for_it) != word.health.is_outlier());
         }
     }
     let weight = |(judged, wrong): (usize, usize)| match judged {
@@ -110,21 +110,21 @@
 }
 
 /// The case of each server that somebody speaks of.
-pub fn cases<'w>(words: &[Heard<'w>]) -> BTreeMap<&'w str, Case> {
+pub fn evaluate<'w>(words: &[BelievedReport<'w>]) -> BTreeMap<&'w str, Evidence> {
     let believed = believed(words);
-    let mut cases: BTreeMap<&str, Case> = BTreeMap::new();
+    let mut cases: BTreeMap<&str, Evidence> = BTreeMap::new();
     for word in words {
-        let weight = word.weight() * believed.get(&word.run).copied().unwrap_or(1.0);
+        let weight = word.weight() * believed.get(&word.instance).copied().unwrap_or(1.0);
         if weight <= 0.0 {
             continue;
         }
         let case = cases.entry(word.server).or_default();
-        case.against += weight * word.level.against();
-        case.for_it += weight * (1.0 - word.level.against());
-        let sure = if word.level.is_bad() { &mut case.surely_bad } else { &mut case.surely_good };
-        *sure += if word.level.is_sure() { weight } else { 0.0 };
-        if word.level.is_bad() {
-            case.by.insert(word.run);
+        case.against += weight * word.health.severity();
+        case.in_favor += weight * (1.0 - word.health.severity());
+        let sure = if word.health.is_outlier() { &mut case.surely_bad } else { &mut case.surely_good };
+        *sure += if word.health.is_confident() { weight } else { 0.0 };
+        if word.health.is_outlier() {
+            case.reporters.insert(word.instance);
             case.zones.insert(word.zone.into());
         }
     }
--- a/crates/outlier-detection/src/view.rs
+++ b/crates/outlier-detection/src/status.rs
@@ -2,58 +2,58 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Level;
+use crate::HealthLevel;
 
 /// Why a server is where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ServerStatus {
     /// In use.
-    Fine,
+    Healthy,
     /// Bad here, though others do not say so.
-    BadHere,
-    BadForZone,
-    BadForAll,
+    OutlierHere,
+    EjectedForZone,
+    EjectedForAll,
     /// It is as bad as those out of use, but no more may be out at once.
     Spared,
     /// Well again, and used again after a drawn while.
-    Returns,
+    Returning,
 }
 
-impl Standing {
-    pub fn told(self) -> &'static str {
+impl ServerStatus {
+    pub fn description(self) -> &'static str {
         match self {
-            Standing::Fine => "fine",
-            Standing::BadHere => "bad for this gateway alone",
-            Standing::BadForZone => "out of use: bad for this zone",
-            Standing::BadForAll => "out of use: bad for all",
-            Standing::Spared => "bad, and used: no more may be out at once",
-            Standing::Returns => "well again, back soon",
+            ServerStatus::Healthy => "fine",
+            ServerStatus::OutlierHere => "bad for this gateway alone",
+            ServerStatus::EjectedForZone => "out of use: bad for this zone",
+            ServerStatus::EjectedForAll => "out of use: bad for all",
+            ServerStatus::Spared => "bad, and used: no more may be out at once",
+            ServerStatus::Returning => "well again, back soon",
         }
     }
 }
 
 /// One server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ServerView {
     pub server: String,
-    pub standing: Standing,
+    pub status: ServerStatus,
     /// What this gateway has met there of late.
-    pub here: Option<Level>,
+    pub observed: Option<HealthLevel>,
     /// What speaks against it and for it, by all that is believed, and how many gateways speak against it.
     pub against: f64,
-    pub for_it: f64,
-    pub by: u32,
+    pub in_favor: f64,
+    pub reporters: u32,
     /// For how long it has been out of use.
-    pub out_ms: Option<u64>,
+    pub ejected_ms: Option<u64>,
     /// Who comes first to try it in this turn.
-    pub next: Option<String>,
+    pub next_trial: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct OutlierView {
     pub gateway: String,
     /// Of the capacity, the share that is out of use by choice, and the most that may be.
-    pub out: f64,
-    pub most_out: f64,
-    pub servers: Vec<Seen>,
+    pub ejected_share: f64,
+    pub max_ejected_share: f64,
+    pub servers: Vec<ServerView>,
 }
--- a/crates/outlier-detection/src/turns.rs
+++ b/crates/outlier-detection/src/trial_permit.rs
@@ -5,20 +5,26 @@
 use crate::{drawn, Micros, SECOND};
 
 /// The time of one turn, by the clock that all share: a server that is well again is used again within some of them.
-pub const TURN: Micros = SECOND;
+pub const INTERVAL: Micros = SECOND;
 /// How many may step in within a turn, one after the other.
 const STEPS: u64 = 3;
 
 /// When a turn began, and its number.
-pub fn turn(shared: Micros) -> (Micros, u64) {
-    (shared - shared % TURN, shared / TURN)
+pub fn current_interval(shared: Micros) -> (Micros, u64) {
+    (shared - shared % INTERVAL, shared / INTERVAL)
 }
 
 /// Whether a gateway may do it now: it comes first in this turn's order, or as many steps of it have passed without a word as
 /// there are before it. `near`: those who stand where the thing is come first.
-pub fn may(shared: Micros, me: &str, thing: &str, others: &[&str], near: impl Fn(&str) -> bool) -> bool {
-    let (began, number) = turn(shared);
-    let step = (shared - began) * STEPS / TURN;
+pub fn is_granted(
+    shared: Micros,
+    me: &str,
+    thing: &str,
+    others: &[&str],
+    near: impl Fn(&str) -> bool,
+) -> bool {
+    let (began, number) = current_interval(shared);
+    let step = (shared - began) * STEPS / INTERVAL;
     let place = |name: &str| (!near(name), drawn(name, thing, number));
     let own = place(me);
     let before = others.iter().filter(|other| **other != me && place(other) < own).count() as u64;
--- a/crates/subsetting/src/dealer.rs
+++ b/crates/subsetting/src/assigner.rs
@@ -4,11 +4,14 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::{fit, key, load, mixed, order_of, zones, Deal, Gateway, Part, Server, Settings, FLOOR, NEEDS};
+use crate::{
+    fitting, key, load, mixed, order_of, zones, Assignment, Assignments, Gateway, Server, Settings,
+    MIN_SUBSET_SIZE, NEEDS,
+};
 
 /// What is kept of the last deal, for each flow from a zone to a zone.
 #[derive(Clone, Debug, Default)]
-pub struct Dealer {
+pub struct Assigner {
     flows: BTreeMap<(u32, u32), Flow>,
 }
 
@@ -150,28 +153,31 @@
         let mean = if sum > 0.0 { sum / weight } else { 1.0 };
         let factor = |(at, own): (usize, &f64)| known(at).filter(|known| *known > 0.0).unwrap_or(own * mean);
         let mut columns: Vec<f64> = weights.iter().enumerate().map(factor).collect();
-        let rows = fit::fit(&self.pairs, loads, weights, &mut columns);
+        let rows = fitting::fit(&self.pairs, loads, weights, &mut columns);
         self.factors = [rows, columns];
     }
 }
 
-impl Dealer {
+impl Assigner {
     /// Deals the servers to the gateways.
-    pub fn deal(&mut self, gateways: &[Gateway], servers: &[Server], settings: Settings) -> Deal {
+    pub fn assign(&mut self, gateways: &[Gateway], servers: &[Server], settings: Settings) -> Assignments {
         // Sums of fractions differ by the order in which they are added: gateways that were told alike must come to one deal.
         let mut by_name: Vec<usize> = (0..gateways.len()).collect();
         by_name.sort_by(|one, other| gateways[*one].name.cmp(&gateways[*other].name));
         let mut taken: Vec<usize> = (0..servers.len()).collect();
         taken.sort_by(|one, other| servers[*one].name.cmp(&servers[*other].name));
         taken.retain(|at| usable(&servers[*at]));
-        let mut deal = Deal { parts: vec![Vec::new(); gateways.len()] };
+        let mut deal = Assignments { by_gateway: vec![Vec::new(); gateways.len()] };
         let mut before = std::mem::take(&mut self.flows);
-        for zones::Flow { from, to, share } in zones::flows(gateways, servers, settings.zones) {
+        for zones::ZoneFlow { from, to, share } in
+            zones::zone_flows(gateways, servers, settings.prefers_own_zone)
+        {
             let rows: Vec<usize> = by_name.iter().copied().filter(|at| gateways[*at].zone == from).collect();
             let columns: Vec<usize> = taken.iter().copied().filter(|at| servers[*at].zone == to).collect();
             // Of a flow that is a small part of its gateways' traffic each needs few servers, but no fewer than survive two losses.
-            let least =
-                ((settings.least as f64 * share).ceil() as usize).max(FLOOR).min(settings.least.max(FLOOR));
+            let least = ((settings.min_servers as f64 * share).ceil() as usize)
+                .max(MIN_SUBSET_SIZE)
+                .min(settings.min_servers.max(MIN_SUBSET_SIZE));
             let loads: Vec<f64> = rows.iter().map(|at| load(&gateways[*at])).collect();
             let weights: Vec<f64> = columns.iter().map(|at| servers[*at].weight).collect();
             let row_keys = rows.iter().map(|at| key(&gateways[*at].name)).collect();
@@ -180,19 +186,19 @@
             flow.turn(row_keys, column_keys, &loads, &weights, least);
             for (row, pairs) in flow.pairs.iter().enumerate() {
                 let [of_rows, of_columns] = &flow.factors;
-                let own = |column: &u32| Part {
+                let own = |column: &u32| Assignment {
                     server: columns[*column as usize],
-                    share: of_rows[row] * of_columns[*column as usize] / loads[row] * share,
+                    weight: of_rows[row] * of_columns[*column as usize] / loads[row] * share,
                 };
-                deal.parts[rows[row]].extend(pairs.iter().map(own));
+                deal.by_gateway[rows[row]].extend(pairs.iter().map(own));
             }
             self.flows.insert((from, to), flow);
         }
         reserve(gateways, servers, &taken, &mut deal);
-        for parts in &mut deal.parts {
+        for parts in &mut deal.by_gateway {
             parts.sort_unstable_by_key(|part| part.server);
-            let sum: f64 = parts.iter().map(|part| part.share).sum();
-            parts.iter_mut().filter(|_| sum > 0.0).for_each(|part| part.share /= sum);
+            let sum: f64 = parts.iter().map(|part| part.weight).sum();
+            parts.iter_mut().filter(|_| sum > 0.0).for_each(|part| part.weight /= sum);
         }
         deal
     }
@@ -204,28 +210,28 @@
 
 /// Whoever has fewer servers than the floor, as its zone has no more, is given the first others of its order with no share, for
 /// when those it has are lost; likewise a server that nobody uses, as no flow to its zone is worth a connection.
-fn reserve(gateways: &[Gateway], servers: &[Server], there: &[usize], deal: &mut Deal) {
-    let floor = FLOOR.min(there.len());
+fn reserve(gateways: &[Gateway], servers: &[Server], there: &[usize], deal: &mut Assignments) {
+    let floor = MIN_SUBSET_SIZE.min(there.len());
     for (row, gateway) in gateways.iter().enumerate() {
-        let short = floor.saturating_sub(deal.parts[row].len());
+        let short = floor.saturating_sub(deal.by_gateway[row].len());
         if short == 0 {
             continue;
         }
-        let has = |at: &usize| deal.parts[row].iter().any(|part| part.server == *at);
+        let has = |at: &usize| deal.by_gateway[row].iter().any(|part| part.server == *at);
         let others = there.iter().filter(|at| !has(at));
         let names: BTreeMap<&str, usize> = others.map(|at| (&*servers[*at].name, *at)).collect();
         let first = order_of(&gateway.name, names.keys().copied()).into_iter().take(short);
         let taken: Vec<usize> = first.map(|name| names[name]).collect();
-        deal.parts[row].extend(taken.into_iter().map(|server| Part { server, share: 0.0 }));
+        deal.by_gateway[row].extend(taken.into_iter().map(|server| Assignment { server, weight: 0.0 }));
     }
     let mut used = vec![false; servers.len()];
-    deal.parts.iter().flatten().for_each(|part| used[part.server] = true);
+    deal.by_gateway.iter().flatten().for_each(|part| used[part.server] = true);
     for server in there.iter().copied().filter(|at| !used[*at]) {
         let own = key(&servers[server].name);
         let mut rows: Vec<usize> = (0..gateways.len()).collect();
         rows.sort_by_key(|row| mixed(key(&gateways[*row].name), own));
-        for row in rows.into_iter().take(FLOOR) {
-            deal.parts[row].push(Part { server, share: 0.0 });
+        for row in rows.into_iter().take(MIN_SUBSET_SIZE) {
+            deal.by_gateway[row].push(Assignment { server, weight: 0.0 });
         }
     }
 }
--- a/crates/subsetting/src/baselines.rs
+++ b/crates/subsetting/src/baselines.rs
@@ -1,19 +1,21 @@
 //! Other ways to deal, weighed and kept to be measured beside the one that is used: rows by hash, and dealing in rounds.
 
-use crate::{key, mixed, Deal, Gateway, Part, Server};
+use crate::{key, mixed, Assignment, Assignments, Gateway, Server};
 
-fn by_weight(servers: &[Server], subset: Vec<usize>) -> Vec<Part> {
+fn by_weight(servers: &[Server], subset: Vec<usize>) -> Vec<Assignment> {
     let sum: f64 = subset.iter().map(|at| servers[*at].weight).sum();
-    subset.into_iter().map(|server| Part { server, share: servers[server].weight / sum }).collect()
+    subset.into_iter().map(|server| Assignment { server, weight: servers[server].weight / sum }).collect()
 }
 
 /// Everybody uses every server, by weight.
-pub fn everybody(gateways: &[Gateway], servers: &[Server]) -> Deal {
-    Deal { parts: gateways.iter().map(|_| by_weight(servers, (0..servers.len()).collect())).collect() }
+pub fn all_servers(gateways: &[Gateway], servers: &[Server]) -> Assignments {
+    Assignments {
+        by_gateway: gateways.iter().map(|_| by_weight(servers, (0..servers.len()).collect())).collect(),
+    }
 }
 
 /// Servers in a row by hash; each gateway takes so many from its own place on, which is its number among all.
-pub fn rows(gateways: &[Gateway], servers: &[Server], most: usize) -> Deal {
+pub fn contiguous(gateways: &[Gateway], servers: &[Server], most: usize) -> Assignments {
     let mut row: Vec<usize> = (0..servers.len()).collect();
     row.sort_by_key(|at| key(&servers[*at].name));
     let take = |(number, _): (usize, &Gateway)| {
@@ -21,11 +23,11 @@
         let taken = (0..most.min(row.len())).map(|step| row[(from + step) % row.len()]);
         by_weight(servers, taken.collect())
     };
-    Deal { parts: gateways.iter().enumerate().map(take).collect() }
+    Assignments { by_gateway: gateways.iter().enumerate().map(take).collect() }
 }
 
 /// Rounds: in each the servers are shuffled alike for all, and dealt to the gateways of the round by number, so many each.
-pub fn rounds(gateways: &[Gateway], servers: &[Server], most: usize) -> Deal {
+pub fn round_robin(gateways: &[Gateway], servers: &[Server], most: usize) -> Assignments {
     let most = most.min(servers.len()).max(1);
     let a_round = (servers.len() / most).max(1);
     let take = |(number, _): (usize, &Gateway)| {
@@ -34,5 +36,5 @@
         order.sort_by_key(|at| mixed(key(&servers[*at].name), round as u64));
         by_weight(servers, order.into_iter().skip(place * most).take(most).collect())
     };
-    Deal { parts: gateways.iter().enumerate().map(take).collect() }
+    Assignments { by_gateway: gateways.iter().enumerate().map(take).collect() }
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -11,12 +11,12 @@
 //! the room of the others. All of it follows from names, loads and weights alone, in any order in which they are given,
 //! so that gateways with one view come to one deal.
 
+pub mod assigner;
 pub mod baselines;
-pub mod dealer;
-mod fit;
-pub mod loads;
-pub mod own;
-pub mod view;
+mod fitting;
+pub mod load_reports;
+pub mod status;
+pub mod subset;
 pub mod zones;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,37 +49,37 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Servers of a gateway, and gateways of a server, at the least, or all where there are fewer.
-    pub least: usize,
+    pub min_servers: usize,
     /// The own zone first.
-    pub zones: bool,
+    pub prefers_own_zone: bool,
 }
 
 /// Below this a gateway could not lose two of its servers.
-pub const FLOOR: usize = 3;
+pub const MIN_SUBSET_SIZE: usize = 3;
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { least: 12, zones: true }
+        Settings { min_servers: 12, prefers_own_zone: true }
     }
 }
 
 /// One server of a gateway's, by its place in what was given, and its share of the gateway's traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Assignment {
     pub server: usize,
-    pub share: f64,
+    pub weight: f64,
 }
 
 /// Who uses whom, and how much.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Deal {
+pub struct Assignments {
     /// For each gateway as given, its servers in their order; the shares of each come to 1.
-    pub parts: Vec<Vec<Part>>,
+    pub by_gateway: Vec<Vec<Assignment>>,
 }
 
 /// Deals the servers to the gateways, as if for the first time.
-pub fn deal(gateways: &[Gateway], servers: &[Server], settings: Settings) -> Deal {
-    dealer::Dealer::default().deal(gateways, servers, settings)
+pub fn assign(gateways: &[Gateway], servers: &[Server], settings: Settings) -> Assignments {
+    assigner::Assigner::default().assign(gateways, servers, settings)
 }
 
 /// What a gateway counts for where shares are fitted: one without any load is dealt servers by a trace of it.
@@ -120,25 +120,25 @@
 
 /// How even a deal is, and what it takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Picture {
+pub struct Evenness {
     /// What the server with the most and the one with the least get, beside their parts by weight; and the mean of how far off.
-    pub most: f64,
-    pub least: f64,
-    pub off: f64,
+    pub max_load: f64,
+    pub min_load: f64,
+    pub mean_deviation: f64,
     /// Pairs, and servers without any gateway.
     pub pairs: usize,
     pub uncovered: usize,
-    pub most_of_gateway: usize,
-    pub most_of_server: usize,
+    pub max_servers_of_gateway: usize,
+    pub max_gateways_of_server: usize,
 }
 
 /// Looks at a deal from the servers' side.
-pub fn picture(gateways: &[Gateway], servers: &[Server], deal: &Deal) -> Picture {
+pub fn evenness(gateways: &[Gateway], servers: &[Server], deal: &Assignments) -> Evenness {
     let mut got = vec![0.0; servers.len()];
     let mut users = vec![0usize; servers.len()];
-    for (gateway, parts) in gateways.iter().zip(&deal.parts) {
+    for (gateway, parts) in gateways.iter().zip(&deal.by_gateway) {
         for part in parts {
-            got[part.server] += gateway.load.max(0.0) * part.share;
+            got[part.server] += gateway.load.max(0.0) * part.weight;
             users[part.server] += 1;
         }
     }
@@ -151,26 +151,29 @@
         .map(|at| if loads > 0.0 { got[*at] / loads * weights / servers[*at].weight } else { 1.0 })
         .collect();
     let count = beside.len().max(1) as f64;
-    Picture {
-        most: beside.iter().copied().fold(0.0, f64::max),
-        least: beside.iter().copied().fold(f64::INFINITY, f64::min),
-        off: beside.iter().map(|one| (one - 1.0).abs()).sum::<f64>() / count,
-        pairs: deal.parts.iter().map(Vec::len).sum(),
+    Evenness {
+        max_load: beside.iter().copied().fold(0.0, f64::max),
+        min_load: beside.iter().copied().fold(f64::INFINITY, f64::min),
+        mean_deviation: beside.iter().map(|one| (one - 1.0).abs()).sum::<f64>() / count,
+        pairs: deal.by_gateway.iter().map(Vec::len).sum(),
         uncovered: there.iter().filter(|at| users[**at] == 0).count(),
-        most_of_gateway: deal.parts.iter().map(Vec::len).max().unwrap_or(0),
-        most_of_server: users.iter().copied().max().unwrap_or(0),
+        max_servers_of_gateway: deal.by_gateway.iter().map(Vec::len).max().unwrap_or(0),
+        max_gateways_of_server: users.iter().copied().max().unwrap_or(0),
     }
 }
 
 /// The pairs of one deal that are not in another, as a part of all of both, by names.
-pub fn moved(before: (&[Gateway], &[Server], &Deal), after: (&[Gateway], &[Server], &Deal)) -> f64 {
+pub fn moved_share(
+    before: (&[Gateway], &[Server], &Assignments),
+    after: (&[Gateway], &[Server], &Assignments),
+) -> f64 {
     fn named<'n>(
-        (gateways, servers, deal): (&'n [Gateway], &'n [Server], &Deal),
+        (gateways, servers, deal): (&'n [Gateway], &'n [Server], &Assignments),
     ) -> BTreeSet<(&'n str, &'n str)> {
-        let of = |(gateway, parts): (&'n Gateway, &Vec<Part>)| -> Vec<(&'n str, &'n str)> {
+        let of = |(gateway, parts): (&'n Gateway, &Vec<Assignment>)| -> Vec<(&'n str, &'n str)> {
             parts.iter().map(|part| (&*gateway.name, &*servers[part.server].name)).collect()
         };
-        gateways.iter().zip(&deal.parts).flat_map(of).collect()
+        gateways.iter().zip(&deal.by_gateway).flat_map(of).collect()
     }
     let (before, after) = (named(before), named(after));
     let either = before.union(&after).count().max(1);
@@ -182,7 +185,7 @@
 pub fn together<'v>(
     gateways: &[Gateway],
     servers: &[Server],
-    view: impl Fn(usize) -> (&'v [Gateway], &'v [Server], &'v Deal),
+    view: impl Fn(usize) -> (&'v [Gateway], &'v [Server], &'v Assignments),
 ) -> Vec<f64> {
     let place: BTreeMap<&str, usize> =
         servers.iter().enumerate().map(|(at, server)| (&*server.name, at)).collect();
@@ -190,9 +193,9 @@
     for (at, gateway) in gateways.iter().enumerate() {
         let (all, seen, deal) = view(at);
         let Some(own) = all.iter().position(|one| one.name == gateway.name) else { continue };
-        let there: Vec<(usize, f64)> = deal.parts[own]
+        let there: Vec<(usize, f64)> = deal.by_gateway[own]
             .iter()
-            .filter_map(|part| Some((*place.get(&*seen[part.server].name)?, part.share)))
+            .filter_map(|part| Some((*place.get(&*seen[part.server].name)?, part.weight)))
             .collect();
         let sum: f64 = there.iter().map(|(_, share)| share).sum();
         for (server, share) in there.into_iter().filter(|_| sum > 0.0) {
--- a/crates/subsetting/src/loads.rs
+++ b/crates/subsetting/src/load_reports.rs
@@ -33,74 +33,80 @@
 /// The highest step, some 10^9 trips a second: a word beyond it is nonsense.
 const HIGHEST: u8 = 108;
 /// The longest name of a gateway, and of a zone.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// What a gateway says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct LoadReport {
     pub name: String,
-    pub run: u64,
+    pub instance: u64,
     pub version: u32,
     /// The step of its load; 0: it carries nothing.
     pub step: u8,
     /// Where it stands; empty, nobody says.
     pub zone: String,
     /// It ends, and others do without it from now on.
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
-impl gossip::Report for Word {
+impl gossip::Report for LoadReport {
     type Key = u64;
 
     fn key(&self) -> u64 {
-        self.run
+        self.instance
     }
     fn version(&self) -> u64 {
         self.version.into()
     }
     fn origin(&self) -> u64 {
-        self.run
+        self.instance
     }
     fn is_plausible(&self) -> bool {
         self.step <= HIGHEST
-            && (1..=LONGEST_NAME).contains(&self.name.len())
-            && self.zone.len() <= LONGEST_NAME
+            && (1..=MAX_NAME_BYTES).contains(&self.name.len())
+            && self.zone.len() <= MAX_NAME_BYTES
     }
 }
 
-pub type Note = gossip::GossipMessage<Word>;
+pub type Message = gossip::GossipMessage<LoadReport>;
 
 /// A gateway with what is known of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct GatewayLoad {
     pub name: String,
     /// Trips a second beside others'; nothing where it has not told.
     pub load: Option<f64>,
     pub zone: String,
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
-pub struct Loads {
-    me: Word,
-    words: Gossip<Word>,
+pub struct LoadReports {
+    me: LoadReport,
+    words: Gossip<LoadReport>,
     /// Trips a second of late, and how much of the time that is averaged over has gone by.
     average: f64,
     filled: f64,
     counted: Micros,
 }
 
-impl Loads {
+impl LoadReports {
     pub fn new(me: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
         let words = Gossip::new(me.instance, MANNER, seed, now);
-        let me =
-            Word { name: me.name, run: me.instance, version: 1, step: 0, zone: zone.into(), leaves: false };
-        let mut loads = Loads { me, words, average: 0.0, filled: 0.0, counted: now };
+        let me = LoadReport {
+            name: me.name,
+            instance: me.instance,
+            version: 1,
+            step: 0,
+            zone: zone.into(),
+            is_leaving: false,
+        };
+        let mut loads = LoadReports { me, words, average: 0.0, filled: 0.0, counted: now };
         loads.says(now);
         loads
     }
 
     /// So many trips were sent since the last call.
-    pub fn carried(&mut self, now: Micros, trips: u64) {
+    pub fn record_attempts(&mut self, now: Micros, trips: u64) {
         let time = now.saturating_sub(self.counted);
         if time == 0 {
             return;
@@ -120,9 +126,9 @@
     }
 
     /// This gateway ends: that is told at once.
-    pub fn leaves(&mut self, now: Micros, live: &[LivePeer]) {
-        if !self.me.leaves {
-            self.me.leaves = true;
+    pub fn leave(&mut self, now: Micros, live: &[LivePeer]) {
+        if !self.me.is_leaving {
+            self.me.is_leaving = true;
             self.says(now);
             self.words.hurry(now);
             self.words.handle_timeout(now, live);
@@ -135,42 +141,42 @@
     }
 
     /// A note has come from the gateway of a name.
-    pub fn came(&mut self, now: Micros, from: &str, note: Note) {
+    pub fn handle_message(&mut self, now: Micros, from: &str, note: Message) {
         self.words.handle_message(now, from, note);
     }
 
     /// When `tick` is to be called next.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         self.words.next_deadline()
     }
 
     /// `live`: the others that the mesh takes for live.
-    pub fn tick(&mut self, now: Micros, live: &[LivePeer]) {
+    pub fn handle_timeout(&mut self, now: Micros, live: &[LivePeer]) {
         self.words.handle_timeout(now, live);
     }
 
     /// The next note that is to be sent, and to whom.
-    pub fn take(&mut self) -> Option<(String, Note)> {
+    pub fn poll_message(&mut self) -> Option<(String, Message)> {
         self.words.poll_message()
     }
 
     /// This gateway and the live others, each name once, with what they say. Two runs of one name, as in an upgrade or by mistake,
     /// are one gateway that carries what both do.
-    pub fn known(&self, live: &[LivePeer]) -> Vec<Known> {
-        let own = LivePeer { name: self.me.name.clone(), instance: self.me.run };
-        let mut known: BTreeMap<&str, Known> = BTreeMap::new();
+    pub fn gateway_loads(&self, live: &[LivePeer]) -> Vec<GatewayLoad> {
+        let own = LivePeer { name: self.me.name.clone(), instance: self.me.instance };
+        let mut known: BTreeMap<&str, GatewayLoad> = BTreeMap::new();
         for LivePeer { name, instance: run } in live.iter().chain([&own]) {
             let word = self.words.report(run).filter(|word| word.name == *name);
             let load = word.map(|word| load_of(word.step));
             let zone = word.map_or(String::new(), |word| word.zone.clone());
-            let leaves = word.is_some_and(|word| word.leaves);
-            let fresh = Known { name: name.clone(), load, zone, leaves };
+            let leaves = word.is_some_and(|word| word.is_leaving);
+            let fresh = GatewayLoad { name: name.clone(), load, zone, is_leaving: leaves };
             match known.get_mut(&**name) {
                 None => drop(known.insert(name, fresh)),
                 Some(other) => {
                     other.load =
                         other.load.zip(fresh.load).map(|(one, two)| one + two).or(fresh.load).or(other.load);
-                    other.leaves &= fresh.leaves;
+                    other.is_leaving &= fresh.is_leaving;
                     if other.zone.is_empty() {
                         other.zone = fresh.zone;
                     }
--- a/crates/subsetting/src/view.rs
+++ b/crates/subsetting/src/status.rs
@@ -4,7 +4,7 @@
 
 /// A gateway that takes part, as one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct GatewayView {
     pub name: String,
     /// Trips a second beside the others'.
     pub load: f64,
@@ -13,7 +13,7 @@
 
 /// A server, as one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct ServerView {
     pub name: String,
     pub weight: f64,
     pub zone: u32,
@@ -21,13 +21,13 @@
 
 /// How a gateway's subset stands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct SubsetView {
     pub gateway: String,
-    pub least: u32,
-    pub zones: bool,
+    pub min_servers: u32,
+    pub prefers_own_zone: bool,
     /// What the deal is made of; empty where nothing has settled yet.
-    pub gateways: Vec<Seen>,
-    pub servers: Vec<Taken>,
+    pub gateways: Vec<GatewayView>,
+    pub servers: Vec<ServerView>,
     /// What the gateway uses now, with the share of its traffic.
     pub uses: Vec<(String, f64)>,
     /// Servers that it avoids now, for what it has met there.
--- a/crates/subsetting/src/own.rs
+++ b/crates/subsetting/src/subset.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::dealer::Dealer;
-use crate::{order_of, Deal, Gateway, Micros, Server, Settings, FLOOR, SECOND};
+use crate::assigner::Assigner;
+use crate::{order_of, Assignments, Gateway, Micros, Server, Settings, MIN_SUBSET_SIZE, SECOND};
 
 /// A view that has not changed for so long is settled; or, where it changes all the time, what has stood for the longer.
 /// Danger: a gateway that restarts, or a fleet that restarts one by one, would have servers change hands at each step.
@@ -32,18 +32,18 @@
 
 /// What a gateway sees: the fleet with itself in it, and the servers that are in use.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct View {
+pub struct FleetView {
     pub gateways: Vec<Gateway>,
     pub servers: Vec<Server>,
 }
 
 /// What one gateway is to use.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Used {
+pub struct CurrentSubset {
     /// Its servers, and the share of its traffic of each; they come to 1.
-    pub shares: BTreeMap<String, f64>,
+    pub weights: BTreeMap<String, f64>,
     /// How many gateways use a server, in the mean.
-    pub shared_by: f64,
+    pub gateways_per_server: f64,
 }
 
 /// A share on its way from one deal's to the next's.
@@ -55,15 +55,15 @@
     leaves: bool,
 }
 
-pub struct Own {
+pub struct SubsetTracker {
     name: String,
     settings: Settings,
-    dealer: Dealer,
+    dealer: Assigner,
     chance: ChaCha8Rng,
-    seen: View,
+    seen: FleetView,
     /// When it changed first and last since it was settled.
     changed: Option<(Micros, Micros)>,
-    settled: View,
+    settled: FleetView,
     shares: BTreeMap<String, Share>,
     shared_by: f64,
     dealt: Micros,
@@ -74,20 +74,20 @@
     beside: BTreeMap<String, Micros>,
     /// Servers to which a connection is to be opened ahead, and when.
     opens: BTreeMap<String, Micros>,
-    told: Used,
+    told: CurrentSubset,
 }
 
-impl Own {
+impl SubsetTracker {
     /// `name`: this gateway's, as others see it.
     pub fn new(name: &str, settings: Settings, seed: u64) -> Self {
-        Own {
+        SubsetTracker {
             name: name.into(),
             settings,
-            dealer: Dealer::default(),
+            dealer: Assigner::default(),
             chance: ChaCha8Rng::seed_from_u64(seed),
-            seen: View::default(),
+            seen: FleetView::default(),
             changed: None,
-            settled: View::default(),
+            settled: FleetView::default(),
             shares: BTreeMap::new(),
             shared_by: 1.0,
             dealt: 0,
@@ -95,13 +95,13 @@
             bad: BTreeSet::new(),
             beside: BTreeMap::new(),
             opens: BTreeMap::new(),
-            told: Used::default(),
+            told: CurrentSubset::default(),
         }
     }
 
     /// What is seen now. A server that is gone goes at once; all else when it has settled. `whole`: as many gateways are seen as
     /// there are to be, so that a first view need not settle.
-    pub fn saw(&mut self, now: Micros, view: View, whole: bool) {
+    pub fn fleet_changed(&mut self, now: Micros, view: FleetView, whole: bool) {
         if view != self.seen {
             let first = self.changed.map_or(now, |(first, _)| first);
             self.changed = Some((first, now));
@@ -123,18 +123,18 @@
     }
 
     /// Servers that this gateway avoids now, for what it has met there.
-    pub fn avoids(&mut self, bad: BTreeSet<String>) {
+    pub fn set_avoided(&mut self, bad: BTreeSet<String>) {
         self.bad = bad;
     }
 
     /// When `tick` is to be called next, at the latest.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         self.stepped + STEP
     }
 
     /// True: what is to be used has changed.
-    pub fn tick(&mut self, now: Micros) -> bool {
-        if now < self.due() && self.stepped > 0 {
+    pub fn handle_timeout(&mut self, now: Micros) -> bool {
+        if now < self.next_deadline() && self.stepped > 0 {
             return false;
         }
         self.stepped = now;
@@ -155,12 +155,12 @@
     }
 
     /// What is to be used from now on; nothing of it: nothing has been dealt yet.
-    pub fn used(&self) -> &Used {
+    pub fn current(&self) -> &CurrentSubset {
         &self.told
     }
 
     /// Servers that are to be opened ahead now; each once.
-    pub fn opens(&mut self, now: Micros) -> Vec<String> {
+    pub fn take_preconnects(&mut self, now: Micros) -> Vec<String> {
         let due: Vec<String> =
             self.opens.iter().filter(|(_, at)| **at <= now).map(|(name, _)| name.clone()).collect();
         self.opens.retain(|_, at| *at > now);
@@ -168,7 +168,7 @@
     }
 
     /// What was settled last: the fleet and the servers that the deal is made of.
-    pub fn settled(&self) -> &View {
+    pub fn settled_view(&self) -> &FleetView {
         &self.settled
     }
 
@@ -181,9 +181,9 @@
     }
 
     fn deal(&mut self, now: Micros) {
-        let View { gateways, servers } = &self.settled;
+        let FleetView { gateways, servers } = &self.settled;
         let Some(me) = gateways.iter().position(|gateway| gateway.name == self.name) else { return };
-        let Deal { parts } = self.dealer.deal(gateways, servers, self.settings);
+        let Assignments { by_gateway: parts } = self.dealer.assign(gateways, servers, self.settings);
         let pairs: usize = parts.iter().map(Vec::len).sum();
         self.shared_by = (pairs as f64 / servers.len().max(1) as f64).max(1.0);
         let first = self.shares.is_empty();
@@ -192,14 +192,14 @@
             let name = &servers[part.server].name;
             let from = match self.shares.get(name) {
                 Some(share) => at(share, self.part(now)),
-                None if first => part.share,
+                None if first => part.weight,
                 None => {
                     // Of all that take it over, each opens at its own time.
                     self.opens.insert(name.clone(), now + self.chance.gen_range(0..RAMP));
                     0.0
                 }
             };
-            shares.insert(name.clone(), Share { from, to: part.share, leaves: false });
+            shares.insert(name.clone(), Share { from, to: part.weight, leaves: false });
         }
         // What this gateway is to leave it leaves in steps, as those who take it over come in steps.
         let there: BTreeSet<&str> = servers.iter().map(|server| &*server.name).collect();
@@ -223,11 +223,11 @@
         self.beside.retain(|_, until| now < *until);
         let good = self.shares.iter().filter(|(name, share)| !self.bad.contains(*name) && !share.leaves);
         let (sum, count) = good.fold((0.0, 0), |(sum, count), (_, share)| (sum + share.to, count + 1));
-        let floor = FLOOR.min(self.shares.len());
+        let floor = MIN_SUBSET_SIZE.min(self.shares.len());
         if self.shares.is_empty() || sum >= GOOD && count >= floor {
             return;
         }
-        let needed = (self.shares.len() - count).max(FLOOR);
+        let needed = (self.shares.len() - count).max(MIN_SUBSET_SIZE);
         let servers: Vec<&Server> = self
             .settled
             .servers
@@ -243,7 +243,7 @@
         }
     }
 
-    fn used_at(&self, now: Micros) -> Used {
+    fn used_at(&self, now: Micros) -> CurrentSubset {
         let part = self.part(now);
         let own = self.shares.iter().map(|(name, share)| (name.clone(), at(share, part)));
         let mut shares: BTreeMap<String, f64> = own.collect();
@@ -251,7 +251,7 @@
         shares.extend(self.beside.keys().map(|name| (name.clone(), mean)));
         let sum: f64 = shares.values().sum();
         shares.values_mut().filter(|_| sum > 0.0).for_each(|share| *share /= sum);
-        Used { shares, shared_by: self.shared_by }
+        CurrentSubset { weights: shares, gateways_per_server: self.shared_by }
     }
 }
 
--- a/crates/subsetting/src/zones.rs
+++ b/crates/subsetting/src/zones.rs
@@ -6,7 +6,7 @@
 
 /// Of the traffic of a zone's gateways, the share that goes to the servers of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Flow {
+pub struct ZoneFlow {
     pub from: u32,
     pub to: u32,
     pub share: f64,
@@ -18,7 +18,7 @@
 /// The flows between zones: each server is to get its part of all by weight, so that a zone's servers have room for as much of
 /// all as they weigh. The own zone comes first as far as it has room; the rest goes where room is left, in proportion to it.
 /// `apart`: without it zones make no difference.
-pub fn flows(gateways: &[Gateway], servers: &[Server], apart: bool) -> Vec<Flow> {
+pub fn zone_flows(gateways: &[Gateway], servers: &[Server], apart: bool) -> Vec<ZoneFlow> {
     let mut loads: BTreeMap<u32, f64> = BTreeMap::new();
     let mut rooms: BTreeMap<u32, f64> = BTreeMap::new();
     for gateway in gateways {
@@ -47,7 +47,7 @@
                 share += (carried - stays) / carried * left[to] / over;
             }
             if share > LEAST || *room >= all {
-                flows.push(Flow { from: *zone, to: *to, share });
+                flows.push(ZoneFlow { from: *zone, to: *to, share });
             }
         }
     }
--- a/crates/subsetting/tests/fleet.rs
+++ b/crates/subsetting/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fernscale_subsetting::loads::{LivePeer, Loads, Note, Word};
-use fernscale_subsetting::own::{Own, View};
-use fernscale_subsetting::{Gateway, Micros, Server, Settings, FLOOR};
+use fernscale_subsetting::load_reports::{LivePeer, LoadReport, LoadReports, Message};
+use fernscale_subsetting::subset::{FleetView, SubsetTracker};
+use fernscale_subsetting::{Gateway, Micros, Server, Settings, MIN_SUBSET_SIZE};
 
 const SECOND: Micros = 1_000_000;
 const TURN: Micros = 50_000;
@@ -13,9 +13,9 @@
     Gateway { name: name.into(), load: 1.0, zone: 0 }
 }
 
-fn view(gateways: impl Iterator<Item = usize>, servers: impl Iterator<Item = usize>) -> View {
+fn view(gateways: impl Iterator<Item = usize>, servers: impl Iterator<Item = usize>) -> FleetView {
     let server = |at| Server { name: format!("box-{at}"), weight: 1.0, zone: 0 };
-    View {
+    FleetView {
         gateways: gateways.map(|at| gateway(&format!("gateway-{at}"))).collect(),
         servers: servers.map(server).collect(),
     }
@@ -24,7 +24,7 @@
 /// Gateways that each deal for themselves, at one time.
 struct Fleet {
     now: Micros,
-    all: BTreeMap<usize, Own>,
+    all: BTreeMap<usize, SubsetTracker>,
 }
 
 impl Fleet {
@@ -37,13 +37,17 @@
     }
 
     fn joins(&mut self, at: usize, least: usize) {
-        let own = Own::new(&format!("gateway-{at}"), Settings { least, zones: false }, at as u64);
+        let own = SubsetTracker::new(
+            &format!("gateway-{at}"),
+            Settings { min_servers: least, prefers_own_zone: false },
+            at as u64,
+        );
         self.all.insert(at, own);
     }
 
-    fn see(&mut self, view: &View, whole: bool) {
+    fn see(&mut self, view: &FleetView, whole: bool) {
         let now = self.now;
-        self.all.values_mut().for_each(|own| own.saw(now, view.clone(), whole));
+        self.all.values_mut().for_each(|own| own.fleet_changed(now, view.clone(), whole));
     }
 
     fn pass(&mut self, time: Micros) {
@@ -51,7 +55,7 @@
         while self.now < until {
             self.now += TURN;
             for own in self.all.values_mut() {
-                own.tick(self.now);
+                own.handle_timeout(self.now);
             }
         }
     }
@@ -59,7 +63,7 @@
     /// What each server gets, beside the mean of these.
     fn got(&self, servers: usize) -> Vec<f64> {
         let mut got = vec![0.0; servers];
-        for (name, share) in self.all.values().flat_map(|own| &own.used().shares) {
+        for (name, share) in self.all.values().flat_map(|own| &own.current().weights) {
             let at: usize = name.trim_start_matches("box-").parse().expect("a number");
             got[at] += share;
         }
@@ -68,7 +72,7 @@
     }
 
     fn uses(&self, at: usize) -> BTreeSet<&String> {
-        self.all[&at].used().shares.keys().collect()
+        self.all[&at].current().weights.keys().collect()
     }
 }
 
@@ -83,13 +87,13 @@
 #[test]
 fn a_gateway_that_restarts_within_the_time_in_which_views_settle_moves_nothing() {
     let mut fleet = Fleet::of(40, 30, 6);
-    let before: Vec<_> = (0..40).map(|at| fleet.all[&at].used().clone()).collect();
+    let before: Vec<_> = (0..40).map(|at| fleet.all[&at].current().clone()).collect();
     fleet.see(&view((0..40).filter(|at| *at != 7), 0..30), false);
     fleet.pass(2 * SECOND);
     fleet.see(&view(0..40, 0..30), false);
     fleet.pass(10 * SECOND);
     for (at, before) in before.iter().enumerate() {
-        assert_eq!(fleet.all[&at].used(), before);
+        assert_eq!(fleet.all[&at].current(), before);
     }
 }
 
@@ -99,7 +103,7 @@
     fleet.see(&view(0..40, 0..27), false);
     fleet.pass(SECOND / 4);
     for own in fleet.all.values() {
-        assert!(!own.used().shares.keys().any(|name| ["box-27", "box-28", "box-29"].contains(&&**name)));
+        assert!(!own.current().weights.keys().any(|name| ["box-27", "box-28", "box-29"].contains(&&**name)));
     }
     fleet.pass(3 * SECOND);
     let got = fleet.got(27);
@@ -145,16 +149,16 @@
 #[test]
 fn shares_go_over_in_steps_and_what_comes_is_opened_ahead_at_different_times() {
     let mut fleet = Fleet::of(30, 20, 6);
-    let before = fleet.all[&0].used().clone();
+    let before = fleet.all[&0].current().clone();
     fleet.see(&view(0..30, 0..24), false);
     let (mut last, mut largest, mut opens) = (before.clone(), 0.0f64, Vec::new());
     for _ in 0..160 {
         fleet.pass(TURN);
         let now = fleet.now;
-        opens.push(fleet.all.values_mut().map(|own| own.opens(now).len()).sum::<usize>());
-        let used = fleet.all[&0].used().clone();
-        for (name, share) in &used.shares {
-            largest = largest.max((share - last.shares.get(name).copied().unwrap_or(0.0)).abs());
+        opens.push(fleet.all.values_mut().map(|own| own.take_preconnects(now).len()).sum::<usize>());
+        let used = fleet.all[&0].current().clone();
+        for (name, share) in &used.weights {
+            largest = largest.max((share - last.weights.get(name).copied().unwrap_or(0.0)).abs());
         }
         last = used;
     }
@@ -172,26 +176,26 @@
     let ten: BTreeSet<String> = fleet.uses(0).into_iter().cloned().collect();
     let all: BTreeSet<String> = bad.union(&ten).cloned().collect();
     for own in fleet.all.values_mut() {
-        own.avoids(all.clone());
+        own.set_avoided(all.clone());
     }
     fleet.pass(SECOND / 2);
     let used = fleet.uses(0);
-    assert!(used.iter().filter(|name| !all.contains(**name)).count() >= FLOOR, "{used:?}");
+    assert!(used.iter().filter(|name| !all.contains(**name)).count() >= MIN_SUBSET_SIZE, "{used:?}");
     let fled: Vec<f64> = fleet.got(200);
     assert!(most(&fled) < 3.0, "{}", most(&fled));
     // Half of the fleet has all of its servers bad, as by a link of its own, and takes others: spread as evenly as by a draw.
     let mut fleet = Fleet::of(300, 200, 12);
     for (at, own) in fleet.all.iter_mut().filter(|(at, _)| **at % 2 == 0) {
         let _ = at;
-        let mine: BTreeSet<String> = own.used().shares.keys().cloned().collect();
-        own.avoids(mine);
+        let mine: BTreeSet<String> = own.current().weights.keys().cloned().collect();
+        own.set_avoided(mine);
     }
     fleet.pass(SECOND / 2);
     let mut by = vec![0usize; 200];
     for (_, own) in fleet.all.iter().filter(|(at, _)| **at % 2 == 0) {
-        let mine = own.settled();
+        let mine = own.settled_view();
         assert_eq!(mine.servers.len(), 200);
-        for name in own.used().shares.keys() {
+        for name in own.current().weights.keys() {
             by[name.trim_start_matches("box-").parse::<usize>().expect("a number")] += 1;
         }
     }
@@ -207,7 +211,7 @@
     let mut last = own.clone();
     for turn in 0..20 {
         let bad = if turn % 2 == 0 { own.clone() } else { BTreeSet::new() };
-        fleet.all.get_mut(&3).expect("there").avoids(bad);
+        fleet.all.get_mut(&3).expect("there").set_avoided(bad);
         fleet.pass(SECOND);
         let now: BTreeSet<String> = fleet.uses(3).into_iter().cloned().collect();
         changes += usize::from(now != last);
@@ -221,7 +225,7 @@
     let mut fleet = Fleet::of(20, 24, 6);
     fleet.see(&view(0..20, 0..4), false);
     fleet.pass(SECOND);
-    assert!((0..20).all(|at| fleet.uses(at).len() >= FLOOR), "most servers gone");
+    assert!((0..20).all(|at| fleet.uses(at).len() >= MIN_SUBSET_SIZE), "most servers gone");
     // Nothing at all: what was there is kept, as nothing better is known, and the module knows itself that none is in use.
     fleet.see(&view(0..20, 0..0), false);
     fleet.pass(10 * SECOND);
@@ -239,9 +243,9 @@
         fleet.see(&view(0..20 - turn % 2, 0..24 + turn % 3), false);
         fleet.pass(SECOND);
     }
-    let servers = fleet.all[&0].settled().servers.len();
+    let servers = fleet.all[&0].settled_view().servers.len();
     assert!(
-        servers > 24 || fleet.all[&0].settled().gateways.len() < 20,
+        servers > 24 || fleet.all[&0].settled_view().gateways.len() < 20,
         "nothing that came was ever taken in"
     );
 }
@@ -249,7 +253,7 @@
 /// Gateways that tell each other what they carry, over a way that loses a fifth of the notes and doubles some.
 struct Talk {
     now: Micros,
-    all: Vec<(LivePeer, Loads)>,
+    all: Vec<(LivePeer, LoadReports)>,
     sent: usize,
     bytes: usize,
 }
@@ -257,7 +261,7 @@
 impl Talk {
     fn of(count: usize) -> Talk {
         let live = |at: usize| LivePeer { name: format!("gateway-{at}"), instance: 1_000 + at as u64 };
-        let all = (0..count).map(|at| (live(at), Loads::new(live(at), "a", at as u64, SECOND)));
+        let all = (0..count).map(|at| (live(at), LoadReports::new(live(at), "a", at as u64, SECOND)));
         Talk { now: SECOND, all: all.collect(), sent: 0, bytes: 0 }
     }
 
@@ -273,22 +277,22 @@
             self.now += TURN;
             let mut notes = Vec::new();
             for (at, (live, loads)) in self.all.iter_mut().enumerate() {
-                loads.carried(self.now, trips(at));
-                loads.tick(self.now, &others[at]);
-                while let Some((to, note)) = loads.take() {
+                loads.record_attempts(self.now, trips(at));
+                loads.handle_timeout(self.now, &others[at]);
+                while let Some((to, note)) = loads.poll_message() {
                     notes.push((live.name.clone(), to, note));
                 }
             }
             for (from, to, note) in notes {
                 self.sent += 1;
-                if let Note::Reports(words) = &note {
+                if let Message::Reports(words) = &note {
                     assert!(words.len() <= 20);
                     self.bytes += words.len() * 30;
                 }
                 let copies = [1, 1, 1, 0, 2][self.sent % 5];
                 let to: usize = to.trim_start_matches("gateway-").parse().expect("a number");
                 for _ in 0..copies {
-                    self.all[to].1.came(self.now, &from, note.clone());
+                    self.all[to].1.handle_message(self.now, &from, note.clone());
                 }
             }
         }
@@ -299,9 +303,9 @@
 fn all_know_what_all_carry_though_notes_are_lost_and_doubled() {
     let mut talk = Talk::of(100);
     talk.pass(20 * SECOND, |at| [1, 2, 4, 8][at % 4]);
-    let known = talk.all[0].1.known(&talk.others(0));
+    let known = talk.all[0].1.gateway_loads(&talk.others(0));
     for at in 1..100 {
-        assert_eq!(talk.all[at].1.known(&talk.others(at)), known, "gateway {at} knows otherwise");
+        assert_eq!(talk.all[at].1.gateway_loads(&talk.others(at)), known, "gateway {at} knows otherwise");
     }
     let load = |at: usize| {
         let name = format!("gateway-{at}");
@@ -324,14 +328,14 @@
     let mut talk = Talk::of(3);
     talk.pass(10 * SECOND, |_| 1);
     let others = talk.others(0);
-    let before = talk.all[0].1.known(&others);
-    let word = |name: &str, run, step| Word {
+    let before = talk.all[0].1.gateway_loads(&others);
+    let word = |name: &str, run, step| LoadReport {
         name: name.into(),
-        run,
+        instance: run,
         version: 9_000,
         step,
         zone: String::new(),
-        leaves: false,
+        is_leaving: false,
     };
     let now = talk.now;
     let lies = vec![
@@ -342,8 +346,8 @@
         word("gateway-1", 77, 90),
         word("", 1_002, 90),
     ];
-    talk.all[0].1.came(now, "gateway-2", Note::Reports(lies));
-    assert_eq!(talk.all[0].1.known(&others), before);
+    talk.all[0].1.handle_message(now, "gateway-2", Message::Reports(lies));
+    assert_eq!(talk.all[0].1.gateway_loads(&others), before);
 }
 
 #[test]
@@ -351,17 +355,17 @@
     let mut talk = Talk::of(3);
     talk.all[1].0.name = "gateway-0".into();
     let live = talk.all[1].0.clone();
-    talk.all[1].1 = Loads::new(live, "a", 9, talk.now);
+    talk.all[1].1 = LoadReports::new(live, "a", 9, talk.now);
     talk.pass(15 * SECOND, |_| 2);
-    let known = talk.all[2].1.known(&talk.others(2));
+    let known = talk.all[2].1.gateway_loads(&talk.others(2));
     assert_eq!(known.len(), 2);
     let of = |name: &str| known.iter().find(|known| known.name == name).and_then(|known| known.load);
     let (both, one) = (of("gateway-0").expect("told"), of("gateway-2").expect("told"));
     assert!((1.5..2.7).contains(&(both / one)), "{both} and {one}");
     let (now, others) = (talk.now, talk.others(2));
-    talk.all[2].1.leaves(now, &others);
-    let told = std::iter::from_fn(|| talk.all[2].1.take()).filter(|(_, note)| {
-        matches!(note, Note::Reports(words) if words.iter().any(|word| word.run == 1_002 && word.leaves))
+    talk.all[2].1.leave(now, &others);
+    let told = std::iter::from_fn(|| talk.all[2].1.poll_message()).filter(|(_, note)| {
+        matches!(note, Message::Reports(words) if words.iter().any(|word| word.instance == 1_002 && word.is_leaving))
     });
     assert!(told.count() >= 2, "it ends and nobody hears");
 }
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -1,8 +1,9 @@
 //! What must hold of a deal, for few and many gateways and servers, equal and unequal; and for views that differ.
 
-use fernscale_subsetting::dealer::Dealer;
+use fernscale_subsetting::assigner::Assigner;
 use fernscale_subsetting::{
-    baselines, deal, moved, picture, together, Deal, Gateway, Part, Server, Settings, FLOOR,
+    assign, baselines, evenness, moved_share, together, Assignment, Assignments, Gateway, Server, Settings,
+    MIN_SUBSET_SIZE,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -14,7 +15,7 @@
     (0..count).map(|at| Server { name: format!("box-{at}"), weight: 1.0, zone: 0 }).collect()
 }
 
-const SETTINGS: Settings = Settings { least: 12, zones: true };
+const SETTINGS: Settings = Settings { min_servers: 12, prefers_own_zone: true };
 
 /// Up to so many of each, with loads up to three times the mean and weights up to eight.
 #[derive(Clone, Debug)]
@@ -40,12 +41,12 @@
 
 /// Shares of every gateway come to one, nobody is below the floor, and every server has users.
 fn sound(Fleet(all, taken): Fleet) -> bool {
-    let own = deal(&all, &taken, SETTINGS);
-    let picture = picture(&all, &taken, &own);
-    let floor = FLOOR.min(taken.len());
-    own.parts.iter().all(|parts| {
-        let sum: f64 = parts.iter().map(|part| part.share).sum();
-        parts.len() >= floor && (sum - 1.0).abs() < 1e-9 && parts.iter().all(|part| part.share >= 0.0)
+    let own = assign(&all, &taken, SETTINGS);
+    let picture = evenness(&all, &taken, &own);
+    let floor = MIN_SUBSET_SIZE.min(taken.len());
+    own.by_gateway.iter().all(|parts| {
+        let sum: f64 = parts.iter().map(|part| part.weight).sum();
+        parts.len() >= floor && (sum - 1.0).abs() < 1e-9 && parts.iter().all(|part| part.weight >= 0.0)
     }) && picture.uncovered == 0
 }
 
@@ -56,17 +57,17 @@
 
 /// The deal follows from names, not from the order in which they are given.
 fn in_any_order(Fleet(all, taken): Fleet) -> bool {
-    let own = deal(&all, &taken, SETTINGS);
+    let own = assign(&all, &taken, SETTINGS);
     let (mut turned, mut also) = (all.clone(), taken.clone());
     turned.reverse();
     also.reverse();
-    let other = deal(&turned, &also, SETTINGS);
-    let named = |all: &[Gateway], taken: &[Server], deal: &Deal| {
+    let other = assign(&turned, &also, SETTINGS);
+    let named = |all: &[Gateway], taken: &[Server], deal: &Assignments| {
         let mut named: Vec<(String, String, i64)> = Vec::new();
-        for (gateway, parts) in all.iter().zip(&deal.parts) {
+        for (gateway, parts) in all.iter().zip(&deal.by_gateway) {
             let share = |share: f64| (share * 1e6).round() as i64;
-            let of = |part: &fernscale_subsetting::Part| {
-                (gateway.name.clone(), taken[part.server].name.clone(), share(part.share))
+            let of = |part: &fernscale_subsetting::Assignment| {
+                (gateway.name.clone(), taken[part.server].name.clone(), share(part.weight))
             };
             named.extend(parts.iter().map(of));
         }
@@ -101,11 +102,11 @@
         (17, 1_000),
     ] {
         let (all, mut taken) = (gateways(many), servers(few));
-        let even = picture(&all, &taken, &deal(&all, &taken, SETTINGS));
-        assert!(even.most < 1.05 && even.least > 0.95, "{many} by {few}: {even:?}");
+        let even = evenness(&all, &taken, &assign(&all, &taken, SETTINGS));
+        assert!(even.max_load < 1.05 && even.min_load > 0.95, "{many} by {few}: {even:?}");
         taken.iter_mut().enumerate().for_each(|(at, server)| server.weight = 1.0 + (at % 4) as f64);
-        let weighed = picture(&all, &taken, &deal(&all, &taken, SETTINGS));
-        assert!(weighed.most < 1.05 && weighed.least > 0.95, "{many} by {few}: {weighed:?}");
+        let weighed = evenness(&all, &taken, &assign(&all, &taken, SETTINGS));
+        assert!(weighed.max_load < 1.05 && weighed.min_load > 0.95, "{many} by {few}: {weighed:?}");
         assert!(weighed.pairs <= many * few && weighed.uncovered == 0);
     }
 }
@@ -115,8 +116,8 @@
     for (many, few) in [(20, 24), (300, 200), (100, 300)] {
         let (mut all, taken) = (gateways(many), servers(few));
         all.iter_mut().enumerate().for_each(|(at, gateway)| gateway.load = [0.2, 0.5, 0.8, 3.0][at % 4]);
-        let picture = picture(&all, &taken, &deal(&all, &taken, SETTINGS));
-        assert!(picture.most < 1.15 && picture.least > 0.85, "{many} by {few}: {picture:?}");
+        let picture = evenness(&all, &taken, &assign(&all, &taken, SETTINGS));
+        assert!(picture.max_load < 1.15 && picture.min_load > 0.85, "{many} by {few}: {picture:?}");
     }
 }
 
@@ -125,10 +126,14 @@
     let (mut all, mut taken) = (gateways(50), servers(40));
     (all[7].load, taken[3].weight) = (10.0, 1_000.0);
     all[8].load = 0.0;
-    let own = deal(&all, &taken, SETTINGS);
-    let picture = picture(&all, &taken, &own);
-    assert!(picture.uncovered == 0 && own.parts.iter().all(|parts| parts.len() >= FLOOR), "{picture:?}");
-    let heavy: f64 = own.parts.iter().flatten().filter(|part| part.server == 3).map(|part| part.share).sum();
+    let own = assign(&all, &taken, SETTINGS);
+    let picture = evenness(&all, &taken, &own);
+    assert!(
+        picture.uncovered == 0 && own.by_gateway.iter().all(|parts| parts.len() >= MIN_SUBSET_SIZE),
+        "{picture:?}"
+    );
+    let heavy: f64 =
+        own.by_gateway.iter().flatten().filter(|part| part.server == 3).map(|part| part.weight).sum();
     assert!(heavy > 40.0, "the one that is nearly all gets nearly all: {heavy}");
 }
 
@@ -136,19 +141,19 @@
 fn one_more_or_less_moves_a_few_times_its_part_of_the_pairs() {
     for (many, few) in [(30, 24), (300, 200), (100, 300)] {
         let (all, taken) = (gateways(many), servers(few));
-        let before = deal(&all, &taken, SETTINGS);
+        let before = assign(&all, &taken, SETTINGS);
         let fewer = &all[..many - 1];
-        let after = deal(fewer, &taken, SETTINGS);
-        let by_gateway = moved((&all, &taken, &before), (fewer, &taken, &after));
+        let after = assign(fewer, &taken, SETTINGS);
+        let by_gateway = moved_share((&all, &taken, &before), (fewer, &taken, &after));
         assert!(by_gateway < 4.0 / many as f64, "{many} by {few}: {by_gateway}");
         let left = &taken[1..];
-        let after = deal(&all, left, SETTINGS);
-        let by_server = moved((&all, &taken, &before), (&all, left, &after));
+        let after = assign(&all, left, SETTINGS);
+        let by_server = moved_share((&all, &taken, &before), (&all, left, &after));
         assert!(by_server < 4.0 / few as f64, "{many} by {few}: {by_server}");
         // By number, as it was, nearly all move.
-        let rows = |all: &[Gateway]| baselines::rounds(all, &taken, 12);
+        let rows = |all: &[Gateway]| baselines::round_robin(all, &taken, 12);
         let others = &all[1..];
-        assert!(moved((&all, &taken, &rows(&all)), (others, &taken, &rows(others))) > 5.0 * by_gateway);
+        assert!(moved_share((&all, &taken, &rows(&all)), (others, &taken, &rows(others))) > 5.0 * by_gateway);
     }
 }
 
@@ -156,7 +161,7 @@
 /// to shares that differ by little: gateways that have seen different things before use one deal.
 #[test]
 fn a_deal_does_not_hang_on_what_was_dealt_before() {
-    let mut dealer = Dealer::default();
+    let mut dealer = Assigner::default();
     let (mut all, mut taken) = (gateways(60), servers(50));
     for turn in 0..120usize {
         let at = turn * 7 % 40;
@@ -168,32 +173,32 @@
             4 => all[at].load = [0.2, 1.0, 3.0][turn % 3],
             _ => taken[at].weight = [1.0, 4.0, 0.0][turn % 3],
         }
-        let (kept, anew) = (dealer.deal(&all, &taken, SETTINGS), deal(&all, &taken, SETTINGS));
-        for (kept, anew) in kept.parts.iter().zip(&anew.parts) {
-            let used = |parts: &[Part]| parts.iter().map(|part| part.server).collect::<Vec<_>>();
+        let (kept, anew) = (dealer.assign(&all, &taken, SETTINGS), assign(&all, &taken, SETTINGS));
+        for (kept, anew) in kept.by_gateway.iter().zip(&anew.by_gateway) {
+            let used = |parts: &[Assignment]| parts.iter().map(|part| part.server).collect::<Vec<_>>();
             assert_eq!(used(kept), used(anew), "after {turn} changes");
             for (kept, anew) in kept.iter().zip(anew) {
                 assert!(
-                    (kept.share - anew.share).abs() < 0.03 * anew.share + 1e-6,
+                    (kept.weight - anew.weight).abs() < 0.03 * anew.weight + 1e-6,
                     "{turn}: {kept:?}, {anew:?}"
                 );
             }
         }
-        let even = picture(&all, &taken, &kept);
-        assert!(even.most < 1.15 && even.uncovered == 0, "{turn}: {even:?}");
+        let even = evenness(&all, &taken, &kept);
+        assert!(even.max_load < 1.15 && even.uncovered == 0, "{turn}: {even:?}");
     }
 }
 
 /// Also where what each needs is just below a whole number, and all would need one more.
 #[test]
 fn no_size_of_a_fleet_moves_many_pairs_at_one_change() {
-    let settings = Settings { least: 3, zones: true };
+    let settings = Settings { min_servers: 3, prefers_own_zone: true };
     for (many, few) in [(300, 200), (150, 100), (60, 40), (100, 20), (40, 81)] {
         let (all, taken) = (gateways(many), servers(few));
-        let before = deal(&all, &taken, settings);
+        let before = assign(&all, &taken, settings);
         for (all_left, taken_left) in [(&all[1..], &taken[..]), (&all[..], &taken[1..])] {
-            let after = deal(all_left, taken_left, settings);
-            let moves = moved((&all, &taken, &before), (all_left, taken_left, &after));
+            let after = assign(all_left, taken_left, settings);
+            let moves = moved_share((&all, &taken, &before), (all_left, taken_left, &after));
             let most = 5.0 / many.min(few) as f64;
             assert!(moves < most, "{many} by {few}: {moves}, {most} may");
         }
@@ -205,29 +210,32 @@
     let (mut all, mut taken) = (gateways(60), servers(40));
     all.iter_mut().enumerate().for_each(|(at, gateway)| gateway.zone = u32::from(at >= 40));
     taken.iter_mut().enumerate().for_each(|(at, server)| server.zone = u32::from(at >= 20));
-    let own = deal(&all, &taken, SETTINGS);
-    let even = picture(&all, &taken, &own);
-    assert!(even.most < 1.05 && even.least > 0.95, "{even:?}");
+    let own = assign(&all, &taken, SETTINGS);
+    let even = evenness(&all, &taken, &own);
+    assert!(even.max_load < 1.05 && even.min_load > 0.95, "{even:?}");
     let across = |zone: u32| {
-        let of = all.iter().zip(&own.parts).filter(|(gateway, _)| gateway.zone == zone);
+        let of = all.iter().zip(&own.by_gateway).filter(|(gateway, _)| gateway.zone == zone);
         let far = of.flat_map(|(_, parts)| parts).filter(|part| taken[part.server].zone != zone);
-        far.map(|part| part.share).sum::<f64>()
+        far.map(|part| part.weight).sum::<f64>()
     };
     // Two thirds of the load stand before one half of the room: a quarter of that goes over, nothing comes back.
     assert!((across(0) - 10.0).abs() < 0.2 && across(1) < 0.2, "{} {}", across(0), across(1));
     // All servers of the other zone are gone.
     let left = &taken[..20];
-    let own = deal(&all, left, SETTINGS);
-    assert!(picture(&all, left, &own).uncovered == 0 && own.parts.iter().all(|parts| parts.len() >= FLOOR));
+    let own = assign(&all, left, SETTINGS);
+    assert!(
+        evenness(&all, left, &own).uncovered == 0
+            && own.by_gateway.iter().all(|parts| parts.len() >= MIN_SUBSET_SIZE)
+    );
 }
 
 #[test]
 fn views_that_differ_by_some_members_give_a_sum_that_is_off_by_little() {
     let (all, taken) = (gateways(100), servers(80));
-    let whole = deal(&all, &taken, SETTINGS);
+    let whole = assign(&all, &taken, SETTINGS);
     for differ in [1, 5, 10] {
         let some = &all[differ..];
-        let view = deal(some, &taken, SETTINGS);
+        let view = assign(some, &taken, SETTINGS);
         // Half of the fleet does not see the first few.
         let got = together(&all, &taken, |at| {
             if at % 2 == 0 || at < differ {
@@ -244,7 +252,7 @@
     }
     // Parted: each side deals as if it were alone, and covers all.
     let (one, other) = (&all[..37], &all[37..]);
-    let views = (deal(one, &taken, SETTINGS), deal(other, &taken, SETTINGS));
+    let views = (assign(one, &taken, SETTINGS), assign(other, &taken, SETTINGS));
     let got = together(&all, &taken, |at| {
         if at < 37 {
             (one, &taken[..], &views.0)
