--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -7,8 +7,8 @@
 use clap::Subcommand;
 use fernscale_gateway::fleet::mesh;
 use fernscale_gateway::program::config::{Config, Source};
-use fernscale_lease::view::{Answer, Question, View, Votes};
-use fernscale_lease::{majority, Fence, Name};
+use fernscale_lease::status::{AcceptorState, LeaseView, StatusQuery, StatusReply};
+use fernscale_lease::{majority, FencingToken, Name};
 use fernscale_membership::payload::Channel;
 use fernscale_membership::seal::Key;
 use serde_json::json;
@@ -50,7 +50,7 @@
 
 /// A job that is held: by whom, and for how long.
 struct Holding {
-    by: Fence,
+    by: FencingToken,
     gateway: Option<Name>,
     left_ms: u64,
     /// Voters that say so.
@@ -59,7 +59,7 @@
 
 struct Fleet {
     /// The gateway of the configuration first, then the voters.
-    views: Vec<(SocketAddr, View)>,
+    views: Vec<(SocketAddr, LeaseView)>,
     /// Voters that did not answer, or are not there.
     unheard: Vec<Name>,
     held: BTreeMap<Name, Holding>,
@@ -85,19 +85,19 @@
         }
         let runs: BTreeMap<u64, Name> = views
             .iter()
-            .flat_map(|(_, view)| view.runs.iter().map(|(name, run)| (*run, name.clone())))
+            .flat_map(|(_, view)| view.processes.iter().map(|(name, run)| (*run, name.clone())))
             .collect();
         let mut held: BTreeMap<Name, Holding> = BTreeMap::new();
         for own in views.iter().flat_map(|(_, view)| &view.held) {
-            let gateway = runs.get(&own.by.run.0).cloned();
-            let holding = Holding { by: own.by, gateway, left_ms: own.left_ms, voters: 1 };
-            match held.get_mut(&own.job) {
-                Some(known) if known.by == own.by => {
+            let gateway = runs.get(&own.holder.process.0).cloned();
+            let holding = Holding { by: own.holder, gateway, left_ms: own.remaining_ms, voters: 1 };
+            match held.get_mut(&own.lease) {
+                Some(known) if known.by == own.holder => {
                     known.voters += 1;
-                    known.left_ms = known.left_ms.max(own.left_ms);
+                    known.left_ms = known.left_ms.max(own.remaining_ms);
                 }
-                Some(known) if known.by > own.by => {}
-                _ => drop(held.insert(own.job.clone(), holding)),
+                Some(known) if known.by > own.holder => {}
+                _ => drop(held.insert(own.lease.clone(), holding)),
             }
         }
         // What fewer than a majority have promised nobody owns, or they could not all be asked.
@@ -107,7 +107,7 @@
     }
 }
 
-fn asked(to: SocketAddr, keys: &[Key], question: &Question) -> Result<Answer, String> {
+fn asked(to: SocketAddr, keys: &[Key], question: &StatusQuery) -> Result<StatusReply, String> {
     let question = postcard::to_stdvec(question).map_err(|why| why.to_string())?;
     let answer = mesh::question(to, keys, Channel::Lease, question)?;
     let nothing = |_| {
@@ -116,18 +116,18 @@
     postcard::from_bytes(&answer).map_err(nothing)
 }
 
-fn view(to: SocketAddr, keys: &[Key]) -> Result<View, String> {
-    match asked(to, keys, &Question::Jobs)? {
-        Answer::Jobs(view) => Ok(view),
+fn view(to: SocketAddr, keys: &[Key]) -> Result<LeaseView, String> {
+    match asked(to, keys, &StatusQuery::Leases)? {
+        StatusReply::Leases(view) => Ok(view),
         _ => Err(format!("the gateway at {to} answers with something else")),
     }
 }
 
 fn cordon(config: &Config, on: bool) -> Result<(), Failed> {
     let settings = config.mesh.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
-    let answer = asked(settings.listen, &settings.keys, &Question::Cordon(on)).map_err(|why| vec![why])?;
+    let answer = asked(settings.listen, &settings.keys, &StatusQuery::Cordon(on)).map_err(|why| vec![why])?;
     match answer {
-        Answer::Cordoned(now) if now == on => {
+        StatusReply::Cordoned(now) if now == on => {
             println!(
                 "{}",
                 if on { "this gateway owns nothing where another can" } else { "it owns jobs again" }
@@ -140,7 +140,7 @@
 
 fn release(
     config: &Config,
-    views: &[(SocketAddr, View)],
+    views: &[(SocketAddr, LeaseView)],
     held: &BTreeMap<Name, Holding>,
     name: &str,
 ) -> Result<(), Failed> {
@@ -149,11 +149,11 @@
     let seen = mesh::who(settings.listen, &settings.keys).map_err(|why| vec![why])?;
     let of_members = seen.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
     let own = (seen.local.instance.0, views[0].0);
-    let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.run.0).map(|(_, at)| at);
+    let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.process.0).map(|(_, at)| at);
     let at =
         at.ok_or_else(|| vec![format!("the owner of '{name}' can't be reached; its lease ends by itself")])?;
-    match asked(at, &settings.keys, &Question::Release(name.into())).map_err(|why| vec![why])? {
-        Answer::Released(true) => {
+    match asked(at, &settings.keys, &StatusQuery::Release(name.into())).map_err(|why| vec![why])? {
+        StatusReply::Released(true) => {
             println!("'{name}' is given back");
             Ok(())
         }
@@ -161,35 +161,44 @@
     }
 }
 
-fn votes(view: &View) -> &'static str {
-    match view.votes {
+fn votes(view: &LeaseView) -> &'static str {
+    match view.acceptor {
         None => "is no voter",
-        Some(Votes::Yes) => "votes",
-        Some(Votes::Waits) => "waits to be let in",
-        Some(Votes::Not) => "does not vote: see its log",
+        Some(AcceptorState::Voting) => "votes",
+        Some(AcceptorState::Recovering) => "waits to be let in",
+        Some(AcceptorState::NotVoting) => "does not vote: see its log",
     }
 }
 
-fn shown(config: &Config, views: &[(SocketAddr, View)], held: &BTreeMap<Name, Holding>) -> serde_json::Value {
+fn shown(
+    config: &Config,
+    views: &[(SocketAddr, LeaseView)],
+    held: &BTreeMap<Name, Holding>,
+) -> serde_json::Value {
     let jobs = held.iter().map(|(job, holding)| {
         json!({ "job": &**job, "owner": holding.gateway.as_deref(), "term": holding.by.term,
-            "run": format!("{:016x}", holding.by.run.0), "left_ms": holding.left_ms })
+            "run": format!("{:016x}", holding.by.process.0), "left_ms": holding.left_ms })
     });
     let voters = config.owner.iter().flat_map(|owner| &owner.voters.names).map(|voter| {
         let view = views.iter().find(|(_, view)| view.gateway == *voter).map(|(_, view)| votes(view));
         json!({ "voter": &**voter, "state": view.unwrap_or("is not heard") })
     });
-    let own = views[0].1.jobs.iter().map(|own| {
-        json!({ "job": &*own.job, "place": own.place, "term": own.owns.map(|(fence, ..)| fence.term),
-            "for_ms": own.owns.map(|(_, since, _)| since), "refusals": own.refusals, "last": own.last })
+    let own = views[0].1.leases.iter().map(|own| {
+        json!({ "job": &*own.lease, "place": own.rank, "term": own.held.map(|(fence, ..)| fence.term),
+            "for_ms": own.held.map(|(_, since, _)| since), "refusals": own.rejections, "last": own.last_rejection })
     });
     json!({ "gateway": &*views[0].1.gateway, "jobs": jobs.collect::<Vec<_>>(),
         "voters": voters.collect::<Vec<_>>(), "own": own.collect::<Vec<_>>() })
 }
 
-fn print(config: &Config, views: &[(SocketAddr, View)], unheard: &[Name], held: &BTreeMap<Name, Holding>) {
+fn print(
+    config: &Config,
+    views: &[(SocketAddr, LeaseView)],
+    unheard: &[Name],
+    held: &BTreeMap<Name, Holding>,
+) {
     let all = config.owner.as_ref().map_or(0, |owner| owner.voters.names.len());
-    let voting = views.iter().filter(|(_, view)| view.votes == Some(Votes::Yes)).count();
+    let voting = views.iter().filter(|(_, view)| view.acceptor == Some(AcceptorState::Voting)).count();
     println!("{} of {all} voters vote, {} jobs have an owner", voting, held.len());
     if voting < majority(all) {
         println!(
@@ -199,18 +208,21 @@
     if views[0].1.cordoned {
         println!("  {} is cordoned: it owns nothing where another can", &*views[0].1.gateway);
     }
-    for (at, view) in views.iter().filter(|(_, view)| view.votes.is_some()) {
+    for (at, view) in views.iter().filter(|(_, view)| view.acceptor.is_some()) {
         println!("  voter {:<20} {:<22} {}", &*view.gateway, at.to_string(), votes(view));
     }
     unheard.iter().for_each(|voter| println!("  voter {:<20} is not heard", &**voter));
     for (job, Holding { by, gateway, left_ms, .. }) in held {
         let who = gateway.as_deref().unwrap_or("a gateway that is not there");
-        println!("  {:<24} {who:<20} term {}, for {left_ms} ms more, run {:016x}", &**job, by.term, by.run.0);
+        println!(
+            "  {:<24} {who:<20} term {}, for {left_ms} ms more, run {:016x}",
+            &**job, by.term, by.process.0
+        );
     }
-    for own in &views[0].1.jobs {
+    for own in &views[0].1.leases {
         let since =
-            own.owns.map_or(String::new(), |(_, since, _)| format!(", owned for {} s", since / 1_000));
-        let last = own.last.as_deref().map_or(String::new(), |why| format!(", the last: {why}"));
-        println!("  {:<24} here place {}{since}, {} refusals{last}", &*own.job, own.place, own.refusals);
+            own.held.map_or(String::new(), |(_, since, _)| format!(", owned for {} s", since / 1_000));
+        let last = own.last_rejection.as_deref().map_or(String::new(), |why| format!(", the last: {why}"));
+        println!("  {:<24} here place {}{since}, {} refusals{last}", &*own.lease, own.rank, own.rejections);
     }
 }
--- a/crates/gateway/src/fleet/list.rs
+++ b/crates/gateway/src/fleet/list.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use event_listener::Event as Wake;
-use fernscale_lease::told::{Answer, Entry, Note, Output, Piece, Told};
+use fernscale_lease::replicated_list::{Entry, Fragment, ListMessage, Output, ReplicatedList, SourceReply};
 use fernscale_lease::Name;
 use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::Micros;
@@ -46,7 +46,7 @@
     owners: Rc<Owners>,
     job: Name,
     needs: Needs,
-    told: RefCell<Told>,
+    told: RefCell<ReplicatedList>,
     /// One carries out what is wanted, in its order; others leave it to that one.
     carrying: Cell<bool>,
     wake: Wake,
@@ -57,7 +57,7 @@
     if !owners.can_do(&job) {
         return;
     }
-    let told = Told::new(&job, needs.within, needs.known, awake_or_not(), rand::random());
+    let told = ReplicatedList::new(&job, needs.within, needs.known, awake_or_not(), rand::random());
     let list = Rc::new(List {
         shared: shared.clone(),
         mesh: mesh.clone(),
@@ -78,9 +78,9 @@
         loop {
             let woken = self.wake.listen();
             let (now, owns, place) = (awake_or_not(), self.term().is_some(), self.owners.place(&self.job));
-            self.told.borrow_mut().tick(now, owns, place);
+            self.told.borrow_mut().handle_timeout(now, owns, place);
             self.carry().await;
-            let due = self.told.borrow().due(owns, place);
+            let due = self.told.borrow().next_deadline(owns, place);
             let wait = async {
                 Timer::after(until(due.saturating_sub(awake_or_not()).min(LOOK))).await;
             };
@@ -90,14 +90,14 @@
 
     /// This gateway's term as the owner, if it is.
     fn term(&self) -> Option<u64> {
-        self.owners.effect(&self.job, ()).map(|effect| effect.fence().term)
+        self.owners.effect(&self.job, ()).map(|effect| effect.token().term)
     }
 
     async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            match postcard::from_bytes::<Note>(&body) {
-                Ok(note) => self.told.borrow_mut().came(awake_or_not(), &from.name.into(), note),
+            match postcard::from_bytes::<ListMessage>(&body) {
+                Ok(note) => self.told.borrow_mut().handle_message(awake_or_not(), &from.name.into(), note),
                 Err(_) => {
                     let why = "a note about the list that can't be read";
                     warn!(self.shared.log, #"list.unread", "{}", why; "peer" => from.name);
@@ -115,42 +115,42 @@
         }
         loop {
             self.shared.list_fresh_until.set(self.told.borrow().fresh_until());
-            let output = self.told.borrow_mut().take();
+            let output = self.told.borrow_mut().poll_output();
             let Some(output) = output else { break };
             match output {
-                Output::Call { since } => {
+                Output::Poll { since } => {
                     self.mesh.until_left(self.clone().call(since));
                 }
-                Output::TellAll(piece) => {
+                Output::Broadcast(piece) => {
                     let note = self.signed(piece);
                     for peer in self.mesh.live() {
                         self.send(&peer.name, &note);
                     }
                 }
-                Output::Tell(to, piece) => self.send(&to, &self.signed(piece)),
-                Output::Say(to, note) => self.send(&to, &note),
-                Output::Learn(answer) => self.learn(answer).await,
+                Output::SendFragment(to, piece) => self.send(&to, &self.signed(piece)),
+                Output::SendMessage(to, note) => self.send(&to, &note),
+                Output::Updated(answer) => self.learn(answer).await,
                 Output::HandOver => {
                     if self.owners.hand_over(&self.job) {
                         info!(self.shared.log, #"list.handed-over", "discovery can't be asked here: another had better");
                     }
                 }
-                Output::Refused(highest) => self.owners.refused(&self.job, highest),
+                Output::Rejected(highest) => self.owners.refused(&self.job, highest),
             }
         }
         self.carrying.set(false);
     }
 
     /// With the fence of the owner, if this gateway is it.
-    fn signed(&self, piece: Piece) -> Note {
+    fn signed(&self, piece: Fragment) -> ListMessage {
         match self.owners.effect(&self.job, piece.clone()) {
-            Some(effect) => Note::Piece(Some(effect.fence()), effect.what().clone()),
-            None => Note::Piece(None, piece),
+            Some(effect) => ListMessage::Fragment(Some(effect.token()), effect.content().clone()),
+            None => ListMessage::Fragment(None, piece),
         }
     }
 
     /// A note that can't be sent now is as good as lost on the way.
-    fn send(&self, to: &str, note: &Note) {
+    fn send(&self, to: &str, note: &ListMessage) {
         let _ = self.mesh.send(to, Channel::EndpointList, postcard::to_stdvec(note).unwrap_or_default());
     }
 
@@ -164,14 +164,14 @@
         };
         let answer = future::or(answer, late).await.and_then(|body| read(&body));
         let term = self.term();
-        self.told.borrow_mut().answered(awake_or_not(), answer, term);
+        self.told.borrow_mut().poll_completed(awake_or_not(), answer, term);
         self.carry().await;
         self.wake.notify(1);
     }
 
-    async fn learn(&self, answer: Answer) {
-        let Answer { index, full, entries } = answer;
-        let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.text).ok());
+    async fn learn(&self, answer: SourceReply) {
+        let SourceReply { index, is_complete: full, entries } = answer;
+        let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
         let body = json!({ "index": index, "snapshot": full, "endpoints": endpoints.collect::<Vec<_>>() });
         match catalog::members(&body, &self.shared.outside) {
             Ok(mut members) => {
@@ -191,17 +191,17 @@
 }
 
 /// An answer of discovery's; nothing where it makes no sense.
-fn read(body: &Value) -> Option<Answer> {
+fn read(body: &Value) -> Option<SourceReply> {
     let entry = |entry: &Value| {
         Some(Entry {
             name: entry.get("name")?.as_str()?.into(),
-            gone: entry.get("status").and_then(Value::as_str) == Some("terminated"),
-            text: entry.to_string(),
+            removed: entry.get("status").and_then(Value::as_str) == Some("terminated"),
+            body: entry.to_string(),
         })
     };
-    Some(Answer {
+    Some(SourceReply {
         index: body.get("index")?.as_u64()?,
-        full: body.get("snapshot")?.as_bool()?,
+        is_complete: body.get("snapshot")?.as_bool()?,
         entries: body.get("endpoints")?.as_array()?.iter().map(entry).collect::<Option<_>>()?,
     })
 }
--- a/crates/gateway/src/fleet/owners.rs
+++ b/crates/gateway/src/fleet/owners.rs
@@ -10,13 +10,15 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use event_listener::Event as Wake;
-use fernscale_lease::claimer::{Claimer, Effect, Event as Owned, Output as Wants};
-use fernscale_lease::message::{Letter, Say};
-use fernscale_lease::order::Candidate;
-use fernscale_lease::roster::Roster;
-use fernscale_lease::view::{Answer, Held, Job, Question, View, Votes};
-use fernscale_lease::voter::{Change, Durable as Promises, Event as Voted, Head, Output, Voter};
-use fernscale_lease::{Fence, Name, Run, Terms, Voters};
+use fernscale_lease::acceptor::{
+    Acceptor, DurableHead, DurableState as Promises, Event as Voted, Output, StateChange,
+};
+use fernscale_lease::candidacy::Candidacy;
+use fernscale_lease::candidate::{AuthorizedEffect, Candidate, Event as Owned, Output as Wants};
+use fernscale_lease::message::{AcceptorReply, Message};
+use fernscale_lease::ranking::Participant;
+use fernscale_lease::status::{AcceptorState, HeldLease, LeaseSummary, LeaseView, StatusQuery, StatusReply};
+use fernscale_lease::{AcceptorSet, FencingToken, LeaseTerms, Name, ProcessId};
 use fernscale_membership::payload::{Channel, ReceivedPayload};
 use fernscale_policy::Micros;
 use fernscale_shared_counter::pn_counter::Instance;
@@ -48,8 +50,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The gateways whose promises make an owner, by their names.
-    pub voters: Voters,
-    pub terms: Terms,
+    pub voters: AcceptorSet,
+    pub terms: LeaseTerms,
     /// The list of servers is asked for by one.
     pub list: bool,
     /// Where a voter keeps its promises, and what is wrong there in trials.
@@ -58,9 +60,9 @@
 }
 
 struct Core {
-    claimer: Claimer,
-    roster: Roster,
-    voter: Option<Voter>,
+    claimer: Candidate,
+    roster: Candidacy,
+    voter: Option<Acceptor>,
     /// Since when this process is slow, if it is.
     slow_until: Micros,
     /// Another gateway goes by this one's name, so that this one's promises would pass for the other's.
@@ -98,9 +100,9 @@
     /// Takes part from now on.
     pub fn start(shared: &Rc<Shared>, mesh: &Rc<Mesh>, settings: Settings) -> Rc<Owners> {
         let peer = mesh.me();
-        let (me, run) = (Name::from(peer.name), Run(peer.instance.0));
-        let claimer = Claimer::new(run, &settings.voters, settings.terms, rand::random());
-        let roster = Roster::new(&me, settings.terms);
+        let (me, run) = (Name::from(peer.name), ProcessId(peer.instance.0));
+        let claimer = Candidate::new(run, &settings.voters, settings.terms, rand::random());
+        let roster = Candidacy::new(&me, settings.terms);
         let core = Core { claimer, roster, voter: None, slow_until: 0, doubled: false, cordoned: false };
         let (synced, syncs) = async_channel::unbounded();
         let owners = Rc::new(Owners {
@@ -119,11 +121,11 @@
         });
         let votes = owners.settings.voters.names.contains(&owners.me);
         info!(shared.log, #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => votes,
-            "voters" => owners.settings.voters.names.len(), "lease_ms" => owners.settings.terms.lease / 1_000,
+            "voters" => owners.settings.voters.names.len(), "lease_ms" => owners.settings.terms.duration / 1_000,
             "run" => format!("{:016x}", run.0));
         let answers = owners.clone();
         mesh.answers(Channel::Lease, Box::new(move |question| answers.answer(question)));
-        if votes || owners.settings.voters.before.contains(&owners.me) {
+        if votes || owners.settings.voters.previous_names.contains(&owners.me) {
             mesh.until_left(owners.clone().vote());
         }
         mesh.until_left(owners.clone().hear(mesh.takes(Channel::Lease)));
@@ -145,14 +147,14 @@
     }
 
     /// Something to be done for the fleet, with the right to it; nothing where this gateway does not own the job now.
-    pub fn effect<T>(&self, job: &Name, what: T) -> Option<Effect<T>> {
+    pub fn effect<T>(&self, job: &Name, what: T) -> Option<AuthorizedEffect<T>> {
         let core = self.core.borrow();
-        Some(core.claimer.warrant(awake_or_not(), job)?.signs(what))
+        Some(core.claimer.authorization(awake_or_not(), job)?.authorize(what))
     }
 
     /// An effect was refused where it was to be taken in, as another owns the job by this fence.
-    pub fn refused(&self, job: &Name, highest: Fence) {
-        self.core.borrow_mut().claimer.refused(awake_or_not(), job, highest);
+    pub fn refused(&self, job: &Name, highest: FencingToken) {
+        self.core.borrow_mut().claimer.effect_rejected(awake_or_not(), job, highest);
         self.carry();
     }
 
@@ -168,14 +170,14 @@
 
     /// This gateway's place in a job's order.
     pub fn place(&self, job: &Name) -> usize {
-        self.core.borrow().roster.place(job)
+        self.core.borrow().roster.rank(job)
     }
 
     /// This gateway ends: others may have its jobs at once.
     pub fn end(&self) {
         if !self.ends.replace(true) {
             let core = &mut *self.core.borrow_mut();
-            core.roster.end(awake_or_not(), &mut core.claimer);
+            core.roster.shut_down(awake_or_not(), &mut core.claimer);
         }
         self.carry();
     }
@@ -208,10 +210,10 @@
 
     fn votes_by(&self, durable: Durable, promises: Promises) {
         info!(self.shared.log, #"owner.folder", "the folder of promises is open"; "promises" => promises.promises.len(),
-            "writes" => promises.writes);
+            "writes" => promises.write_count);
         self.durable.replace(Some(durable));
         let (me, voters, terms) = (&self.me, &self.settings.voters, self.settings.terms);
-        let voter = Voter::start(me, Run(rand::random()), voters, terms, promises, awake_or_not());
+        let voter = Acceptor::new(me, ProcessId(rand::random()), voters, terms, promises, awake_or_not());
         self.core.borrow_mut().voter = Some(voter);
         self.wake.notify(1);
     }
@@ -229,7 +231,7 @@
         }
     }
 
-    fn write(&self, number: u64, change: &Change) {
+    fn write(&self, number: u64, change: &StateChange) {
         let Some(durable) = &*self.durable.borrow() else { return };
         let bytes = |content: Result<Vec<u8>, postcard::Error>| content.unwrap_or_default();
         let mut batch = Batch::new().put(HEAD, &bytes(postcard::to_stdvec(&change.head)));
@@ -247,7 +249,7 @@
                 continue;
             }
             if let Some(voter) = &mut self.core.borrow_mut().voter {
-                voter.synced(awake_or_not(), number, durable);
+                voter.write_completed(awake_or_not(), number, durable);
             }
             self.carry();
             if !durable {
@@ -262,34 +264,38 @@
     async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            let Ok(letter) = postcard::from_bytes::<Letter>(&body) else {
+            let Ok(letter) = postcard::from_bytes::<Message>(&body) else {
                 let why = "a letter about jobs that can't be read";
                 warn!(self.shared.log, #"owner.unread", "{}", why; "peer" => &from.name);
                 continue;
             };
-            let (now, name, run) = (awake_or_not(), Name::from(from.name), Run(from.instance.0));
+            let (now, name, run) = (awake_or_not(), Name::from(from.name), ProcessId(from.instance.0));
             let core = &mut *self.core.borrow_mut();
             match letter {
-                Letter::Ask(ask) => {
+                Message::Request(ask) => {
                     if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                        voter.asked(now, run, ask);
+                        voter.handle_request(now, run, ask);
                     }
                 }
-                Letter::Say(say @ Say::Known(_)) => {
+                Message::Reply(say @ AcceptorReply::Recovery(_)) => {
                     if let Some(voter) = &mut core.voter {
-                        voter.answered(&name, say);
+                        voter.handle_peer_reply(&name, say);
                     }
                 }
-                Letter::Say(say) => core.claimer.said(now, &name, say),
-                Letter::Free { job, fence } => core.claimer.free(now, &job, fence),
-                Letter::Offer { job } => core.roster.offered(now, &job, &name, &mut core.claimer),
+                Message::Reply(say) => core.claimer.handle_reply(now, &name, say),
+                Message::Released { lease: job, token: fence } => {
+                    core.claimer.lease_released(now, &job, fence)
+                }
+                Message::Offer { lease: job } => {
+                    core.roster.offer_received(now, &job, &name, &mut core.claimer)
+                }
             }
             self.wake.notify(1);
         }
     }
 
     /// A letter that can't be sent now is as good as lost on the way.
-    fn send(&self, to: &Name, letter: &Letter) {
+    fn send(&self, to: &Name, letter: &Message) {
         let _ = self.mesh.send(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
     }
 
@@ -299,32 +305,34 @@
         let mut events = VecDeque::new();
         loop {
             let core = &mut *self.core.borrow_mut();
-            if let Some(output) = core.voter.as_mut().and_then(Voter::take) {
+            if let Some(output) = core.voter.as_mut().and_then(Acceptor::poll_output) {
                 match output {
-                    Output::Write { number, change } => self.write(number, &change),
-                    Output::Say { to, say } if to == core.claimer.run() => {
-                        core.claimer.said(now, &self.me, say)
+                    Output::Persist { number, change } => self.write(number, &change),
+                    Output::Reply { to, reply: say } if to == core.claimer.process() => {
+                        core.claimer.handle_reply(now, &self.me, say)
                     }
-                    Output::Say { to, say } => {
-                        let body = postcard::to_stdvec(&Letter::Say(say)).unwrap_or_default();
+                    Output::Reply { to, reply: say } => {
+                        let body = postcard::to_stdvec(&Message::Reply(say)).unwrap_or_default();
                         let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
                     }
-                    Output::Ask { to, ask } => self.send(&to, &Letter::Ask(ask)),
-                    Output::Answer { to, say } => self.send(&to, &Letter::Say(say)),
+                    Output::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
+                    Output::PeerReply { to, reply: say } => self.send(&to, &Message::Reply(say)),
                     Output::Event(event) => self.tell_voted(&event),
                 }
-            } else if let Some(wanted) = core.claimer.take() {
+            } else if let Some(wanted) = core.claimer.poll_output() {
                 match wanted {
-                    Wants::Ask { to, ask } if to == self.me => {
-                        let run = core.claimer.run();
+                    Wants::Request { to, request: ask } if to == self.me => {
+                        let run = core.claimer.process();
                         if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                            voter.asked(now, run, ask);
+                            voter.handle_request(now, run, ask);
                         }
                     }
-                    Wants::Ask { to, ask } => self.send(&to, &Letter::Ask(ask)),
-                    Wants::Free { to, job, fence } => self.send(&to, &Letter::Free { job, fence }),
-                    Wants::Offer { to, job } => {
-                        let body = postcard::to_stdvec(&Letter::Offer { job }).unwrap_or_default();
+                    Wants::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
+                    Wants::Released { to, lease: job, token: fence } => {
+                        self.send(&to, &Message::Released { lease: job, token: fence })
+                    }
+                    Wants::Offer { to, lease: job } => {
+                        let body = postcard::to_stdvec(&Message::Offer { lease: job }).unwrap_or_default();
                         let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
                     }
                     Wants::Event(event) => events.push_back(event),
@@ -339,14 +347,16 @@
     fn tell_voted(&self, event: &Voted) {
         let log = &self.shared.log;
         match event {
-            Voted::Votes { anew } => info!(log, #"owner.votes", "promises jobs from now on"; "anew" => anew),
+            Voted::StartedVoting { recovered: anew } => {
+                info!(log, #"owner.votes", "promises jobs from now on"; "anew" => anew)
+            }
             Voted::Retired => info!(log, #"owner.retired", "is no voter any more"),
-            Voted::OtherVoters(set) => warn!(log, #"owner.other-voters",
-                "the folder counts by other voters than the configuration; nothing is promised"; "change" => set.number),
-            Voted::Forgot => {
+            Voted::DifferentAcceptors(set) => warn!(log, #"owner.other-voters",
+                "the folder counts by other voters than the configuration; nothing is promised"; "change" => set.epoch),
+            Voted::LostPromises => {
                 warn!(log, #"owner.forgot", "the folder lacks promises; waits to be let in anew")
             }
-            Voted::Broken => {
+            Voted::StorageFailed => {
                 warn!(log, #"owner.broken", "promises can't be made durable; the store is opened anew")
             }
         }
@@ -354,13 +364,15 @@
 
     fn tell_owned(&self, event: &Owned) {
         let log = &self.shared.log;
-        let run = |fence: &Fence| format!("{:016x}", fence.run.0);
+        let run = |fence: &FencingToken| format!("{:016x}", fence.process.0);
         match event {
-            Owned::Owns { job, fence } => info!(log, #"owner.owns", "owns a job of the fleet";
-                "job" => &**job, "term" => fence.term, "run" => run(fence)),
-            Owned::Lost { job, fence } => warn!(log, #"owner.lost", "owns a job no more";
+            Owned::Acquired { lease: job, token: fence } => {
+                info!(log, #"owner.owns", "owns a job of the fleet";
+                "job" => &**job, "term" => fence.term, "run" => run(fence))
+            }
+            Owned::Lost { lease: job, token: fence } => warn!(log, #"owner.lost", "owns a job no more";
                 "job" => &**job, "term" => fence.term, "run" => run(fence)),
-            Owned::Left { job, fence } => info!(log, #"owner.left", "has given a job back";
+            Owned::Released { lease: job, token: fence } => info!(log, #"owner.left", "has given a job back";
                 "job" => &**job, "term" => fence.term, "run" => run(fence)),
         }
     }
@@ -373,8 +385,8 @@
             let woken = self.wake.listen();
             let due = {
                 let core = self.core.borrow();
-                let voter = core.voter.as_ref().and_then(Voter::due);
-                [voter, core.claimer.due()].into_iter().flatten().fold(look, Micros::min)
+                let voter = core.voter.as_ref().and_then(Acceptor::next_deadline);
+                [voter, core.claimer.next_deadline()].into_iter().flatten().fold(look, Micros::min)
             };
             let wait = async {
                 Timer::after(until(due.saturating_sub(awake_or_not()))).await;
@@ -388,9 +400,9 @@
             {
                 let core = &mut *self.core.borrow_mut();
                 if let Some(voter) = &mut core.voter {
-                    voter.tick(now);
+                    voter.handle_timeout(now);
                 }
-                core.claimer.tick(now);
+                core.claimer.handle_timeout(now);
             }
             self.carry();
         }
@@ -411,59 +423,63 @@
         }
         core.doubled = doubled;
         let unwilling = core.cordoned || now < core.slow_until || self.shared.stopping.get().is_some();
-        let mut all: Vec<Candidate> = live
+        let mut all: Vec<Participant> = live
             .into_iter()
             .filter(|peer| *peer.name != *self.me)
-            .map(|peer| Candidate { name: peer.name.into(), unwilling: false })
+            .map(|peer| Participant { name: peer.name.into(), unwilling: false })
             .collect();
-        all.push(Candidate { name: self.me.clone(), unwilling });
+        all.push(Participant { name: self.me.clone(), unwilling });
         all.sort_by(|one, other| one.name.cmp(&other.name));
         all.dedup_by(|one, other| one.name == other.name);
-        core.roster.look(now, &all, &mut core.claimer);
+        core.roster.update(now, &all, &mut core.claimer);
     }
 
     // Operators.
 
     fn answer(&self, question: &[u8]) -> Option<Vec<u8>> {
         let answer = match postcard::from_bytes(question).ok()? {
-            Question::Jobs => Answer::Jobs(self.view()),
-            Question::Release(job) => Answer::Released(self.hand_over(&job)),
-            Question::Cordon(on) => {
+            StatusQuery::Leases => StatusReply::Leases(self.view()),
+            StatusQuery::Release(job) => StatusReply::Released(self.hand_over(&job)),
+            StatusQuery::Cordon(on) => {
                 self.core.borrow_mut().cordoned = on;
                 info!(self.shared.log, #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => on);
-                Answer::Cordoned(on)
+                StatusReply::Cordoned(on)
             }
         };
         self.wake.notify(1);
         postcard::to_stdvec(&answer).ok()
     }
 
-    fn view(&self) -> View {
+    fn view(&self) -> LeaseView {
         let (core, now) = (self.core.borrow(), awake_or_not());
         let is_voter = self.settings.voters.names.contains(&self.me);
         let votes = is_voter.then(|| match &core.voter {
-            Some(voter) if voter.broken() || core.doubled => Votes::Not,
-            Some(voter) if voter.votes() => Votes::Yes,
-            _ => Votes::Waits,
+            Some(voter) if voter.has_failed() || core.doubled => AcceptorState::NotVoting,
+            Some(voter) if voter.is_voting() => AcceptorState::Voting,
+            _ => AcceptorState::Recovering,
+        });
+        let jobs = core.claimer.lease_status(now).map(|own| LeaseSummary {
+            rank: core.roster.rank(&own.lease) as u32,
+            held: own.held.map(|(fence, since, left)| (fence, (now - since) / 1_000, left / 1_000)),
+            rejections: own.rejections,
+            last_rejection: own.last_rejection.map(|why| why.to_string()),
+            lease: own.lease,
         });
-        let jobs = core.claimer.standing(now).map(|own| Job {
-            place: core.roster.place(&own.job) as u32,
-            owns: own.owns.map(|(fence, since, left)| (fence, (now - since) / 1_000, left / 1_000)),
-            refusals: own.refusals,
-            last: own.last.map(|why| why.to_string()),
-            job: own.job,
+        let held = core.voter.iter().flat_map(|voter| voter.held_leases(now));
+        let held = held.map(|(job, by, left)| HeldLease {
+            lease: job.clone(),
+            holder: by,
+            remaining_ms: left / 1_000,
         });
-        let held = core.voter.iter().flat_map(|voter| voter.held(now));
-        let held = held.map(|(job, by, left)| Held { job: job.clone(), by, left_ms: left / 1_000 });
         let me = self.mesh.me();
         let live = self.mesh.live().into_iter().chain([me]);
-        View {
+        LeaseView {
             gateway: self.me.clone(),
-            votes,
+            acceptor: votes,
             cordoned: core.cordoned,
-            jobs: jobs.collect(),
+            leases: jobs.collect(),
             held: held.collect(),
-            runs: live.map(|peer| (peer.name.into(), peer.instance.0)).collect(),
+            processes: live.map(|peer| (peer.name.into(), peer.instance.0)).collect(),
         }
     }
 }
@@ -473,10 +489,10 @@
     let mut all = Promises::default();
     for (key, value) in entries {
         if key == HEAD {
-            let head: Head = postcard::from_bytes(&value)?;
-            all.apply(&Change { head, promises: Vec::new() });
+            let head: DurableHead = postcard::from_bytes(&value)?;
+            all.apply(&StateChange { head, promises: Vec::new() });
         } else if key.starts_with(PROMISE) {
-            let (job, fence): (Name, Fence) = postcard::from_bytes(&value)?;
+            let (job, fence): (Name, FencingToken) = postcard::from_bytes(&value)?;
             all.promises.insert(job, fence);
         }
     }
--- a/crates/gateway/src/fleet/trial.rs
+++ b/crates/gateway/src/fleet/trial.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fernscale_lease::claimer::Effect;
-use fernscale_lease::{Fence, Name, Run};
+use fernscale_lease::candidate::AuthorizedEffect;
+use fernscale_lease::{FencingToken, Name, ProcessId};
 use fernscale_policy::Micros;
 use futures_lite::io::BufReader;
 use futures_lite::{future, AsyncBufReadExt, AsyncWriteExt};
@@ -64,7 +64,7 @@
             Some(Ok(None)) => {}
             Some(Ok(Some(highest))) => {
                 warn!(shared.log, #"owner.refused", "an effect was refused, as another owns the job";
-                    "job" => &*job, "term" => effect.fence().term, "highest" => highest.term);
+                    "job" => &*job, "term" => effect.token().term, "highest" => highest.term);
                 owners.refused(&job, highest);
             }
             // Whether it was taken in is not known; the next one tells.
@@ -77,11 +77,10 @@
 async fn tell(
     to: SocketAddr,
     connection: &mut Option<BufReader<Async<TcpStream>>>,
-    effect: &Effect<u64>,
-) -> std::io::Result<Option<Fence>> {
-    let fence = effect.fence();
-    let line =
-        json!({ "job": &**effect.job(), "term": fence.term, "run": fence.run.0, "number": effect.what() });
+    effect: &AuthorizedEffect<u64>,
+) -> std::io::Result<Option<FencingToken>> {
+    let fence = effect.token();
+    let line = json!({ "job": &**effect.lease(), "term": fence.term, "run": fence.process.0, "number": effect.content() });
     let stream = match connection {
         Some(stream) => stream,
         None => connection.insert(BufReader::new(Async::<TcpStream>::connect(to).await?)),
@@ -94,5 +93,5 @@
     }
     let answer: Value = serde_json::from_str(&answer)?;
     let number = |name: &str| answer.get(name).and_then(Value::as_u64);
-    Ok(number("term").zip(number("run")).map(|(term, run)| Fence { term, run: Run(run) }))
+    Ok(number("term").zip(number("run")).map(|(term, run)| FencingToken { term, process: ProcessId(run) }))
 }
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -207,7 +207,7 @@
             .voters
             .names
             .iter()
-            .chain(&owner.voters.before)
+            .chain(&owner.voters.previous_names)
             .any(|voter| **voter == *text("name").unwrap_or_default());
         if own.mesh.is_none() {
             return Err("[owner] needs [mesh], by which gateways speak with each other".into());
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use fernscale_lease::{Terms, Voters, LONGEST_NAME, MOST_VOTERS};
+use fernscale_lease::{AcceptorSet, LeaseTerms, MAX_ACCEPTORS, MAX_NAME_BYTES};
 use fernscale_membership::seal::Key;
 use fernscale_policy::Micros;
 use serde_json::{json, Map, Value};
@@ -341,10 +341,10 @@
     trial: durable::Trial,
 ) -> Option<owners::Settings> {
     let voters = section.needed("voters", Section::names)?;
-    for voter in voters.iter().filter(|voter| voter.value.len() > LONGEST_NAME) {
-        section.problem(voter.at, format!("a voter's name has {LONGEST_NAME} bytes at the most"));
+    for voter in voters.iter().filter(|voter| voter.value.len() > MAX_NAME_BYTES) {
+        section.problem(voter.at, format!("a voter's name has {MAX_NAME_BYTES} bytes at the most"));
     }
-    if voters.len().is_multiple_of(2) || voters.len() > MOST_VOTERS {
+    if voters.len().is_multiple_of(2) || voters.len() > MAX_ACCEPTORS {
         let found = voters.len();
         section.problem(
             voters.first().map_or(section.at(), |voter| voter.at),
@@ -364,8 +364,8 @@
         section.problem(change.map_or(section.at(), |change| change.at), why);
     }
     let names = |names: Vec<At<String>>| names.into_iter().map(|name| name.value.into()).collect();
-    let voters = Voters { number, names: names(voters), before: names(before) };
-    let terms = Terms { lease, drift: (drift * 1e6) as u64 };
+    let voters = AcceptorSet { epoch: number, names: names(voters), previous_names: names(before) };
+    let terms = LeaseTerms { duration: lease, max_drift_ppm: (drift * 1e6) as u64 };
     Some(owners::Settings { voters, terms, list, folder: folder.map(Path::to_path_buf), trial })
 }
 
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -8,10 +8,12 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use fernscale_lease::message::{Ask, Hello, Known, Letter, Refusal, Say};
-use fernscale_lease::told::{Entry, Note, Piece, Version};
-use fernscale_lease::voter::{Head, Other};
-use fernscale_lease::{view as jobs, Fence, Name, Run, Set};
+use fernscale_lease::acceptor::{DurableHead, PeerRecord};
+use fernscale_lease::message::{
+    AcceptorReply, AcceptorRequest, Message, RecoveryReply, RecoveryRequest, Rejection,
+};
+use fernscale_lease::replicated_list::{Entry, Fragment, ListMessage, Version};
+use fernscale_lease::{status as jobs, AcceptorSetId, FencingToken, Name, ProcessId};
 use fernscale_membership::packet::{
     CounterEntry, CounterTotal, FullState, MemberState, MemberUpdate, MemberView, MembershipView, Packet,
     PacketBody, Peer, StreamMessage,
@@ -147,12 +149,12 @@
     }
 }
 
-fn fence(term: u64) -> Fence {
-    Fence { term, run: Run(0xfeed_0000 + term) }
+fn fence(term: u64) -> FencingToken {
+    FencingToken { term, process: ProcessId(0xfeed_0000 + term) }
 }
 
-fn set() -> Set {
-    Set { number: 3, mark: 0xabcd_ef01_2345 }
+fn set() -> AcceptorSetId {
+    AcceptorSetId { epoch: 3, digest: 0xabcd_ef01_2345 }
 }
 
 fn lives() -> BTreeMap<Name, u64> {
@@ -162,69 +164,101 @@
 #[test]
 fn lease_messages() {
     let job: Name = "list".into();
-    let (of, start): (Name, Run) = ("gateway-3".into(), Run(77));
+    let (of, start): (Name, ProcessId) = ("gateway-3".into(), ProcessId(77));
     let refusals = [
-        Refusal::Held { left: 1_500_000, by: fence(8) },
-        Refusal::Higher(fence(9)),
-        Refusal::Silent,
-        Refusal::Busy,
-        Refusal::Full,
-        Refusal::Set(set()),
+        Rejection::HeldByOther { remaining: 1_500_000, holder: fence(8) },
+        Rejection::HigherPromise(fence(9)),
+        Rejection::NotVoting,
+        Rejection::Overloaded,
+        Rejection::CapacityExceeded,
+        Rejection::DifferentAcceptors(set()),
     ];
-    let granted = Say::Granted { job: job.clone(), fence: fence(5), number: 6, life: 7, lives: lives() };
-    let known = Known {
-        of: of.clone(),
-        writes: 12,
-        life: 2,
-        founded: true,
-        forgot: false,
-        pristine: true,
-        set: set(),
-        frozen: 1,
+    let granted = AcceptorReply::Granted {
+        lease: job.clone(),
+        token: fence(5),
+        round: 6,
+        incarnation: 7,
+        incarnations: lives(),
+    };
+    let known = RecoveryReply {
+        acceptor: of.clone(),
+        write_count: 12,
+        incarnation: 2,
+        is_initialized: true,
+        lost_promises: false,
+        never_promised: true,
+        acceptors: set(),
+        frozen_epoch: 1,
         promises: [(job.clone(), fence(5)), ("billing".into(), fence(6))].into(),
     };
-    let hello = Hello { of: of.clone(), start, writes: 11, life: 3, forgot: true, empty: false };
+    let hello = RecoveryRequest {
+        acceptor: of.clone(),
+        start,
+        write_count: 11,
+        incarnation: 3,
+        lost_promises: true,
+        is_empty: false,
+    };
     let mut letters = vec![
-        Letter::Ask(Ask::Claim { job: job.clone(), fence: fence(5), number: 6, set: set() }),
-        Letter::Ask(Ask::Release { job: job.clone(), fence: fence(5) }),
-        Letter::Ask(Ask::Hello(hello)),
-        Letter::Ask(Ask::Wrote { of, writes: 13, life: 3 }),
-        Letter::Say(granted),
-        Letter::Say(Say::Known(known)),
-        Letter::Free { job: job.clone(), fence: fence(5) },
-        Letter::Offer { job: job.clone() },
+        Message::Request(AcceptorRequest::Claim {
+            lease: job.clone(),
+            token: fence(5),
+            round: 6,
+            acceptors: set(),
+        }),
+        Message::Request(AcceptorRequest::Release { lease: job.clone(), token: fence(5) }),
+        Message::Request(AcceptorRequest::Recover(hello)),
+        Message::Request(AcceptorRequest::WriteCount { acceptor: of, write_count: 13, incarnation: 3 }),
+        Message::Reply(granted),
+        Message::Reply(AcceptorReply::Recovery(known)),
+        Message::Released { lease: job.clone(), token: fence(5) },
+        Message::Offer { lease: job.clone() },
     ];
     letters.extend(refusals.map(|why| {
         let (job, fence) = (job.clone(), fence(4));
-        Letter::Say(Say::Refused { job, fence, number: 2, why })
+        Message::Reply(AcceptorReply::Rejected { lease: job, token: fence, round: 2, reason: why })
     }));
     check("lease-messages.bin", &letters);
 }
 
 #[test]
 fn lease_records_in_the_store() {
-    let other =
-        |writes, life, start: Option<u64>| Other { writes, life, start: start.map(Run), ..Other::default() };
+    let other = |writes, life, start: Option<u64>| PeerRecord {
+        write_count: writes,
+        incarnation: life,
+        start: start.map(ProcessId),
+        ..PeerRecord::default()
+    };
     let others = [("gateway-1".into(), other(1, 2, None)), ("gateway-2".into(), other(3, 4, Some(5)))];
-    let head = Head { founded: true, life: 2, writes: 30, others: others.into(), set: set(), frozen: 2 };
-    check("lease-heads.bin", &[Head::default(), head]);
-    let promises: [(Name, Fence); 2] = [("list".into(), fence(5)), ("billing".into(), fence(600))];
+    let head = DurableHead {
+        is_initialized: true,
+        incarnation: 2,
+        write_count: 30,
+        peers: others.into(),
+        acceptors: set(),
+        frozen_epoch: 2,
+    };
+    check("lease-heads.bin", &[DurableHead::default(), head]);
+    let promises: [(Name, FencingToken); 2] = [("list".into(), fence(5)), ("billing".into(), fence(600))];
     check("lease-promises.bin", &promises);
 }
 
 #[test]
 fn list_fragments() {
-    let entry =
-        |name: &str, gone| Entry { name: name.into(), gone, text: format!("{{\"name\":\"{name}\"}}") };
+    let entry = |name: &str, gone| Entry {
+        name: name.into(),
+        removed: gone,
+        body: format!("{{\"name\":\"{name}\"}}"),
+    };
     let entries = vec![entry("10.0.0.1:80", false), entry("10.0.0.2:80", true)];
-    let version = Version { numbering: 5, index: 1_000 };
-    let piece = Piece { version, since: Some(900), age_ms: 40, part: 1, parts: 3, entries };
-    let complete = Piece { since: None, part: 0, parts: 1, entries: Vec::new(), ..piece.clone() };
+    let version = Version { epoch: 5, index: 1_000 };
+    let piece = Fragment { version, since: Some(900), age_ms: 40, number: 1, count: 3, entries };
+    let complete = Fragment { since: None, number: 0, count: 1, entries: Vec::new(), ..piece.clone() };
     let notes = [
-        Note::Piece(Some(fence(5)), piece),
-        Note::Piece(None, complete),
-        Note::Lack,
-        Note::Refused(fence(6)),
+        ListMessage::Fragment(Some(fence(5)), piece),
+        ListMessage::Fragment(None, complete),
+        ListMessage::RequestComplete,
+        ListMessage::Rejected(fence(6)),
     ];
     check("list-fragments.bin", &notes);
 }
@@ -232,24 +266,35 @@
 #[test]
 fn lease_questions_and_answers() {
     let questions = [
-        jobs::Question::Jobs,
-        jobs::Question::Release("list".into()),
-        jobs::Question::Cordon(true),
-        jobs::Question::Cordon(false),
+        jobs::StatusQuery::Leases,
+        jobs::StatusQuery::Release("list".into()),
+        jobs::StatusQuery::Cordon(true),
+        jobs::StatusQuery::Cordon(false),
     ];
     check("lease-questions.bin", &questions);
-    let job = |place, owns, last| jobs::Job { job: "list".into(), place, owns, refusals: 2, last };
-    let view = |votes| jobs::View {
+    let job = |place, owns, last| jobs::LeaseSummary {
+        lease: "list".into(),
+        rank: place,
+        held: owns,
+        rejections: 2,
+        last_rejection: last,
+    };
+    let view = |votes| jobs::LeaseView {
         gateway: "gateway-1".into(),
-        votes,
+        acceptor: votes,
         cordoned: true,
-        jobs: vec![job(0, Some((fence(5), 100, 900)), None), job(1, None, Some("no".into()))],
-        held: vec![jobs::Held { job: "list".into(), by: fence(5), left_ms: 800 }],
-        runs: vec![("gateway-1".into(), 9)],
+        leases: vec![job(0, Some((fence(5), 100, 900)), None), job(1, None, Some("no".into()))],
+        held: vec![jobs::HeldLease { lease: "list".into(), holder: fence(5), remaining_ms: 800 }],
+        processes: vec![("gateway-1".into(), 9)],
     };
-    let mut answers = vec![jobs::Answer::Released(true), jobs::Answer::Cordoned(false)];
-    let votes = [None, Some(jobs::Votes::Yes), Some(jobs::Votes::Waits), Some(jobs::Votes::Not)];
-    answers.extend(votes.map(|votes| jobs::Answer::Jobs(view(votes))));
+    let mut answers = vec![jobs::StatusReply::Released(true), jobs::StatusReply::Cordoned(false)];
+    let votes = [
+        None,
+        Some(jobs::AcceptorState::Voting),
+        Some(jobs::AcceptorState::Recovering),
+        Some(jobs::AcceptorState::NotVoting),
+    ];
+    answers.extend(votes.map(|votes| jobs::StatusReply::Leases(view(votes))));
     check("lease-answers.bin", &answers);
 }
 
--- a/crates/lab/src/jobs.rs
+++ b/crates/lab/src/jobs.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use fernscale_lease::claimer::{Claimer, Output as Wants};
-use fernscale_lease::message::{Letter, Say};
-use fernscale_lease::order::Candidate;
-use fernscale_lease::roster::Roster;
-use fernscale_lease::voter::{Durable, Output, Voter};
-use fernscale_lease::{Name, Run, Terms, Voters, MILLISECOND, SECOND};
+use fernscale_lease::acceptor::{Acceptor, DurableState, Output};
+use fernscale_lease::candidacy::Candidacy;
+use fernscale_lease::candidate::{Candidate, Output as Wants};
+use fernscale_lease::message::{AcceptorReply, Message};
+use fernscale_lease::ranking::Participant;
+use fernscale_lease::{AcceptorSet, LeaseTerms, Name, ProcessId, MILLISECOND, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
@@ -41,15 +41,15 @@
 
 struct Fleet {
     now: Micros,
-    terms: Terms,
-    voters: Voters,
+    terms: LeaseTerms,
+    voters: AcceptorSet,
     jobs: Vec<Name>,
     sync: Micros,
     chance: ChaCha8Rng,
     names: Vec<Name>,
-    voting: BTreeMap<usize, Voter>,
-    gateways: BTreeMap<usize, (Claimer, Roster)>,
-    due: BTreeMap<(Micros, u64), (usize, usize, Letter)>,
+    voting: BTreeMap<usize, Acceptor>,
+    gateways: BTreeMap<usize, (Candidate, Candidacy)>,
+    due: BTreeMap<(Micros, u64), (usize, usize, Message)>,
     /// Writes that wait for the sync under way, and when that ends.
     writes: BTreeMap<usize, VecDeque<(Micros, u64)>>,
     order: u64,
@@ -59,9 +59,11 @@
 impl Fleet {
     fn new(asked: Asked) -> Fleet {
         let names: Vec<Name> = (0..asked.gateways).map(|at| format!("gateway-{at}").into()).collect();
-        let terms = Terms { lease: asked.lease, drift: 10_000 };
-        let voters = Voters::first(&names[..asked.voters]);
-        let start = |at: usize| Voter::start(&names[at], Run(1 << 32), &voters, terms, Durable::default(), 0);
+        let terms = LeaseTerms { duration: asked.lease, max_drift_ppm: 10_000 };
+        let voters = AcceptorSet::initial(&names[..asked.voters]);
+        let start = |at: usize| {
+            Acceptor::new(&names[at], ProcessId(1 << 32), &voters, terms, DurableState::default(), 0)
+        };
         let mut fleet = Fleet {
             now: 0,
             terms,
@@ -82,8 +84,8 @@
     }
 
     fn joins(&mut self, at: usize) {
-        let claimer = Claimer::new(Run(at as u64), &self.voters, self.terms, 7);
-        let mut roster = Roster::new(&self.names[at], self.terms);
+        let claimer = Candidate::new(ProcessId(at as u64), &self.voters, self.terms, 7);
+        let mut roster = Candidacy::new(&self.names[at], self.terms);
         let added = self.jobs.iter().filter(|job| roster.add(job)).count();
         debug_assert_eq!(added, self.jobs.len());
         self.gateways.insert(at, (claimer, roster));
@@ -93,7 +95,7 @@
         name.strip_prefix("gateway-").and_then(|at| at.parse().ok()).unwrap_or(0)
     }
 
-    fn send(&mut self, from: usize, to: usize, letter: Letter) {
+    fn send(&mut self, from: usize, to: usize, letter: Message) {
         self.order += 1;
         if from != to {
             self.cost.letters += 1;
@@ -121,53 +123,55 @@
                 .collect();
             for (at, number) in done {
                 if let Some(voter) = self.voting.get_mut(&at) {
-                    voter.synced(now, number, true);
+                    voter.write_completed(now, number, true);
                 }
                 self.carry(at);
             }
             if now.is_multiple_of(LOOK) {
                 let there = self.gateways.keys().map(|at| self.names[*at].clone());
-                let all: Vec<_> = there.map(|name| Candidate { name, unwilling: false }).collect();
+                let all: Vec<_> = there.map(|name| Participant { name, unwilling: false }).collect();
                 for (claimer, roster) in self.gateways.values_mut() {
-                    roster.look(now, &all, claimer);
+                    roster.update(now, &all, claimer);
                 }
             }
             let all: BTreeSet<usize> = self.gateways.keys().copied().collect();
             for at in all {
                 if let Some(voter) = self.voting.get_mut(&at) {
-                    voter.tick(now);
+                    voter.handle_timeout(now);
                 }
-                let due = self.gateways.get(&at).and_then(|(claimer, _)| claimer.due());
+                let due = self.gateways.get(&at).and_then(|(claimer, _)| claimer.next_deadline());
                 if let Some((claimer, _)) =
                     self.gateways.get_mut(&at).filter(|_| due.is_some_and(|due| due <= now))
                 {
-                    claimer.tick(now);
+                    claimer.handle_timeout(now);
                 }
                 self.carry(at);
             }
         }
     }
 
-    fn deliver(&mut self, from: usize, to: usize, letter: Letter) {
-        let (now, name, run) = (self.now, self.names[from].clone(), Run(from as u64));
+    fn deliver(&mut self, from: usize, to: usize, letter: Message) {
+        let (now, name, run) = (self.now, self.names[from].clone(), ProcessId(from as u64));
         match letter {
-            Letter::Ask(ask) => {
+            Message::Request(ask) => {
                 if let Some(voter) = self.voting.get_mut(&to) {
-                    voter.asked(now, run, ask);
+                    voter.handle_request(now, run, ask);
                 }
             }
-            Letter::Say(say @ Say::Known(_)) => {
+            Message::Reply(say @ AcceptorReply::Recovery(_)) => {
                 if let Some(voter) = self.voting.get_mut(&to) {
-                    voter.answered(&name, say);
+                    voter.handle_peer_reply(&name, say);
                 }
             }
             other => {
                 if let Some((claimer, roster)) = self.gateways.get_mut(&to) {
                     match other {
-                        Letter::Say(say) => claimer.said(now, &name, say),
-                        Letter::Free { job, fence } => claimer.free(now, &job, fence),
-                        Letter::Offer { job } => roster.offered(now, &job, &name, claimer),
-                        Letter::Ask(_) => {}
+                        Message::Reply(say) => claimer.handle_reply(now, &name, say),
+                        Message::Released { lease: job, token: fence } => {
+                            claimer.lease_released(now, &job, fence)
+                        }
+                        Message::Offer { lease: job } => roster.offer_received(now, &job, &name, claimer),
+                        Message::Request(_) => {}
                     }
                 }
             }
@@ -176,9 +180,9 @@
     }
 
     fn carry(&mut self, at: usize) {
-        while let Some(output) = self.voting.get_mut(&at).and_then(Voter::take) {
+        while let Some(output) = self.voting.get_mut(&at).and_then(Acceptor::poll_output) {
             match output {
-                Output::Write { number, .. } => {
+                Output::Persist { number, .. } => {
                     // Those that come while a sync is under way become durable together by the next.
                     let (now, sync) = (self.now, self.sync);
                     let writes = self.writes.entry(at).or_default();
@@ -195,17 +199,21 @@
                     };
                     writes.push_back((ends, number));
                 }
-                Output::Say { to, say } => self.send(at, to.0 as usize, Letter::Say(say)),
-                Output::Ask { to, ask } => self.send(at, self.at(&to), Letter::Ask(ask)),
-                Output::Answer { to, say } => self.send(at, self.at(&to), Letter::Say(say)),
+                Output::Reply { to, reply: say } => self.send(at, to.0 as usize, Message::Reply(say)),
+                Output::Request { to, request: ask } => self.send(at, self.at(&to), Message::Request(ask)),
+                Output::PeerReply { to, reply: say } => self.send(at, self.at(&to), Message::Reply(say)),
                 Output::Event(_) => {}
             }
         }
-        while let Some(wanted) = self.gateways.get_mut(&at).and_then(|(claimer, _)| claimer.take()) {
+        while let Some(wanted) = self.gateways.get_mut(&at).and_then(|(claimer, _)| claimer.poll_output()) {
             match wanted {
-                Wants::Ask { to, ask } => self.send(at, self.at(&to), Letter::Ask(ask)),
-                Wants::Free { to, job, fence } => self.send(at, self.at(&to), Letter::Free { job, fence }),
-                Wants::Offer { to, job } => self.send(at, to.0 as usize, Letter::Offer { job }),
+                Wants::Request { to, request: ask } => self.send(at, self.at(&to), Message::Request(ask)),
+                Wants::Released { to, lease: job, token: fence } => {
+                    self.send(at, self.at(&to), Message::Released { lease: job, token: fence })
+                }
+                Wants::Offer { to, lease: job } => {
+                    self.send(at, to.0 as usize, Message::Offer { lease: job })
+                }
                 Wants::Event(_) => {}
             }
         }
@@ -214,7 +222,7 @@
     fn owners(&self) -> Vec<Option<usize>> {
         let mut owners: BTreeMap<&Name, usize> = BTreeMap::new();
         for (at, (claimer, _)) in &self.gateways {
-            let owned = self.jobs.iter().filter(|job| claimer.warrant(self.now, job).is_some());
+            let owned = self.jobs.iter().filter(|job| claimer.authorization(self.now, job).is_some());
             owners.extend(owned.map(|job| (job, *at)));
         }
         self.jobs.iter().map(|job| owners.get(job).copied()).collect()
@@ -255,7 +263,7 @@
     let ended = busy.first().map(|at| {
         let now = fleet.now;
         if let Some((claimer, roster)) = fleet.gateways.get_mut(at) {
-            roster.end(now, claimer);
+            roster.shut_down(now, claimer);
         }
         fleet.carry(*at);
         fleet.gateways.remove(at);
--- a/crates/lab/src/owners.rs
+++ b/crates/lab/src/owners.rs
@@ -5,11 +5,13 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fernscale_lease::claimer::{Claimer, Event, Output as Wants};
-use fernscale_lease::guard::{Admit, Guard};
-use fernscale_lease::message::{Ask, Say};
-use fernscale_lease::voter::{Change, Durable, Output, Voter};
-use fernscale_lease::{Fence, Micros, Name, Run, Set, Terms, Voters, MILLISECOND};
+use fernscale_lease::acceptor::{Acceptor, DurableState, Output, StateChange};
+use fernscale_lease::candidate::{Candidate, Event, Output as Wants};
+use fernscale_lease::fencing::{FencingDecision, FencingGuard};
+use fernscale_lease::message::{AcceptorReply, AcceptorRequest};
+use fernscale_lease::{
+    AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MILLISECOND,
+};
 
 use crate::explore::System;
 
@@ -66,9 +68,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Ask { to: usize, from: Run, ask: Ask },
-    Say { to: usize, from: usize, say: Say },
-    Answer { to: usize, from: usize, say: Say },
+    Ask { to: usize, from: ProcessId, ask: AcceptorRequest },
+    Say { to: usize, from: usize, say: AcceptorReply },
+    Answer { to: usize, from: usize, say: AcceptorReply },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,22 +100,22 @@
     lose_folder: bool,
     effects: [u32; CLAIMERS],
     now: Micros,
-    voters: Vec<Option<Voter>>,
-    disks: Vec<Durable>,
-    writes: Vec<VecDeque<(u64, Change)>>,
+    voters: Vec<Option<Acceptor>>,
+    disks: Vec<DurableState>,
+    writes: Vec<VecDeque<(u64, StateChange)>>,
     starts: u64,
     /// Those whose configuration has the old voters, in the order in which they get the new ones.
     old: VecDeque<usize>,
     changes: bool,
-    claimers: Vec<Claimer>,
+    claimers: Vec<Candidate>,
     net: Vec<Message>,
     /// Effects on their way: they come as late as they like.
-    acts: Vec<Fence>,
-    guard: Guard,
+    acts: Vec<FencingToken>,
+    guard: FencingGuard,
     /// The highest effect that was taken in, and what went wrong.
-    done: Option<Fence>,
-    owners: BTreeMap<u64, Run>,
-    gained: Vec<Fence>,
+    done: Option<FencingToken>,
+    owners: BTreeMap<u64, ProcessId>,
+    gained: Vec<FencingToken>,
     wrong: Option<String>,
 }
 
@@ -122,10 +124,10 @@
 }
 
 /// The voters at first, and after their change.
-fn sets() -> [Voters; 2] {
+fn sets() -> [AcceptorSet; 2] {
     let [a, b, c, d] = names();
-    let first = Voters::first(&[a.clone(), b.clone(), c]);
-    let second = Voters { number: 1, names: vec![a, b, d], before: first.names.clone() };
+    let first = AcceptorSet::initial(&[a.clone(), b.clone(), c]);
+    let second = AcceptorSet { epoch: 1, names: vec![a, b, d], previous_names: first.names.clone() };
     [first, second]
 }
 
@@ -150,7 +152,7 @@
             effects: [trouble.effects; CLAIMERS],
             now: 0,
             voters: vec![None; VOTERS],
-            disks: vec![Durable::default(); VOTERS],
+            disks: vec![DurableState::default(); VOTERS],
             writes: vec![VecDeque::new(); VOTERS],
             starts: 0,
             old: trouble.change.iter().flatten().copied().collect(),
@@ -158,7 +160,7 @@
             claimers: Vec::new(),
             net: Vec::new(),
             acts: Vec::new(),
-            guard: Guard::default(),
+            guard: FencingGuard::default(),
             done: None,
             owners: BTreeMap::new(),
             gained: Vec::new(),
@@ -166,7 +168,7 @@
         };
         // They are let in at first, all together, and long before anybody wants anything.
         (0..VOTERS - 1).for_each(|at| owners.start(at));
-        while !owners.voters.iter().flatten().all(Voter::votes) {
+        while !owners.voters.iter().flatten().all(Acceptor::is_voting) {
             owners.tick();
             while !owners.net.is_empty() {
                 owners.take(&Step::Deliver(0));
@@ -178,10 +180,13 @@
         }
         owners.now += 10 * LEASE;
         for at in 0..CLAIMERS {
-            let terms = Terms { lease: LEASE, drift: if seeded == Seeded::NoMargin { 0 } else { DRIFT } };
+            let terms = LeaseTerms {
+                duration: LEASE,
+                max_drift_ppm: if seeded == Seeded::NoMargin { 0 } else { DRIFT },
+            };
             let voters = &sets()[usize::from(trouble.change.is_some() && at > 0)];
-            let mut claimer = Claimer::new(Run(100 + at as u64), voters, terms, 7);
-            claimer.want(owners.now, &job(), 0);
+            let mut claimer = Candidate::new(ProcessId(100 + at as u64), voters, terms, 7);
+            claimer.pursue(owners.now, &job(), 0);
             owners.claimers.push(claimer);
         }
         owners.tick();
@@ -195,13 +200,13 @@
 
     fn start(&mut self, at: usize) {
         self.starts += 1;
-        let terms = Terms { lease: LEASE, drift: DRIFT };
+        let terms = LeaseTerms { duration: LEASE, max_drift_ppm: DRIFT };
         let voters = &sets()[usize::from(self.changed(at))];
         if self.seeded == Seeded::NoFreeze && self.changed(at) {
-            (self.disks[at].set, self.disks[at].founded) = (voters.set(), true);
+            (self.disks[at].acceptors, self.disks[at].is_initialized) = (voters.id(), true);
         }
-        let (run, folder) = (Run(self.starts), self.disks[at].clone());
-        let voter = Voter::start(&names()[at], run, voters, terms, folder, self.voter_time());
+        let (run, folder) = (ProcessId(self.starts), self.disks[at].clone());
+        let voter = Acceptor::new(&names()[at], run, voters, terms, folder, self.voter_time());
         self.voters[at] = Some(voter);
         self.writes[at].clear();
     }
@@ -229,40 +234,40 @@
         let time = self.voter_time();
         for at in 0..VOTERS {
             if let Some(voter) = &mut self.voters[at] {
-                voter.tick(time);
+                voter.handle_timeout(time);
             }
             self.carry_voter(at);
         }
         for at in 0..self.claimers.len() {
-            self.claimers[at].tick(self.now);
+            self.claimers[at].handle_timeout(self.now);
             self.carry_claimer(at);
         }
     }
 
     fn carry_voter(&mut self, at: usize) {
-        while let Some(output) = self.voters[at].as_mut().and_then(Voter::take) {
+        while let Some(output) = self.voters[at].as_mut().and_then(Acceptor::poll_output) {
             match output {
-                Output::Write { number, change } => {
+                Output::Persist { number, change } => {
                     self.writes[at].push_back((number, change));
                     if self.seeded == Seeded::EarlyAnswer {
                         let time = self.voter_time();
                         if let Some(voter) = &mut self.voters[at] {
-                            voter.synced(time, number, true);
+                            voter.write_completed(time, number, true);
                         }
                     }
                 }
-                Output::Say { to, say } => {
-                    let of = self.claimers.iter().position(|claimer| claimer.run() == to);
+                Output::Reply { to, reply: say } => {
+                    let of = self.claimers.iter().position(|claimer| claimer.process() == to);
                     if let Some(to) = of {
                         self.send(Message::Say { to, from: at, say });
                     }
                 }
                 // What voters tell each other of their writes matters only to a folder from before.
-                Output::Ask { ask: Ask::Wrote { .. }, .. } => {}
-                Output::Ask { to, ask } => {
-                    self.send(Message::Ask { to: Owners::place(&to), from: Run(at as u64), ask });
+                Output::Request { request: AcceptorRequest::WriteCount { .. }, .. } => {}
+                Output::Request { to, request: ask } => {
+                    self.send(Message::Ask { to: Owners::place(&to), from: ProcessId(at as u64), ask });
                 }
-                Output::Answer { to, say } => {
+                Output::PeerReply { to, reply: say } => {
                     self.send(Message::Answer { to: Owners::place(&to), from: at, say });
                 }
                 Output::Event(_) => {}
@@ -271,21 +276,21 @@
     }
 
     fn carry_claimer(&mut self, at: usize) {
-        while let Some(wanted) = self.claimers[at].take() {
+        while let Some(wanted) = self.claimers[at].poll_output() {
             match wanted {
-                Wants::Ask { to, ask } => {
-                    let from = self.claimers[at].run();
+                Wants::Request { to, request: ask } => {
+                    let from = self.claimers[at].process();
                     self.send(Message::Ask { to: Owners::place(&to), from, ask });
                 }
-                Wants::Event(Event::Owns { fence, .. }) => self.owns(fence),
+                Wants::Event(Event::Acquired { token: fence, .. }) => self.owns(fence),
                 // Nobody hands over here.
-                Wants::Free { .. } | Wants::Offer { .. } | Wants::Event(_) => {}
+                Wants::Released { .. } | Wants::Offer { .. } | Wants::Event(_) => {}
             }
         }
     }
 
-    fn owns(&mut self, fence: Fence) {
-        if *self.owners.entry(fence.term).or_insert(fence.run) != fence.run {
+    fn owns(&mut self, fence: FencingToken) {
+        if *self.owners.entry(fence.term).or_insert(fence.process) != fence.process {
             self.wrong = Some(format!("term {} has two owners", fence.term));
         }
         if let Some(before) = self.gained.iter().max().filter(|before| **before >= fence) {
@@ -299,27 +304,27 @@
         match message {
             Message::Ask { to, from, ask } => {
                 if let Some(voter) = &mut self.voters[to] {
-                    voter.asked(time, from, ask);
+                    voter.handle_request(time, from, ask);
                 }
                 self.carry_voter(to);
             }
             Message::Answer { to, from, say } => {
                 if let Some(voter) = &mut self.voters[to] {
-                    voter.answered(&names()[from], say);
+                    voter.handle_peer_reply(&names()[from], say);
                 }
                 self.carry_voter(to);
             }
             Message::Say { to, from, say } => {
-                self.claimers[to].said(self.now, &names()[from], say);
+                self.claimers[to].handle_reply(self.now, &names()[from], say);
                 self.carry_claimer(to);
             }
         }
     }
 
-    fn comes(&mut self, fence: Fence) {
+    fn comes(&mut self, fence: FencingToken) {
         let admitted = match self.seeded {
             Seeded::NoFence => true,
-            _ => matches!(self.guard.admit(&job(), fence), Admit::Known | Admit::Higher),
+            _ => matches!(self.guard.check(&job(), fence), FencingDecision::Current | FencingDecision::Newer),
         };
         if admitted {
             if self.done.is_some_and(|done| done > fence) {
@@ -347,11 +352,11 @@
 
     /// Times to which the clock may move: past some of them, as if everybody had stood still.
     fn dues(&self) -> std::collections::BTreeSet<Micros> {
-        let claimers = self.claimers.iter().filter_map(Claimer::due);
+        let claimers = self.claimers.iter().filter_map(Candidate::next_deadline);
         // When the first voter may promise it anew, by the claimers' clock.
         let held = self.voters.iter().flatten().filter_map(|voter| voter.holder(self.voter_time(), "job"));
         let held = held.map(|(_, left)| self.now + left * 1_000_000 / (1_000_000 + FASTER) + 1);
-        let hellos = self.voters.iter().flatten().filter_map(Voter::due);
+        let hellos = self.voters.iter().flatten().filter_map(Acceptor::next_deadline);
         let hellos = hellos.map(|at| at * 1_000_000 / (1_000_000 + FASTER) + 1);
         claimers.chain(held).chain(hellos).map(|at| at.max(self.now + 1)).collect()
     }
@@ -359,9 +364,9 @@
 
 impl Owners {
     /// Who owns the job now, if anybody does.
-    pub fn owner(&self) -> Option<Run> {
-        let owns = |claimer: &&Claimer| claimer.warrant(self.now, "job").is_some();
-        self.claimers.iter().find(owns).map(Claimer::run)
+    pub fn owner(&self) -> Option<ProcessId> {
+        let owns = |claimer: &&Candidate| claimer.authorization(self.now, "job").is_some();
+        self.claimers.iter().find(owns).map(Candidate::process)
     }
 
     /// A run told step by step, for people: what each step was about, and who owned the job after it.
@@ -376,7 +381,9 @@
             let owners: Vec<u64> = self
                 .claimers
                 .iter()
-                .filter_map(|claimer| claimer.warrant(self.now, "job").map(|warrant| warrant.fence().term))
+                .filter_map(|claimer| {
+                    claimer.authorization(self.now, "job").map(|warrant| warrant.token().term)
+                })
                 .collect();
             told.push(format!("{} us, terms {owners:?}: {step:?} {about}", self.now));
         }
@@ -391,7 +398,7 @@
         let usual = self.usual();
         let mut steps: Vec<Step> = usual.clone().into_iter().collect();
         for at in 0..self.claimers.len() {
-            if self.effects[at] > 0 && self.claimers[at].warrant(self.now, "job").is_some() {
+            if self.effects[at] > 0 && self.claimers[at].authorization(self.now, "job").is_some() {
                 steps.push(Step::Act(at));
             }
         }
@@ -464,7 +471,7 @@
                     if let Some(voter) =
                         self.voters[*at].as_mut().filter(|_| self.seeded != Seeded::EarlyAnswer)
                     {
-                        voter.synced(time, number, true);
+                        voter.write_completed(time, number, true);
                     }
                     self.carry_voter(*at);
                 }
@@ -476,14 +483,20 @@
                 if self.lose_folder {
                     let founded = self.seeded == Seeded::Forgets;
                     // One that forgets believes that it votes as before.
-                    let set = if founded { self.disks[*at].set } else { Set::default() };
-                    self.disks[*at] = Durable { founded, set, ..Durable::default() };
+                    let set = if founded { self.disks[*at].acceptors } else { AcceptorSetId::default() };
+                    self.disks[*at] =
+                        DurableState { is_initialized: founded, acceptors: set, ..DurableState::default() };
                 }
                 if self.seeded == Seeded::Reused {
                     // A claimer ends as well, and comes back as who it was.
-                    let run = self.claimers[0].run();
-                    let mut claimer = Claimer::new(run, &sets()[0], Terms { lease: LEASE, drift: DRIFT }, 7);
-                    claimer.want(self.now, &job(), 0);
+                    let run = self.claimers[0].process();
+                    let mut claimer = Candidate::new(
+                        run,
+                        &sets()[0],
+                        LeaseTerms { duration: LEASE, max_drift_ppm: DRIFT },
+                        7,
+                    );
+                    claimer.pursue(self.now, &job(), 0);
                     self.claimers[0] = claimer;
                 }
             }
@@ -508,7 +521,7 @@
             }
             Step::Act(at) => {
                 self.effects[*at] -= 1;
-                let fence = self.claimers[*at].warrant(self.now, "job").map(|warrant| warrant.fence());
+                let fence = self.claimers[*at].authorization(self.now, "job").map(|warrant| warrant.token());
                 if let Some(fence) = fence {
                     self.acts.push(fence);
                 }
@@ -517,7 +530,7 @@
     }
 
     fn wrong(&self) -> Option<String> {
-        let owns = |claimer: &&Claimer| claimer.warrant(self.now, "job").is_some();
+        let owns = |claimer: &&Candidate| claimer.authorization(self.now, "job").is_some();
         if self.claimers.iter().filter(owns).count() > 1 {
             return Some("two own the job at one moment".into());
         }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -6,7 +6,7 @@
 use fernscale_lab::mesh::Mesh;
 use fernscale_lab::model::counter::{Counter, Said, Spec};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
-use fernscale_lease::order::{first, Candidate};
+use fernscale_lease::ranking::{first_ranked, Participant};
 use fernscale_membership::node::{Config, Node, Output};
 use fernscale_membership::packet::{MemberState, PacketBody, Peer};
 use fernscale_membership::payload::{Channel, SendError, MAX_DATAGRAM_PAYLOAD};
@@ -45,8 +45,8 @@
         let first = views.filter_map(|node| {
             let live =
                 node.live_members().map(|member| member.peer.name.clone()).chain([node.local().name.clone()]);
-            let all: Vec<_> = live.map(|name| Candidate { name: name.into(), unwilling: false }).collect();
-            first("bills", &all).filter(|first| **first == *node.local().name)
+            let all: Vec<_> = live.map(|name| Participant { name: name.into(), unwilling: false }).collect();
+            first_ranked("bills", &all).filter(|first| **first == *node.local().name)
         });
         first.map(|name| name.to_string()).collect()
     };
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/acceptor.rs
@@ -10,98 +10,124 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::message::{Ask, Hello, Known, Refusal, Say};
-use crate::{majority, Fence, Micros, Name, Run, Set, Terms, Voters, LONGEST_NAME, MILLISECOND, MOST_JOBS};
+use crate::message::{AcceptorReply, AcceptorRequest, RecoveryReply, RecoveryRequest, Rejection};
+use crate::{
+    majority, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MAX_LEASES,
+    MAX_NAME_BYTES, MILLISECOND,
+};
 
 /// Writes that wait for the disk at the most: what is claimed beyond that would wait longer than a claim is tried.
 const MOST_WAITING: usize = 1_024;
 /// Stands for a run in a promise that is nobody's: of that term nothing is promised any more. Runs are drawn from 64 bits.
-const NOBODY: Run = Run(0);
+const NOBODY: ProcessId = ProcessId(0);
 /// How often a voter that starts asks the others.
 const HELLO: Micros = 100 * MILLISECOND;
 
 /// What a voter keeps in its folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Durable {
+pub struct DurableState {
     /// It has voted, or been let in: an empty folder is not that.
-    pub founded: bool,
-    pub life: u64,
+    pub is_initialized: bool,
+    pub incarnation: u64,
     /// How often a promise was written down.
-    pub writes: u64,
+    pub write_count: u64,
     /// The highest promise of each job.
-    pub promises: BTreeMap<Name, Fence>,
+    pub promises: BTreeMap<Name, FencingToken>,
     /// What the other voters have told of themselves.
-    pub others: BTreeMap<Name, Other>,
+    pub peers: BTreeMap<Name, PeerRecord>,
     /// The voters that it counts by, and the highest number of them for which it promises nothing by earlier ones any more.
-    pub set: Set,
-    pub frozen: u32,
+    pub acceptors: AcceptorSetId,
+    pub frozen_epoch: u32,
 }
 
 /// What is to be written down: the head whole, and of the promises those that are new. So what a promise costs does not grow
 /// with how many there are.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Change {
-    pub head: Head,
-    pub promises: Vec<(Name, Fence)>,
+pub struct StateChange {
+    pub head: DurableHead,
+    pub promises: Vec<(Name, FencingToken)>,
 }
 
 /// All that a voter keeps beside its promises.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Head {
-    pub founded: bool,
-    pub life: u64,
-    pub writes: u64,
-    pub others: BTreeMap<Name, Other>,
-    pub set: Set,
-    pub frozen: u32,
+pub struct DurableHead {
+    pub is_initialized: bool,
+    pub incarnation: u64,
+    pub write_count: u64,
+    pub peers: BTreeMap<Name, PeerRecord>,
+    pub acceptors: AcceptorSetId,
+    pub frozen_epoch: u32,
 }
 
-impl Durable {
+impl DurableState {
     /// What the folder holds once a change is in it.
-    pub fn apply(&mut self, Change { head, promises }: &Change) {
-        let Head { founded, life, writes, others, set, frozen } = head.clone();
-        (self.set, self.frozen) = (set, frozen);
-        (self.founded, self.life, self.writes, self.others) = (founded, life, writes, others);
+    pub fn apply(&mut self, StateChange { head, promises }: &StateChange) {
+        let DurableHead {
+            is_initialized: founded,
+            incarnation: life,
+            write_count: writes,
+            peers: others,
+            acceptors: set,
+            frozen_epoch: frozen,
+        } = head.clone();
+        (self.acceptors, self.frozen_epoch) = (set, frozen);
+        (self.is_initialized, self.incarnation, self.write_count, self.peers) =
+            (founded, life, writes, others);
         self.promises.extend(promises.iter().cloned());
     }
 
-    fn head(&self) -> Head {
-        let Durable { founded, life, writes, others, set, frozen, .. } = self;
+    fn head(&self) -> DurableHead {
+        let DurableState {
+            is_initialized: founded,
+            incarnation: life,
+            write_count: writes,
+            peers: others,
+            acceptors: set,
+            frozen_epoch: frozen,
+            ..
+        } = self;
         let (founded, life, writes, others) = (*founded, *life, *writes, others.clone());
-        Head { founded, life, writes, others, set: *set, frozen: *frozen }
+        DurableHead {
+            is_initialized: founded,
+            incarnation: life,
+            write_count: writes,
+            peers: others,
+            acceptors: *set,
+            frozen_epoch: *frozen,
+        }
     }
 }
 
 /// What is remembered of another voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Other {
-    pub writes: u64,
+pub struct PeerRecord {
+    pub write_count: u64,
     /// The least life of it that counts, and the start of it that was given that life here.
-    pub life: u64,
-    pub start: Option<Run>,
+    pub incarnation: u64,
+    pub start: Option<ProcessId>,
 }
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Make this durable, and call `synced` with the number once it is. Until then nothing that hangs on it is sent.
-    Write {
+    Persist {
         number: u64,
-        change: Change,
+        change: StateChange,
     },
     /// Answer a claimer, at the place that it asked from.
-    Say {
-        to: Run,
-        say: Say,
+    Reply {
+        to: ProcessId,
+        reply: AcceptorReply,
     },
     /// Tell or ask another voter.
-    Ask {
+    Request {
         to: Name,
-        ask: Ask,
+        request: AcceptorRequest,
     },
-    Answer {
+    PeerReply {
         to: Name,
-        say: Say,
+        reply: AcceptorReply,
     },
     Event(Event),
 }
@@ -110,15 +136,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// It votes from now on; `anew` where it had forgotten promises and was let in.
-    Votes { anew: bool },
+    StartedVoting { recovered: bool },
     /// Its folder lacks promises that it has made: it waits to be let in.
-    Forgot,
+    LostPromises,
     /// Nothing can be made durable: it votes no more until it is started again.
-    Broken,
+    StorageFailed,
     /// It is no voter any more; it has told those after it what it had promised.
     Retired,
     /// Its folder counts by other voters than its configuration: by a later change of them, or by others of that number.
-    OtherVoters(Set),
+    DifferentAcceptors(AcceptorSetId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -126,7 +152,7 @@
     /// It has started, and asks the others.
     Asks {
         forgot: bool,
-        known: BTreeMap<Name, Known>,
+        known: BTreeMap<Name, RecoveryReply>,
     },
     Votes,
     /// It is among the voters no more.
@@ -137,24 +163,24 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Lease {
-    fence: Fence,
+    fence: FencingToken,
     until: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Voter {
+pub struct Acceptor {
     me: Name,
-    start: Run,
+    start: ProcessId,
     others: Vec<Name>,
     /// Voters before the last change, but this one; and whether this one was and is among them.
     former: Vec<Name>,
-    voters: Voters,
-    set: Set,
+    voters: AcceptorSet,
+    set: AcceptorSetId,
     /// It has yet to take over what was promised by the voters before, and has written down that it promises no more by them.
     carries: bool,
     frozen: bool,
-    terms: Terms,
-    durable: Durable,
+    terms: LeaseTerms,
+    durable: DurableState,
     standing: Standing,
     leases: BTreeMap<Name, Lease>,
     /// Until then it does not know who holds what it had promised before it started.
@@ -172,14 +198,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Held {
     Grant {
-        to: Run,
+        to: ProcessId,
         job: Name,
-        fence: Fence,
+        fence: FencingToken,
         number: u64,
     },
     Answer {
         to: Name,
-        say: Say,
+        say: AcceptorReply,
     },
     Votes {
         anew: bool,
@@ -189,28 +215,28 @@
     Frozen,
 }
 
-impl Voter {
+impl Acceptor {
     /// A process starts with what its folder holds. `voters` are all of them, this one too, unless it was one before their
     /// last change; `start` tells this start from any other.
-    pub fn start(
+    pub fn new(
         me: &Name,
-        start: Run,
-        voters: &Voters,
-        terms: Terms,
-        durable: Durable,
+        start: ProcessId,
+        voters: &AcceptorSet,
+        terms: LeaseTerms,
+        durable: DurableState,
         now: Micros,
     ) -> Self {
         let but_me = |names: &[Name]| names.iter().filter(|name| *name != me).cloned().collect();
-        let set = voters.set();
-        let (known, founded) = (durable.set, durable.founded);
+        let set = voters.id();
+        let (known, founded) = (durable.acceptors, durable.is_initialized);
         // One that was away for a whole change was no part of what was promised then.
-        let forgot = !founded || known.number + 1 < set.number;
-        let carries = founded && known.number + 1 == set.number;
+        let forgot = !founded || known.epoch + 1 < set.epoch;
+        let carries = founded && known.epoch + 1 == set.epoch;
         let others: Vec<Name> = but_me(&voters.names);
         // What its folder never had it has never promised, and can have no part in.
         let quiet_for = (!forgot && !carries).then(|| durable.promises.keys().cloned().collect());
-        let mut voter = Voter {
-            former: but_me(&voters.before),
+        let mut voter = Acceptor {
+            former: but_me(&voters.previous_names),
             voters: voters.clone(),
             set,
             carries,
@@ -222,7 +248,7 @@
             durable,
             standing: Standing::Asks { forgot, known: BTreeMap::new() },
             leases: BTreeMap::new(),
-            quiet: now + terms.lease,
+            quiet: now + terms.duration,
             quiet_for,
             next_hello: now,
             writes: 0,
@@ -230,68 +256,68 @@
             out: VecDeque::new(),
         };
         // A change that has begun is to be finished: by the voters before nothing may be promised any more.
-        let later = known.number.max(voter.durable.frozen) > set.number;
-        if founded && (later || known.number == set.number && known != set) {
+        let later = known.epoch.max(voter.durable.frozen_epoch) > set.epoch;
+        if founded && (later || known.epoch == set.epoch && known != set) {
             voter.standing = Standing::Broken;
-            voter.out.push_back(Output::Event(Event::OtherVoters(known)));
+            voter.out.push_back(Output::Event(Event::DifferentAcceptors(known)));
         } else if carries {
             // From now on it promises nothing by the voters before, whatever becomes of the change.
-            voter.durable.frozen = set.number;
-            voter.durable.writes += 1;
+            voter.durable.frozen_epoch = set.epoch;
+            voter.durable.write_count += 1;
             voter.write(Vec::new(), vec![Held::Frozen]);
         }
         voter
     }
 
-    pub fn votes(&self) -> bool {
+    pub fn is_voting(&self) -> bool {
         self.standing == Standing::Votes
     }
 
     /// It can't make promises durable, and makes none until it is started anew.
-    pub fn broken(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.standing == Standing::Broken
     }
 
-    pub fn durable(&self) -> &Durable {
+    pub fn durable_state(&self) -> &DurableState {
         &self.durable
     }
 
     /// Who holds a job as far as this voter knows, and for how long.
-    pub fn holder(&self, now: Micros, job: &str) -> Option<(Fence, Micros)> {
+    pub fn holder(&self, now: Micros, job: &str) -> Option<(FencingToken, Micros)> {
         let lease = self.leases.get(job).filter(|lease| lease.until > now)?;
         Some((lease.fence, lease.until - now))
     }
 
     /// All jobs that this voter knows to be held, by whom and for how long.
-    pub fn held(&self, now: Micros) -> impl Iterator<Item = (&Name, Fence, Micros)> {
+    pub fn held_leases(&self, now: Micros) -> impl Iterator<Item = (&Name, FencingToken, Micros)> {
         let leases = self.leases.iter().filter(move |(_, lease)| lease.until > now);
         leases.map(move |(job, lease)| (job, lease.fence, lease.until - now))
     }
 
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         matches!(self.standing, Standing::Asks { .. }).then_some(self.next_hello)
     }
 
-    pub fn take(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
-    pub fn tick(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         let Standing::Asks { forgot, .. } = &self.standing else { return };
         if now < self.next_hello {
             return;
         }
         self.next_hello = now + HELLO;
-        let hello = Hello {
-            of: self.me.clone(),
+        let hello = RecoveryRequest {
+            acceptor: self.me.clone(),
             start: self.start,
-            writes: self.durable.writes,
-            life: self.durable.life,
-            forgot: *forgot && !self.empty(),
-            empty: self.empty(),
+            write_count: self.durable.write_count,
+            incarnation: self.durable.incarnation,
+            lost_promises: *forgot && !self.empty(),
+            is_empty: self.empty(),
         };
         for to in self.peers() {
-            self.out.push_back(Output::Ask { to, ask: Ask::Hello(hello.clone()) });
+            self.out.push_back(Output::Request { to, request: AcceptorRequest::Recover(hello.clone()) });
         }
         // One that is alone asks nobody.
         self.let_in();
@@ -310,43 +336,46 @@
     }
 
     fn empty(&self) -> bool {
-        !self.durable.founded
+        !self.durable.is_initialized
     }
 
     /// A claimer, or another voter, asks something.
-    pub fn asked(&mut self, now: Micros, from: Run, ask: Ask) {
+    pub fn handle_request(&mut self, now: Micros, from: ProcessId, ask: AcceptorRequest) {
         match ask {
-            Ask::Claim { job, fence, number, set } => {
+            AcceptorRequest::Claim { lease: job, token: fence, round: number, acceptors: set } => {
                 if let Err(why) = self.claim(now, from, &job, (fence, number), set) {
-                    let say = Say::Refused { job, fence, number, why };
-                    self.out.push_back(Output::Say { to: from, say });
+                    let say =
+                        AcceptorReply::Rejected { lease: job, token: fence, round: number, reason: why };
+                    self.out.push_back(Output::Reply { to: from, reply: say });
                 }
             }
-            Ask::Release { job, fence } => {
+            AcceptorRequest::Release { lease: job, token: fence } => {
                 // Whoever has a later term is not meant.
                 if self.leases.get(&job).is_some_and(|lease| lease.fence == fence) {
                     self.leases.remove(&job);
                 }
             }
-            Ask::Hello(hello) => self.hello(hello),
-            Ask::Wrote { of, writes, life } => self.wrote(&of, writes, life),
+            AcceptorRequest::Recover(hello) => self.hello(hello),
+            AcceptorRequest::WriteCount { acceptor: of, write_count: writes, incarnation: life } => {
+                self.wrote(&of, writes, life)
+            }
         }
     }
 
     fn claim(
         &mut self,
         now: Micros,
-        from: Run,
+        from: ProcessId,
         job: &Name,
-        (fence, number): (Fence, u64),
-        set: Set,
-    ) -> Result<(), Refusal> {
-        if !self.votes() || fence.run != from {
-            return Err(Refusal::Silent);
+        (fence, number): (FencingToken, u64),
+        set: AcceptorSetId,
+    ) -> Result<(), Rejection> {
+        if !self.is_voting() || fence.process != from {
+            return Err(Rejection::NotVoting);
         }
         // Danger: two owners of one term, by majorities of two sets that have nobody in common.
         if set != self.set {
-            return Err(Refusal::Set(self.set));
+            return Err(Rejection::DifferentAcceptors(self.set));
         }
         let promised = self.durable.promises.get(job).copied();
         match promised {
@@ -355,35 +384,36 @@
                 return Ok(());
             }
             // Of one term there is one promise, whoever asks for it later.
-            Some(promise) if promise.term >= fence.term => return Err(Refusal::Higher(promise)),
-            None if self.durable.promises.len() >= MOST_JOBS
+            Some(promise) if promise.term >= fence.term => return Err(Rejection::HigherPromise(promise)),
+            None if self.durable.promises.len() >= MAX_LEASES
                 || job.is_empty()
-                || job.len() > LONGEST_NAME =>
+                || job.len() > MAX_NAME_BYTES =>
             {
-                return Err(Refusal::Full)
+                return Err(Rejection::CapacityExceeded)
             }
             _ => {}
         }
-        let lease = self.leases.get(job).filter(|lease| lease.fence.run != fence.run && lease.until > now);
+        let lease =
+            self.leases.get(job).filter(|lease| lease.fence.process != fence.process && lease.until > now);
         // Who held it when this voter started is not known: what it took over from others may be of one who never won.
         let unsure = self.quiet > now && self.quiet_for.as_ref().is_none_or(|jobs| jobs.contains(job));
         let quiet = promised.filter(|_| unsure).map(|promise| (self.quiet, promise));
         let lease = lease.map(|lease| (lease.until, lease.fence));
         if let Some((until, by)) = lease.max(quiet) {
-            return Err(Refusal::Held { left: until - now, by });
+            return Err(Rejection::HeldByOther { remaining: until - now, holder: by });
         }
         if self.waiting.len() >= MOST_WAITING {
-            return Err(Refusal::Busy);
+            return Err(Rejection::Overloaded);
         }
         self.durable.promises.insert(job.clone(), fence);
-        self.durable.writes += 1;
+        self.durable.write_count += 1;
         let held = Held::Grant { to: from, job: job.clone(), fence, number };
         self.write(vec![(job.clone(), fence)], vec![held]);
         Ok(())
     }
 
     /// Says yes, after what has to be durable for it; the lease counts from now.
-    fn grants(&mut self, now: Micros, to: Run, job: &Name, fence: Fence, number: u64) {
+    fn grants(&mut self, now: Micros, to: ProcessId, job: &Name, fence: FencingToken, number: u64) {
         // A write of this very promise may still be under way.
         let pending = self.waiting.iter_mut().find(|(_, held)| {
             held.iter().any(|held| matches!(held, Held::Grant { job: own, fence: its, .. } if own == job && *its == fence))
@@ -391,26 +421,33 @@
         if pending.is_some() {
             return;
         }
-        self.leases.insert(job.clone(), Lease { fence, until: now + self.terms.lease });
-        let lives = self.durable.others.iter().map(|(name, other)| (name.clone(), other.life)).collect();
-        let say = Say::Granted { job: job.clone(), fence, number, life: self.durable.life, lives };
-        self.out.push_back(Output::Say { to, say });
+        self.leases.insert(job.clone(), Lease { fence, until: now + self.terms.duration });
+        let lives =
+            self.durable.peers.iter().map(|(name, other)| (name.clone(), other.incarnation)).collect();
+        let say = AcceptorReply::Granted {
+            lease: job.clone(),
+            token: fence,
+            round: number,
+            incarnation: self.durable.incarnation,
+            incarnations: lives,
+        };
+        self.out.push_back(Output::Reply { to, reply: say });
     }
 
-    fn write(&mut self, promises: Vec<(Name, Fence)>, held: Vec<Held>) {
+    fn write(&mut self, promises: Vec<(Name, FencingToken)>, held: Vec<Held>) {
         self.writes += 1;
         self.waiting.push_back((self.writes, held));
-        let change = Change { head: self.durable.head(), promises };
-        self.out.push_back(Output::Write { number: self.writes, change });
+        let change = StateChange { head: self.durable.head(), promises };
+        self.out.push_back(Output::Persist { number: self.writes, change });
     }
 
     /// All writes up to this number are durable; or they can't be made so.
-    pub fn synced(&mut self, now: Micros, number: u64, durable: bool) {
+    pub fn write_completed(&mut self, now: Micros, number: u64, durable: bool) {
         if !durable {
             // What was promised in memory was promised to nobody, but may be on the disk: only a start can tell.
             self.standing = Standing::Broken;
             self.waiting.clear();
-            self.out.push_back(Output::Event(Event::Broken));
+            self.out.push_back(Output::Event(Event::StorageFailed));
             return;
         }
         while self.waiting.front().is_some_and(|(own, _)| *own <= number) {
@@ -425,7 +462,7 @@
                         self.tell_wrote();
                     }
                     Held::Grant { .. } => {}
-                    Held::Answer { to, say } => self.out.push_back(Output::Answer { to, say }),
+                    Held::Answer { to, say } => self.out.push_back(Output::PeerReply { to, reply: say }),
                     Held::Frozen => self.frozen = true,
                     Held::Founded => {
                         self.quiet_for = Some(BTreeSet::new());
@@ -438,8 +475,8 @@
                     }
                     Held::Votes { anew } => {
                         self.standing = Standing::Votes;
-                        self.quiet = now + self.terms.lease;
-                        self.out.push_back(Output::Event(Event::Votes { anew }));
+                        self.quiet = now + self.terms.duration;
+                        self.out.push_back(Output::Event(Event::StartedVoting { recovered: anew }));
                     }
                 }
             }
@@ -449,57 +486,65 @@
     /// The others are to remember how much this voter has written: so a folder from before is found out.
     fn tell_wrote(&mut self) {
         for to in &self.others {
-            let (writes, life) = (self.durable.writes, self.durable.life);
-            let ask = Ask::Wrote { of: self.me.clone(), writes, life };
-            self.out.push_back(Output::Ask { to: to.clone(), ask });
+            let (writes, life) = (self.durable.write_count, self.durable.incarnation);
+            let ask = AcceptorRequest::WriteCount {
+                acceptor: self.me.clone(),
+                write_count: writes,
+                incarnation: life,
+            };
+            self.out.push_back(Output::Request { to: to.clone(), request: ask });
         }
     }
 
     // Starts.
 
     /// Another voter starts, and asks what is known here.
-    fn hello(&mut self, hello: Hello) {
-        if !self.is_peer(&hello.of) || self.standing == Standing::Broken {
+    fn hello(&mut self, hello: RecoveryRequest) {
+        if !self.is_peer(&hello.acceptor) || self.standing == Standing::Broken {
             return;
         }
-        let known = self.durable.others.get(&hello.of).cloned().unwrap_or_default();
+        let known = self.durable.peers.get(&hello.acceptor).cloned().unwrap_or_default();
         // Whoever is let in has a life that nobody has counted yet; from now on none before it counts here. One start is given
         // one life, however often it asks.
-        let lost = (hello.forgot || hello.empty || known.writes > hello.writes) && !self.empty();
+        let lost =
+            (hello.lost_promises || hello.is_empty || known.write_count > hello.write_count) && !self.empty();
         let given = known.start == Some(hello.start);
         let mut next = known.clone();
-        next.life = known.life.max(hello.life);
+        next.incarnation = known.incarnation.max(hello.incarnation);
         if lost && !given {
-            next.life += 1;
+            next.incarnation += 1;
             next.start = Some(hello.start);
         }
-        let say = Say::Known(Known { life: next.life, ..self.known(&hello.of) });
-        next.writes = known.writes.max(hello.writes);
+        let say = AcceptorReply::Recovery(RecoveryReply {
+            incarnation: next.incarnation,
+            ..self.known(&hello.acceptor)
+        });
+        next.write_count = known.write_count.max(hello.write_count);
         let told = self.waiting.iter().any(|(_, held)| {
-            held.iter().any(|held| matches!(held, Held::Answer { to, .. } if *to == hello.of))
+            held.iter().any(|held| matches!(held, Held::Answer { to, .. } if *to == hello.acceptor))
         });
         if lost && !given {
             // What it is told of its life must outlast this process.
-            self.durable.others.insert(hello.of.clone(), next);
-            self.write(Vec::new(), vec![Held::Answer { to: hello.of, say }]);
+            self.durable.peers.insert(hello.acceptor.clone(), next);
+            self.write(Vec::new(), vec![Held::Answer { to: hello.acceptor, say }]);
         } else if !told {
-            self.out.push_back(Output::Answer { to: hello.of, say });
+            self.out.push_back(Output::PeerReply { to: hello.acceptor, reply: say });
         }
     }
 
     /// Another voter has answered, or was heard to have written so often.
-    pub fn answered(&mut self, from: &Name, say: Say) {
-        let Say::Known(known) = say else { return };
-        if known.of != self.me || !self.is_peer(from) {
+    pub fn handle_peer_reply(&mut self, from: &Name, say: AcceptorReply) {
+        let AcceptorReply::Recovery(known) = say else { return };
+        if known.acceptor != self.me || !self.is_peer(from) {
             return;
         }
-        let (writes, founded) = (self.durable.writes, self.durable.founded);
+        let (writes, founded) = (self.durable.write_count, self.durable.is_initialized);
         let Standing::Asks { forgot, known: all } = &mut self.standing else {
-            return self.raise(known.life);
+            return self.raise(known.incarnation);
         };
-        if founded && known.writes > writes && !*forgot {
+        if founded && known.write_count > writes && !*forgot {
             *forgot = true;
-            self.out.push_back(Output::Event(Event::Forgot));
+            self.out.push_back(Output::Event(Event::LostPromises));
         }
         all.insert(from.clone(), known);
         self.let_in();
@@ -508,9 +553,9 @@
     /// It was given another life while it was let in by others, who counted it for empty still. Its folder lacks nothing, so
     /// that it may be in any life; only what it promises in the latest counts.
     fn raise(&mut self, life: u64) {
-        if self.votes() && life > self.durable.life {
-            self.durable.life = life;
-            self.durable.writes += 1;
+        if self.is_voting() && life > self.durable.incarnation {
+            self.durable.incarnation = life;
+            self.durable.write_count += 1;
             self.write(Vec::new(), Vec::new());
         }
     }
@@ -520,27 +565,28 @@
         if !self.others.contains(of) {
             return;
         }
-        let own = self.durable.others.entry(of.clone()).or_default();
-        own.writes = own.writes.max(writes);
-        if life < own.life {
+        let own = self.durable.peers.entry(of.clone()).or_default();
+        own.write_count = own.write_count.max(writes);
+        if life < own.incarnation {
             let known = self.known(of);
-            self.out.push_back(Output::Answer { to: of.clone(), say: Say::Known(known) });
+            self.out.push_back(Output::PeerReply { to: of.clone(), reply: AcceptorReply::Recovery(known) });
         }
     }
 
     /// What is known here of another voter, and promised.
-    fn known(&self, of: &Name) -> Known {
-        let known = self.durable.others.get(of).cloned().unwrap_or_default();
+    fn known(&self, of: &Name) -> RecoveryReply {
+        let known = self.durable.peers.get(of).cloned().unwrap_or_default();
         let forgot = matches!(self.standing, Standing::Asks { forgot: true, .. });
-        Known {
-            of: of.clone(),
-            writes: known.writes,
-            life: known.life,
-            founded: self.durable.founded && !self.waiting.iter().any(|(_, held)| held.iter().any(is_votes)),
-            forgot,
-            pristine: self.durable.promises.is_empty(),
-            set: self.durable.set,
-            frozen: if self.carries && !self.frozen { 0 } else { self.durable.frozen },
+        RecoveryReply {
+            acceptor: of.clone(),
+            write_count: known.write_count,
+            incarnation: known.incarnation,
+            is_initialized: self.durable.is_initialized
+                && !self.waiting.iter().any(|(_, held)| held.iter().any(is_votes)),
+            lost_promises: forgot,
+            never_promised: self.durable.promises.is_empty(),
+            acceptors: self.durable.acceptors,
+            frozen_epoch: if self.carries && !self.frozen { 0 } else { self.durable.frozen_epoch },
             promises: self.durable.promises.clone(),
         }
     }
@@ -548,29 +594,30 @@
     fn let_in(&mut self) {
         let Standing::Asks { forgot, known } = &self.standing else { return };
         let (all, others) = (self.others.len() + 1, self.others.len());
-        let sound = |own: &Known| !own.forgot && own.founded;
-        let count = |wanted: &dyn Fn(&Name, &Known) -> bool| {
+        let sound = |own: &RecoveryReply| !own.lost_promises && own.is_initialized;
+        let count = |wanted: &dyn Fn(&Name, &RecoveryReply) -> bool| {
             known.iter().filter(|(name, own)| wanted(name, own)).count()
         };
-        let by_set =
-            |name: &Name, own: &Known| self.others.contains(name) && sound(own) && own.set == self.set;
+        let by_set = |name: &Name, own: &RecoveryReply| {
+            self.others.contains(name) && sound(own) && own.acceptors == self.set
+        };
         let sound_others = count(&by_set);
-        let pristine = count(&|name, own| self.others.contains(name) && own.pristine);
+        let pristine = count(&|name, own| self.others.contains(name) && own.never_promised);
         // Nobody has ever promised anything: all must say so, as any who is not heard might have.
-        let first = self.empty() && self.voters.number == 0 && pristine == others;
+        let first = self.empty() && self.voters.epoch == 0 && pristine == others;
         // What it was part of, a majority of the others has a part in; or its folder lacks nothing that anybody knows of.
         let taught = sound_others >= majority(others) && others > 0;
         let intact = !*forgot && !self.carries && sound_others + 1 >= majority(all);
         // A majority of the voters before promises nothing by them any more, and says what it had promised: whatever they made
         // an owner of is among that.
-        let was = usize::from(self.voters.before.contains(&self.me));
-        let frozen = |name: &Name, own: &Known| {
-            self.former.contains(name) && sound(own) && own.frozen >= self.set.number
+        let was = usize::from(self.voters.previous_names.contains(&self.me));
+        let frozen = |name: &Name, own: &RecoveryReply| {
+            self.former.contains(name) && sound(own) && own.frozen_epoch >= self.set.epoch
         };
         let carried = self.carries
             && self.frozen
             && !*forgot
-            && count(&frozen) + was >= majority(self.voters.before.len());
+            && count(&frozen) + was >= majority(self.voters.previous_names.len());
         let intact = intact || carried;
         if !(first || taught || intact) || self.waiting.iter().any(|(_, held)| held.iter().any(is_votes)) {
             return;
@@ -579,23 +626,23 @@
         if anew {
             self.quiet_for = None;
         }
-        (self.durable.set, self.durable.frozen, self.carries) = (self.set, self.set.number, false);
+        (self.durable.acceptors, self.durable.frozen_epoch, self.carries) = (self.set, self.set.epoch, false);
         for known in known.values() {
             for (job, fence) in &known.promises {
                 let own = self.durable.promises.entry(job.clone()).or_insert(*fence);
                 if fence.term > own.term {
                     *own = *fence;
-                } else if anew && fence.term == own.term && fence.run != own.run {
+                } else if anew && fence.term == own.term && fence.process != own.process {
                     // Danger: it gave this term to one of the two, who owns the job by that, and can't know to whom. Where it
                     // has forgotten nothing its own promise is the one that it gave.
-                    own.run = NOBODY;
+                    own.process = NOBODY;
                 }
             }
-            self.durable.writes = self.durable.writes.max(known.writes);
-            self.durable.life = self.durable.life.max(known.life);
+            self.durable.write_count = self.durable.write_count.max(known.write_count);
+            self.durable.incarnation = self.durable.incarnation.max(known.incarnation);
         }
-        self.durable.founded = true;
-        self.durable.writes += 1;
+        self.durable.is_initialized = true;
+        self.durable.write_count += 1;
         let promises = self.durable.promises.clone().into_iter().collect();
         // Danger: one that promises while too few others are founded to let the rest in. It promises nothing before it has
         // heard that a majority is.
--- a/crates/lease/src/roster.rs
+++ b/crates/lease/src/candidacy.rs
@@ -7,9 +7,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::claimer::Claimer;
-use crate::order::{in_order, Candidate};
-use crate::{Micros, Name, Terms, MILLISECOND, SECOND};
+use crate::candidate::Candidate;
+use crate::ranking::{ranked, Participant};
+use crate::{LeaseTerms, Micros, Name, MILLISECOND, SECOND};
 
 /// So many of a job's order want it: when the owner and one more end at once, there is still one that has waited.
 const RUNNERS: usize = 3;
@@ -30,19 +30,19 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct Candidacy {
     me: Name,
-    terms: Terms,
-    candidates: Vec<Candidate>,
+    terms: LeaseTerms,
+    candidates: Vec<Participant>,
     wishes: BTreeMap<Name, Wish>,
     willing: bool,
     ended: bool,
 }
 
-impl Roster {
-    pub fn new(me: &Name, terms: Terms) -> Self {
+impl Candidacy {
+    pub fn new(me: &Name, terms: LeaseTerms) -> Self {
         let (me, wishes) = (me.clone(), BTreeMap::new());
-        Roster { me, terms, candidates: Vec::new(), wishes, willing: true, ended: false }
+        Candidacy { me, terms, candidates: Vec::new(), wishes, willing: true, ended: false }
     }
 
     /// This gateway can do a job. False: something else here does one of that name already, and two must not.
@@ -56,14 +56,14 @@
     }
 
     fn ordered(&self, job: &Name, since: Option<Micros>) -> Wish {
-        let order = in_order(job, &self.candidates);
+        let order = ranked(job, &self.candidates);
         let place = order.iter().position(|name| *name == self.me).unwrap_or(usize::MAX);
         let order = order.into_iter().filter(|name| *name != self.me).take(RUNNERS).collect();
         Wish { order, place, first_since: since, offers: 0 }
     }
 
     /// Who is there now, this gateway too; to be called when that changes, and some times a second.
-    pub fn look(&mut self, now: Micros, candidates: &[Candidate], claimer: &mut Claimer) {
+    pub fn update(&mut self, now: Micros, candidates: &[Participant], claimer: &mut Candidate) {
         if self.ended {
             return;
         }
@@ -82,26 +82,27 @@
             if lately_unwilling {
                 claimer.hand_over(now, job, &wish.order);
             }
-            if wish.place < RUNNERS || claimer.owns_since(now, job).is_some() {
-                claimer.want(now, job, wish.place.min(RUNNERS) as Micros * STEP);
+            if wish.place < RUNNERS || claimer.held_since(now, job).is_some() {
+                claimer.pursue(now, job, wish.place.min(RUNNERS) as Micros * STEP);
             } else {
-                claimer.leave(job);
+                claimer.release(job);
             }
             wish.first_since = match wish.first_since {
                 _ if wish.place > 0 || !willing => None,
                 since => since.or(Some(now)),
             };
             if wish.first_since.is_some_and(|since| now >= since + SETTLED) && now >= wish.offers {
-                wish.offers = now + self.terms.lease;
+                wish.offers = now + self.terms.duration;
                 claimer.offer(job);
             }
         }
     }
 
     /// Another says that it comes first for a job that this gateway owns.
-    pub fn offered(&mut self, now: Micros, job: &Name, by: &Name, claimer: &mut Claimer) {
+    pub fn offer_received(&mut self, now: Micros, job: &Name, by: &Name, claimer: &mut Candidate) {
         let Some(wish) = self.wishes.get(job) else { return };
-        let stayed = claimer.owns_since(now, job).is_some_and(|since| now >= since + STAY * self.terms.lease);
+        let stayed =
+            claimer.held_since(now, job).is_some_and(|since| now >= since + STAY * self.terms.duration);
         // Who is not first here as well would be asked to hand it over again at once.
         if stayed && wish.place > 0 && wish.order.first() == Some(by) {
             claimer.hand_over(now, job, std::slice::from_ref(by));
@@ -109,8 +110,8 @@
     }
 
     /// Its operators want this job to be another's. False where it is not owned here.
-    pub fn release(&mut self, now: Micros, job: &Name, claimer: &mut Claimer) -> bool {
-        let owned = claimer.owns_since(now, job).is_some();
+    pub fn release(&mut self, now: Micros, job: &Name, claimer: &mut Candidate) -> bool {
+        let owned = claimer.held_since(now, job).is_some();
         if let Some(wish) = self.wishes.get(job).filter(|_| owned) {
             claimer.hand_over(now, job, &wish.order);
         }
@@ -118,16 +119,16 @@
     }
 
     /// This gateway ends: what it owns goes to the next ones, and it wants nothing more.
-    pub fn end(&mut self, now: Micros, claimer: &mut Claimer) {
+    pub fn shut_down(&mut self, now: Micros, claimer: &mut Candidate) {
         self.ended = true;
         for (job, wish) in &self.wishes {
             claimer.hand_over(now, job, &wish.order);
         }
-        claimer.leave_all();
+        claimer.release_all();
     }
 
     /// This gateway's place in a job's order, from 0; the last where it does not do it.
-    pub fn place(&self, job: &str) -> usize {
+    pub fn rank(&self, job: &str) -> usize {
         self.wishes.get(job).map_or(usize::MAX, |wish| wish.place)
     }
 }
--- a/crates/lease/src/claimer.rs
+++ b/crates/lease/src/candidate.rs
@@ -2,8 +2,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::message::{Ask, Refusal, Say};
-use crate::{drawn, majority, Fence, Micros, Name, Run, Set, Terms, Voters, MILLISECOND};
+use crate::message::{AcceptorReply, AcceptorRequest, Rejection};
+use crate::{
+    drawn, majority, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId,
+    MILLISECOND,
+};
 
 /// How often those who have not answered are asked again.
 const AGAIN: Micros = 100 * MILLISECOND;
@@ -18,66 +21,66 @@
 /// The right to act for the fleet at this moment. What acts for the fleet takes one, and passes its fence on with the effect;
 /// only a [`Claimer`] that owns the job can make one.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Warrant<'c> {
-    job: &'c Name,
-    fence: Fence,
+pub struct Authorization<'c> {
+    lease: &'c Name,
+    token: FencingToken,
 }
 
-impl Warrant<'_> {
-    pub fn job(&self) -> &Name {
-        self.job
+impl Authorization<'_> {
+    pub fn lease(&self) -> &Name {
+        self.lease
     }
 
     /// What the effect carries, and whoever takes it in judges by.
-    pub fn fence(&self) -> Fence {
-        self.fence
+    pub fn token(&self) -> FencingToken {
+        self.token
     }
 
     /// Something that is done for the fleet, by this right.
-    pub fn signs<T>(self, what: T) -> Effect<T> {
-        Effect { job: self.job.clone(), fence: self.fence, what }
+    pub fn authorize<T>(self, what: T) -> AuthorizedEffect<T> {
+        AuthorizedEffect { lease: self.lease.clone(), token: self.token, content: what }
     }
 }
 
 /// Something that is done for the fleet, with the fence of the owner that does it. Only a [`Warrant`] makes one: what sends
 /// effects out takes this, so that nothing goes out without a fence. It may come as late as it likes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Effect<T> {
-    job: Name,
-    fence: Fence,
-    what: T,
+pub struct AuthorizedEffect<T> {
+    lease: Name,
+    token: FencingToken,
+    content: T,
 }
 
-impl<T> Effect<T> {
-    pub fn job(&self) -> &Name {
-        &self.job
+impl<T> AuthorizedEffect<T> {
+    pub fn lease(&self) -> &Name {
+        &self.lease
     }
 
-    pub fn fence(&self) -> Fence {
-        self.fence
+    pub fn token(&self) -> FencingToken {
+        self.token
     }
 
-    pub fn what(&self) -> &T {
-        &self.what
+    pub fn content(&self) -> &T {
+        &self.content
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    Ask {
+    Request {
         to: Name,
-        ask: Ask,
+        request: AcceptorRequest,
     },
     /// Tell this gateway that the job is free, as it comes next for it.
-    Free {
+    Released {
         to: Name,
-        job: Name,
-        fence: Fence,
+        lease: Name,
+        token: FencingToken,
     },
     /// Tell the run that owns the job that this gateway comes before it.
     Offer {
-        to: Run,
-        job: Name,
+        to: ProcessId,
+        lease: Name,
     },
     Event(Event),
 }
@@ -85,17 +88,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// This gateway owns the job from now on.
-    Owns { job: Name, fence: Fence },
+    Acquired { lease: Name, token: FencingToken },
     /// And no more: its lease could not be renewed, or an effect was refused.
-    Lost { job: Name, fence: Fence },
+    Lost { lease: Name, token: FencingToken },
     /// It has given the job back.
-    Left { job: Name, fence: Fence },
+    Released { lease: Name, token: FencingToken },
 }
 
 /// A claim or a renewal under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Try {
-    fence: Fence,
+    fence: FencingToken,
     /// Answers that name another say nothing of this one's time.
     number: u64,
     /// The owner counts from before it asked.
@@ -105,9 +108,9 @@
     /// Who has granted it, in which life, and what they say of each other's.
     grants: BTreeMap<Name, u64>,
     lives: BTreeMap<Name, u64>,
-    refused: BTreeMap<Name, Refusal>,
+    refused: BTreeMap<Name, Rejection>,
     /// Who had the job by what was heard before.
-    holder: Option<Fence>,
+    holder: Option<FencingToken>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -116,7 +119,7 @@
     Waits(Micros),
     Claims(Try),
     Owns {
-        fence: Fence,
+        fence: FencingToken,
         since: Micros,
         until: Micros,
         renews: Micros,
@@ -134,21 +137,21 @@
     /// How long it waits before it claims what nobody has: others come before it.
     place: Micros,
     /// Who had it when a voter last said so, and who has given it back since, by its own word.
-    holder: Option<Fence>,
-    freed: Option<Fence>,
+    holder: Option<FencingToken>,
+    freed: Option<FencingToken>,
     /// The term that an owner asks for in place of its own, as some voter has promised a higher one than that.
     lifts: Option<u64>,
     /// Refusals since it was wanted, and why the last.
     refusals: u64,
-    last: Option<Refusal>,
+    last: Option<Rejection>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Claimer {
-    run: Run,
+pub struct Candidate {
+    process: ProcessId,
     voters: Vec<Name>,
-    set: Set,
-    terms: Terms,
+    set: AcceptorSetId,
+    terms: LeaseTerms,
     seed: u64,
     draws: u64,
     numbers: u64,
@@ -158,34 +161,34 @@
 
 /// How a job stands, for people.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
-    pub job: Name,
+pub struct LeaseStatus {
+    pub lease: Name,
     /// The fence, since when, and how long it holds still, where this gateway owns it.
-    pub owns: Option<(Fence, Micros, Micros)>,
+    pub held: Option<(FencingToken, Micros, Micros)>,
     /// Else who had it when a voter last said so.
-    pub holder: Option<Fence>,
-    pub seen: u64,
-    pub refusals: u64,
-    pub last: Option<Refusal>,
+    pub holder: Option<FencingToken>,
+    pub highest_term: u64,
+    pub rejections: u64,
+    pub last_rejection: Option<Rejection>,
 }
 
-impl Claimer {
-    pub fn new(run: Run, voters: &Voters, terms: Terms, seed: u64) -> Self {
-        let (set, jobs, out) = (voters.set(), BTreeMap::new(), VecDeque::new());
+impl Candidate {
+    pub fn new(run: ProcessId, voters: &AcceptorSet, terms: LeaseTerms, seed: u64) -> Self {
+        let (set, jobs, out) = (voters.id(), BTreeMap::new(), VecDeque::new());
         let voters = voters.names.clone();
-        Claimer { run, voters, set, terms, seed, draws: 0, numbers: 0, jobs, out }
+        Candidate { process: run, voters, set, terms, seed, draws: 0, numbers: 0, jobs, out }
     }
 
-    pub fn run(&self) -> Run {
-        self.run
+    pub fn process(&self) -> ProcessId {
+        self.process
     }
 
-    pub fn take(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
     /// From now on this job is wanted, after so long in which others come before this gateway.
-    pub fn want(&mut self, now: Micros, job: &Name, place: Micros) {
+    pub fn pursue(&mut self, now: Micros, job: &Name, place: Micros) {
         let state = State::Waits(now + place);
         let fresh = Job {
             state,
@@ -202,27 +205,27 @@
     }
 
     /// It is given back if it is owned, and not claimed any more.
-    pub fn leave(&mut self, job: &Name) {
+    pub fn release(&mut self, job: &Name) {
         let Some(Job { state, .. }) = self.jobs.remove(job) else { return };
         let fence = match state {
             State::Waits(_) => return,
             // Some voters may have promised it.
             State::Claims(claim) => claim.fence,
             State::Owns { fence, .. } => {
-                self.out.push_back(Output::Event(Event::Left { job: job.clone(), fence }));
+                self.out.push_back(Output::Event(Event::Released { lease: job.clone(), token: fence }));
                 fence
             }
         };
         for to in &self.voters {
-            let ask = Ask::Release { job: job.clone(), fence };
-            self.out.push_back(Output::Ask { to: to.clone(), ask });
+            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
+            self.out.push_back(Output::Request { to: to.clone(), request: ask });
         }
     }
 
     /// All is given back, as this gateway ends.
-    pub fn leave_all(&mut self) {
+    pub fn release_all(&mut self) {
         let jobs: Vec<Name> = self.jobs.keys().cloned().collect();
-        jobs.iter().for_each(|job| self.leave(job));
+        jobs.iter().for_each(|job| self.release(job));
     }
 
     /// The job is given back for those who come next for it, who are told so. This one wants it still, after them.
@@ -230,19 +233,19 @@
         let terms = self.terms;
         let Some(own) = self.jobs.get_mut(job) else { return };
         let State::Owns { fence, .. } = own.state else { return };
-        own.state = State::Waits(now + terms.lease + own.place);
+        own.state = State::Waits(now + terms.duration + own.place);
         for voter in &self.voters {
-            let ask = Ask::Release { job: job.clone(), fence };
-            self.out.push_back(Output::Ask { to: voter.clone(), ask });
+            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
+            self.out.push_back(Output::Request { to: voter.clone(), request: ask });
         }
         for next in to {
-            self.out.push_back(Output::Free { to: next.clone(), job: job.clone(), fence });
+            self.out.push_back(Output::Released { to: next.clone(), lease: job.clone(), token: fence });
         }
-        self.out.push_back(Output::Event(Event::Left { job: job.clone(), fence }));
+        self.out.push_back(Output::Event(Event::Released { lease: job.clone(), token: fence }));
     }
 
     /// Its owner has given it back, as it says itself: whoever waits for the end of its lease need not.
-    pub fn free(&mut self, now: Micros, job: &Name, fence: Fence) {
+    pub fn lease_released(&mut self, now: Micros, job: &Name, fence: FencingToken) {
         let Some(own) = self.jobs.get_mut(job) else { return };
         own.seen = own.seen.max(fence.term);
         own.freed = own.freed.max(Some(fence));
@@ -250,8 +253,8 @@
             (own.state, own.vain) = (State::Waits(now + own.place), 0);
             // Its own word to a voter may have been lost.
             for to in &self.voters {
-                let ask = Ask::Release { job: job.clone(), fence };
-                self.out.push_back(Output::Ask { to: to.clone(), ask });
+                let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
+                self.out.push_back(Output::Request { to: to.clone(), request: ask });
             }
         }
     }
@@ -259,14 +262,14 @@
     /// This gateway comes first for a job that another has: that one is told so.
     pub fn offer(&mut self, job: &Name) {
         let Some(own) = self.jobs.get(job) else { return };
-        let other = own.holder.filter(|fence| fence.run != self.run);
+        let other = own.holder.filter(|fence| fence.process != self.process);
         if let (State::Waits(_), Some(fence)) = (&own.state, other) {
-            self.out.push_back(Output::Offer { to: fence.run, job: job.clone() });
+            self.out.push_back(Output::Offer { to: fence.process, lease: job.clone() });
         }
     }
 
     /// Since when it owns a job, if it does.
-    pub fn owns_since(&self, now: Micros, job: &str) -> Option<Micros> {
+    pub fn held_since(&self, now: Micros, job: &str) -> Option<Micros> {
         match self.jobs.get(job)?.state {
             State::Owns { since, until, .. } if now < until => Some(since),
             _ => None,
@@ -274,29 +277,31 @@
     }
 
     /// The right to act for the fleet now; none where this gateway does not own the job, or its lease is over.
-    pub fn warrant(&self, now: Micros, job: &str) -> Option<Warrant<'_>> {
+    pub fn authorization(&self, now: Micros, job: &str) -> Option<Authorization<'_>> {
         let (job, own) = self.jobs.get_key_value(job)?;
         match own.state {
-            State::Owns { fence, until, .. } if now < until => Some(Warrant { job, fence }),
+            State::Owns { fence, until, .. } if now < until => {
+                Some(Authorization { lease: job, token: fence })
+            }
             _ => None,
         }
     }
 
-    pub fn standing(&self, now: Micros) -> impl Iterator<Item = Standing> + '_ {
-        self.jobs.iter().map(move |(job, own)| Standing {
-            job: job.clone(),
-            owns: match own.state {
+    pub fn lease_status(&self, now: Micros) -> impl Iterator<Item = LeaseStatus> + '_ {
+        self.jobs.iter().map(move |(job, own)| LeaseStatus {
+            lease: job.clone(),
+            held: match own.state {
                 State::Owns { fence, since, until, .. } if now < until => Some((fence, since, until - now)),
                 _ => None,
             },
             holder: own.holder,
-            seen: own.seen,
-            refusals: own.refusals,
-            last: own.last.clone(),
+            highest_term: own.seen,
+            rejections: own.refusals,
+            last_rejection: own.last.clone(),
         })
     }
 
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let due = |job: &Job| match &job.state {
             State::Waits(at) => *at,
             State::Claims(claim) => claim.next.min(claim.until),
@@ -309,20 +314,20 @@
     }
 
     /// An effect by this fence was refused, as another owns the job by the one given.
-    pub fn refused(&mut self, now: Micros, job: &Name, highest: Fence) {
+    pub fn effect_rejected(&mut self, now: Micros, job: &Name, highest: FencingToken) {
         let Some(own) = self.jobs.get_mut(job) else { return };
         own.seen = own.seen.max(highest.term);
         own.refusals += 1;
-        own.last = Some(Refusal::Higher(highest));
+        own.last = Some(Rejection::HigherPromise(highest));
         if let State::Owns { fence, .. } = own.state {
             if fence < highest {
                 own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { job: job.clone(), fence }));
+                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
             }
         }
     }
 
-    pub fn tick(&mut self, now: Micros) {
+    pub fn handle_timeout(&mut self, now: Micros) {
         let jobs: Vec<Name> = self.jobs.keys().cloned().collect();
         for job in jobs {
             self.tick_one(now, &job);
@@ -330,14 +335,14 @@
     }
 
     fn tick_one(&mut self, now: Micros, job: &Name) {
-        let (run, terms) = (self.run, self.terms);
+        let (run, terms) = (self.process, self.terms);
         let number = self.numbers + 1;
         let Some(own) = self.jobs.get_mut(job) else { return };
         match &mut own.state {
             State::Waits(at) if now >= *at => {
                 // A term that was never heard of, and no other run has.
                 own.seen += 1;
-                let fence = Fence { term: own.seen, run };
+                let fence = FencingToken { term: own.seen, process: run };
                 own.state = State::Claims(Try { holder: own.holder, ..Try::new(now, fence, number, terms) });
                 self.numbers = number;
                 self.ask(now, job);
@@ -347,7 +352,7 @@
             State::Owns { fence, until, .. } if now >= *until => {
                 let fence = *fence;
                 own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { job: job.clone(), fence }));
+                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
             }
             State::Owns { fence, renews, renewal, .. } => match renewal {
                 Some(own) if now < own.until && now >= own.next => self.ask(now, job),
@@ -360,7 +365,7 @@
                         own.seen += 1;
                         own.lifts = Some(own.seen);
                     }
-                    let asked = Fence { term: fence.term.max(own.seen), run };
+                    let asked = FencingToken { term: fence.term.max(own.seen), process: run };
                     *renewal = Some(Try::new(now, asked, number, terms));
                     self.numbers = number;
                     self.ask(now, job);
@@ -380,8 +385,13 @@
         claim.next = now + AGAIN;
         let (fence, number) = (claim.fence, claim.number);
         for to in self.voters.iter().filter(|name| !claim.grants.contains_key(*name)) {
-            let ask = Ask::Claim { job: job.clone(), fence, number, set: self.set };
-            self.out.push_back(Output::Ask { to: to.clone(), ask });
+            let ask = AcceptorRequest::Claim {
+                lease: job.clone(),
+                token: fence,
+                round: number,
+                acceptors: self.set,
+            };
+            self.out.push_back(Output::Request { to: to.clone(), request: ask });
         }
     }
 
@@ -391,8 +401,8 @@
         let Some(Job { state: State::Claims(claim), .. }) = self.jobs.get(job) else { return };
         let fence = claim.fence;
         for to in &self.voters {
-            let ask = Ask::Release { job: job.clone(), fence };
-            self.out.push_back(Output::Ask { to: to.clone(), ask });
+            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
+            self.out.push_back(Output::Request { to: to.clone(), request: ask });
         }
     }
 
@@ -400,7 +410,7 @@
     fn in_vain(&mut self, now: Micros, job: &Name, held: Micros) {
         self.gives_up(job);
         self.draws += 1;
-        let (seed, draws) = (self.seed ^ self.run.0, self.draws);
+        let (seed, draws) = (self.seed ^ self.process.0, self.draws);
         let Some(own) = self.jobs.get_mut(job) else { return };
         // Whoever waits for an owner has not been in vain: once that is gone it must not begin with the longest pause.
         own.vain = if held > 0 { 0 } else { own.vain + 1 };
@@ -410,18 +420,24 @@
     }
 
     /// A voter has answered.
-    pub fn said(&mut self, now: Micros, from: &Name, say: Say) {
+    pub fn handle_reply(&mut self, now: Micros, from: &Name, say: AcceptorReply) {
         if !self.voters.contains(from) {
             return;
         }
         match say {
-            Say::Granted { job, fence, number, life, lives } => {
+            AcceptorReply::Granted {
+                lease: job,
+                token: fence,
+                round: number,
+                incarnation: life,
+                incarnations: lives,
+            } => {
                 self.granted(now, from, &job, (fence, number), life, lives);
             }
-            Say::Refused { job, fence, number, why } => {
+            AcceptorReply::Rejected { lease: job, token: fence, round: number, reason: why } => {
                 self.not_granted(now, from, &job, (fence, number), why);
             }
-            Say::Known(_) => {}
+            AcceptorReply::Recovery(_) => {}
         }
     }
 
@@ -430,7 +446,7 @@
         now: Micros,
         from: &Name,
         job: &Name,
-        of: (Fence, u64),
+        of: (FencingToken, u64),
         life: u64,
         lives: BTreeMap<Name, u64>,
     ) {
@@ -456,7 +472,7 @@
             return;
         }
         let (asked, fresh) = (claim.asked, matches!(own.state, State::Claims(_)));
-        let until = asked + terms.holds();
+        let until = asked + terms.holder_duration();
         if fresh && now >= until {
             // It took so long that nothing is left of it.
             return self.in_vain(now, job, 0);
@@ -467,14 +483,14 @@
         };
         own.vain = 0;
         own.holder = Some(fence);
-        let renews = asked + terms.lease / RENEWS;
+        let renews = asked + terms.duration / RENEWS;
         own.state = State::Owns { fence, since, until, renews, renewal: None };
         if fresh || lifted {
-            self.out.push_back(Output::Event(Event::Owns { job: job.clone(), fence }));
+            self.out.push_back(Output::Event(Event::Acquired { lease: job.clone(), token: fence }));
         }
     }
 
-    fn not_granted(&mut self, now: Micros, from: &Name, job: &Name, of: (Fence, u64), why: Refusal) {
+    fn not_granted(&mut self, now: Micros, from: &Name, job: &Name, of: (FencingToken, u64), why: Rejection) {
         let voters = self.voters.len();
         let Some(own) = self.jobs.get_mut(job) else { return };
         let (State::Claims(claim) | State::Owns { renewal: Some(claim), .. }) = &mut own.state else {
@@ -483,10 +499,10 @@
         if (claim.fence, claim.number) != of || claim.grants.contains_key(from) {
             return;
         }
-        if let Refusal::Higher(higher) = &why {
+        if let Rejection::HigherPromise(higher) = &why {
             own.seen = own.seen.max(higher.term);
         }
-        if let Refusal::Held { by, .. } = &why {
+        if let Rejection::HeldByOther { holder: by, .. } = &why {
             own.holder = own.holder.max(Some(*by));
         }
         own.refusals += 1;
@@ -498,19 +514,21 @@
         }
         // Danger: the word that a job is free comes while a claim is under way, whose refusals are from before it.
         let freed = own.freed;
-        let mut held: BTreeMap<Fence, usize> = BTreeMap::new();
+        let mut held: BTreeMap<FencingToken, usize> = BTreeMap::new();
         for why in claim.refused.values() {
-            if let Refusal::Held { by, .. } = why {
+            if let Rejection::HeldByOther { holder: by, .. } = why {
                 *held.entry(*by).or_default() += 1;
             }
         }
         // Who is held for by fewer than a majority, and was not the last time, is perhaps no owner but one that claims as well,
         // and gives up as this one does: to wait for the end of its lease would leave the job to nobody for as long.
         let known = claim.holder;
-        let owns = |by: &Fence| held[by] >= majority(voters) || Some(*by) == known;
+        let owns = |by: &FencingToken| held[by] >= majority(voters) || Some(*by) == known;
         let mut holds: Vec<Micros> = (claim.refused.values())
             .filter_map(|why| match why {
-                Refusal::Held { left, by } if Some(*by) != freed && owns(by) => Some(*left),
+                Rejection::HeldByOther { remaining: left, holder: by } if Some(*by) != freed && owns(by) => {
+                    Some(*left)
+                }
                 _ => None,
             })
             .collect();
@@ -518,7 +536,7 @@
         // it had promised to whoever is gone, would leave the job to nobody for a second lease.
         holds.sort_unstable_by(|one, other| other.cmp(one));
         let held = holds.get(voters - majority(voters)).copied().unwrap_or(0);
-        let higher = claim.refused.values().any(|why| matches!(why, Refusal::Higher(_)));
+        let higher = claim.refused.values().any(|why| matches!(why, Rejection::HigherPromise(_)));
         match &own.state {
             State::Claims(_) if held == 0 && higher && own.vain == 0 => {
                 // The term was too low: the next one is known to be higher.
@@ -532,7 +550,7 @@
             State::Owns { fence, .. } if higher => {
                 let fence = *fence;
                 own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { job: job.clone(), fence }));
+                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
             }
             _ => {}
         }
@@ -540,13 +558,13 @@
 }
 
 impl Try {
-    fn new(now: Micros, fence: Fence, number: u64, terms: Terms) -> Self {
+    fn new(now: Micros, fence: FencingToken, number: u64, terms: LeaseTerms) -> Self {
         Try {
             fence,
             number,
             asked: now,
             next: now,
-            until: now + terms.lease / TRIES,
+            until: now + terms.duration / TRIES,
             grants: BTreeMap::new(),
             lives: BTreeMap::new(),
             refused: BTreeMap::new(),
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/fencing.rs
@@ -5,45 +5,45 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Fence, Name, MOST_JOBS};
+use crate::{FencingToken, Name, MAX_LEASES};
 
 /// What becomes of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum FencingDecision {
     /// By the owner that was known.
-    Known,
+    Current,
     /// By an owner that was not known yet: its fence is to be written down first.
-    Higher,
+    Newer,
     /// Its sender is to be told: another owns the job, by this fence or a higher one.
-    Refused(Fence),
+    Stale(FencingToken),
     /// There is no room for another job.
-    Full,
+    CapacityExceeded,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Guard {
-    highest: BTreeMap<Name, Fence>,
+pub struct FencingGuard {
+    highest: BTreeMap<Name, FencingToken>,
 }
 
-impl Guard {
+impl FencingGuard {
     /// What was written down before.
-    pub fn restore(highest: BTreeMap<Name, Fence>) -> Self {
-        Guard { highest }
+    pub fn restore(highest: BTreeMap<Name, FencingToken>) -> Self {
+        FencingGuard { highest }
     }
 
-    pub fn highest(&self, job: &str) -> Option<Fence> {
+    pub fn highest(&self, job: &str) -> Option<FencingToken> {
         self.highest.get(job).copied()
     }
 
     /// Somebody acts for the fleet by this fence.
-    pub fn admit(&mut self, job: &Name, fence: Fence) -> Admit {
+    pub fn check(&mut self, job: &Name, fence: FencingToken) -> FencingDecision {
         match self.highest.get(job).copied() {
-            Some(highest) if highest > fence => Admit::Refused(highest),
-            Some(highest) if highest == fence => Admit::Known,
-            None if self.highest.len() >= MOST_JOBS => Admit::Full,
+            Some(highest) if highest > fence => FencingDecision::Stale(highest),
+            Some(highest) if highest == fence => FencingDecision::Current,
+            None if self.highest.len() >= MAX_LEASES => FencingDecision::CapacityExceeded,
             _ => {
                 self.highest.insert(job.clone(), fence);
-                Admit::Higher
+                FencingDecision::Newer
             }
         }
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -7,19 +7,19 @@
 //!
 //! The *lease* keeps two from working in vain: voters promise nothing to others until it has ended by their clocks, and the
 //! owner stops before that by its own. Safety does not hang on it. Whatever an owner does for the fleet carries a
-//! [`claimer::Warrant`], and whoever takes the effect in keeps the highest [`Fence`] seen and refuses less ([`guard`]).
+//! [`claimer::Warrant`], and whoever takes the effect in keeps the highest [`Fence`] seen and refuses less ([`fencing`]).
 //!
 //! No clock, socket, file or thread is here. Callers of [`voter::Voter`] and [`claimer::Claimer`]: tell what came, with the
 //! time by an even clock that nobody can set; call `tick` when `due` has come; carry out what `take` gives, in its order.
 
-pub mod claimer;
-pub mod guard;
+pub mod acceptor;
+pub mod candidacy;
+pub mod candidate;
+pub mod fencing;
 pub mod message;
-pub mod order;
-pub mod roster;
-pub mod told;
-pub mod view;
-pub mod voter;
+pub mod ranking;
+pub mod replicated_list;
+pub mod status;
 
 use std::hash::Hasher;
 use std::sync::Arc;
@@ -37,39 +37,39 @@
 pub type Name = Arc<str>;
 
 /// Bytes of a name at the most.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Jobs at the most: some times what a fleet has. Beyond it a voter promises no new one.
-pub const MOST_JOBS: usize = 4_096;
+pub const MAX_LEASES: usize = 4_096;
 /// Voters at the most: more make every promise dearer, and none safer.
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_ACCEPTORS: usize = 7;
 
 /// One run of one gateway's process, drawn anew at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Run(pub u64);
+pub struct ProcessId(pub u64);
 
 /// What an owner is told apart by. The order is that of terms; of one term, which only lost disks can give out twice, that
 /// of the runs, so that of any two one is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fence {
+pub struct FencingToken {
     pub term: u64,
-    pub run: Run,
+    pub process: ProcessId,
 }
 
 /// What an installation says of its leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// For how long a voter promises nothing to others, by its own clock, after it has answered.
-    pub lease: Micros,
+    pub duration: Micros,
     /// How unevenly any two clocks run at the most, in millionths.
-    pub drift: u64,
+    pub max_drift_ppm: u64,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// For how long an owner acts, by its own clock, after it has asked: if that runs slowly and the voters' fast, it has
     /// stopped all the same when the first of them promises the job to another.
-    pub fn holds(&self) -> Micros {
-        (u128::from(self.lease) * u128::from(MILLION - self.drift.min(MILLION)) / u128::from(MILLION))
-            as Micros
+    pub fn holder_duration(&self) -> Micros {
+        (u128::from(self.duration) * u128::from(MILLION - self.max_drift_ppm.min(MILLION))
+            / u128::from(MILLION)) as Micros
     }
 }
 
@@ -77,32 +77,32 @@
 
 /// Which gateways vote. A change of them has the next number and names those before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Voters {
-    pub number: u32,
+pub struct AcceptorSet {
+    pub epoch: u32,
     pub names: Vec<Name>,
     /// Those of the number before; none at first.
-    pub before: Vec<Name>,
+    pub previous_names: Vec<Name>,
 }
 
-impl Voters {
-    pub fn first(names: &[Name]) -> Self {
-        Voters { number: 0, names: names.to_vec(), before: Vec::new() }
+impl AcceptorSet {
+    pub fn initial(names: &[Name]) -> Self {
+        AcceptorSet { epoch: 0, names: names.to_vec(), previous_names: Vec::new() }
     }
 
     /// Tells these from any others.
-    pub fn set(&self) -> Set {
+    pub fn id(&self) -> AcceptorSetId {
         let mut names: Vec<&str> = self.names.iter().map(|name| &**name).collect();
         names.sort_unstable();
-        Set { number: self.number, mark: drawn(0, &names, 0) }
+        AcceptorSetId { epoch: self.epoch, digest: drawn(0, &names, 0) }
     }
 }
 
 /// A set of voters: what is promised to a claim counts for one set only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Set {
-    pub number: u32,
+pub struct AcceptorSetId {
+    pub epoch: u32,
     /// Of the names, so that two configurations of one number that differ are found out.
-    pub mark: u64,
+    pub digest: u64,
 }
 
 /// How many of so many voters are a majority.
--- a/crates/lease/src/told.rs
+++ b/crates/lease/src/replicated_list.rs
@@ -13,8 +13,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::guard::{Admit, Guard};
-use crate::{Fence, Micros, Name};
+use crate::fencing::{FencingDecision, FencingGuard};
+use crate::{FencingToken, Micros, Name};
 
 /// An owner asks so many times in the time within which all must know.
 const ASKS: u64 = 6;
@@ -36,15 +36,15 @@
 pub struct Entry {
     pub name: String,
     /// It is on the list no more.
-    pub gone: bool,
-    pub text: String,
+    pub removed: bool,
+    pub body: String,
 }
 
 /// What the source has answered: the whole list, or what is newer than the version asked from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct SourceReply {
     pub index: u64,
-    pub full: bool,
+    pub is_complete: bool,
     pub entries: Vec<Entry>,
 }
 
@@ -52,56 +52,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The term of the owner that began it; 0 at first.
-    pub numbering: u64,
+    pub epoch: u64,
     pub index: u64,
 }
 
 /// A bounded part of what is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Fragment {
     pub version: Version,
     /// What is newer than this, of the same numbering; the whole list, if none.
     pub since: Option<u64>,
     /// How long ago the source was asked, in milliseconds.
     pub age_ms: u32,
-    pub part: u16,
-    pub parts: u16,
+    pub number: u16,
+    pub count: u16,
     pub entries: Vec<Entry>,
 }
 
 /// What gateways say to each other of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
+pub enum ListMessage {
     /// With the fence of the owner that tells it; without, whoever tells it has asked in its turn.
-    Piece(Option<Fence>, Piece),
+    Fragment(Option<FencingToken>, Fragment),
     /// I lack what came before: tell me the whole.
-    Lack,
+    RequestComplete,
     /// Another owns the job.
-    Refused(Fence),
+    Rejected(FencingToken),
 }
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Ask the source for what is newer than this, or for all, and say how that ended.
-    Call { since: Option<u64> },
+    Poll { since: Option<u64> },
     /// Tell all others, as the owner if this gateway is it.
-    TellAll(Piece),
+    Broadcast(Fragment),
     /// Tell one, likewise.
-    Tell(Name, Piece),
+    SendFragment(Name, Fragment),
     /// Say this to one.
-    Say(Name, Note),
+    SendMessage(Name, ListMessage),
     /// The list has changed, or is there: all of it, or what is new.
-    Learn(Answer),
+    Updated(SourceReply),
     /// This gateway can't ask the source, though it owns the job: another had better.
     HandOver,
     /// An effect of this gateway was refused, as another owns the job by this fence.
-    Refused(Fence),
+    Rejected(FencingToken),
 }
 
 #[derive(Clone, Debug)]
 struct Gathered {
-    by: Option<Fence>,
+    by: Option<FencingToken>,
     from: Name,
     version: Version,
     since: Option<u64>,
@@ -110,14 +110,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReplicatedList {
     job: Name,
     within: Micros,
     entries: BTreeMap<String, Entry>,
     /// Those are the whole list: what was known before the start is known to others than this.
     whole: bool,
     version: Option<Version>,
-    guard: Guard,
+    guard: FencingGuard,
     /// When the source was asked for what is known here, at the latest.
     asked: Micros,
     /// The source could not be asked since then.
@@ -132,20 +132,20 @@
     out: VecDeque<Output>,
 }
 
-impl Told {
+impl ReplicatedList {
     /// With the version of the list that was known before the start, if there was one, though nobody can say how old it is.
     /// `drawn`, from 0 to 1, is how long it then waits for others to tell it, beside the longest: those that start together
     /// must not ask together.
     pub fn new(job: &Name, within: Micros, known: Option<u64>, now: Micros, drawn: f64) -> Self {
         let silent = within / SILENT;
         let waits = if known.is_some() { (silent as f64 * drawn.clamp(0.0, 1.0)) as Micros } else { 0 };
-        Told {
+        ReplicatedList {
             job: job.clone(),
             within,
             entries: BTreeMap::new(),
             whole: false,
-            version: known.map(|index| Version { numbering: 0, index }),
-            guard: Guard::default(),
+            version: known.map(|index| Version { epoch: 0, index }),
+            guard: FencingGuard::default(),
             asked: (now + waits).saturating_sub(silent),
             failed: false,
             vain: 0,
@@ -157,7 +157,7 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// When `tick` is to be called; `place` is this gateway's in the job's order.
-    pub fn due(&self, owns: bool, place: usize) -> Micros {
+    pub fn next_deadline(&self, owns: bool, place: usize) -> Micros {
         match (self.calling, owns) {
             (Some(_), _) => Micros::MAX,
             (None, true) => self.next_call,
@@ -192,18 +192,18 @@
         }
     }
 
-    pub fn tick(&mut self, now: Micros, owns: bool, place: usize) {
-        if now < self.due(owns, place) {
+    pub fn handle_timeout(&mut self, now: Micros, owns: bool, place: usize) {
+        if now < self.next_deadline(owns, place) {
             return;
         }
         self.calling = Some(now);
         // Who tells others needs all of it.
         let since = self.version.filter(|_| self.whole).map(|version| version.index);
-        self.out.push_back(Output::Call { since });
+        self.out.push_back(Output::Poll { since });
     }
 
     /// The call that is under way has ended. `term`: this gateway's as the owner, if it is.
-    pub fn answered(&mut self, now: Micros, answer: Option<Answer>, term: Option<u64>) {
+    pub fn poll_completed(&mut self, now: Micros, answer: Option<SourceReply>, term: Option<u64>) {
         let Some(began) = self.calling.take() else { return };
         self.next_call = now.max(began + self.within / ASKS);
         self.told_whole = 0;
@@ -224,25 +224,25 @@
         let back = self.version.is_some_and(|version| answer.index < version.index);
         let numbering = match (self.version, term) {
             (None, _) => 0,
-            (Some(version), _) if !back => version.numbering,
+            (Some(version), _) if !back => version.epoch,
             // The source counts anew: another has taken its place. An owner may say so; and whoever has heard nobody for long
             // goes by what it hears itself.
-            (Some(version), Some(term)) if term > version.numbering => term,
-            (Some(version), None) if now >= self.asked + 4 * self.within => version.numbering,
+            (Some(version), Some(term)) if term > version.epoch => term,
+            (Some(version), None) if now >= self.asked + 4 * self.within => version.epoch,
             _ => {
                 self.failed = true;
                 return;
             }
         };
-        if back && !answer.full {
+        if back && !answer.is_complete {
             // What is new since a version that this source has never had is nothing to go by.
             self.whole = false;
             self.next_call = now;
             return;
         }
-        let version = Version { numbering, index: answer.index };
-        let since = self.version.filter(|_| !answer.full && !back).map(|version| version.index);
-        self.learn(version, answer.full, answer.entries.clone());
+        let version = Version { epoch: numbering, index: answer.index };
+        let since = self.version.filter(|_| !answer.is_complete && !back).map(|version| version.index);
+        self.learn(version, answer.is_complete, answer.entries.clone());
         (self.asked, self.failed) = (self.asked.max(began), false);
         let whole;
         let (since, entries) = match since {
@@ -253,7 +253,7 @@
             }
         };
         for piece in pieces(version, since, now - began, entries) {
-            self.out.push_back(Output::TellAll(piece));
+            self.out.push_back(Output::Broadcast(piece));
         }
     }
 
@@ -263,54 +263,58 @@
             self.whole = true;
         }
         for entry in &entries {
-            if entry.gone {
+            if entry.removed {
                 self.entries.remove(&entry.name);
             } else {
                 self.entries.insert(entry.name.clone(), entry.clone());
             }
         }
         if full || !entries.is_empty() {
-            self.out.push_back(Output::Learn(Answer { index: version.index, full, entries }));
+            self.out.push_back(Output::Updated(SourceReply {
+                index: version.index,
+                is_complete: full,
+                entries,
+            }));
         }
         self.version = Some(version);
     }
 
     /// Another gateway says something of the list.
-    pub fn came(&mut self, now: Micros, from: &Name, note: Note) {
+    pub fn handle_message(&mut self, now: Micros, from: &Name, note: ListMessage) {
         match note {
-            Note::Piece(by, piece) => self.piece_came(now, from, by, piece),
-            Note::Lack if self.told_whole < WHOLE_AT_ONCE && self.whole => {
+            ListMessage::Fragment(by, piece) => self.piece_came(now, from, by, piece),
+            ListMessage::RequestComplete if self.told_whole < WHOLE_AT_ONCE && self.whole => {
                 self.told_whole += 1;
                 let Some(version) = self.version else { return };
                 let entries = self.entries.values().cloned().collect();
                 for piece in pieces(version, None, now.saturating_sub(self.asked), entries) {
-                    self.out.push_back(Output::Tell(from.clone(), piece));
+                    self.out.push_back(Output::SendFragment(from.clone(), piece));
                 }
             }
-            Note::Lack => {}
-            Note::Refused(highest) => self.out.push_back(Output::Refused(highest)),
+            ListMessage::RequestComplete => {}
+            ListMessage::Rejected(highest) => self.out.push_back(Output::Rejected(highest)),
         }
     }
 
-    fn piece_came(&mut self, now: Micros, from: &Name, by: Option<Fence>, piece: Piece) {
+    fn piece_came(&mut self, now: Micros, from: &Name, by: Option<FencingToken>, piece: Fragment) {
         if let Some(fence) = by {
-            if let Admit::Refused(highest) = self.guard.admit(&self.job, fence) {
-                self.out.push_back(Output::Say(from.clone(), Note::Refused(highest)));
+            if let FencingDecision::Stale(highest) = self.guard.check(&self.job, fence) {
+                self.out.push_back(Output::SendMessage(from.clone(), ListMessage::Rejected(highest)));
                 return;
             }
         }
-        let Piece { version, since, age_ms, part, parts, entries } = piece;
+        let Fragment { version, since, age_ms, number: part, count: parts, entries } = piece;
         let newer = self.version.is_none_or(|own| version >= own);
         // Only an owner begins another numbering.
-        let allowed = by.is_some() || self.version.is_none_or(|own| own.numbering == version.numbering);
+        let allowed = by.is_some() || self.version.is_none_or(|own| own.epoch == version.epoch);
         if !newer || !allowed || part >= parts || usize::from(parts) > MOST_PIECES {
             return;
         }
         let fits = since.is_none_or(|since| {
-            self.version.is_some_and(|own| own.numbering == version.numbering && own.index >= since)
+            self.version.is_some_and(|own| own.epoch == version.epoch && own.index >= since)
         });
         if !fits {
-            return self.out.push_back(Output::Say(from.clone(), Note::Lack));
+            return self.out.push_back(Output::SendMessage(from.clone(), ListMessage::RequestComplete));
         }
         let same = |own: &Gathered| {
             own.version == version
@@ -342,11 +346,11 @@
 }
 
 /// What is told, in pieces that are not too long; one at the least, which says that nothing is new.
-fn pieces(version: Version, since: Option<u64>, age: Micros, entries: Vec<Entry>) -> Vec<Piece> {
+fn pieces(version: Version, since: Option<u64>, age: Micros, entries: Vec<Entry>) -> Vec<Fragment> {
     let mut all: Vec<Vec<Entry>> = vec![Vec::new()];
     let mut room = MOST_PIECE;
     for entry in entries {
-        let size = entry.name.len() + entry.text.len() + 16;
+        let size = entry.name.len() + entry.body.len() + 16;
         if size > room {
             all.push(Vec::new());
             room = MOST_PIECE;
@@ -358,6 +362,7 @@
     }
     let parts = all.len().min(MOST_PIECES) as u16;
     let age_ms = (age / 1_000).min(u64::from(u32::MAX)) as u32;
-    let piece = |(part, entries)| Piece { version, since, age_ms, part: part as u16, parts, entries };
+    let piece =
+        |(part, entries)| Fragment { version, since, age_ms, number: part as u16, count: parts, entries };
     all.into_iter().enumerate().map(piece).collect()
 }
--- a/crates/lease/src/view.rs
+++ b/crates/lease/src/status.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Fence, Name};
+use crate::{FencingToken, Name};
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum StatusQuery {
     /// How do all jobs stand?
-    Jobs,
+    Leases,
     /// Give this job back, if you own it.
     Release(Name),
     /// Own nothing from now on where another can, as the operators are about to work on this gateway; or do as before.
@@ -15,8 +15,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    Jobs(View),
+pub enum StatusReply {
+    Leases(LeaseView),
     /// Whether it was owned, and is given back.
     Released(bool),
     Cordoned(bool),
@@ -24,44 +24,44 @@
 
 /// How jobs stand, as one gateway knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct LeaseView {
     pub gateway: Name,
     /// None where this gateway is no voter.
-    pub votes: Option<Votes>,
+    pub acceptor: Option<AcceptorState>,
     /// Its operators want it to own nothing where another can.
     pub cordoned: bool,
     /// What it can do itself.
-    pub jobs: Vec<Job>,
+    pub leases: Vec<LeaseSummary>,
     /// What is held, as far as it knows as a voter.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldLease>,
     /// Live gateways and their runs, so that the runs above can be named.
-    pub runs: Vec<(Name, u64)>,
+    pub processes: Vec<(Name, u64)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Votes {
-    Yes,
+pub enum AcceptorState {
+    Voting,
     /// It has just started, or waits to be let in anew, as its folder lacks promises.
-    Waits,
+    Recovering,
     /// It can't make promises durable, or there is another gateway of its name.
-    Not,
+    NotVoting,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Job {
-    pub job: Name,
+pub struct LeaseSummary {
+    pub lease: Name,
     /// This gateway's place in the job's order, from 0.
-    pub place: u32,
+    pub rank: u32,
     /// By which fence, for how long it has had it and still has, in milliseconds, where this gateway owns it.
-    pub owns: Option<(Fence, u64, u64)>,
+    pub held: Option<(FencingToken, u64, u64)>,
     /// Refusals of claims and of effects so far, and why the last.
-    pub refusals: u64,
-    pub last: Option<String>,
+    pub rejections: u64,
+    pub last_rejection: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    pub job: Name,
-    pub by: Fence,
-    pub left_ms: u64,
+pub struct HeldLease {
+    pub lease: Name,
+    pub holder: FencingToken,
+    pub remaining_ms: u64,
 }
--- a/crates/lease/tests/roster.rs
+++ b/crates/lease/tests/roster.rs
@@ -2,23 +2,23 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use fernscale_lease::claimer::{Claimer, Output as Wants};
-use fernscale_lease::message::{Letter, Say};
-use fernscale_lease::order::{in_order, Candidate};
-use fernscale_lease::roster::Roster;
-use fernscale_lease::voter::{Durable, Output, Voter};
-use fernscale_lease::{Micros, Name, Run, Terms, Voters, MILLISECOND, SECOND};
+use fernscale_lease::acceptor::{Acceptor, DurableState, Output};
+use fernscale_lease::candidacy::Candidacy;
+use fernscale_lease::candidate::{Candidate, Output as Wants};
+use fernscale_lease::message::{AcceptorReply, Message};
+use fernscale_lease::ranking::{ranked, Participant};
+use fernscale_lease::{AcceptorSet, LeaseTerms, Micros, Name, ProcessId, MILLISECOND, SECOND};
 
-const TERMS: Terms = Terms { lease: SECOND, drift: 10_000 };
+const TERMS: LeaseTerms = LeaseTerms { duration: SECOND, max_drift_ppm: 10_000 };
 const LOOK: Micros = 100 * MILLISECOND;
 
 /// Letters take a millisecond; a disk none.
 struct Fleet {
     now: Micros,
-    voters: Vec<(Name, Voter)>,
-    gateways: BTreeMap<Name, (Claimer, Roster)>,
+    voters: Vec<(Name, Acceptor)>,
+    gateways: BTreeMap<Name, (Candidate, Candidacy)>,
     unwilling: Vec<Name>,
-    letters: VecDeque<(Name, Name, Letter)>,
+    letters: VecDeque<(Name, Name, Message)>,
     asked: u64,
 }
 
@@ -34,7 +34,14 @@
     fn new(count: usize, jobs: &[Name]) -> Fleet {
         let names: Vec<Name> = (0..3).map(name).collect();
         let voter = |own: &Name| {
-            let voter = Voter::start(own, Run(900), &Voters::first(&names), TERMS, Durable::default(), 0);
+            let voter = Acceptor::new(
+                own,
+                ProcessId(900),
+                &AcceptorSet::initial(&names),
+                TERMS,
+                DurableState::default(),
+                0,
+            );
             (own.clone(), voter)
         };
         let mut fleet = Fleet {
@@ -51,14 +58,14 @@
 
     fn joins(&mut self, at: usize, jobs: &[Name]) {
         let names: Vec<Name> = self.voters.iter().map(|(own, _)| own.clone()).collect();
-        let claimer = Claimer::new(Run(at as u64 + 1), &Voters::first(&names), TERMS, 7);
-        let mut roster = Roster::new(&name(at), TERMS);
+        let claimer = Candidate::new(ProcessId(at as u64 + 1), &AcceptorSet::initial(&names), TERMS, 7);
+        let mut roster = Candidacy::new(&name(at), TERMS);
         assert!(jobs.iter().all(|job| roster.add(job)));
         self.gateways.insert(name(at), (claimer, roster));
     }
 
-    fn candidates(&self) -> Vec<Candidate> {
-        self.gateways.keys().map(|name| Candidate { name: name.clone(), unwilling: false }).collect()
+    fn candidates(&self) -> Vec<Participant> {
+        self.gateways.keys().map(|name| Participant { name: name.clone(), unwilling: false }).collect()
     }
 
     fn run(&mut self, time: Micros) {
@@ -76,76 +83,86 @@
                     all.iter_mut().for_each(|one| {
                         one.unwilling = one.name == *own && self.unwilling.contains(own);
                     });
-                    roster.look(self.now, &all, claimer);
+                    roster.update(self.now, &all, claimer);
                 }
-                claimer.tick(self.now);
+                claimer.handle_timeout(self.now);
             }
-            self.voters.iter_mut().for_each(|(_, voter)| voter.tick(self.now));
+            self.voters.iter_mut().for_each(|(_, voter)| voter.handle_timeout(self.now));
             self.carry();
         }
     }
 
-    fn deliver(&mut self, from: &Name, to: &Name, letter: Letter) {
-        let run = self.gateways.get(from).map_or(Run(0), |(claimer, _)| claimer.run());
+    fn deliver(&mut self, from: &Name, to: &Name, letter: Message) {
+        let run = self.gateways.get(from).map_or(ProcessId(0), |(claimer, _)| claimer.process());
         let voter = self.voters.iter_mut().find(|(own, _)| own == to);
         match letter {
-            Letter::Ask(ask) => {
+            Message::Request(ask) => {
                 self.asked += 1;
                 if let Some((_, voter)) = voter {
-                    voter.asked(self.now, run, ask);
+                    voter.handle_request(self.now, run, ask);
                 }
             }
-            Letter::Say(say @ Say::Known(_)) => {
+            Message::Reply(say @ AcceptorReply::Recovery(_)) => {
                 if let Some((_, voter)) = voter {
-                    voter.answered(from, say);
+                    voter.handle_peer_reply(from, say);
                 }
             }
             other => {
                 let Some((claimer, roster)) = self.gateways.get_mut(to) else { return };
                 match other {
-                    Letter::Say(say) => claimer.said(self.now, from, say),
-                    Letter::Free { job, fence } => claimer.free(self.now, &job, fence),
-                    Letter::Offer { job } => roster.offered(self.now, &job, from, claimer),
-                    Letter::Ask(_) => {}
+                    Message::Reply(say) => claimer.handle_reply(self.now, from, say),
+                    Message::Released { lease: job, token: fence } => {
+                        claimer.lease_released(self.now, &job, fence)
+                    }
+                    Message::Offer { lease: job } => roster.offer_received(self.now, &job, from, claimer),
+                    Message::Request(_) => {}
                 }
             }
         }
     }
 
     fn carry(&mut self) {
-        let by_run = |gateways: &BTreeMap<Name, (Claimer, Roster)>, run: Run| {
-            gateways.iter().find(|(_, (claimer, _))| claimer.run() == run).map(|(name, _)| name.clone())
+        let by_run = |gateways: &BTreeMap<Name, (Candidate, Candidacy)>, run: ProcessId| {
+            gateways.iter().find(|(_, (claimer, _))| claimer.process() == run).map(|(name, _)| name.clone())
         };
         for at in 0..self.voters.len() {
             let own = self.voters[at].0.clone();
-            while let Some(output) = self.voters[at].1.take() {
+            while let Some(output) = self.voters[at].1.poll_output() {
                 match output {
-                    Output::Write { number, .. } => self.voters[at].1.synced(self.now, number, true),
-                    Output::Say { to, say } => {
+                    Output::Persist { number, .. } => {
+                        self.voters[at].1.write_completed(self.now, number, true)
+                    }
+                    Output::Reply { to, reply: say } => {
                         let to = by_run(&self.gateways, to);
-                        self.letters.extend(to.map(|to| (own.clone(), to, Letter::Say(say))));
+                        self.letters.extend(to.map(|to| (own.clone(), to, Message::Reply(say))));
+                    }
+                    Output::Request { to, request: ask } => {
+                        self.letters.push_back((own.clone(), to, Message::Request(ask)))
+                    }
+                    Output::PeerReply { to, reply: say } => {
+                        self.letters.push_back((own.clone(), to, Message::Reply(say)))
                     }
-                    Output::Ask { to, ask } => self.letters.push_back((own.clone(), to, Letter::Ask(ask))),
-                    Output::Answer { to, say } => self.letters.push_back((own.clone(), to, Letter::Say(say))),
                     Output::Event(_) => {}
                 }
             }
         }
         let mut out = Vec::new();
         for (own, (claimer, _)) in &mut self.gateways {
-            while let Some(wanted) = claimer.take() {
+            while let Some(wanted) = claimer.poll_output() {
                 out.push((own.clone(), wanted));
             }
         }
         for (own, wanted) in out {
             match wanted {
-                Wants::Ask { to, ask } => self.letters.push_back((own, to, Letter::Ask(ask))),
-                Wants::Free { to, job, fence } => {
-                    self.letters.push_back((own, to, Letter::Free { job, fence }))
+                Wants::Request { to, request: ask } => {
+                    self.letters.push_back((own, to, Message::Request(ask)))
+                }
+                Wants::Released { to, lease: job, token: fence } => {
+                    self.letters.push_back((own, to, Message::Released { lease: job, token: fence }))
                 }
-                Wants::Offer { to, job } => {
+                Wants::Offer { to, lease: job } => {
                     let to = by_run(&self.gateways, to);
-                    self.letters.extend(to.map(|to| (own, to, Letter::Offer { job })));
+                    self.letters.extend(to.map(|to| (own, to, Message::Offer { lease: job })));
                 }
                 Wants::Event(_) => {}
             }
@@ -153,7 +170,7 @@
     }
 
     fn owner(&self, job: &str) -> Option<Name> {
-        let owns = |claimer: &Claimer| claimer.warrant(self.now, job).is_some();
+        let owns = |claimer: &Candidate| claimer.authorization(self.now, job).is_some();
         self.gateways.iter().find(|(_, (claimer, _))| owns(claimer)).map(|(name, _)| name.clone())
     }
 }
@@ -162,7 +179,7 @@
 fn the_first_in_order_owns_and_only_a_few_ask() {
     let mut fleet = Fleet::new(30, &[job()]);
     fleet.run(4 * SECOND);
-    assert_eq!(fleet.owner("bills"), in_order("bills", &fleet.candidates()).into_iter().next());
+    assert_eq!(fleet.owner("bills"), ranked("bills", &fleet.candidates()).into_iter().next());
     let before = fleet.asked;
     fleet.run(10 * SECOND);
     // Three renewals a second at three voters, and two others that ask each of them once a lease.
@@ -171,7 +188,7 @@
 
 #[test]
 fn whoever_comes_first_by_now_takes_over_after_the_least_stay_and_not_before() {
-    let order = in_order("bills", &Fleet::new(8, &[]).candidates());
+    let order = ranked("bills", &Fleet::new(8, &[]).candidates());
     let last: usize = order[0].strip_prefix("gateway-").and_then(|at| at.parse().ok()).expect("a number");
     let mut fleet = Fleet::new(8, &[job()]);
     let first = fleet.gateways.remove(&order[0]).expect("it is there");
@@ -191,7 +208,7 @@
 fn an_owner_that_had_better_not_hands_over_once_and_offers_nothing() {
     let mut fleet = Fleet::new(6, &[job()]);
     fleet.run(3 * SECOND);
-    let order = in_order("bills", &fleet.candidates());
+    let order = ranked("bills", &fleet.candidates());
     fleet.unwilling = vec![order[0].clone()];
     fleet.run(400 * MILLISECOND);
     assert_eq!(fleet.owner("bills").as_ref(), Some(&order[1]));
@@ -210,7 +227,7 @@
     let end = |fleet: &mut Fleet, at: usize| {
         let now = fleet.now;
         let (claimer, roster) = fleet.gateways.get_mut(&name(at)).expect("it runs");
-        roster.end(now, claimer);
+        roster.shut_down(now, claimer);
         fleet.carry();
         fleet.run(5 * MILLISECOND);
         fleet.gateways.remove(&name(at));
@@ -251,6 +268,6 @@
     assert!(released.iter().all(|(own, released)| *released == (*own == owner)), "{released:?}");
     fleet.run(300 * MILLISECOND);
     assert!(fleet.owner("bills").is_some_and(|now| now != owner));
-    let mut roster = Roster::new(&name(0), TERMS);
+    let mut roster = Candidacy::new(&name(0), TERMS);
     assert!(roster.add(&job()) && !roster.add(&job()), "a job's name is taken once");
 }
--- a/crates/lease/tests/told.rs
+++ b/crates/lease/tests/told.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_lease::told::{Answer, Entry, Note, Output, Piece, Told, Version};
-use fernscale_lease::{Fence, Micros, Name, Run, MILLISECOND, SECOND};
+use fernscale_lease::replicated_list::{
+    Entry, Fragment, ListMessage, Output, ReplicatedList, SourceReply, Version,
+};
+use fernscale_lease::{FencingToken, Micros, Name, ProcessId, MILLISECOND, SECOND};
 
 const WITHIN: Micros = 3 * SECOND;
 
@@ -19,7 +21,7 @@
 }
 
 fn entry(name: u64, text: u64) -> Entry {
-    Entry { name: format!("box-{name}"), gone: text == u64::MAX, text: format!("{text}") }
+    Entry { name: format!("box-{name}"), removed: text == u64::MAX, body: format!("{text}") }
 }
 
 /// The source: changes in order, each with its version.
@@ -41,14 +43,14 @@
         self.changes.push((next, entry));
     }
 
-    fn answer(&mut self, since: Option<u64>) -> Option<Answer> {
+    fn answer(&mut self, since: Option<u64>) -> Option<SourceReply> {
         self.calls += 1;
         let newer = self.changes.iter().filter(|(index, own)| match since {
             Some(since) => *index > since,
-            None => !own.gone,
+            None => !own.removed,
         });
         let entries = newer.map(|(_, own)| own.clone()).collect();
-        (!self.down).then(|| Answer { index: self.index(), full: since.is_none(), entries })
+        (!self.down).then(|| SourceReply { index: self.index(), is_complete: since.is_none(), entries })
     }
 }
 
@@ -56,7 +58,7 @@
     now: Micros,
     chance: Chance,
     source: Source,
-    gateways: Vec<(Told, BTreeMap<String, String>)>,
+    gateways: Vec<(ReplicatedList, BTreeMap<String, String>)>,
     owner: Option<usize>,
     term: u64,
     paused: Vec<usize>,
@@ -64,13 +66,13 @@
     loss: u64,
     longest: Micros,
     order: u64,
-    due: BTreeMap<(Micros, u64), (usize, usize, Note)>,
+    due: BTreeMap<(Micros, u64), (usize, usize, ListMessage)>,
     versions: Vec<Option<Version>>,
 }
 
 impl World {
     fn new(count: usize, seed: u64) -> World {
-        let told = |_| (Told::new(&"list".into(), WITHIN, None, SECOND, 0.5), BTreeMap::new());
+        let told = |_| (ReplicatedList::new(&"list".into(), WITHIN, None, SECOND, 0.5), BTreeMap::new());
         let mut source = Source::default();
         (0..10).for_each(|name| source.changes(entry(name, 0)));
         World {
@@ -90,11 +92,11 @@
         }
     }
 
-    fn fence(&self, at: usize) -> Option<Fence> {
-        (self.owner == Some(at)).then_some(Fence { term: self.term, run: Run(at as u64) })
+    fn fence(&self, at: usize) -> Option<FencingToken> {
+        (self.owner == Some(at)).then_some(FencingToken { term: self.term, process: ProcessId(at as u64) })
     }
 
-    fn send(&mut self, from: usize, to: usize, note: Note) {
+    fn send(&mut self, from: usize, to: usize, note: ListMessage) {
         let side = |at: usize| self.parted.contains(&at);
         if from == to || side(from) != side(to) || self.chance.below(100) < self.loss {
             return;
@@ -114,14 +116,14 @@
                 let (from, to, note) = first.remove();
                 if !self.paused.contains(&to) {
                     let name = Name::from(format!("{from}"));
-                    self.gateways[to].0.came(self.now, &name, note);
+                    self.gateways[to].0.handle_message(self.now, &name, note);
                     self.carry(to);
                 }
             }
             for at in 0..self.gateways.len() {
                 if !self.paused.contains(&at) {
                     let owns = self.owner == Some(at);
-                    self.gateways[at].0.tick(self.now, owns, at);
+                    self.gateways[at].0.handle_timeout(self.now, owns, at);
                     self.carry(at);
                 }
             }
@@ -129,38 +131,38 @@
     }
 
     fn carry(&mut self, at: usize) {
-        while let Some(output) = self.gateways[at].0.take() {
-            let signed = |world: &World, piece: Piece| Note::Piece(world.fence(at), piece);
+        while let Some(output) = self.gateways[at].0.poll_output() {
+            let signed = |world: &World, piece: Fragment| ListMessage::Fragment(world.fence(at), piece);
             match output {
-                Output::Call { since } => {
+                Output::Poll { since } => {
                     let answer = self.source.answer(since);
                     let term = self.fence(at).map(|fence| fence.term);
-                    self.gateways[at].0.answered(self.now, answer, term);
+                    self.gateways[at].0.poll_completed(self.now, answer, term);
                 }
-                Output::TellAll(piece) => {
+                Output::Broadcast(piece) => {
                     let note = signed(self, piece);
                     (0..self.gateways.len()).for_each(|to| self.send(at, to, note.clone()));
                 }
-                Output::Tell(to, piece) => {
+                Output::SendFragment(to, piece) => {
                     let note = signed(self, piece);
                     self.send(at, to.parse().expect("a number"), note);
                 }
-                Output::Say(to, note) => self.send(at, to.parse().expect("a number"), note),
-                Output::Learn(Answer { full, entries, .. }) => {
+                Output::SendMessage(to, note) => self.send(at, to.parse().expect("a number"), note),
+                Output::Updated(SourceReply { is_complete: full, entries, .. }) => {
                     let known = &mut self.gateways[at].1;
                     if full {
                         known.clear();
                     }
                     for entry in entries {
-                        if entry.gone {
+                        if entry.removed {
                             known.remove(&entry.name);
                         } else {
-                            known.insert(entry.name, entry.text);
+                            known.insert(entry.name, entry.body);
                         }
                     }
                 }
                 Output::HandOver => self.owner = self.owner.map(|own| (own + 1) % self.gateways.len()),
-                Output::Refused(_) => {}
+                Output::Rejected(_) => {}
             }
             let version = self.gateways[at].0.version();
             assert!(version >= self.versions[at], "the list of {at} goes back");
@@ -170,8 +172,8 @@
 
     /// All that run know what the source has.
     fn all_know(&self) -> bool {
-        let there = self.source.changes.iter().filter(|(_, own)| !own.gone);
-        let whole: BTreeMap<_, _> = there.map(|(_, own)| (own.name.clone(), own.text.clone())).collect();
+        let there = self.source.changes.iter().filter(|(_, own)| !own.removed);
+        let whole: BTreeMap<_, _> = there.map(|(_, own)| (own.name.clone(), own.body.clone())).collect();
         let runs = |at: &usize| !self.paused.contains(at);
         (0..self.gateways.len()).filter(runs).all(|at| self.gateways[at].1 == whole)
     }
@@ -248,7 +250,9 @@
 /// Danger: a fleet that starts together, before its gateways know each other, asks all at once.
 #[test]
 fn those_who_start_together_with_a_list_ask_by_a_draw_and_those_without_one_at_once() {
-    let due = |known, drawn| Told::new(&"list".into(), WITHIN, known, SECOND, drawn).due(false, 0);
+    let due = |known, drawn| {
+        ReplicatedList::new(&"list".into(), WITHIN, known, SECOND, drawn).next_deadline(false, 0)
+    };
     assert_eq!((due(None, 0.9), due(Some(4), 0.0)), (SECOND, SECOND));
     assert_eq!(due(Some(4), 0.5), SECOND + WITHIN / 6);
     assert_eq!(due(Some(4), 7.0), SECOND + WITHIN / 3);
@@ -256,49 +260,52 @@
 
 #[test]
 fn an_owner_of_an_earlier_term_is_refused_and_told_so() {
-    let piece = |index: u64, text: u64| Piece {
-        version: Version { numbering: 0, index },
+    let piece = |index: u64, text: u64| Fragment {
+        version: Version { epoch: 0, index },
         since: None,
         age_ms: 0,
-        part: 0,
-        parts: 1,
+        number: 0,
+        count: 1,
         entries: vec![entry(1, text)],
     };
-    let fence = |term: u64| Fence { term, run: Run(term) };
-    let mut told = Told::new(&"list".into(), WITHIN, None, SECOND, 0.5);
-    told.came(SECOND, &"b".into(), Note::Piece(Some(fence(5)), piece(3, 5)));
-    told.came(SECOND, &"a".into(), Note::Piece(Some(fence(4)), piece(9, 4)));
+    let fence = |term: u64| FencingToken { term, process: ProcessId(term) };
+    let mut told = ReplicatedList::new(&"list".into(), WITHIN, None, SECOND, 0.5);
+    told.handle_message(SECOND, &"b".into(), ListMessage::Fragment(Some(fence(5)), piece(3, 5)));
+    told.handle_message(SECOND, &"a".into(), ListMessage::Fragment(Some(fence(4)), piece(9, 4)));
     let mut out = Vec::new();
-    while let Some(output) = told.take() {
+    while let Some(output) = told.poll_output() {
         out.push(output);
     }
-    let learned = Answer { index: 3, full: true, entries: vec![entry(1, 5)] };
-    assert_eq!(out, [Output::Learn(learned), Output::Say("a".into(), Note::Refused(fence(5)))]);
+    let learned = SourceReply { index: 3, is_complete: true, entries: vec![entry(1, 5)] };
+    assert_eq!(
+        out,
+        [Output::Updated(learned), Output::SendMessage("a".into(), ListMessage::Rejected(fence(5)))]
+    );
 }
 
 #[test]
 fn a_list_that_is_too_old_is_stale_until_the_source_has_answered_or_could_not() {
-    let mut told = Told::new(&"list".into(), WITHIN, Some(4), SECOND, 0.0);
+    let mut told = ReplicatedList::new(&"list".into(), WITHIN, Some(4), SECOND, 0.0);
     assert!(!told.is_stale(SECOND));
     // Stopped for long, and awake again.
     let late = 60 * SECOND;
     assert!(told.is_stale(late));
-    told.tick(late, false, 0);
-    assert_eq!(told.take(), Some(Output::Call { since: None }));
-    told.answered(late, None, None);
+    told.handle_timeout(late, false, 0);
+    assert_eq!(told.poll_output(), Some(Output::Poll { since: None }));
+    told.poll_completed(late, None, None);
     assert!(!told.is_stale(late), "nobody can say anything newer");
 }
 
 #[test]
 fn a_source_that_counts_anew_is_another_numbering_which_only_an_owner_begins() {
-    let mut told = Told::new(&"list".into(), WITHIN, None, SECOND, 0.5);
-    let answer = |index| Some(Answer { index, full: true, entries: vec![entry(1, index)] });
-    told.tick(2 * SECOND, false, 0);
-    told.answered(2 * SECOND, answer(50), None);
-    told.tick(4 * SECOND, false, 0);
-    told.answered(4 * SECOND, answer(7), None);
-    assert_eq!(told.version(), Some(Version { numbering: 0, index: 50 }));
-    told.tick(8 * SECOND, true, 0);
-    told.answered(8 * SECOND, answer(7), Some(6));
-    assert_eq!(told.version(), Some(Version { numbering: 6, index: 7 }));
+    let mut told = ReplicatedList::new(&"list".into(), WITHIN, None, SECOND, 0.5);
+    let answer = |index| Some(SourceReply { index, is_complete: true, entries: vec![entry(1, index)] });
+    told.handle_timeout(2 * SECOND, false, 0);
+    told.poll_completed(2 * SECOND, answer(50), None);
+    told.handle_timeout(4 * SECOND, false, 0);
+    told.poll_completed(4 * SECOND, answer(7), None);
+    assert_eq!(told.version(), Some(Version { epoch: 0, index: 50 }));
+    told.handle_timeout(8 * SECOND, true, 0);
+    told.poll_completed(8 * SECOND, answer(7), Some(6));
+    assert_eq!(told.version(), Some(Version { epoch: 6, index: 7 }));
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -686,7 +686,7 @@
 
     /// A packet that was believed has come from an address.
     pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet) {
-        let Packet { sender: sender, incarnation, body: word, updates: news, counters: counts } = packet;
+        let Packet { sender, incarnation, body: word, updates: news, counters: counts } = packet;
         if sender.instance == self.local.instance || self.leaving {
             return;
         }
@@ -902,7 +902,7 @@
         self.news.insert(of.instance, left);
         self.out.push_back(Output::Event(Event::Joined(of)));
         for Member { peer, incarnation, .. } in earlier {
-            self.learn(now, MemberUpdate { peer: peer, incarnation, state: MemberState::Dead });
+            self.learn(now, MemberUpdate { peer, incarnation, state: MemberState::Dead });
         }
     }
 
