--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use clap::Subcommand;
-use fernscale_gateway::fleet::mesh;
+use fernscale_gateway::fleet::membership;
 use fernscale_gateway::program::config::{Config, Source};
 use fernscale_lease::status::{AcceptorState, LeaseView, StatusQuery, StatusReply};
 use fernscale_lease::{majority, FencingToken, Name};
@@ -70,11 +70,11 @@
         let settings = config.mesh.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".into()])?;
         let owner = config.owner.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
         let keys = &settings.keys;
-        let seen = mesh::who(settings.listen, keys).map_err(|why| vec![why])?;
+        let seen = membership::query_members(settings.listen, keys).map_err(|why| vec![why])?;
         let own = view(settings.listen, keys).map_err(|why| vec![why])?;
         let (mut views, mut unheard) = (vec![(settings.listen, own)], Vec::new());
         let me = views[0].1.gateway.clone();
-        for voter in owner.voters.names.iter().filter(|voter| **voter != me) {
+        for voter in owner.acceptors.names.iter().filter(|voter| **voter != me) {
             let there = seen.members.iter().filter(|member| member.is_alive());
             let mut at =
                 there.filter(|member| *member.peer.name == **voter).map(|member| member.peer.address);
@@ -101,7 +101,7 @@
             }
         }
         // What fewer than a majority have promised nobody owns, or they could not all be asked.
-        let enough = majority(owner.voters.names.len()).min(owner.voters.names.len() - unheard.len());
+        let enough = majority(owner.acceptors.names.len()).min(owner.acceptors.names.len() - unheard.len());
         held.retain(|_, holding| holding.voters >= enough.max(1));
         Ok(Fleet { views, unheard, held })
     }
@@ -109,7 +109,7 @@
 
 fn asked(to: SocketAddr, keys: &[Key], question: &StatusQuery) -> Result<StatusReply, String> {
     let question = postcard::to_stdvec(question).map_err(|why| why.to_string())?;
-    let answer = mesh::question(to, keys, Channel::Lease, question)?;
+    let answer = membership::query(to, keys, Channel::Lease, question)?;
     let nothing = |_| {
         format!("the gateway at {to} takes no part in owning jobs: it has no [owner], or has just started")
     };
@@ -146,7 +146,7 @@
 ) -> Result<(), Failed> {
     let Some(settings) = &config.mesh else { return Ok(()) };
     let holding = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
-    let seen = mesh::who(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+    let seen = membership::query_members(settings.listen, &settings.keys).map_err(|why| vec![why])?;
     let of_members = seen.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
     let own = (seen.local.instance.0, views[0].0);
     let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.process.0).map(|(_, at)| at);
@@ -179,7 +179,7 @@
         json!({ "job": &**job, "owner": holding.gateway.as_deref(), "term": holding.by.term,
             "run": format!("{:016x}", holding.by.process.0), "left_ms": holding.left_ms })
     });
-    let voters = config.owner.iter().flat_map(|owner| &owner.voters.names).map(|voter| {
+    let voters = config.owner.iter().flat_map(|owner| &owner.acceptors.names).map(|voter| {
         let view = views.iter().find(|(_, view)| view.gateway == *voter).map(|(_, view)| votes(view));
         json!({ "voter": &**voter, "state": view.unwrap_or("is not heard") })
     });
@@ -197,7 +197,7 @@
     unheard: &[Name],
     held: &BTreeMap<Name, Holding>,
 ) {
-    let all = config.owner.as_ref().map_or(0, |owner| owner.voters.names.len());
+    let all = config.owner.as_ref().map_or(0, |owner| owner.acceptors.names.len());
     let voting = views.iter().filter(|(_, view)| view.acceptor == Some(AcceptorState::Voting)).count();
     println!("{} of {all} voters vote, {} jobs have an owner", voting, held.len());
     if voting < majority(all) {
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use fernscale_gateway::fleet::mesh;
+use fernscale_gateway::fleet::membership;
 use fernscale_gateway::program::config::Source;
 
 pub fn members(own: Option<PathBuf>, counts: bool, json: bool) -> Result<(), Vec<String>> {
@@ -10,7 +10,7 @@
     let config = source.read()?;
     let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     if counts {
-        let sums = mesh::sums(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+        let sums = membership::query_counters(settings.listen, &settings.keys).map_err(|why| vec![why])?;
         if json {
             println!("{}", serde_json::to_string(&sums).map_err(|why| vec![why.to_string()])?);
             return Ok(());
@@ -20,7 +20,7 @@
         }
         return Ok(());
     }
-    let view = mesh::who(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+    let view = membership::query_members(settings.listen, &settings.keys).map_err(|why| vec![why])?;
     if json {
         let text = serde_json::to_string(&view).map_err(|why| vec![why.to_string()])?;
         println!("{text}");
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use fernscale_gateway::fleet::mesh;
+use fernscale_gateway::fleet::membership;
 use fernscale_gateway::program::config::Source;
 use fernscale_membership::payload::Channel;
 use fernscale_outlier_detection::status::{OutlierView, ServerView};
@@ -15,8 +15,8 @@
     }
     let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     let at = settings.listen;
-    let answer =
-        mesh::question(at, &settings.keys, Channel::OutlierDetection, Vec::new()).map_err(|why| vec![why])?;
+    let answer = membership::query(at, &settings.keys, Channel::OutlierDetection, Vec::new())
+        .map_err(|why| vec![why])?;
     let nothing = |_| vec![format!("the gateway at {at} has no [signals], or has just started")];
     let view: OutlierView = postcard::from_bytes(&answer).map_err(nothing)?;
     if json {
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use fernscale_gateway::fleet::mesh;
+use fernscale_gateway::fleet::membership;
 use fernscale_gateway::program::config::Source;
 use fernscale_membership::payload::Channel;
 use fernscale_subsetting::status::SubsetView;
@@ -89,8 +89,8 @@
                 .to_string()]
         })?;
         let at = settings.listen;
-        let answer =
-            mesh::question(at, &settings.keys, Channel::Subsetting, Vec::new()).map_err(|why| vec![why])?;
+        let answer = membership::query(at, &settings.keys, Channel::Subsetting, Vec::new())
+            .map_err(|why| vec![why])?;
         let nothing =
             |_| vec![format!("the gateway at {at} has no subset: it has no [subsets], or has just started")];
         let view: SubsetView = postcard::from_bytes(&answer).map_err(nothing)?;
--- a/crates/gateway/src/routing/counter.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -11,13 +11,13 @@
 use futures_lite::future::{self, BoxedLocal};
 use slog::{info, warn};
 
-use super::outcome::{Lost, Told};
-use super::{Event, Shared, MOST_EVENTS};
+use crate::outcome::{AttemptFailure, CounterTotal};
 use crate::protocol::resp::{self, Reply};
+use crate::shared::{Event, Shared, MAX_QUEUED_EVENTS};
 use crate::transport::buffer::Buffer;
-use crate::transport::clock::{micros, Alarm};
+use crate::transport::clock::{micros, DeadlineTimer};
 use crate::transport::connection::{within, Connection};
-use crate::transport::ending::Ending;
+use crate::transport::ending::ConnectionEnd;
 
 /// Calls that wait for their answers at most, late ones too: some seconds of all that a counter can do.
 const MOST_CALLS: usize = 4_096;
@@ -50,7 +50,7 @@
 
 enum Line {
     Down,
-    Dialled(BoxedLocal<Result<Connection, Ending>>),
+    Dialled(BoxedLocal<Result<Connection, ConnectionEnd>>),
     Up(Connection),
 }
 
@@ -74,8 +74,8 @@
 
 enum Step {
     Order(Option<Add>),
-    Dialled(Result<Connection, Ending>),
-    Heard(Result<(), Ending>),
+    Dialled(Result<Connection, ConnectionEnd>),
+    Heard(Result<(), ConnectionEnd>),
     Late,
 }
 
@@ -85,7 +85,7 @@
             shared: shared.clone(),
             events: events.clone(),
             address,
-            wait: Duration::from_micros(shared.outside.counter_timeout) + SLACK,
+            wait: Duration::from_micros(shared.platform.counter_timeout) + SLACK,
             line: Line::Down,
             waiting: VecDeque::new(),
             out: VecDeque::new(),
@@ -98,13 +98,13 @@
 
     /// Starts the actor; it ends with its last call, once nobody can order any more.
     pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr) -> Sender<Add> {
-        let (calls, mailbox) = async_channel::bounded(MOST_EVENTS);
+        let (calls, mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
         shared.executor.spawn(Counter::new(shared, events, address, Rc::default()).run(mailbox)).detach();
         calls
     }
 
     async fn run(mut self, mailbox: Receiver<Add>) {
-        let (mut alarm, mut left) = (Alarm::new(), false);
+        let (mut alarm, mut left) = (DeadlineTimer::new(), false);
         while !(left && self.waiting.is_empty() && self.out.is_empty()) {
             let next = match self.out.get(self.late) {
                 Some(next) => Some(next.made + self.wait),
@@ -130,7 +130,7 @@
                 }
             };
             let late = async {
-                alarm.ring(next).await;
+                alarm.wait(next).await;
                 Step::Late
             };
             match future::or(heard, future::or(late, order)).await {
@@ -145,7 +145,7 @@
                 Step::Dialled(Err(how)) => {
                     self.line = Line::Down;
                     for add in std::mem::take(&mut self.waiting) {
-                        self.tell(add.count, Err(Lost::unsent(how)), add.made).await;
+                        self.tell(add.count, Err(AttemptFailure::unsent(how)), add.made).await;
                     }
                 }
                 Step::Heard(Ok(())) => self.answers().await,
@@ -166,12 +166,13 @@
 
     async fn add(&mut self, add: Add) {
         if self.out.len() >= MOST_CALLS {
-            self.ended(Ending::Silent).await;
+            self.ended(ConnectionEnd::Silent).await;
         }
         let Line::Up(connection) = &mut self.line else {
             if matches!(self.line, Line::Down) {
                 // A slow dial must not keep what is said here, or to whom it belongs, from being heard.
-                let dial = Connection::dial(self.address, self.wait, Buffer::new(MOST_ANSWERS, None), None);
+                let dial =
+                    Connection::connect(self.address, self.wait, Buffer::new(MOST_ANSWERS, None), None);
                 self.line = Line::Dialled(Box::pin(dial));
             }
             return self.waiting.push_back(add);
@@ -183,10 +184,10 @@
         let amount = add.amount.to_string();
         let command =
             resp::write_command(&[b"ADDGET", add.count.as_bytes(), amount.as_bytes(), life.as_bytes()]);
-        match within(add.made + self.wait, Ending::Silent, connection.write(&command)).await {
+        match within(add.made + self.wait, ConnectionEnd::Silent, connection.write(&command)).await {
             Ok(()) => self.out.push_back(Out { count: add.count, made: add.made }),
             Err(how) => {
-                self.tell(add.count, Err(Lost::unsent(how)), add.made).await;
+                self.tell(add.count, Err(AttemptFailure::unsent(how)), add.made).await;
                 // A call cut off in its middle would spoil those behind it.
                 self.ended(how).await;
             }
@@ -208,7 +209,7 @@
             };
             // What can't be understood answers no call: that one is told of with the rest.
             let Some((told, out)) = told.and_then(|told| Some((told, self.out.pop_front()?))) else {
-                return self.ended(Ending::Garbled).await;
+                return self.ended(ConnectionEnd::Garbled).await;
             };
             self.answered = Some(self.heard);
             if self.late > 0 {
@@ -224,22 +225,22 @@
     async fn late(&mut self) {
         while self.waiting.front().is_some_and(|add| add.made.elapsed() >= self.wait) {
             let Some(add) = self.waiting.pop_front() else { break };
-            self.tell(add.count, Err(Lost::unsent(Ending::NeverUp)), add.made).await;
+            self.tell(add.count, Err(AttemptFailure::unsent(ConnectionEnd::NeverUp)), add.made).await;
         }
         while let Some(out) = self.out.get(self.late).filter(|out| out.made.elapsed() >= self.wait) {
             let (count, made) = (out.count.clone(), out.made);
             self.late += 1;
             // Nothing since, where answers came before: this is no counter that has more to do than it can.
             let stalled = self.answered.is_some_and(|answered| answered <= made);
-            let how = if stalled { Ending::Stalled } else { Ending::Silent };
-            self.tell(count, Err(Lost::unanswered(how)), made).await;
+            let how = if stalled { ConnectionEnd::Stalled } else { ConnectionEnd::Silent };
+            self.tell(count, Err(AttemptFailure::unanswered(how)), made).await;
         }
         if self.begun().is_some_and(|since| since.elapsed() >= PIECE) {
-            self.ended(Ending::Garbled).await;
+            self.ended(ConnectionEnd::Garbled).await;
         }
         if !self.out.is_empty() && self.heard.elapsed() >= DEAD {
             warn!(self.shared.log, #"counter.silent", "the counter is silent"; "calls" => self.out.len());
-            self.ended(Ending::Silent).await;
+            self.ended(ConnectionEnd::Silent).await;
         }
     }
 
@@ -256,30 +257,34 @@
         }
     }
 
-    async fn ended(&mut self, how: Ending) {
+    async fn ended(&mut self, how: ConnectionEnd) {
         self.line = Line::Down;
         if !self.out.is_empty() {
             info!(self.shared.log, #"counter.ended", "the counter's connection ended"; "how" => ?how, "calls" => self.out.len());
         }
         let told = std::mem::take(&mut self.late);
         for out in std::mem::take(&mut self.out).into_iter().skip(told) {
-            self.tell(out.count, Err(Lost::unanswered(how)), out.made).await;
+            self.tell(out.count, Err(AttemptFailure::unanswered(how)), out.made).await;
         }
     }
 
-    async fn tell(&self, count: Box<str>, end: Result<Told, Lost>, made: Instant) {
-        drop(self.events.send(Event::Counted { count, end, took: micros(made.elapsed()) }).await);
+    async fn tell(&self, count: Box<str>, end: Result<CounterTotal, AttemptFailure>, made: Instant) {
+        drop(
+            self.events
+                .send(Event::CounterReplied { key: count, end, elapsed: micros(made.elapsed()) })
+                .await,
+        );
     }
 }
 
-fn told(reply: &Reply) -> Option<Told> {
+fn told(reply: &Reply) -> Option<CounterTotal> {
     match reply {
         Reply::Bulk(Some(total)) => {
             let total: f64 = std::str::from_utf8(total).ok()?.parse().ok()?;
-            total.is_finite().then_some(Told::Total(total))
+            total.is_finite().then_some(CounterTotal::Total(total))
         }
-        Reply::Error(line) if line.starts_with(b"BUSY") => Some(Told::Full),
-        Reply::Error(_) => Some(Told::Error),
+        Reply::Error(line) if line.starts_with(b"BUSY") => Some(CounterTotal::Full),
+        Reply::Error(_) => Some(CounterTotal::Error),
         _ => None,
     }
 }
--- a/crates/gateway/src/routing/leavers.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -4,7 +4,7 @@
 
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 
-use crate::protocol::catalog::Members;
+use crate::protocol::catalog::EndpointUpdate;
 
 /// Servers that are remembered after they have left, at most: the lists of a discovery that brings new names without end
 /// must not fill the memory. The one whose word is oldest goes first.
@@ -14,7 +14,7 @@
 /// start. Danger: words out of order. An agent that is behind, another discovery or a list from before the start may still
 /// have a server in service that drains.
 #[derive(Default)]
-pub struct Leavers {
+pub struct DrainingEndpoints {
     /// The version of the newest list.
     index: u64,
     /// Those in use, and when each started.
@@ -32,9 +32,9 @@
     elsewhere: bool,
 }
 
-impl Leavers {
+impl DrainingEndpoints {
     /// Goes by a list that has come, and puts right in it what is older than what is known.
-    pub fn read(&mut self, members: &mut Members) {
+    pub fn read(&mut self, members: &mut EndpointUpdate) {
         if members.moved || members.index < self.index {
             // Another row of versions. That one still has a server in it is no newer word than that it leaves.
             let anew = |left: &mut Left| (left.index, left.elsewhere) = (members.index, true);
--- a/crates/gateway/src/routing/list.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,8 @@
 //! The actor of the list: one call to discovery after another, each for what is newer than the last.
 
+pub mod draining;
+pub mod start_times;
+
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,14 +13,14 @@
 use serde_json::Value;
 use slog::{info, warn};
 
-use super::turns::Turn;
-use super::{Event, Shared};
-use crate::protocol::catalog::{self, Known, Members, Refused, SlicedReader};
+use crate::protocol::catalog::{self, EndpointUpdate, KnownEndpoints, ListError, SlicedReader};
 use crate::protocol::http;
+use crate::shared::{Event, Shared};
 use crate::transport::buffer::Buffer;
-use crate::transport::clock::between_slices;
+use crate::transport::clock::yield_between_slices;
 use crate::transport::connection::{within, Connection};
-use crate::transport::ending::Ending;
+use crate::transport::ending::ConnectionEnd;
+use crate::transport::loop_timer::Turn;
 
 /// How long a call may wait for something new, at least and at most, and how much later its answer is given up, where a
 /// service has the list that all gateways ask: each call costs it work, and one that takes a second more has nothing to say.
@@ -66,7 +69,7 @@
     first: bool,
     /// None has come from where discovery is now.
     moved: bool,
-    known: Known,
+    known: KnownEndpoints,
 }
 
 impl List {
@@ -88,7 +91,7 @@
             index,
             first: true,
             moved: false,
-            known: Known::default(),
+            known: KnownEndpoints::default(),
         }
     }
 
@@ -96,7 +99,7 @@
         let events = self.events.clone();
         let late = async move {
             Timer::after(GRACE).await;
-            drop(events.send(Event::ListLate).await);
+            drop(events.send(Event::EndpointsLate).await);
         };
         self.shared.executor.spawn(late).detach();
         let mut mailbox = std::pin::pin!(mailbox);
@@ -148,12 +151,12 @@
 
     /// How long the next call may wait for something new, and how much longer for its answer.
     fn wait(&self) -> Duration {
-        let spread = if self.shared.outside.list_is_pushed { Duration::ZERO } else { WAIT - LEAST_WAIT };
+        let spread = if self.shared.platform.list_is_pushed { Duration::ZERO } else { WAIT - LEAST_WAIT };
         self.least_wait() + spread.mul_f64(rand::random())
     }
 
     fn least_wait(&self) -> Duration {
-        if self.shared.outside.list_is_pushed {
+        if self.shared.platform.list_is_pushed {
             AGENT_WAIT
         } else {
             LEAST_WAIT
@@ -161,14 +164,14 @@
     }
 
     fn grace(&self) -> Duration {
-        if self.shared.outside.list_is_pushed {
+        if self.shared.platform.list_is_pushed {
             AGENT_GRACE
         } else {
             GRACE
         }
     }
 
-    async fn tell(&mut self, told: Result<Members, Refused>) {
+    async fn tell(&mut self, told: Result<EndpointUpdate, ListError>) {
         let event = match told {
             // A version older than the one asked from is another list's, or of one that is behind: changes to it say nothing
             // of what is known here, and only the whole of it will do.
@@ -180,25 +183,25 @@
             }
             Ok(mut members) => {
                 members.moved = std::mem::take(&mut self.moved);
-                self.shared.reads_list(&mut members);
+                self.shared.apply_list(&mut members);
                 (self.index, self.first) = (Some(members.index), false);
-                Event::List(members)
+                Event::EndpointsUpdated(members)
             }
-            Err(Refused { why, index, leaving }) => {
+            Err(ListError { reason: why, index, draining: leaving }) => {
                 self.first = true;
                 warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => why);
                 // One that is behind says nothing new of anybody.
                 if !leaving.is_empty() && index >= self.index {
-                    self.shared.left.borrow_mut().leave(&leaving);
-                    drop(self.events.send(Event::Leaving(leaving)).await);
+                    self.shared.draining.borrow_mut().leave(&leaving);
+                    drop(self.events.send(Event::EndpointsDraining(leaving)).await);
                 }
-                Event::ListFailed
+                Event::EndpointsUnavailable
             }
         };
         drop(self.events.send(event).await);
     }
 
-    async fn call(&mut self, since: Option<u64>) -> Result<Members, Refused> {
+    async fn call(&mut self, since: Option<u64>) -> Result<EndpointUpdate, ListError> {
         // The first is asked for what is new, and answered at once: a list from before the start may be old.
         let wait = if since.is_some() && !self.first { self.wait() } else { Duration::ZERO };
         let body = match self.ask(since, wait).await {
@@ -209,7 +212,7 @@
             }
             other => other,
         };
-        let body = body.map_err(|why| Refused { why, index: None, leaving: Vec::new() })?;
+        let body = body.map_err(|why| ListError { reason: why, index: None, draining: Vec::new() })?;
         let members = self.read(&body).await?;
         if members.full || !members.servers.is_empty() {
             let (index, full) = (members.index, members.full);
@@ -219,14 +222,14 @@
     }
 
     /// Reads an answer slice by slice: lists of thousands of servers must not hold up what clients are owed.
-    async fn read(&mut self, body: &[u8]) -> Result<Members, Refused> {
-        let unread = |why| Refused { why, index: None, leaving: Vec::new() };
+    async fn read(&mut self, body: &[u8]) -> Result<EndpointUpdate, ListError> {
+        let unread = |why| ListError { reason: why, index: None, draining: Vec::new() };
         let timed = Turn::begin("outline of a server list");
         let reader = SlicedReader::of(body);
         timed.end(&self.shared.log);
         let mut reader = reader.map_err(unread)?;
-        while reader.read_slice(&self.known, &self.shared.outside) {
-            between_slices().await;
+        while reader.read_slice(&self.known, &self.shared.platform) {
+            yield_between_slices().await;
         }
         reader.end(&mut self.known)
     }
@@ -235,7 +238,7 @@
     async fn ask(&mut self, since: Option<u64>, wait: Duration) -> Result<Vec<u8>, String> {
         let path = catalog::path(since.map(|since| (since, wait.as_millis() as u64)));
         let request = http::get(&self.discovery.to_string(), &path);
-        let turn = if self.shared.outside.list_is_pushed { AGENT_GRACE } else { TURN };
+        let turn = if self.shared.platform.list_is_pushed { AGENT_GRACE } else { TURN };
         let until = Instant::now() + if wait.is_zero() { turn } else { wait + self.grace() };
         let reused = self.connection.is_some();
         let mut response = self.exchange(&request, until).await;
@@ -251,7 +254,7 @@
     }
 
     /// The answer to a call, or to one that an agent has been late with: nothing has been heard since.
-    async fn exchange(&mut self, request: &[u8], until: Instant) -> Result<http::Response, Ending> {
+    async fn exchange(&mut self, request: &[u8], until: Instant) -> Result<http::Response, ConnectionEnd> {
         let mut late = self.late.take();
         let before = async {
             if let Some((connection, until)) = &mut late {
@@ -270,19 +273,23 @@
         response
     }
 
-    async fn exchange_on_one(&mut self, request: &[u8], until: Instant) -> Result<http::Response, Ending> {
-        let mut connection = match self.connection.take().filter(Connection::quiet) {
+    async fn exchange_on_one(
+        &mut self,
+        request: &[u8],
+        until: Instant,
+    ) -> Result<http::Response, ConnectionEnd> {
+        let mut connection = match self.connection.take().filter(Connection::has_no_input) {
             Some(connection) => connection,
             None => {
                 let buffer = Buffer::new(http::MOST_MESSAGE, None);
-                Connection::dial(self.discovery, self.grace(), buffer, None).await?
+                Connection::connect(self.discovery, self.grace(), buffer, None).await?
             }
         };
-        within(until, Ending::Silent, connection.write(request)).await?;
+        within(until, ConnectionEnd::Silent, connection.write(request)).await?;
         let response = answer(&mut connection, until).await;
         match &response {
             Ok(response) => self.connection = Some(connection).filter(|_| response.keep),
-            Err(Ending::Silent) if self.shared.outside.list_is_pushed => {
+            Err(ConnectionEnd::Silent) if self.shared.platform.list_is_pushed => {
                 self.late = Some((connection, Instant::now() + TURN));
             }
             Err(_) => {}
@@ -291,12 +298,12 @@
     }
 }
 
-async fn answer(connection: &mut Connection, until: Instant) -> Result<http::Response, Ending> {
+async fn answer(connection: &mut Connection, until: Instant) -> Result<http::Response, ConnectionEnd> {
     let mut reader = http::Reader::default();
     match connection.message(|bytes| reader.read(bytes, false), until, GRACE).await {
-        Err(Ending::Closed) => match reader.read(connection.buffer.filled(), true) {
+        Err(ConnectionEnd::Closed) => match reader.read(connection.buffer.filled(), true) {
             Ok(Some((response, _))) => Ok(response),
-            _ => Err(Ending::Closed),
+            _ => Err(ConnectionEnd::Closed),
         },
         other => other,
     }
@@ -304,5 +311,5 @@
 
 enum Step {
     Order(Option<Order>),
-    Told(Result<Members, Refused>),
+    Told(Result<EndpointUpdate, ListError>),
 }
--- a/crates/gateway/src/routing/starts.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -7,7 +7,7 @@
 
 use fernscale_policy::{Endpoint, Id, Micros};
 
-use crate::protocol::catalog::Members;
+use crate::protocol::catalog::EndpointUpdate;
 
 /// A start that is told so long after it, µs, is not believed to be that old: servers are listed within seconds, and within
 /// minutes where discovery is down. The wall clock may have been wrong when this process started.
@@ -36,7 +36,7 @@
     /// Puts times of the gateway's clock in the place of those that a list tells. `least_age` says how long ago a Unix time
     /// was, µs, at the least: a server that is taken for warm too early is overloaded by all gateways, one that is taken for
     /// cold too long is used less for some seconds.
-    pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, members: &mut Members) {
+    pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, members: &mut EndpointUpdate) {
         for (listed, _) in &mut members.servers {
             listed.started_at = self.of_server(now, &least_age, listed);
         }
@@ -47,7 +47,12 @@
     }
 
     /// The same for a list that discovery has given just now.
-    pub fn read_news(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, members: &mut Members) {
+    pub fn read_news(
+        &mut self,
+        now: Micros,
+        least_age: impl Fn(Micros) -> Micros,
+        members: &mut EndpointUpdate,
+    ) {
         self.read(now, least_age, members);
         self.listed |= !members.servers.is_empty();
     }
--- a/crates/gateway/src/routing/host.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -10,19 +10,20 @@
 use fernscale_policy::{Host, Id, Micros};
 use slog::{info, Logger};
 
-use super::counter::Add;
-use super::{list, peer};
-use crate::protocol::call::Answer;
+use crate::counter::Add;
+use crate::discovery;
+use crate::protocol::call::FinalAnswer;
+use crate::upstream;
 
 /// What the module wants done, in its order.
 pub enum Action {
     Send { transaction: Id, server: Id, limit: Micros },
     Cancel { transaction: Id, trip: usize },
-    Refuse { transaction: Id, answer: Answer, why: RejectReason },
+    Refuse { transaction: Id, answer: FinalAnswer, why: RejectReason },
     Alarm(Micros, Box<str>),
-    Server(Id, peer::Order),
+    Server(Id, upstream::Order),
     Add(Add),
-    List(list::Order),
+    List(discovery::Order),
 }
 
 /// The time that the module is told, and what it has asked for.
@@ -52,29 +53,33 @@
         self.note(Action::Cancel { transaction: transaction.clone(), trip });
     }
     fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
-        self.note(Action::Refuse { transaction: transaction.clone(), answer: Answer::Nacked(wait), why });
+        self.note(Action::Refuse {
+            transaction: transaction.clone(),
+            answer: FinalAnswer::Rejected(wait),
+            why,
+        });
     }
     fn fail(&mut self, transaction: &Id, why: RejectReason) {
-        self.note(Action::Refuse { transaction: transaction.clone(), answer: Answer::Abandoned, why });
+        self.note(Action::Refuse { transaction: transaction.clone(), answer: FinalAnswer::Failed, why });
     }
     fn set_timer(&mut self, delay: Micros, token: &str) {
         let at = self.now() + delay;
         self.note(Action::Alarm(at, token.into()));
     }
     fn check_health(&mut self, server: &Id) {
-        self.note(Action::Server(server.clone(), peer::Order::Probe));
+        self.note(Action::Server(server.clone(), upstream::Order::Probe));
     }
     fn close_idle_connections(&mut self, server: &Id) {
-        self.note(Action::Server(server.clone(), peer::Order::CloseIdle));
+        self.note(Action::Server(server.clone(), upstream::Order::CloseIdle));
     }
     fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
         self.note(Action::Add(Add { count: count.into(), amount, life, made: Instant::now() }));
     }
     fn watch_endpoints(&mut self, on: bool) {
-        self.note(Action::List(list::Order::Follow(on)));
+        self.note(Action::List(discovery::Order::Follow(on)));
     }
     fn poll_endpoints(&mut self) {
-        self.note(Action::List(list::Order::Fetch));
+        self.note(Action::List(discovery::Order::Fetch));
     }
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
         // Gateways have no way to each other here, as where a message is lost.
--- a/crates/gateway/src/routing/module.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,5 +1,7 @@
 //! The actor of the module: tells it what happened, one event after another, and does what it says.
 
+pub mod action_queue;
+
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -16,19 +18,22 @@
 
 use fernscale_shared_counter::monitor::{self, AddStep, CallOutcome, CounterMonitor};
 
-use super::counter::Add;
-use super::figures::Pool;
-use super::host::{Action, Desk, Hands};
-use super::not_taken::NotTaken;
-use super::outcome::{self, Lost, Told};
-use super::turns::Turn as Timed;
-use super::{list, operator, peer, Asked, Event, Final, Reply, Return, Shared};
-use crate::fleet::signals;
-use crate::fleet::subsets::Change;
-use crate::protocol::call::{Answer, Call, Said};
-use crate::protocol::catalog::Members;
-use crate::transport::clock::{between_slices, Alarm};
-use crate::transport::ending::Ending;
+use crate::counter::Add;
+use crate::discovery;
+use crate::dispatcher::action_queue::{Action, Desk, Hands};
+use crate::fleet::outlier_detection;
+use crate::fleet::subsetting::SubsetChange;
+use crate::operator;
+use crate::operator::metrics::PoolGauges;
+use crate::outcome::{self, AttemptFailure, CounterTotal};
+use crate::protocol::call::{Call, FinalAnswer, ServerReply};
+use crate::protocol::catalog::EndpointUpdate;
+use crate::rejection::NotTaken;
+use crate::shared::{CompletedAttempt, Event, FinalReply, ReceivedRequest, ReplyHandle, Shared};
+use crate::transport::clock::{yield_between_slices, DeadlineTimer};
+use crate::transport::ending::ConnectionEnd;
+use crate::transport::loop_timer::Turn as Timed;
+use crate::upstream;
 
 /// Servers of which the module is told in one turn, where a list says something new of many.
 const NEWS_A_SLICE: usize = 256;
@@ -36,16 +41,16 @@
 /// A transaction from its arrival until it is answered and no trip is out.
 struct Held {
     call: Rc<Call>,
-    reply: Option<Reply>,
+    reply: Option<ReplyHandle>,
     hard_stop: Micros,
     /// The mailboxes of the servers that its trips went to, and how many trips are out.
-    trips: Vec<Option<Sender<peer::Order>>>,
+    trips: Vec<Option<Sender<upstream::Order>>>,
     out: usize,
 }
 
 struct Peer {
     /// Its actor, once there was something for it to do.
-    orders: Option<Sender<peer::Order>>,
+    orders: Option<Sender<upstream::Order>>,
     address: SocketAddr,
     listed: Endpoint,
 }
@@ -65,7 +70,7 @@
     counter: Option<Sender<Add>>,
     /// What is known of counts beside the counter's word; only where gateways know each other.
     tally: Option<CounterMonitor>,
-    list: Sender<list::Order>,
+    list: Sender<discovery::Order>,
     held: HashMap<Id, Held>,
     peers: BTreeMap<Id, Peer>,
     alarms: BTreeMap<(Micros, u64), Box<str>>,
@@ -82,7 +87,7 @@
         settings: Settings,
         events: &Sender<Event>,
         counter: Option<Sender<Add>>,
-        list: Sender<list::Order>,
+        list: Sender<discovery::Order>,
     ) -> Self {
         let desk = Desk { now: shared.clock.now(), actions: VecDeque::new(), log: shared.log.clone() };
         let desk = Rc::new(RefCell::new(desk));
@@ -106,13 +111,13 @@
     /// `operators` is what they want of it, and goes before all else: they are owed an answer under any load.
     pub async fn run(
         mut self,
-        known: Option<Members>,
+        known: Option<EndpointUpdate>,
         mailbox: Receiver<Event>,
         operators: Receiver<operator::Order>,
     ) {
         let mut mailbox = std::pin::pin!(mailbox);
         if let Some(mut known) = known {
-            self.shared.reads_known(&mut known);
+            self.shared.apply_known_list(&mut known);
             self.learn(known);
         }
         // Nobody waits for anything yet.
@@ -120,10 +125,10 @@
             self.tell_news();
         }
         self.act().await;
-        let mut alarm = Alarm::new();
+        let mut alarm = DeadlineTimer::new();
         loop {
             if !self.news.is_empty() {
-                between_slices().await;
+                yield_between_slices().await;
                 self.look_at_clock();
                 self.tell_news();
                 self.act().await;
@@ -139,7 +144,7 @@
                 Err(_) if !self.news.is_empty() => Turn::Ring,
                 Err(_) => {
                     let ring = async {
-                        alarm.ring(next).await;
+                        alarm.wait(next).await;
                         Turn::Ring
                     };
                     let operate = async {
@@ -184,7 +189,7 @@
         match order {
             operator::Order::Pool(told) => {
                 let avoided = self.peers.keys().filter(|server| self.gateway.is_avoided(server)).count();
-                let pool = Pool { size: self.peers.len(), avoided };
+                let pool = PoolGauges { size: self.peers.len(), avoided };
                 let _ = told.try_send(pool);
             }
             operator::Order::Cordon { server, on, done } => {
@@ -223,59 +228,59 @@
     fn tell(&mut self, event: Event) {
         self.look_at_clock();
         match event {
-            Event::Asked(asked) => self.asked(asked),
-            Event::Dropped(id, ticket) => {
+            Event::RequestReceived(asked) => self.asked(asked),
+            Event::ClientDisconnected(id, ticket) => {
                 // Who used the id of another's must not take that one's answer along.
-                let its = |reply: &mut Reply| reply.ticket == ticket;
+                let its = |reply: &mut ReplyHandle| reply.ticket == ticket;
                 if self.held.get_mut(&id).is_some_and(|held| held.reply.take_if(its).is_some()) {
                     debug!(self.shared.log, #"request.cancelled", "its client has left"; "id" => &*id);
                     self.gateway.client_disconnected(&id);
                     self.forget(&id);
                 }
             }
-            Event::Flowing { transaction, trip, flow } => {
+            Event::ResponseStarted { request: transaction, attempt: trip, flow } => {
                 if let Some(reply) = self.held.get_mut(&transaction).and_then(|held| held.reply.take()) {
                     debug!(self.shared.log, #"request.answered", "served, as it comes"; "id" => &*transaction, "as" => "served");
-                    finish(reply, Final::Flow(flow));
+                    finish(reply, FinalReply::Streamed(flow));
                     self.gateway.response_started(&transaction, trip);
                 }
             }
-            Event::Returned(end) => self.returned(end),
-            Event::Probed { server, end } => {
+            Event::AttemptCompleted(end) => self.returned(end),
+            Event::HealthCheckCompleted { server, end } => {
                 let outcome = outcome::of_probe(&end);
                 self.gateway.health_check_completed(&server, outcome, end.unwrap_or_default());
             }
-            Event::Counted { count, end, took } => {
+            Event::CounterReplied { key: count, end, elapsed: took } => {
                 let (outcome, total) = self.counted(&count, outcome::of_call(&end), took);
                 self.gateway.counter_replied(&count, outcome, total, took);
             }
-            Event::Known { count, end } => {
+            Event::GossipTotalKnown { key: count, end } => {
                 let (outcome, total) = outcome::of_call(&end);
                 self.gateway.counter_replied(&count, outcome, total, 0);
             }
-            Event::Counter(counter) => self.counter = counter,
-            Event::List(members) => {
+            Event::CounterReplaced(counter) => self.counter = counter,
+            Event::EndpointsUpdated(members) => {
                 self.learn(members);
                 self.look_ready();
             }
-            Event::Leaving(servers) => self.leave(&servers),
-            Event::Subsets => self.look_at_subset(),
-            Event::Signals => self.look_at_signals(),
-            Event::ListLate => self.look_ready(),
-            Event::ListFailed => {
+            Event::EndpointsDraining(servers) => self.leave(&servers),
+            Event::SubsettingDue => self.look_at_subset(),
+            Event::OutlierDetectionDue => self.look_at_signals(),
+            Event::EndpointsLate => self.look_ready(),
+            Event::EndpointsUnavailable => {
                 self.look_ready();
                 self.gateway.endpoints_unavailable();
             }
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        let Asked { call, reply, came } = asked;
-        if self.held.contains_key(&call.transaction.id) {
-            NotTaken::IdInUse.record(&self.shared.log, Some(&call.transaction.id));
-            return answer(reply, Answer::Misasked("this id is in use"));
+    fn asked(&mut self, asked: ReceivedRequest) {
+        let ReceivedRequest { call, reply, received_at: came } = asked;
+        if self.held.contains_key(&call.request.id) {
+            NotTaken::IdInUse.record(&self.shared.log, Some(&call.request.id));
+            return answer(reply, FinalAnswer::Malformed("this id is in use"));
         }
-        let mut transaction = call.transaction.clone();
+        let mut transaction = call.request.clone();
         let waited = came.elapsed().as_micros() as Micros;
         transaction.time_left = transaction.time_left.saturating_sub(waited);
         let hard_stop = self.desk.borrow().now + transaction.time_left;
@@ -287,43 +292,43 @@
         self.gateway.request_received(transaction);
     }
 
-    fn returned(&mut self, end: Return) {
+    fn returned(&mut self, end: CompletedAttempt) {
         let outcome = outcome::of_trip(&end.end);
-        debug!(self.shared.log, #"attempt.ended", "an attempt has ended"; "id" => &*end.transaction, "attempt" => end.trip,
-            "server" => &*end.server, "outcome" => ?outcome, "how" => ?end.end.as_ref().err(), "took_us" => end.took);
-        let Some(held) = self.held.get_mut(&end.transaction) else { return };
+        debug!(self.shared.log, #"attempt.ended", "an attempt has ended"; "id" => &*end.request, "attempt" => end.attempt,
+            "server" => &*end.server, "outcome" => ?outcome, "how" => ?end.end.as_ref().err(), "took_us" => end.elapsed);
+        let Some(held) = self.held.get_mut(&end.request) else { return };
         held.out -= 1;
-        let met = outcome::met(end.took, &end.end);
+        let met = outcome::met(end.elapsed, &end.end);
         let (mut units, mut load) = (None, LoadReport::default());
         if let Ok((said, told)) = end.end {
             load = told;
             match said {
-                Said::Settled { value, units: settled } => {
+                ServerReply::Completed { value, units: settled } => {
                     units = settled;
                     if let Some(reply) = held.reply.take() {
-                        debug!(self.shared.log, #"request.answered", "served"; "id" => &*end.transaction, "as" => "served");
-                        answer(reply, Answer::Settled(value));
+                        debug!(self.shared.log, #"request.answered", "served"; "id" => &*end.request, "as" => "served");
+                        answer(reply, FinalAnswer::Completed(value));
                     }
                 }
-                Said::Passed { units: settled } => units = settled,
-                Said::Failed | Said::Full => {}
+                ServerReply::Streamed { units: settled } => units = settled,
+                ServerReply::Failed | ServerReply::Overloaded => {}
             }
         }
-        if let (Some(signals), Some(met)) = (self.shared.signals.get(), met) {
-            signals.met(&end.server, held.call.transaction.class, met);
+        if let (Some(signals), Some(met)) = (self.shared.outlier_detection.get(), met) {
+            signals.attempt_completed(&end.server, held.call.request.class, met);
         }
         let finished = held.reply.is_none();
         self.gateway.attempt_completed(AttemptCompleted {
-            request: end.transaction.clone(),
-            attempt: end.trip,
+            request: end.request.clone(),
+            attempt: end.attempt,
             server: end.server,
             outcome,
-            elapsed: end.took,
+            elapsed: end.elapsed,
             is_final: finished,
             units,
             load,
         });
-        self.forget(&end.transaction);
+        self.forget(&end.request);
     }
 
     /// Forgets a transaction that is over.
@@ -334,7 +339,7 @@
     }
 
     /// Goes by a list that has come. The decision module is told what is new in it, as most of a whole list is not.
-    fn learn(&mut self, members: Members) {
+    fn learn(&mut self, members: EndpointUpdate) {
         let mut changed = if members.full { self.drop_unlisted(&members) } else { Vec::new() };
         for (listed, address) in members.servers {
             if listed.state == EndpointState::Removed {
@@ -359,7 +364,7 @@
     }
 
     /// Drops the servers that a whole list does not have, and gives the word on each that it has gone.
-    fn drop_unlisted(&mut self, members: &Members) -> Vec<Endpoint> {
+    fn drop_unlisted(&mut self, members: &EndpointUpdate) -> Vec<Endpoint> {
         let listed: HashSet<&Id> = members.servers.iter().map(|(server, _)| &server.server).collect();
         let mut gone = Vec::new();
         // Trips that are out know their server's mailbox, and are ended as any other.
@@ -383,7 +388,7 @@
         if peer.address != address {
             peer.address = address;
             if peer.orders.is_some() {
-                let order = Action::Server(listed.server.clone(), peer::Order::Move(address));
+                let order = Action::Server(listed.server.clone(), upstream::Order::Move(address));
                 self.desk.borrow_mut().actions.push_back(order);
             }
         }
@@ -396,16 +401,16 @@
 
     /// The mailbox of a server's actor, which starts with the first order to it: of thousands that are listed some tens are
     /// used.
-    fn orders_to(&mut self, server: &Id) -> Option<Sender<peer::Order>> {
+    fn orders_to(&mut self, server: &Id) -> Option<Sender<upstream::Order>> {
         let (shared, events) = (&self.shared, &self.events);
         let peer = self.peers.get_mut(server)?;
-        let orders = peer.orders.get_or_insert_with(|| peer::start(shared, events, server, peer.address));
+        let orders = peer.orders.get_or_insert_with(|| upstream::start(shared, events, server, peer.address));
         Some(orders.clone())
     }
 
     /// By an answer that was refused otherwise: until a newer word these take nothing new, and all else is as it was.
     fn leave(&mut self, servers: &[Id]) {
-        let index = self.shared.left.borrow().index();
+        let index = self.shared.draining.borrow().index();
         let used = servers.iter().filter_map(|id| self.peers.get(id));
         let used = used.filter(|peer| peer.listed.state == EndpointState::Ready);
         let drains =
@@ -413,28 +418,28 @@
         let servers: Vec<_> = used.map(drains).collect();
         // Where all leave already nothing is new, and the pauses before the list is asked anew go on growing.
         if !servers.is_empty() {
-            self.learn(Members { index, full: false, moved: false, servers });
+            self.learn(EndpointUpdate { index, full: false, moved: false, servers });
         }
     }
 
     /// Which servers this gateway is to use from now on, where they are dealt out among all.
     fn look_at_subset(&mut self) {
-        let Some(subsets) = self.shared.subsets.get() else { return };
+        let Some(subsets) = self.shared.subsetting.get() else { return };
         let places = self.peers.iter().map(|(id, peer)| (&peer.listed, self.gateway.is_avoided(id)));
-        let Change { subset, opens, leaves } = subsets.turn(places);
+        let SubsetChange { subset, opens, leaves } = subsets.update(places);
         if subset.is_some() {
             self.gateway.set_subset(subset);
         }
-        let opens = opens.into_iter().map(|server| Action::Server(server, peer::Order::Probe));
-        let leaves = leaves.into_iter().map(|server| Action::Server(server, peer::Order::CloseIdle));
+        let opens = opens.into_iter().map(|server| Action::Server(server, upstream::Order::Probe));
+        let leaves = leaves.into_iter().map(|server| Action::Server(server, upstream::Order::CloseIdle));
         self.desk.borrow_mut().actions.extend(opens.chain(leaves));
     }
 
     /// Which servers others have found to be bad, or well again.
     fn look_at_signals(&mut self) {
-        let Some(signals) = self.shared.signals.get() else { return };
-        for change in signals.turn(self.peers.values().map(|peer| &peer.listed)) {
-            self.gateway.set_ejected(&signals::id(&change), change.ejected);
+        let Some(signals) = self.shared.outlier_detection.get() else { return };
+        for change in signals.update(self.peers.values().map(|peer| &peer.listed)) {
+            self.gateway.set_ejected(&outlier_detection::server_id(&change), change.ejected);
         }
     }
 
@@ -465,7 +470,7 @@
             Action::Cancel { transaction, trip } => {
                 let trips = self.held.get(&transaction).map(|held| &held.trips);
                 if let Some(Some(orders)) = trips.and_then(|trips| trips.get(trip)) {
-                    drop(orders.clone().send(peer::Order::Cancel { transaction, trip }).await);
+                    drop(orders.clone().send(upstream::Order::Cancel { transaction, trip }).await);
                 }
             }
             Action::Refuse { transaction: id, answer: said, why } => {
@@ -483,7 +488,7 @@
             Action::Server(server, order) => {
                 // Nothing is open at a server that was never used.
                 let used = self.peers.get(&server).is_some_and(|peer| peer.orders.is_some());
-                if used || matches!(order, peer::Order::Probe) {
+                if used || matches!(order, upstream::Order::Probe) {
                     if let Some(orders) = self.orders_to(&server) {
                         drop(orders.send(order).await);
                     }
@@ -492,7 +497,7 @@
             Action::Add(add) => self.add(add),
             Action::List(order) => {
                 if self.list.try_send(order).is_err() {
-                    self.follows.push_back(Event::ListFailed);
+                    self.follows.push_back(Event::EndpointsUnavailable);
                 }
             }
         }
@@ -504,10 +509,10 @@
         let Some(held) = self.held.get_mut(&transaction) else {
             return warn!(self.shared.log, #"trip.not-open", "a trip of what is not open"; "id" => &*transaction);
         };
-        if let Some(subsets) = self.shared.subsets.get() {
-            subsets.sent();
+        if let Some(subsets) = self.shared.subsetting.get() {
+            subsets.attempt_forwarded();
         }
-        if self.shared.signals.get().is_some_and(|signals| signals.sends(&server)) {
+        if self.shared.outlier_detection.get().is_some_and(|signals| signals.may_forward(&server)) {
             self.gateway.set_ejected(&server, true);
         }
         let trip = held.trips.len();
@@ -518,26 +523,32 @@
         debug!(self.shared.log, #"attempt.begun", "an attempt"; "id" => &*transaction, "attempt" => trip,
             "server" => &*server, "limit_us" => limit);
         if let (Some(orders), true) = (orders, left > 0) {
-            let order = peer::Order::Trip { call: held.call.clone(), trip, limit, made: Instant::now() };
+            let order = upstream::Order::Trip { call: held.call.clone(), trip, limit, made: Instant::now() };
             if orders.send(order).await.is_ok() {
                 return;
             }
         }
-        let end = Err(Lost::unsent(Ending::NoSocket));
-        self.follows.push_back(Event::Returned(Return { transaction, trip, server, end, took: 0 }));
+        let end = Err(AttemptFailure::unsent(ConnectionEnd::NoSocket));
+        self.follows.push_back(Event::AttemptCompleted(CompletedAttempt {
+            request: transaction,
+            attempt: trip,
+            server,
+            end,
+            elapsed: 0,
+        }));
     }
 
     /// An amount for a count: the other gateways are told, and the counter if there is any use in it.
     fn add(&mut self, mut add: Add) {
-        if self.shared.speaks {
+        if self.shared.joins_membership {
             let now = self.desk.borrow().now;
             let known = self.tell_others(now, &add.count, add.amount, add.life);
             let tally = self.tally.get_or_insert_with(|| CounterMonitor::new(now));
             match tally.add(now, &add.count, add.amount, add.life, known) {
                 AddStep::Forward(amount) => add.amount = amount,
                 AddStep::Reply(total) => {
-                    let end = Ok(Told::Total(total));
-                    return self.follows.push_back(Event::Known { count: add.count, end });
+                    let end = Ok(CounterTotal::Total(total));
+                    return self.follows.push_back(Event::GossipTotalKnown { key: add.count, end });
                 }
             }
         }
@@ -553,10 +564,10 @@
         amount: f64,
         life: Micros,
     ) -> Option<monitor::GossipTotal> {
-        match self.shared.mesh.get() {
-            Some(mesh) => mesh.add(count, amount, life),
+        match self.shared.membership.get() {
+            Some(mesh) => mesh.add_to_counter(count, amount, life),
             None => {
-                self.shared.untold.borrow_mut().add(count, amount, now + life);
+                self.shared.undelivered_updates.borrow_mut().add(count, amount, now + life);
                 None
             }
         }
@@ -565,7 +576,7 @@
     /// What the module is to hear of a call's end.
     fn counted(&mut self, count: &str, (outcome, total): (Outcome, f64), took: Micros) -> (Outcome, f64) {
         let Some(tally) = &mut self.tally else { return (outcome, total) };
-        let mesh = self.shared.mesh.get();
+        let mesh = self.shared.membership.get();
         let end = match outcome {
             Outcome::Ok => CallOutcome::Total(total),
             outcome if outcome.never_ran() => CallOutcome::NotApplied,
@@ -573,7 +584,8 @@
         };
         let before = tally.health();
         let now = self.desk.borrow().now;
-        let told = tally.call_completed(now, count, end, took, mesh.and_then(|mesh| mesh.known(count)));
+        let told =
+            tally.call_completed(now, count, end, took, mesh.and_then(|mesh| mesh.gossip_total(count)));
         let standing = tally.health();
         if let Some(mesh) = mesh {
             mesh.standing.set(standing);
@@ -597,18 +609,18 @@
     fn call(&mut self, add: Add) {
         let sent = self.counter.as_ref().map(|counter| counter.try_send(add));
         if let Some(Err(TrySendError::Full(add) | TrySendError::Closed(add))) = sent {
-            let counted = Event::Counted { count: add.count, end: Ok(Told::Full), took: 0 };
+            let counted = Event::CounterReplied { key: add.count, end: Ok(CounterTotal::Full), elapsed: 0 };
             self.follows.push_back(counted);
         }
     }
 }
 
 /// A client that has gone by now hears nothing.
-fn answer(reply: Reply, answer: Answer) {
-    finish(reply, Final::Whole(answer));
+fn answer(reply: ReplyHandle, answer: FinalAnswer) {
+    finish(reply, FinalReply::Complete(answer));
 }
 
-fn finish(reply: Reply, last: Final) {
-    let Reply { number, to, places, .. } = reply;
+fn finish(reply: ReplyHandle, last: FinalReply) {
+    let ReplyHandle { number, to, places, .. } = reply;
     let _ = to.try_send((number, last, places));
 }
--- a/crates/gateway/src/routing/client.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -12,16 +12,18 @@
 use futures_lite::{future, StreamExt};
 use slog::{debug, warn};
 
-use super::figures::Result as Figure;
-use super::not_taken::NotTaken;
-use super::{Asked, Event, Final, Flow, Piece, Places, Reply, Shared};
-use crate::protocol::call::{self, Answer, Command};
+use crate::operator::metrics::Result as Figure;
+use crate::protocol::call::{self, Command, FinalAnswer};
 use crate::protocol::resp;
+use crate::rejection::NotTaken;
+use crate::shared::{
+    Event, FinalReply, Piece, ReceivedRequest, ReplyHandle, Reservations, ResponseStream, Shared,
+};
 use crate::transport::buffer::Buffer;
-use crate::transport::calls::NotAccepted;
 use crate::transport::connection::{within, Connection};
-use crate::transport::ending::Ending;
-use crate::transport::limits::Place;
+use crate::transport::ending::ConnectionEnd;
+use crate::transport::limits::Reservation;
+use crate::transport::syscall::AcceptFailure;
 
 /// Commands of one connection that are under way at once; beyond it no more are read.
 const DEPTH: usize = 32;
@@ -127,7 +129,7 @@
                 }
                 None
             };
-            let tightened = self.shared.tightened.listen();
+            let tightened = self.shared.limits_lowered.listen();
             let fewer = async {
                 tightened.await;
                 Some(None)
@@ -142,7 +144,7 @@
                 Ok(stream) => self.let_in(stream).await,
                 Err(error) => {
                     warn!(self.shared.log, #"client.not-accepted", "a client could not be accepted"; "why" => error.to_string());
-                    Timer::after(NotAccepted::of(&error).pause()).await;
+                    Timer::after(AcceptFailure::classify(&error).backoff()).await;
                 }
             }
         }
@@ -150,7 +152,7 @@
 
     /// Another process of this gateway has a part of the places from now on, and can't have them until they are free.
     fn make_room(&self) {
-        let over = self.shared.limits.clients.taken().saturating_sub(self.shared.limits.clients.most());
+        let over = self.shared.limits.clients.used().saturating_sub(self.shared.limits.clients.capacity());
         for _ in 0..over {
             let Some((leave, _)) = self.idle.borrow_mut().leaver() else { return };
             let _ = leave.try_send(());
@@ -159,7 +161,7 @@
 
     async fn let_in(&mut self, stream: Async<std::net::TcpStream>) {
         let (place, served) = loop {
-            if let Some(place) = self.shared.limits.clients.take(1) {
+            if let Some(place) = self.shared.limits.clients.reserve(1) {
                 break (place, true);
             }
             let leaver = self.idle.borrow_mut().leaver();
@@ -176,7 +178,7 @@
                 }
                 continue;
             }
-            if let Some(place) = self.shared.limits.turned_away.take(1) {
+            if let Some(place) = self.shared.limits.turned_away.reserve(1) {
                 break (place, false);
             }
             let longest = self.idle.borrow_mut().gone_longest();
@@ -216,7 +218,7 @@
 /// An answer in the form in which it is written.
 enum Written {
     Whole(Vec<u8>),
-    Flow(Flow),
+    Flow(ResponseStream),
 }
 
 /// A command that has come and is not answered yet; answers go out in the order of the commands.
@@ -224,7 +226,7 @@
     number: u64,
     /// The transaction, its ticket and the word that its client has gone, as long as it has no answer.
     open: Option<(Id, u64, Rc<Cell<bool>>)>,
-    answer: Option<(Written, Option<Places>)>,
+    answer: Option<(Written, Option<Reservations>)>,
     /// The lane, and under what its answer is counted once it is written.
     figure: Option<(usize, Figure)>,
 }
@@ -237,8 +239,8 @@
     evict: Sender<()>,
     evicted: Receiver<()>,
     leave: Receiver<()>,
-    answered: Sender<(u64, Final, Places)>,
-    answers: Receiver<(u64, Final, Places)>,
+    answered: Sender<(u64, FinalReply, Reservations)>,
+    answers: Receiver<(u64, FinalReply, Reservations)>,
     waiting: VecDeque<Waiting>,
     next: u64,
     /// False where there is only room to turn it away.
@@ -251,9 +253,9 @@
 }
 
 enum Step {
-    Answer(u64, Final, Places),
-    Read(Result<(), Ending>),
-    Leave(Ending),
+    Answer(u64, FinalReply, Reservations),
+    Read(Result<(), ConnectionEnd>),
+    Leave(ConnectionEnd),
 }
 
 impl Client {
@@ -264,17 +266,17 @@
         let open: Vec<_> = self.waiting.drain(..).filter_map(|waiting| waiting.open).collect();
         open.iter().for_each(|(_, _, gone)| gone.set(true));
         for (id, ticket, _) in open {
-            drop(self.events.send(Event::Dropped(id, ticket)).await);
+            drop(self.events.send(Event::ClientDisconnected(id, ticket)).await);
         }
         match how {
-            Ending::Garbled | Ending::Stopping => self.linger().await,
+            ConnectionEnd::Garbled | ConnectionEnd::Stopping => self.linger().await,
             // Who has said nothing may yet ask: what crosses the end meets no reset.
-            Ending::Idle | Ending::Silent => self.make_room().await,
+            ConnectionEnd::Idle | ConnectionEnd::Silent => self.make_room().await,
             _ => {}
         }
     }
 
-    async fn serve(&mut self) -> Ending {
+    async fn serve(&mut self) -> ConnectionEnd {
         loop {
             if let Err(how) = self.commands().await {
                 return how;
@@ -291,17 +293,18 @@
             }
             if self.waiting.is_empty() {
                 if self.last {
-                    return Ending::Garbled;
+                    return ConnectionEnd::Garbled;
                 }
                 // Who has just come has asked for something, though it may still be on its way.
-                let leaves = (self.shared.stopping.get().is_some() || !self.served) && self.next > 0;
+                let leaves =
+                    (self.shared.shutting_down_since.get().is_some() || !self.served) && self.next > 0;
                 // What has come meanwhile is answered first, and a command that has begun to come has its time.
-                if leaves && self.connection.quiet() {
-                    return Ending::Stopping;
+                if leaves && self.connection.has_no_input() {
+                    return ConnectionEnd::Stopping;
                 }
             }
             let step = match self.step().await {
-                Step::Leave(how) if self.connection.still() => return how,
+                Step::Leave(how) if self.connection.is_open_and_idle() => return how,
                 // Something has come, and goes first. To look again at once would never let it in.
                 Step::Leave(_) => Step::Read(self.connection.read().await),
                 step => step,
@@ -311,28 +314,30 @@
                     if let Some(waiting) = self.waiting.iter_mut().find(|waiting| waiting.number == number) {
                         waiting.open = None;
                         let (written, result) = match answer {
-                            Final::Whole(answer) => (Written::Whole(answer.write()), Figure::of(&answer)),
-                            Final::Flow(flow) => (Written::Flow(flow), Figure::Settled),
+                            FinalReply::Complete(answer) => {
+                                (Written::Whole(answer.write()), Figure::of(&answer))
+                            }
+                            FinalReply::Streamed(flow) => (Written::Flow(flow), Figure::Settled),
                         };
                         waiting.figure = waiting.figure.map(|(lane, _)| (lane, result));
                         waiting.answer = Some((written, Some(places)));
                     }
                 }
                 Step::Read(Ok(())) => {}
-                Step::Read(Err(Ending::Garbled)) => {
+                Step::Read(Err(ConnectionEnd::Garbled)) => {
                     if let Err(how) = self.misread("the command is too long").await {
                         return how;
                     }
                 }
-                Step::Read(Err(Ending::NoMemory)) => {
+                Step::Read(Err(ConnectionEnd::NoMemory)) => {
                     // Nothing has been done with it, and it may well come again.
                     NotTaken::NoMemory.record(&self.shared.log, None);
-                    let wait = self.shared.outside.max_retry_after;
-                    self.say(Answer::Nacked(wait).write(), None);
+                    let wait = self.shared.platform.max_retry_after;
+                    self.say(FinalAnswer::Rejected(wait).write(), None);
                     self.last = true;
                 }
                 // Who has said nothing may yet ask, and would take an error for the answer.
-                Step::Read(Err(Ending::Silent)) if !self.connection.buffer.is_empty() => {
+                Step::Read(Err(ConnectionEnd::Silent)) if !self.connection.buffer.is_empty() => {
                     if let Err(how) = self.misread("no whole command has come in time").await {
                         return how;
                     }
@@ -348,7 +353,7 @@
         let answer = async {
             match self.answers.recv().await {
                 Ok((number, answer, places)) => Step::Answer(number, answer, places),
-                Err(_) => Step::Leave(Ending::Stopping),
+                Err(_) => Step::Leave(ConnectionEnd::Stopping),
             }
         };
         let (begun, connection) = (!self.connection.buffer.is_empty(), &mut self.connection);
@@ -357,10 +362,10 @@
             match (reads, since) {
                 // Danger: a client that has written more than is under way at once, or wrongly, and leaves: nothing of what it
                 // asked may be begun any more, and behind what is not read its end can't be seen.
-                (false, _) => Step::Read(Err(connection.ended().await)),
+                (false, _) => Step::Read(Err(connection.closed().await)),
                 (true, None) => Step::Read(connection.read().await),
                 (true, Some(since)) => {
-                    Step::Read(within(since + SAYS_NOTHING, Ending::Silent, connection.read()).await)
+                    Step::Read(within(since + SAYS_NOTHING, ConnectionEnd::Silent, connection.read()).await)
                 }
             }
         };
@@ -376,19 +381,19 @@
                 // Who has just come has asked for something, though it may still be on its way.
                 Timer::after(STILL_COMING).await;
             }
-            Step::Leave(Ending::Stopping)
+            Step::Leave(ConnectionEnd::Stopping)
         };
         let evicted = async {
             let _ = self.evicted.recv().await;
-            Step::Leave(Ending::Idle)
+            Step::Leave(ConnectionEnd::Idle)
         };
         let rank = [SILENT, ONE, MORE][self.next.min(2) as usize];
         let key = (Instant::now(), self.number);
         let clients = &self.shared.limits.clients;
         // Who has said nothing yet is not of that kind, and pushes out nobody by it. Who falls idle stands aside in its own
         // draw: of all it is the likeliest to ask again, and may have begun to.
-        if rank == ONE && !clients.spare() {
-            let others = (clients.most() / ONCE).saturating_sub(1);
+        if rank == ONE && !clients.has_spare() {
+            let others = (clients.capacity() / ONCE).saturating_sub(1);
             if let Some(leave) = self.idle.borrow_mut().asked_once(others) {
                 let _ = leave.try_send(());
             }
@@ -400,11 +405,11 @@
     }
 
     /// Takes the commands that have come whole, as many as may be under way.
-    async fn commands(&mut self) -> Result<(), Ending> {
+    async fn commands(&mut self) -> Result<(), ConnectionEnd> {
         while self.waiting.len() < DEPTH && !self.last {
             let command = match resp::command(self.connection.buffer.filled()) {
                 Ok(None) => return Ok(()),
-                Ok(Some((words, length))) => Ok((call::command(&words, &self.shared.outside), length)),
+                Ok(Some((words, length))) => Ok((call::command(&words, &self.shared.platform), length)),
                 Err(why) => Err(why),
             };
             match command {
@@ -418,39 +423,42 @@
         Ok(())
     }
 
-    async fn request(&mut self, request: Result<Command, String>) -> Result<(), Ending> {
+    async fn request(&mut self, request: Result<Command, String>) -> Result<(), ConnectionEnd> {
         let answer = match request {
             Ok(Command::Call(call)) => {
                 let limits = &self.shared.limits;
-                let places = limits.open.take(1).zip(limits.bytes.take(call.weight()));
-                let stays = self.shared.stopping.get().is_none_or(|since| since.elapsed() < STILL_COMING);
+                let places = limits.open.reserve(1).zip(limits.bytes.reserve(call.weight()));
+                let stays =
+                    self.shared.shutting_down_since.get().is_none_or(|since| since.elapsed() < STILL_COMING);
                 let place = match (self.served, stays, places) {
                     (false, ..) => Err(NotTaken::NoConnectionPlace),
                     (true, false, _) => Err(NotTaken::Ending),
                     (true, true, places) => places.ok_or(NotTaken::NoRequestPlace),
                 };
                 let Ok((open, bytes)) = place.inspect_err(|why| {
-                    why.record(&self.shared.log, Some(&call.transaction.id));
+                    why.record(&self.shared.log, Some(&call.request.id));
                 }) else {
                     // No room to take it, or no time: nothing has been done, and it may well come again. Danger: who writes
                     // on a busy connection without end would hold a gateway that ends until it is killed.
-                    let figure = Some((call.transaction.class, Figure::Nacked));
-                    self.say(Answer::Nacked(self.shared.outside.max_retry_after).write(), figure);
+                    let figure = Some((call.request.class, Figure::Nacked));
+                    self.say(FinalAnswer::Rejected(self.shared.platform.max_retry_after).write(), figure);
                     return Ok(());
                 };
                 let number = self.next;
                 self.next += 1;
-                let ticket = self.shared.tickets.get();
-                self.shared.tickets.set(ticket + 1);
-                let open_as = Some((call.transaction.id.clone(), ticket, call.gone.clone()));
-                let figure = Some((call.transaction.class, Figure::Failed));
+                let ticket = self.shared.next_ticket.get();
+                self.shared.next_ticket.set(ticket + 1);
+                let open_as = Some((call.request.id.clone(), ticket, call.client_gone.clone()));
+                let figure = Some((call.request.class, Figure::Failed));
                 self.waiting.push_back(Waiting { number, open: open_as, answer: None, figure });
-                let reply = Reply { ticket, number, to: self.answered.clone(), places: [open, bytes] };
-                let asked = Asked { call, reply, came: Instant::now() };
-                drop(self.events.send(Event::Asked(asked)).await);
+                let reply = ReplyHandle { ticket, number, to: self.answered.clone(), places: [open, bytes] };
+                let asked = ReceivedRequest { call, reply, received_at: Instant::now() };
+                drop(self.events.send(Event::RequestReceived(asked)).await);
                 return Ok(());
             }
-            Ok(Command::Ping) if self.shared.ready.get() && self.shared.stopping.get().is_none() => {
+            Ok(Command::Ping)
+                if self.shared.ready.get() && self.shared.shutting_down_since.get().is_none() =>
+            {
                 b"+PONG\r\n".to_vec()
             }
             Ok(Command::Ping) => call::error("not able to serve"),
@@ -482,10 +490,10 @@
     }
 
     /// Waits until it is this client's turn to hear that it asked wrongly. It makes room for others, if need be.
-    async fn turn(&mut self) -> Result<(), Ending> {
+    async fn turn(&mut self) -> Result<(), ConnectionEnd> {
         let now = Instant::now();
-        let at = self.shared.next_wrong.get().max(now);
-        self.shared.next_wrong.set((at + BETWEEN_WRONG).min(now + MOST_TURN));
+        let at = self.shared.next_protocol_error.get().max(now);
+        self.shared.next_protocol_error.set((at + BETWEEN_WRONG).min(now + MOST_TURN));
         if at == now {
             return Ok(());
         }
@@ -496,7 +504,7 @@
             Ok(false)
         };
         let evicted = async { Ok(self.evicted.recv().await.is_ok()) };
-        let gone = async { Err(self.connection.ended().await) };
+        let gone = async { Err(self.connection.closed().await) };
         let turn = future::or(turn, future::or(evicted, gone)).await;
         self.idle.borrow_mut().0[WRONG].remove(&key);
         self.last |= turn?;
@@ -504,7 +512,7 @@
     }
 
     /// What follows can't be told apart any more: one error, and the end.
-    async fn misread(&mut self, why: &str) -> Result<(), Ending> {
+    async fn misread(&mut self, why: &str) -> Result<(), ConnectionEnd> {
         debug!(self.shared.log, #"request.misread", "a command that can't be read"; "why" => why);
         self.turn().await?;
         self.say(call::error(&format!("bad syntax: {why}")), None);
@@ -515,7 +523,7 @@
     }
 
     /// Writes the answers that are next in order.
-    async fn write(&mut self) -> Result<(), Ending> {
+    async fn write(&mut self) -> Result<(), ConnectionEnd> {
         while self.waiting.front().is_some_and(|waiting| waiting.answer.is_some()) {
             let Some(Waiting { answer: Some((answer, places)), figure, .. }) = self.waiting.pop_front()
             else {
@@ -526,25 +534,25 @@
                 Written::Flow(flow) => self.pass_on(flow).await,
             };
             if let Some((lane, result)) = figure {
-                self.shared.figures.answered(lane, if written.is_ok() { result } else { Figure::Failed });
+                self.shared.metrics.answered(lane, if written.is_ok() { result } else { Figure::Failed });
             }
             written?;
-            drop::<Option<[Place; 2]>>(places);
+            drop::<Option<[Reservation; 2]>>(places);
         }
         Ok(())
     }
 
-    async fn put(&mut self, bytes: &[u8]) -> Result<(), Ending> {
+    async fn put(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let until = Instant::now() + UNREAD;
-        within(until, Ending::Silent, self.connection.write_while_there(bytes)).await
+        within(until, ConnectionEnd::Silent, self.connection.write_unless_closed(bytes)).await
     }
 
     /// Writes a long value as its pieces come. Where it breaks off, so does the connection, and the client can tell.
-    async fn pass_on(&mut self, flow: Flow) -> Result<(), Ending> {
+    async fn pass_on(&mut self, flow: ResponseStream) -> Result<(), ConnectionEnd> {
         self.put(format!("${}\r\n", flow.length).as_bytes()).await?;
         loop {
-            let piece = async { flow.pieces.recv().await.map_err(|_| Ending::Broken) };
-            let gone = async { Err(self.connection.ended().await) };
+            let piece = async { flow.pieces.recv().await.map_err(|_| ConnectionEnd::Broken) };
+            let gone = async { Err(self.connection.closed().await) };
             match future::or(piece, gone).await? {
                 Piece::Bytes(bytes) => self.put(&bytes).await?,
                 Piece::End => return self.put(b"\r\n").await,
@@ -557,7 +565,7 @@
     /// for longest goes for it. Where those places are taken by others it ends at once.
     async fn make_room(&mut self) {
         let place = loop {
-            if let Some(place) = self.shared.limits.turned_away.take(1) {
+            if let Some(place) = self.shared.limits.turned_away.reserve(1) {
                 break place;
             }
             let longest = self.idle.borrow_mut().gone_longest();
@@ -565,7 +573,7 @@
             let _ = longest.try_send(());
             longest.closed().await;
         };
-        self.connection.moves_to(place);
+        self.connection.move_reservation(place);
         // Whoever waits for the place waits for this.
         let (leave, cut) = async_channel::bounded(1);
         self.evicted = cut.clone();
@@ -583,7 +591,9 @@
     async fn linger(&mut self) {
         let (until, mut taken, mut pause) = (Instant::now() + LINGER, 0, LINGER_PAUSE);
         self.connection.finish();
-        while taken < MOST_LINGER && within(until, Ending::Silent, self.connection.read()).await.is_ok() {
+        while taken < MOST_LINGER
+            && within(until, ConnectionEnd::Silent, self.connection.read()).await.is_ok()
+        {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
             taken += count;
--- a/crates/gateway/src/fleet/durable.rs
+++ b/crates/gateway/src/fleet/durable_store.rs
@@ -28,26 +28,26 @@
 
 /// What is wrong with the folder, in trials.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trial {
+pub struct StoreFaults {
     /// Bytes that its files may hold.
-    pub quota: Option<u64>,
+    pub quota_bytes: Option<u64>,
     /// Every sync takes so much longer.
-    pub slow: Duration,
+    pub sync_delay: Duration,
     /// Every sync fails.
-    pub fails: bool,
+    pub sync_fails: bool,
 }
 
-impl Trial {
+impl StoreFaults {
     fn sets(self, wrong: &Faults) {
-        wrong.quota_bytes.set(self.quota);
-        wrong.sync_delay.set(self.slow);
-        wrong.sync_fails.set(self.fails);
+        wrong.quota_bytes.set(self.quota_bytes);
+        wrong.sync_delay.set(self.sync_delay);
+        wrong.sync_fails.set(self.sync_fails);
     }
 }
 
 enum Order {
     Write(Batch, Sender<bool>),
-    Trial(Trial),
+    Trial(StoreFaults),
 }
 
 /// Keys and their values, in the order of the keys.
@@ -55,13 +55,13 @@
 
 /// The way to the store. Spaces are told apart by the first part of their keys.
 #[derive(Clone)]
-pub struct Durable {
+pub struct DurableStore {
     orders: mpsc::SyncSender<Order>,
 }
 
-impl Durable {
+impl DurableStore {
     /// Opens the store of a folder, and gives all that is in it. Fails with `Locked` while another process has it.
-    pub async fn open(folder: &Path, trial: Trial) -> Result<(Durable, Entries), Error> {
+    pub async fn open(folder: &Path, trial: StoreFaults) -> Result<(DurableStore, Entries), Error> {
         let (orders, ordered) = mpsc::sync_channel(MOST_WAITING);
         let (opened, opens) = async_channel::bounded(1);
         let folder = PathBuf::from(folder);
@@ -80,7 +80,7 @@
         thread::Builder::new().name("store".into()).spawn(work).map_err(failed("its thread"))?;
         let gone = |_| failed("its thread")(io::Error::other("it has ended"));
         let entries = opens.recv().await.map_err(gone)??;
-        Ok((Durable { orders }, entries))
+        Ok((DurableStore { orders }, entries))
     }
 
     /// Hands a batch in. What comes says once whether it is durable; nothing does where the store has ended.
@@ -92,7 +92,7 @@
     }
 
     /// Another trial of the folder from now on.
-    pub fn turn(&self, trial: Trial) {
+    pub fn set_faults(&self, trial: StoreFaults) {
         let _ = self.orders.try_send(Order::Trial(trial));
     }
 }
--- a/crates/gateway/src/fleet/list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -16,12 +16,12 @@
 use serde_json::{json, Value};
 use slog::{info, warn};
 
-use super::mesh::Mesh;
-use super::owners::Owners;
-use crate::protocol::catalog::{self, Refused};
-use crate::routing::list::Order;
-use crate::routing::{Event, Shared};
-use crate::transport::clock::{awake_or_not, until};
+use super::leases::Leases;
+use super::membership::Membership;
+use crate::discovery::Order;
+use crate::protocol::catalog::{self, ListError};
+use crate::shared::{Event, Shared};
+use crate::transport::clock::{boottime, real_duration};
 
 /// The job's name.
 const JOB: &str = "list";
@@ -31,33 +31,33 @@
 const LOOK: Micros = 50_000;
 
 /// What it works with.
-pub struct Needs {
+pub struct EndpointListConfig {
     /// How soon each gateway must know of a change.
-    pub within: Micros,
+    pub poll_interval: Micros,
     /// The version that was known before the start.
-    pub known: Option<u64>,
+    pub known_index: Option<u64>,
     pub orders: Sender<Order>,
     pub events: Sender<Event>,
 }
 
 struct List {
     shared: Rc<Shared>,
-    mesh: Rc<Mesh>,
-    owners: Rc<Owners>,
+    mesh: Rc<Membership>,
+    owners: Rc<Leases>,
     job: Name,
-    needs: Needs,
+    needs: EndpointListConfig,
     told: RefCell<ReplicatedList>,
     /// One carries out what is wanted, in its order; others leave it to that one.
     carrying: Cell<bool>,
     wake: Wake,
 }
 
-pub fn start(shared: &Rc<Shared>, mesh: &Rc<Mesh>, owners: &Rc<Owners>, needs: Needs) {
+pub fn start(shared: &Rc<Shared>, mesh: &Rc<Membership>, owners: &Rc<Leases>, needs: EndpointListConfig) {
     let job = Name::from(JOB);
-    if !owners.can_do(&job) {
+    if !owners.register(&job) {
         return;
     }
-    let told = ReplicatedList::new(&job, needs.within, needs.known, awake_or_not(), rand::random());
+    let told = ReplicatedList::new(&job, needs.poll_interval, needs.known_index, boottime(), rand::random());
     let list = Rc::new(List {
         shared: shared.clone(),
         mesh: mesh.clone(),
@@ -68,8 +68,8 @@
         carrying: Cell::new(false),
         wake: Wake::new(),
     });
-    mesh.until_left(list.clone().hear(mesh.takes(Channel::EndpointList)));
-    mesh.until_left(list.keep_time());
+    mesh.spawn_until_left(list.clone().hear(mesh.subscribe(Channel::EndpointList)));
+    mesh.spawn_until_left(list.keep_time());
 }
 
 impl List {
@@ -77,12 +77,12 @@
         drop(self.needs.orders.send(Order::ByFleet).await);
         loop {
             let woken = self.wake.listen();
-            let (now, owns, place) = (awake_or_not(), self.term().is_some(), self.owners.place(&self.job));
+            let (now, owns, place) = (boottime(), self.term().is_some(), self.owners.rank(&self.job));
             self.told.borrow_mut().handle_timeout(now, owns, place);
             self.carry().await;
             let due = self.told.borrow().next_deadline(owns, place);
             let wait = async {
-                Timer::after(until(due.saturating_sub(awake_or_not()).min(LOOK))).await;
+                Timer::after(real_duration(due.saturating_sub(boottime()).min(LOOK))).await;
             };
             future::or(wait, woken).await;
         }
@@ -90,14 +90,14 @@
 
     /// This gateway's term as the owner, if it is.
     fn term(&self) -> Option<u64> {
-        self.owners.effect(&self.job, ()).map(|effect| effect.token().term)
+        self.owners.authorize(&self.job, ()).map(|effect| effect.token().term)
     }
 
     async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
         let mut came = std::pin::pin!(came);
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             match postcard::from_bytes::<ListMessage>(&body) {
-                Ok(note) => self.told.borrow_mut().handle_message(awake_or_not(), &from.name.into(), note),
+                Ok(note) => self.told.borrow_mut().handle_message(boottime(), &from.name.into(), note),
                 Err(_) => {
                     let why = "a note about the list that can't be read";
                     warn!(self.shared.log, #"list.unread", "{}", why; "peer" => from.name);
@@ -114,16 +114,16 @@
             return;
         }
         loop {
-            self.shared.list_fresh_until.set(self.told.borrow().fresh_until());
+            self.shared.endpoints_fresh_until.set(self.told.borrow().fresh_until());
             let output = self.told.borrow_mut().poll_output();
             let Some(output) = output else { break };
             match output {
                 Output::Poll { since } => {
-                    self.mesh.until_left(self.clone().call(since));
+                    self.mesh.spawn_until_left(self.clone().call(since));
                 }
                 Output::Broadcast(piece) => {
                     let note = self.signed(piece);
-                    for peer in self.mesh.live() {
+                    for peer in self.mesh.live_peers() {
                         self.send(&peer.name, &note);
                     }
                 }
@@ -135,7 +135,7 @@
                         info!(self.shared.log, #"list.handed-over", "discovery can't be asked here: another had better");
                     }
                 }
-                Output::Rejected(highest) => self.owners.refused(&self.job, highest),
+                Output::Rejected(highest) => self.owners.effect_rejected(&self.job, highest),
             }
         }
         self.carrying.set(false);
@@ -143,7 +143,7 @@
 
     /// With the fence of the owner, if this gateway is it.
     fn signed(&self, piece: Fragment) -> ListMessage {
-        match self.owners.effect(&self.job, piece.clone()) {
+        match self.owners.authorize(&self.job, piece.clone()) {
             Some(effect) => ListMessage::Fragment(Some(effect.token()), effect.content().clone()),
             None => ListMessage::Fragment(None, piece),
         }
@@ -151,7 +151,7 @@
 
     /// A note that can't be sent now is as good as lost on the way.
     fn send(&self, to: &str, note: &ListMessage) {
-        let _ = self.mesh.send(to, Channel::EndpointList, postcard::to_stdvec(note).unwrap_or_default());
+        let _ = self.mesh.send_to(to, Channel::EndpointList, postcard::to_stdvec(note).unwrap_or_default());
     }
 
     async fn call(self: Rc<Self>, since: Option<u64>) {
@@ -164,7 +164,7 @@
         };
         let answer = future::or(answer, late).await.and_then(|body| read(&body));
         let term = self.term();
-        self.told.borrow_mut().poll_completed(awake_or_not(), answer, term);
+        self.told.borrow_mut().poll_completed(boottime(), answer, term);
         self.carry().await;
         self.wake.notify(1);
     }
@@ -173,18 +173,18 @@
         let SourceReply { index, is_complete: full, entries } = answer;
         let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
         let body = json!({ "index": index, "snapshot": full, "endpoints": endpoints.collect::<Vec<_>>() });
-        match catalog::members(&body, &self.shared.outside) {
+        match catalog::endpoint_update(&body, &self.shared.platform) {
             Ok(mut members) => {
-                self.shared.reads_list(&mut members);
+                self.shared.apply_list(&mut members);
                 info!(self.shared.log, #"discovery.list", "list"; "index" => index, "full" => full,
                     "servers" => members.servers.len(), "by" => "fleet");
-                drop(self.needs.events.send(Event::List(members)).await);
+                drop(self.needs.events.send(Event::EndpointsUpdated(members)).await);
             }
-            Err(Refused { why, leaving, .. }) => {
+            Err(ListError { reason: why, draining: leaving, .. }) => {
                 warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => why);
-                self.shared.left.borrow_mut().leave(&leaving);
-                drop(self.needs.events.send(Event::Leaving(leaving)).await);
-                drop(self.needs.events.send(Event::ListFailed).await);
+                self.shared.draining.borrow_mut().leave(&leaving);
+                drop(self.needs.events.send(Event::EndpointsDraining(leaving)).await);
+                drop(self.needs.events.send(Event::EndpointsUnavailable).await);
             }
         }
     }
--- a/crates/gateway/src/fleet/owners.rs
+++ b/crates/gateway/src/fleet/leases.rs
@@ -26,10 +26,10 @@
 use futures_lite::{future, StreamExt};
 use slog::{info, warn};
 
-use super::durable::{Durable, Entries, Trial};
-use super::mesh::Mesh;
-use crate::routing::Shared;
-use crate::transport::clock::{awake_or_not, micros, until};
+use super::durable_store::{DurableStore, Entries, StoreFaults};
+use super::membership::Membership;
+use crate::shared::Shared;
+use crate::transport::clock::{boottime, micros, real_duration};
 
 /// How often is looked at who is there.
 const LOOK: Duration = Duration::from_millis(100);
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The gateways whose promises make an owner, by their names.
-    pub voters: AcceptorSet,
+    pub acceptors: AcceptorSet,
     pub terms: LeaseTerms,
     /// The list of servers is asked for by one.
-    pub list: bool,
+    pub leases_endpoint_list: bool,
     /// Where a voter keeps its promises, and what is wrong there in trials.
-    pub folder: Option<PathBuf>,
-    pub trial: Trial,
+    pub directory: Option<PathBuf>,
+    pub store_faults: StoreFaults,
 }
 
 struct Core {
@@ -79,33 +79,33 @@
     done: Receiver<bool>,
 }
 
-pub struct Owners {
+pub struct Leases {
     me: Name,
-    mesh: Rc<Mesh>,
+    mesh: Rc<Membership>,
     shared: Rc<Shared>,
     settings: Settings,
     core: RefCell<Core>,
-    durable: RefCell<Option<Durable>>,
+    durable: RefCell<Option<DurableStore>>,
     /// Numbers of writes, in their order, and whether each is durable.
     synced: Sender<Write>,
     /// How often the store was opened, or has failed.
     opened: Cell<u64>,
     disk_failed: Wake,
-    trial: Cell<Trial>,
+    trial: Cell<StoreFaults>,
     wake: Wake,
     ends: Cell<bool>,
 }
 
-impl Owners {
+impl Leases {
     /// Takes part from now on.
-    pub fn start(shared: &Rc<Shared>, mesh: &Rc<Mesh>, settings: Settings) -> Rc<Owners> {
-        let peer = mesh.me();
+    pub fn start(shared: &Rc<Shared>, mesh: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
+        let peer = mesh.local();
         let (me, run) = (Name::from(peer.name), ProcessId(peer.instance.0));
-        let claimer = Candidate::new(run, &settings.voters, settings.terms, rand::random());
+        let claimer = Candidate::new(run, &settings.acceptors, settings.terms, rand::random());
         let roster = Candidacy::new(&me, settings.terms);
         let core = Core { claimer, roster, voter: None, slow_until: 0, doubled: false, cordoned: false };
         let (synced, syncs) = async_channel::unbounded();
-        let owners = Rc::new(Owners {
+        let owners = Rc::new(Leases {
             me,
             mesh: mesh.clone(),
             shared: shared.clone(),
@@ -114,30 +114,30 @@
             synced,
             opened: Cell::new(0),
             disk_failed: Wake::new(),
-            trial: Cell::new(settings.trial),
+            trial: Cell::new(settings.store_faults),
             wake: Wake::new(),
             ends: Cell::new(false),
             settings,
         });
-        let votes = owners.settings.voters.names.contains(&owners.me);
+        let votes = owners.settings.acceptors.names.contains(&owners.me);
         info!(shared.log, #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => votes,
-            "voters" => owners.settings.voters.names.len(), "lease_ms" => owners.settings.terms.duration / 1_000,
+            "voters" => owners.settings.acceptors.names.len(), "lease_ms" => owners.settings.terms.duration / 1_000,
             "run" => format!("{:016x}", run.0));
         let answers = owners.clone();
-        mesh.answers(Channel::Lease, Box::new(move |question| answers.answer(question)));
-        if votes || owners.settings.voters.previous_names.contains(&owners.me) {
-            mesh.until_left(owners.clone().vote());
+        mesh.set_responder(Channel::Lease, Box::new(move |question| answers.answer(question)));
+        if votes || owners.settings.acceptors.previous_names.contains(&owners.me) {
+            mesh.spawn_until_left(owners.clone().vote());
         }
-        mesh.until_left(owners.clone().hear(mesh.takes(Channel::Lease)));
-        mesh.until_left(owners.clone().hear_of_disk(syncs));
-        mesh.until_left(owners.clone().keep_time());
+        mesh.spawn_until_left(owners.clone().hear(mesh.subscribe(Channel::Lease)));
+        mesh.spawn_until_left(owners.clone().hear_of_disk(syncs));
+        mesh.spawn_until_left(owners.clone().keep_time());
         owners
     }
 
     // For those who do jobs.
 
     /// This gateway can do a job from now on. False: something else here does one of that name.
-    pub fn can_do(&self, job: &Name) -> bool {
+    pub fn register(&self, job: &Name) -> bool {
         let fresh = self.core.borrow_mut().roster.add(job);
         if !fresh {
             warn!(self.shared.log, #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**job);
@@ -147,14 +147,14 @@
     }
 
     /// Something to be done for the fleet, with the right to it; nothing where this gateway does not own the job now.
-    pub fn effect<T>(&self, job: &Name, what: T) -> Option<AuthorizedEffect<T>> {
+    pub fn authorize<T>(&self, job: &Name, what: T) -> Option<AuthorizedEffect<T>> {
         let core = self.core.borrow();
-        Some(core.claimer.authorization(awake_or_not(), job)?.authorize(what))
+        Some(core.claimer.authorization(boottime(), job)?.authorize(what))
     }
 
     /// An effect was refused where it was to be taken in, as another owns the job by this fence.
-    pub fn refused(&self, job: &Name, highest: FencingToken) {
-        self.core.borrow_mut().claimer.effect_rejected(awake_or_not(), job, highest);
+    pub fn effect_rejected(&self, job: &Name, highest: FencingToken) {
+        self.core.borrow_mut().claimer.effect_rejected(boottime(), job, highest);
         self.carry();
     }
 
@@ -162,22 +162,22 @@
     pub fn hand_over(&self, job: &Name) -> bool {
         let handed = {
             let core = &mut *self.core.borrow_mut();
-            core.roster.release(awake_or_not(), job, &mut core.claimer)
+            core.roster.release(boottime(), job, &mut core.claimer)
         };
         self.carry();
         handed
     }
 
     /// This gateway's place in a job's order.
-    pub fn place(&self, job: &Name) -> usize {
+    pub fn rank(&self, job: &Name) -> usize {
         self.core.borrow().roster.rank(job)
     }
 
     /// This gateway ends: others may have its jobs at once.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         if !self.ends.replace(true) {
             let core = &mut *self.core.borrow_mut();
-            core.roster.shut_down(awake_or_not(), &mut core.claimer);
+            core.roster.shut_down(boottime(), &mut core.claimer);
         }
         self.carry();
     }
@@ -186,10 +186,10 @@
 
     /// Opens the store as soon as no other process of this gateway has it, and votes by what it holds.
     async fn vote(self: Rc<Self>) {
-        let Some(folder) = self.settings.folder.clone() else { return };
+        let Some(folder) = self.settings.directory.clone() else { return };
         loop {
             let failed = self.disk_failed.listen();
-            let pause = match Durable::open(&folder, self.trial.get()).await {
+            let pause = match DurableStore::open(&folder, self.trial.get()).await {
                 Ok((durable, entries)) => match promises(entries) {
                     Ok(promises) => {
                         self.votes_by(durable, promises);
@@ -208,12 +208,12 @@
         }
     }
 
-    fn votes_by(&self, durable: Durable, promises: Promises) {
+    fn votes_by(&self, durable: DurableStore, promises: Promises) {
         info!(self.shared.log, #"owner.folder", "the folder of promises is open"; "promises" => promises.promises.len(),
             "writes" => promises.write_count);
         self.durable.replace(Some(durable));
-        let (me, voters, terms) = (&self.me, &self.settings.voters, self.settings.terms);
-        let voter = Acceptor::new(me, ProcessId(rand::random()), voters, terms, promises, awake_or_not());
+        let (me, voters, terms) = (&self.me, &self.settings.acceptors, self.settings.terms);
+        let voter = Acceptor::new(me, ProcessId(rand::random()), voters, terms, promises, boottime());
         self.core.borrow_mut().voter = Some(voter);
         self.wake.notify(1);
     }
@@ -224,10 +224,10 @@
     }
 
     /// Another trial of the folder from now on.
-    pub fn turn(&self, trial: Trial) {
+    pub fn set_store_faults(&self, trial: StoreFaults) {
         self.trial.set(trial);
         if let Some(durable) = &*self.durable.borrow() {
-            durable.turn(trial);
+            durable.set_faults(trial);
         }
     }
 
@@ -249,7 +249,7 @@
                 continue;
             }
             if let Some(voter) = &mut self.core.borrow_mut().voter {
-                voter.write_completed(awake_or_not(), number, durable);
+                voter.write_completed(boottime(), number, durable);
             }
             self.carry();
             if !durable {
@@ -269,7 +269,7 @@
                 warn!(self.shared.log, #"owner.unread", "{}", why; "peer" => &from.name);
                 continue;
             };
-            let (now, name, run) = (awake_or_not(), Name::from(from.name), ProcessId(from.instance.0));
+            let (now, name, run) = (boottime(), Name::from(from.name), ProcessId(from.instance.0));
             let core = &mut *self.core.borrow_mut();
             match letter {
                 Message::Request(ask) => {
@@ -296,12 +296,12 @@
 
     /// A letter that can't be sent now is as good as lost on the way.
     fn send(&self, to: &Name, letter: &Message) {
-        let _ = self.mesh.send(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
+        let _ = self.mesh.send_to(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
     }
 
     /// Carries out what voter and claimer want.
     fn carry(&self) {
-        let now = awake_or_not();
+        let now = boottime();
         let mut events = VecDeque::new();
         loop {
             let core = &mut *self.core.borrow_mut();
@@ -313,7 +313,7 @@
                     }
                     Output::Reply { to, reply: say } => {
                         let body = postcard::to_stdvec(&Message::Reply(say)).unwrap_or_default();
-                        let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
+                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
                     }
                     Output::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
                     Output::PeerReply { to, reply: say } => self.send(&to, &Message::Reply(say)),
@@ -333,7 +333,7 @@
                     }
                     Wants::Offer { to, lease: job } => {
                         let body = postcard::to_stdvec(&Message::Offer { lease: job }).unwrap_or_default();
-                        let _ = self.mesh.send_to_run(Instance(to.0), Channel::Lease, body);
+                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
                     }
                     Wants::Event(event) => events.push_back(event),
                 }
@@ -380,7 +380,7 @@
     // Time.
 
     async fn keep_time(self: Rc<Self>) {
-        let mut look = awake_or_not();
+        let mut look = boottime();
         loop {
             let woken = self.wake.listen();
             let due = {
@@ -389,10 +389,10 @@
                 [voter, core.claimer.next_deadline()].into_iter().flatten().fold(look, Micros::min)
             };
             let wait = async {
-                Timer::after(until(due.saturating_sub(awake_or_not()))).await;
+                Timer::after(real_duration(due.saturating_sub(boottime()))).await;
             };
             future::or(wait, woken).await;
-            let now = awake_or_not();
+            let now = boottime();
             if now >= look {
                 self.look(now, now - look);
                 look = now + micros(LOOK);
@@ -410,19 +410,20 @@
 
     /// Who is there now, and whether this one had better leave the jobs to others.
     fn look(&self, now: Micros, late: Micros) {
-        let live = self.mesh.live();
+        let live = self.mesh.live_peers();
         let core = &mut *self.core.borrow_mut();
         if late > micros(LATE) {
             core.slow_until = now + SLOW_FOR;
         }
-        let own = self.mesh.me();
+        let own = self.mesh.local();
         let doubled = live.iter().any(|peer| peer.name == own.name && peer.address != own.address);
         if doubled && !core.doubled {
             let why = "another gateway goes by this one's name, and neither may vote by it";
             warn!(self.shared.log, #"owner.name-twice", "{}", why; "name" => own.name);
         }
         core.doubled = doubled;
-        let unwilling = core.cordoned || now < core.slow_until || self.shared.stopping.get().is_some();
+        let unwilling =
+            core.cordoned || now < core.slow_until || self.shared.shutting_down_since.get().is_some();
         let mut all: Vec<Participant> = live
             .into_iter()
             .filter(|peer| *peer.name != *self.me)
@@ -451,8 +452,8 @@
     }
 
     fn view(&self) -> LeaseView {
-        let (core, now) = (self.core.borrow(), awake_or_not());
-        let is_voter = self.settings.voters.names.contains(&self.me);
+        let (core, now) = (self.core.borrow(), boottime());
+        let is_voter = self.settings.acceptors.names.contains(&self.me);
         let votes = is_voter.then(|| match &core.voter {
             Some(voter) if voter.has_failed() || core.doubled => AcceptorState::NotVoting,
             Some(voter) if voter.is_voting() => AcceptorState::Voting,
@@ -471,8 +472,8 @@
             holder: by,
             remaining_ms: left / 1_000,
         });
-        let me = self.mesh.me();
-        let live = self.mesh.live().into_iter().chain([me]);
+        let me = self.mesh.local();
+        let live = self.mesh.live_peers().into_iter().chain([me]);
         LeaseView {
             gateway: self.me.clone(),
             acceptor: votes,
--- a/crates/gateway/src/fleet/mesh.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -27,10 +27,10 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use slog::{info, warn, Logger};
 
-use crate::routing::Shared;
-use crate::transport::calls::{dialled, uninterrupted};
+use crate::shared::Shared;
 use crate::transport::clock::unix;
 use crate::transport::stream::{read_exact, write_all};
+use crate::transport::syscall::{dialled, uninterrupted};
 
 /// Datagrams taken in a row: a flood of them must leave the core to those who are served.
 const IN_A_ROW: usize = 64;
@@ -59,9 +59,9 @@
 
 /// What the others are to be told of, by the count, and until when that lives.
 #[derive(Default)]
-pub struct Untold(BTreeMap<Box<str>, (f64, Micros)>);
+pub struct UndeliveredUpdates(BTreeMap<Box<str>, (f64, Micros)>);
 
-impl Untold {
+impl UndeliveredUpdates {
     /// At the bound a new count is not told of, as at the mesh's own.
     pub fn add(&mut self, count: &str, amount: f64, ends: Micros) {
         if let Some((untold, _)) = self.0.get_mut(count) {
@@ -72,7 +72,7 @@
     }
 }
 
-pub struct Mesh {
+pub struct Membership {
     node: RefCell<Node>,
     sealer: RefCell<Sealer>,
     /// None once this gateway has left: another process of it may listen there.
@@ -103,14 +103,14 @@
 /// Messages that are on their way over streams at once, and likewise.
 const STREAMS: usize = 16;
 
-impl Mesh {
+impl Membership {
     /// Listens, and speaks from now on.
     pub fn start(
         shared: &Rc<Shared>,
         name: &str,
         gateways: u32,
         settings: &Settings,
-    ) -> io::Result<Rc<Mesh>> {
+    ) -> io::Result<Rc<Membership>> {
         let listener = Async::<TcpListener>::bind(settings.listen)?;
         let address = listener.get_ref().local_addr()?;
         let socket = Async::<UdpSocket>::bind(address)?;
@@ -120,7 +120,7 @@
         let sealer = Sealer::new(settings.keys.clone(), me.instance);
         let sealer = sealer.ok_or_else(|| io::Error::other("the mesh has no key"))?;
         let config = Config { local: me, seeds: settings.seeds.clone() };
-        let mesh = Rc::new(Mesh {
+        let mesh = Rc::new(Membership {
             node: RefCell::new(Node::new(config, rand::random(), shared.clock.now())),
             sealer: RefCell::new(sealer),
             socket: RefCell::new(Some(Rc::new(socket))),
@@ -138,32 +138,32 @@
         });
         info!(shared.log, #"mesh.starts", "speaks with other gateways"; "listen" => address.to_string(),
             "advertise" => told.to_string(), "run" => run, "seeds" => settings.seeds.len());
-        mesh.until_left(mesh.clone().keep_time());
-        mesh.until_left(mesh.clone().hear());
-        mesh.until_left(mesh.clone().exchanges(listener));
+        mesh.spawn_until_left(mesh.clone().keep_time());
+        mesh.spawn_until_left(mesh.clone().hear());
+        mesh.spawn_until_left(mesh.clone().exchanges(listener));
         Ok(mesh)
     }
 
     /// Another ring of keys from now on.
-    pub fn turn(&self, keys: &[Key]) {
+    pub fn set_keys(&self, keys: &[Key]) {
         self.sealer.borrow_mut().set_keys(keys.to_vec());
     }
 
     /// This gateway has added an amount to a count: what all know of it with that.
-    pub fn add(&self, count: &str, amount: f64, life: Micros) -> Option<monitor::GossipTotal> {
+    pub fn add_to_counter(&self, count: &str, amount: f64, life: Micros) -> Option<monitor::GossipTotal> {
         self.node.borrow_mut().add_to_counter(self.shared.clock.now(), count, amount, life);
-        self.known(count)
+        self.gossip_total(count)
     }
 
     /// This gateway has added all this before it could speak.
-    pub fn tells(&self, untold: Untold) {
+    pub fn deliver(&self, untold: UndeliveredUpdates) {
         let now = self.shared.clock.now();
         for (count, (amount, ends)) in untold.0 {
             self.node.borrow_mut().add_to_counter(now, &count, amount, ends.saturating_sub(now));
         }
     }
 
-    pub fn known(&self, count: &str) -> Option<monitor::GossipTotal> {
+    pub fn gossip_total(&self, count: &str) -> Option<monitor::GossipTotal> {
         let node = self.node.borrow();
         let total = node.counter_total(self.shared.clock.now(), count)?;
         Some(monitor::GossipTotal { total, is_complete: node.live_members().count() + 1 >= self.gateways })
@@ -178,54 +178,57 @@
     }
 
     /// Nothing that this gateway says is on its way any more, as far as it can tell.
-    pub fn said_all(&self) -> bool {
+    pub fn is_fully_told(&self) -> bool {
         self.begun.get() == 0
     }
 
     // For others.
 
     /// What is carried of this kind comes here from now on.
-    pub fn takes(&self, kind: Channel) -> Receiver<ReceivedPayload> {
+    pub fn subscribe(&self, kind: Channel) -> Receiver<ReceivedPayload> {
         let (to, taken) = async_channel::bounded(MOST_WAITING);
         self.takers.borrow_mut().insert(kind, to);
         taken
     }
 
     /// Operators' questions of this kind are answered so.
-    pub fn answers(&self, kind: Channel, answerer: Answerer) {
+    pub fn set_responder(&self, kind: Channel, answerer: Answerer) {
         self.answerers.borrow_mut().insert(kind, answerer);
     }
 
     /// Sends a message to the live gateway of a name; it may be lost.
-    pub fn send(&self, to: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+    pub fn send_to(&self, to: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let sent = self.node.borrow_mut().send_to(to, kind, body);
         self.carry();
         sent
     }
 
     /// Sends a message to one run of a gateway.
-    pub fn send_to_run(&self, to: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
+    pub fn send_to_instance(&self, to: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let sent = self.node.borrow_mut().send_to_instance(to, kind, body);
         self.carry();
         sent
     }
 
-    pub fn me(&self) -> Peer {
+    pub fn local(&self) -> Peer {
         self.node.borrow().local().clone()
     }
 
     /// Other gateways that are not taken for gone.
-    pub fn live(&self) -> Vec<Peer> {
+    pub fn live_peers(&self) -> Vec<Peer> {
         self.node.borrow().live_members().map(|member| member.peer.clone()).collect()
     }
 
     /// The same, as rumours know them.
-    pub fn live_runs(&self) -> Vec<LivePeer> {
-        self.live().into_iter().map(|peer| LivePeer { name: peer.name, instance: peer.instance.0 }).collect()
+    pub fn live_instances(&self) -> Vec<LivePeer> {
+        self.live_peers()
+            .into_iter()
+            .map(|peer| LivePeer { name: peer.name, instance: peer.instance.0 })
+            .collect()
     }
 
     /// Works at something until this gateway leaves; then it is dropped, with the sockets that it has.
-    pub fn until_left(&self, work: impl std::future::Future<Output = ()> + 'static) {
+    pub fn spawn_until_left(&self, work: impl std::future::Future<Output = ()> + 'static) {
         let left = self.left.1.clone();
         let left = async move {
             let _ = left.recv().await;
@@ -267,7 +270,7 @@
                 Output::ExchangeState { to } => {
                     let seal = self.sealed_full();
                     let work = dial_and_exchange(Some(self.from), to, seal);
-                    let Some(mesh) = self.shared.mesh.get().cloned() else { continue };
+                    let Some(mesh) = self.shared.membership.get().cloned() else { continue };
                     self.begun.set(self.begun.get() + 1);
                     self.shared
                         .executor
@@ -280,7 +283,7 @@
                         .detach();
                 }
                 Output::SendStream { to, carried } => {
-                    let stream = StreamMessage::Payload(self.me(), carried);
+                    let stream = StreamMessage::Payload(self.local(), carried);
                     self.stream(to, self.sealer.borrow_mut().seal(unix(), &stream));
                 }
                 Output::Received(came) => {
@@ -296,7 +299,8 @@
 
     /// Sends sealed bytes that nobody answers.
     fn stream(&self, to: SocketAddr, sealed: Vec<u8>) {
-        let Some(mesh) = self.shared.mesh.get().filter(|_| self.streams.get() < STREAMS).cloned() else {
+        let Some(mesh) = self.shared.membership.get().filter(|_| self.streams.get() < STREAMS).cloned()
+        else {
             return;
         };
         self.streams.set(self.streams.get() + 1);
@@ -543,7 +547,7 @@
 }
 
 /// Who is there, as a gateway sees it.
-pub fn who(to: SocketAddr, keys: &[Key]) -> Result<MembershipView, String> {
+pub fn query_members(to: SocketAddr, keys: &[Key]) -> Result<MembershipView, String> {
     match ask(to, keys, &StreamMessage::ListMembers)? {
         StreamMessage::Members(view) => Ok(view),
         _ => Err(something_else(to)),
@@ -551,7 +555,7 @@
 }
 
 /// A question about something that the mesh only carries; the answer is empty where the gateway has nothing to say of it.
-pub fn question(to: SocketAddr, keys: &[Key], kind: Channel, question: Vec<u8>) -> Result<Vec<u8>, String> {
+pub fn query(to: SocketAddr, keys: &[Key], kind: Channel, question: Vec<u8>) -> Result<Vec<u8>, String> {
     match ask(to, keys, &StreamMessage::Query(kind, question))? {
         StreamMessage::QueryReply(answer) => Ok(answer),
         _ => Err(something_else(to)),
@@ -559,7 +563,7 @@
 }
 
 /// What a gateway knows of all counts.
-pub fn sums(to: SocketAddr, keys: &[Key]) -> Result<Vec<CounterTotal>, String> {
+pub fn query_counters(to: SocketAddr, keys: &[Key]) -> Result<Vec<CounterTotal>, String> {
     match ask(to, keys, &StreamMessage::ListCounters)? {
         StreamMessage::CounterTotals(sums) => Ok(sums),
         _ => Err(something_else(to)),
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -4,10 +4,10 @@
 //! All messages go by the one carrier of the mesh, each kind to whoever takes it in; all that must survive goes to the one
 //! store of the gateway.
 
-pub mod durable;
-pub mod list;
-pub mod mesh;
-pub mod owners;
-pub mod signals;
-pub mod subsets;
-pub mod trial;
+pub mod durable_store;
+pub mod endpoint_list;
+pub mod leases;
+pub mod membership;
+pub mod outlier_detection;
+pub mod subsetting;
+pub mod trial_leases;
--- a/crates/gateway/src/fleet/signals.rs
+++ b/crates/gateway/src/fleet/outlier_detection.rs
@@ -17,9 +17,9 @@
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
-use super::mesh::Mesh;
-use crate::routing::{Event, Shared};
-use crate::transport::clock::{awake_or_not, until};
+use super::membership::Membership;
+use crate::shared::{Event, Shared};
+use crate::transport::clock::{boottime, real_duration};
 
 /// The shortest sleep between two looks.
 const LEAST: Micros = 20_000;
@@ -31,47 +31,47 @@
     pub zone: Option<String>,
 }
 
-pub struct Signals {
+pub struct OutlierDetection {
     shared: Rc<Shared>,
-    mesh: Rc<Mesh>,
+    mesh: Rc<Membership>,
     core: RefCell<Core>,
 }
 
-impl Signals {
+impl OutlierDetection {
     /// Takes part from now on. `events`: the module's, who is told which servers to leave.
     pub fn start(
         shared: &Rc<Shared>,
-        mesh: &Rc<Mesh>,
+        mesh: &Rc<Membership>,
         settings: Settings,
         events: Sender<Event>,
-    ) -> Rc<Signals> {
-        let peer = mesh.me();
+    ) -> Rc<OutlierDetection> {
+        let peer = mesh.local();
         let zone = settings.zone.unwrap_or_default();
         info!(shared.log, #"signals.starts", "tells other gateways what servers are like, and goes by what they tell"; "zone" => &zone);
         let me = LocalGateway { name: peer.name, instance: peer.instance.0, zone };
-        let core = RefCell::new(Core::new(me, rand::random(), awake_or_not()));
-        let signals = Rc::new(Signals { shared: shared.clone(), mesh: mesh.clone(), core });
+        let core = RefCell::new(Core::new(me, rand::random(), boottime()));
+        let signals = Rc::new(OutlierDetection { shared: shared.clone(), mesh: mesh.clone(), core });
         let answers = signals.clone();
         let answer = move |_: &[u8]| postcard::to_stdvec(&answers.shown()).ok();
-        mesh.answers(Channel::OutlierDetection, Box::new(answer));
-        mesh.until_left(signals.clone().hear(mesh.takes(Channel::OutlierDetection)));
-        mesh.until_left(signals.clone().keep_time(events));
+        mesh.set_responder(Channel::OutlierDetection, Box::new(answer));
+        mesh.spawn_until_left(signals.clone().hear(mesh.subscribe(Channel::OutlierDetection)));
+        mesh.spawn_until_left(signals.clone().keep_time(events));
         signals
     }
 
     /// A trip has ended there.
-    pub fn met(&self, server: &str, lane: usize, met: AttemptResult) {
-        self.core.borrow_mut().attempt_completed(awake_or_not(), server, lane, met);
+    pub fn attempt_completed(&self, server: &str, lane: usize, met: AttemptResult) {
+        self.core.borrow_mut().attempt_completed(boottime(), server, lane, met);
     }
 
     /// A trip goes there. True: that was this gateway's turn to try it, and no other may follow.
-    pub fn sends(&self, server: &str) -> bool {
+    pub fn may_forward(&self, server: &str) -> bool {
         self.core.borrow_mut().may_forward(self.shared.clock.now(), server)
     }
 
     /// Looks at the list and at what was said: which servers are to be left from now on, and which are not any more.
-    pub fn turn<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<EjectionChange> {
-        let zone = |zone: u32| self.shared.outside.zones.get(zone as usize).cloned().unwrap_or_default();
+    pub fn update<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<EjectionChange> {
+        let zone = |zone: u32| self.shared.platform.zones.get(zone as usize).cloned().unwrap_or_default();
         let server = |listed: &Endpoint| Server {
             name: listed.server.to_string(),
             weight: listed.weight,
@@ -79,15 +79,16 @@
             started: listed.listed_start.unwrap_or(0),
         };
         let servers = listed.filter(|listed| listed.state == EndpointState::Ready).map(server).collect();
-        let (now, shared) = (awake_or_not(), self.shared.clock.now());
-        let changes = self.core.borrow_mut().handle_timeout(now, shared, &self.mesh.live_runs(), servers);
+        let (now, shared) = (boottime(), self.shared.clock.now());
+        let changes =
+            self.core.borrow_mut().handle_timeout(now, shared, &self.mesh.live_instances(), servers);
         self.carry();
         changes
     }
 
     async fn keep_time(self: Rc<Self>, events: Sender<Event>) {
         let mut out = BTreeSet::new();
-        while events.send(Event::Signals).await.is_ok() {
+        while events.send(Event::OutlierDetectionDue).await.is_ok() {
             let now: BTreeSet<String> = self.core.borrow().ejected().map(String::from).collect();
             // Those that are used again first: at no moment does the log have more of them out than there are.
             let back = out.difference(&now).map(|server| (server, false));
@@ -97,7 +98,7 @@
             }
             out = now;
             let due = self.core.borrow().next_deadline();
-            Timer::after(until(due.saturating_sub(awake_or_not()).max(LEAST))).await;
+            Timer::after(real_duration(due.saturating_sub(boottime()).max(LEAST))).await;
         }
     }
 
@@ -106,9 +107,10 @@
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             match postcard::from_bytes::<Message>(&body) {
                 Ok(note) => {
-                    let all = self.mesh.live().len() as f64 + 1.0;
-                    let observers = self.shared.subsets.get().map_or(all, |subsets| subsets.shared_by());
-                    self.core.borrow_mut().handle_message(awake_or_not(), &from.name, note, observers);
+                    let all = self.mesh.live_peers().len() as f64 + 1.0;
+                    let observers =
+                        self.shared.subsetting.get().map_or(all, |subsets| subsets.gateways_per_server());
+                    self.core.borrow_mut().handle_message(boottime(), &from.name, note, observers);
                 }
                 Err(_) => {
                     let why = "a note about servers that can't be read";
@@ -124,7 +126,7 @@
             let note = self.core.borrow_mut().poll_message();
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
-            let _ = self.mesh.send(
+            let _ = self.mesh.send_to(
                 &to,
                 Channel::OutlierDetection,
                 postcard::to_stdvec(&note).unwrap_or_default(),
@@ -133,11 +135,11 @@
     }
 
     fn shown(&self) -> OutlierView {
-        self.core.borrow().status(awake_or_not(), self.shared.clock.now())
+        self.core.borrow().status(boottime(), self.shared.clock.now())
     }
 }
 
 /// The id of a server that a change is about.
-pub fn id(change: &EjectionChange) -> Id {
+pub fn server_id(change: &EjectionChange) -> Id {
     Id::from(&*change.server)
 }
--- a/crates/gateway/src/fleet/subsets.rs
+++ b/crates/gateway/src/fleet/subsetting.rs
@@ -16,21 +16,21 @@
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
-use super::mesh::Mesh;
-use crate::routing::{Event, Shared};
-use crate::transport::clock::{awake_or_not, until};
+use super::membership::Membership;
+use crate::shared::{Event, Shared};
+use crate::transport::clock::{boottime, real_duration};
 
 /// What an installation says of its subsets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Servers of a gateway, and gateways of a server, at the least, or all where there are fewer.
-    pub least: usize,
+    pub min_servers: usize,
     /// Where this gateway stands, by a name of the list's zones; nothing, zones make no difference to it.
     pub zone: Option<String>,
 }
 
 /// Who this gateway is, and what it is given to know of the installation.
-pub struct Me {
+pub struct LocalGateway {
     pub name: String,
     pub number: u32,
     pub gateways: u32,
@@ -47,18 +47,18 @@
     avoided: BTreeSet<String>,
 }
 
-pub struct Subsets {
+pub struct Subsetting {
     shared: Rc<Shared>,
-    mesh: Option<Rc<Mesh>>,
+    mesh: Option<Rc<Membership>>,
     settings: Settings,
-    me: Me,
+    me: LocalGateway,
     core: RefCell<Core>,
     trips: Cell<u64>,
 }
 
 /// What has changed for the module and the servers' actors.
 #[derive(Default)]
-pub struct Change {
+pub struct SubsetChange {
     pub subset: Option<Subset>,
     /// To be connected to before there is a trip, and no longer used.
     pub opens: Vec<Id>,
@@ -66,24 +66,24 @@
 }
 
 /// A server of the list, and whether this gateway avoids it now.
-pub type Place<'l> = (&'l Endpoint, bool);
+pub type ServerSlot<'l> = (&'l Endpoint, bool);
 
-impl Subsets {
+impl Subsetting {
     /// Takes part from now on. `events`: the module's, who is asked to look at its servers now and then.
     pub fn start(
         shared: &Rc<Shared>,
-        mesh: Option<&Rc<Mesh>>,
+        mesh: Option<&Rc<Membership>>,
         settings: Settings,
-        me: Me,
+        me: LocalGateway,
         events: Sender<Event>,
-    ) -> Rc<Subsets> {
-        let now = awake_or_not();
+    ) -> Rc<Subsetting> {
+        let now = boottime();
         let zone = settings.zone.clone().unwrap_or_default();
-        let run = mesh.map(|mesh| mesh.me().instance.0);
+        let run = mesh.map(|mesh| mesh.local().instance.0);
         let own = LivePeer { name: me.name.clone(), instance: run.unwrap_or(0) };
         let name = mesh.map_or(me.number.to_string(), |_| me.name.clone());
         let dealt = fernscale_subsetting::Settings {
-            min_servers: settings.least,
+            min_servers: settings.min_servers,
             prefers_own_zone: settings.zone.is_some(),
         };
         let core = Core {
@@ -92,19 +92,19 @@
             used: BTreeSet::new(),
             avoided: BTreeSet::new(),
         };
-        info!(shared.log, #"subset.starts", "uses servers as they are dealt out among all gateways"; "least" => settings.least,
+        info!(shared.log, #"subset.starts", "uses servers as they are dealt out among all gateways"; "least" => settings.min_servers,
             "zone" => zone, "by" => if mesh.is_some() { "mesh" } else { "number" });
         let core = RefCell::new(core);
         let mesh = mesh.cloned();
         let subsets =
-            Rc::new(Subsets { shared: shared.clone(), mesh, settings, me, core, trips: Cell::new(0) });
+            Rc::new(Subsetting { shared: shared.clone(), mesh, settings, me, core, trips: Cell::new(0) });
         match &subsets.mesh {
             Some(mesh) => {
                 let answers = subsets.clone();
                 let answer = move |_: &[u8]| postcard::to_stdvec(&answers.shown()).ok();
-                mesh.answers(Channel::Subsetting, Box::new(answer));
-                mesh.until_left(subsets.clone().hear(mesh.takes(Channel::Subsetting)));
-                mesh.until_left(subsets.clone().keep_time(events));
+                mesh.set_responder(Channel::Subsetting, Box::new(answer));
+                mesh.spawn_until_left(subsets.clone().hear(mesh.subscribe(Channel::Subsetting)));
+                mesh.spawn_until_left(subsets.clone().keep_time(events));
             }
             None => shared.executor.spawn(subsets.clone().keep_time(events)).detach(),
         }
@@ -112,34 +112,34 @@
     }
 
     /// A trip was sent.
-    pub fn sent(&self) {
+    pub fn attempt_forwarded(&self) {
         self.trips.set(self.trips.get() + 1);
     }
 
     /// How many gateways use a server, in the mean.
-    pub fn shared_by(&self) -> f64 {
+    pub fn gateways_per_server(&self) -> f64 {
         self.core.borrow().own.current().gateways_per_server.max(1.0)
     }
 
     /// This gateway ends, and no other process of it goes on.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         let live = self.live();
         if let Some(loads) = &mut self.core.borrow_mut().loads {
-            loads.leave(awake_or_not(), &live);
+            loads.leave(boottime(), &live);
         }
         self.carry();
     }
 
     async fn keep_time(self: Rc<Self>, events: Sender<Event>) {
         loop {
-            let now = awake_or_not();
+            let now = boottime();
             let live = self.live();
             if let Some(loads) = &mut self.core.borrow_mut().loads {
                 loads.record_attempts(now, self.trips.take());
                 loads.handle_timeout(now, &live);
             }
             self.carry();
-            if events.send(Event::Subsets).await.is_err() {
+            if events.send(Event::SubsettingDue).await.is_err() {
                 return;
             }
             let due = {
@@ -149,7 +149,7 @@
                     .map_or(Micros::MAX, LoadReports::next_deadline)
                     .min(core.own.next_deadline())
             };
-            Timer::after(until(due.saturating_sub(awake_or_not()).max(LEAST))).await;
+            Timer::after(real_duration(due.saturating_sub(boottime()).max(LEAST))).await;
         }
     }
 
@@ -159,7 +159,7 @@
             match postcard::from_bytes::<Message>(&body) {
                 Ok(note) => {
                     if let Some(loads) = &mut self.core.borrow_mut().loads {
-                        loads.handle_message(awake_or_not(), &from.name, note);
+                        loads.handle_message(boottime(), &from.name, note);
                     }
                 }
                 Err(_) => {
@@ -177,18 +177,18 @@
             let note = self.core.borrow_mut().loads.as_mut().and_then(LoadReports::poll_message);
             let Some((to, note)) = note else { return };
             // A note that can't be sent now is as good as lost on the way.
-            let _ = mesh.send(&to, Channel::Subsetting, postcard::to_stdvec(&note).unwrap_or_default());
+            let _ = mesh.send_to(&to, Channel::Subsetting, postcard::to_stdvec(&note).unwrap_or_default());
         }
     }
 
     /// The others that the mesh takes for live.
     fn live(&self) -> Vec<LivePeer> {
-        self.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.live_runs())
+        self.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.live_instances())
     }
 
     /// Looks at the list of servers and at the fleet: what is to change.
-    pub fn turn<'l>(&self, places: impl Iterator<Item = Place<'l>>) -> Change {
-        let (now, shared_now) = (awake_or_not(), self.shared.clock.now());
+    pub fn update<'l>(&self, places: impl Iterator<Item = ServerSlot<'l>>) -> SubsetChange {
+        let (now, shared_now) = (boottime(), self.shared.clock.now());
         let (mut servers, mut avoided, mut cold) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         for (listed, avoids) in places.filter(|(listed, _)| listed.state == EndpointState::Ready) {
             let name = listed.server.to_string();
@@ -216,7 +216,7 @@
         core.avoided = avoided;
         core.own.fleet_changed(now, FleetView { gateways, servers }, whole);
         let changed = core.own.handle_timeout(now);
-        let mut change = Change::default();
+        let mut change = SubsetChange::default();
         let opens = core.own.take_preconnects(now).into_iter().filter(|name| !cold.contains(name));
         change.opens = opens.map(Id::from).collect();
         if !changed || core.own.current().weights.is_empty() {
@@ -240,7 +240,7 @@
     }
 
     fn zone(&self, name: &str) -> u32 {
-        let known = self.shared.outside.zones.iter().position(|zone| zone == name);
+        let known = self.shared.platform.zones.iter().position(|zone| zone == name);
         known.map_or(u32::MAX, |at| at as u32)
     }
 
@@ -273,7 +273,7 @@
         let uses = core.own.current().weights.iter().map(|(name, share)| (name.clone(), *share));
         Shown {
             gateway: self.me.name.clone(),
-            min_servers: self.settings.least as u32,
+            min_servers: self.settings.min_servers as u32,
             prefers_own_zone: self.settings.zone.is_some(),
             gateways: gateways.iter().map(seen).collect(),
             servers: servers.iter().map(taken).collect(),
--- a/crates/gateway/src/fleet/trial.rs
+++ b/crates/gateway/src/fleet/trial_leases.rs
@@ -17,8 +17,8 @@
 use serde_json::{json, Value};
 use slog::warn;
 
-use super::owners::Owners;
-use crate::routing::Shared;
+use super::leases::Leases;
+use crate::shared::Shared;
 
 /// What a trial says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,20 +36,20 @@
 /// Bytes of an answer at the most.
 const LONGEST: usize = 1_024;
 
-pub fn start(shared: &Rc<Shared>, owners: &Rc<Owners>, settings: &Settings) {
+pub fn start(shared: &Rc<Shared>, owners: &Rc<Leases>, settings: &Settings) {
     for job in &settings.jobs {
-        if owners.can_do(job) {
+        if owners.register(job) {
             let work = work(shared.clone(), owners.clone(), job.clone(), settings.clone());
             shared.executor.spawn(work).detach();
         }
     }
 }
 
-async fn work(shared: Rc<Shared>, owners: Rc<Owners>, job: Name, settings: Settings) {
+async fn work(shared: Rc<Shared>, owners: Rc<Leases>, job: Name, settings: Settings) {
     let (mut connection, mut number) = (None, 0u64);
     loop {
         Timer::after(Duration::from_micros(settings.every)).await;
-        let Some(effect) = owners.effect(&job, number) else {
+        let Some(effect) = owners.authorize(&job, number) else {
             connection = None;
             continue;
         };
@@ -65,7 +65,7 @@
             Some(Ok(Some(highest))) => {
                 warn!(shared.log, #"owner.refused", "an effect was refused, as another owns the job";
                     "job" => &*job, "term" => effect.token().term, "highest" => highest.term);
-                owners.refused(&job, highest);
+                owners.effect_rejected(&job, highest);
             }
             // Whether it was taken in is not known; the next one tells.
             Some(Err(_)) | None => connection = None,
--- a/crates/gateway/src/routing/handover.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -12,8 +12,8 @@
 use fernscale_policy::Id;
 use slog::{debug, info, warn};
 
-use super::operator::Order;
-use super::Shared;
+use crate::operator::Order;
+use crate::shared::Shared;
 use crate::transport::clock::micros;
 
 /// Pause between two looks at the others, while there are some and while there are none: half a second is the longest
@@ -47,7 +47,7 @@
                 }
             }
         };
-        let _ = shared.handover.set(link.clone());
+        let _ = shared.hot_restart.set(link.clone());
         link.run().await;
     }
 
@@ -85,7 +85,7 @@
         for error in errors {
             warn!(self.shared.log, #"handover.refused", "what another process left is not used"; "why" => error.to_string());
         }
-        let held = self.shared.limits.held();
+        let held = self.shared.limits.used_descriptors();
         let changes = self.core.borrow_mut().update(&others, held, now());
         for change in changes {
             match change {
@@ -115,8 +115,8 @@
     async fn part(&self, part: ProcessShare) {
         let ProcessShare { fraction: of_all, processes, descriptors: sockets } = part;
         debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => of_all, "processes" => processes, "sockets" => sockets);
-        self.shared.limits.part(sockets, processes);
-        self.shared.tightened.notify(1);
+        self.shared.limits.set_process_share(sockets, processes);
+        self.shared.limits_lowered.notify(1);
         // Descriptors come and go all the time; the module begins anew with each part that it is told.
         if self.of_all.replace(of_all) != of_all {
             let _ = self.orders.send(Order::Part(of_all)).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,16 @@
 //! One gateway on sockets, by layers: protocol, transport, routing round the decision module, program.
 
+pub mod counter;
+pub mod discovery;
+pub mod dispatcher;
+pub mod downstream;
 pub mod fleet;
+pub mod hot_restart;
+pub mod operator;
+pub mod outcome;
 pub mod program;
 pub mod protocol;
-pub mod routing;
+mod rejection;
+pub mod shared;
 pub mod transport;
+pub mod upstream;
--- a/crates/gateway/src/routing/figures.rs
+++ b/crates/gateway/src/operator/metrics.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::fmt::Write;
 
-use crate::protocol::call::Answer;
+use crate::protocol::call::FinalAnswer;
 
 /// How a transaction was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,32 +14,32 @@
 }
 
 impl Result {
-    pub fn of(answer: &Answer) -> Self {
+    pub fn of(answer: &FinalAnswer) -> Self {
         match answer {
-            Answer::Settled(_) => Result::Settled,
-            Answer::Nacked(_) => Result::Nacked,
-            Answer::Abandoned | Answer::Misasked(_) => Result::Failed,
+            FinalAnswer::Completed(_) => Result::Settled,
+            FinalAnswer::Rejected(_) => Result::Nacked,
+            FinalAnswer::Failed | FinalAnswer::Malformed(_) => Result::Failed,
         }
     }
 }
 
 /// Counts from the start of this process.
-pub struct Figures {
+pub struct Metrics {
     lanes: Box<[(String, [Cell<u64>; 3])]>,
     tries: Cell<u64>,
 }
 
 /// The servers as the module's actor sees them at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
+pub struct PoolGauges {
     pub size: usize,
     pub avoided: usize,
 }
 
-impl Figures {
+impl Metrics {
     pub fn new(lanes: &[String]) -> Self {
         let lanes = lanes.iter().map(|lane| (lane.clone(), Default::default())).collect();
-        Figures { lanes, tries: Cell::new(0) }
+        Metrics { lanes, tries: Cell::new(0) }
     }
 
     /// The last byte of an answer has been written to the client.
@@ -56,7 +56,7 @@
     }
 
     /// All figures, a line each.
-    pub fn write(&self, active: usize, pool: Pool) -> String {
+    pub fn write(&self, active: usize, pool: PoolGauges) -> String {
         let mut text = String::new();
         let mut line = |name: std::fmt::Arguments, value: u64, kind: char| {
             let _ = writeln!(text, "gateway.{name}:{value}|{kind}");
--- a/crates/gateway/src/routing/operator.rs
+++ b/crates/gateway/src/operator/mod.rs
@@ -1,5 +1,7 @@
 //! The second address, for operators: who is let in, and each call.
 
+pub mod metrics;
+
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::net::{TcpListener, TcpStream};
@@ -12,14 +14,14 @@
 use futures_lite::{future, StreamExt};
 use slog::{info, warn};
 
-use super::figures::Pool;
-use super::Shared;
+use crate::operator::metrics::PoolGauges;
 use crate::protocol::operator::{self, Call, Refused};
+use crate::shared::Shared;
 use crate::transport::buffer::Buffer;
-use crate::transport::calls::NotAccepted;
 use crate::transport::connection::{within, Connection};
-use crate::transport::ending::Ending;
+use crate::transport::ending::ConnectionEnd;
 use crate::transport::limits::OPERATORS;
+use crate::transport::syscall::AcceptFailure;
 
 /// How long a caller may take to its call's end, and to read the answer: longer than any that means well.
 const WHOLE: Duration = Duration::from_secs(5);
@@ -44,7 +46,7 @@
     },
     /// This process has so much of its gateway's ceilings and cold budgets.
     Part(f64),
-    Pool(Sender<Pool>),
+    Pool(Sender<PoolGauges>),
 }
 
 /// Calls that are not whole yet, the oldest first: each ends when its other end is dropped.
@@ -69,7 +71,7 @@
                 Ok(stream) => self.let_in(stream),
                 Err(error) => {
                     warn!(self.shared.log, #"operator.not-accepted", "an operator's call could not be accepted"; "why" => error.to_string());
-                    Timer::after(NotAccepted::of(&error).pause()).await;
+                    Timer::after(AcceptFailure::classify(&error).backoff()).await;
                 }
             }
         }
@@ -94,7 +96,7 @@
             let mut caller = caller;
             let gone = async {
                 let _ = evicted.recv().await;
-                Err(Ending::Idle)
+                Err(ConnectionEnd::Idle)
             };
             let call = future::or(caller.call(until), gone).await;
             stalled.borrow_mut().retain(|(other, _)| *other != number);
@@ -112,16 +114,16 @@
 
 impl Caller {
     /// Reads the call, or why there is none.
-    async fn call(&mut self, until: Instant) -> Result<Result<Call, Refused>, Ending> {
+    async fn call(&mut self, until: Instant) -> Result<Result<Call, Refused>, ConnectionEnd> {
         loop {
             match operator::call(self.connection.buffer.filled()) {
                 Ok(Some(call)) => return Ok(Ok(call)),
                 Err(why) => return Ok(Err(why)),
                 Ok(None) => {}
             }
-            match within(until, Ending::Silent, self.connection.read()).await {
+            match within(until, ConnectionEnd::Silent, self.connection.read()).await {
                 Ok(()) => {}
-                Err(Ending::Silent) if !self.connection.buffer.is_empty() => {
+                Err(ConnectionEnd::Silent) if !self.connection.buffer.is_empty() => {
                     return Ok(Err(Refused { status: 408, why: "no whole call has come in time".into() }));
                 }
                 Err(how) => return Err(how),
@@ -129,19 +131,19 @@
         }
     }
 
-    async fn finish(mut self, call: Result<Result<Call, Refused>, Ending>, until: Instant) {
+    async fn finish(mut self, call: Result<Result<Call, Refused>, ConnectionEnd>, until: Instant) {
         let Ok(call) = call else { return };
         let (status, text) = match call {
             Ok(call) => self.act(call).await,
             Err(Refused { status, why }) => (status, why + "\n"),
         };
         let answer = operator::answer(status, &text);
-        if within(until, Ending::Silent, self.connection.write(&answer)).await.is_err() {
+        if within(until, ConnectionEnd::Silent, self.connection.write(&answer)).await.is_err() {
             return;
         }
         self.connection.finish();
         let linger = Instant::now() + LINGER;
-        while within(linger, Ending::Silent, self.connection.read()).await.is_ok() {
+        while within(linger, ConnectionEnd::Silent, self.connection.read()).await.is_ok() {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
         }
@@ -149,7 +151,7 @@
 
     async fn act(&mut self, call: Call) -> (u16, String) {
         match call {
-            Call::Health => match self.shared.serves() {
+            Call::Health => match self.shared.is_serving() {
                 true => (200, "ready\n".into()),
                 false => (503, "not ready to serve\n".into()),
             },
@@ -157,8 +159,8 @@
                 let (tell, told) = async_channel::bounded(1);
                 let _ = self.orders.send(Order::Pool(tell)).await;
                 let pool = told.recv().await.unwrap_or_default();
-                let active = self.shared.limits.open.taken();
-                (200, self.shared.figures.write(active, pool))
+                let active = self.shared.limits.open.used();
+                (200, self.shared.metrics.write(active, pool))
             }
             Call::Cordon(server) => self.cordon(server, true).await,
             Call::Uncordon(server) => self.cordon(server, false).await,
@@ -169,7 +171,7 @@
         let (done, told) = async_channel::bounded(1);
         let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
         let known = told.recv().await.unwrap_or(false);
-        if let Some(link) = self.shared.handover.get().filter(|_| known) {
+        if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
             if !link.word(&server, on).await {
                 warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
             }
--- /dev/null
+++ b/crates/gateway/src/outcome.rs
@@ -0,0 +1,96 @@
+//! What the end of a connection means for what was asked on it. Nowhere else is this decided.
+
+use fernscale_outlier_detection::detector::AttemptResult;
+use fernscale_policy::{Micros, Outcome};
+
+use crate::protocol::call::ServerReply;
+use crate::transport::ending::ConnectionEnd;
+
+/// What the counter says to a call.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CounterTotal {
+    Total(f64),
+    Full,
+    Error,
+}
+
+/// The connection ended before the answer had come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptFailure {
+    pub how: ConnectionEnd,
+    /// The last byte had been written: what was asked may have run.
+    pub written: bool,
+}
+
+impl AttemptFailure {
+    pub fn unsent(how: ConnectionEnd) -> Self {
+        AttemptFailure { how, written: false }
+    }
+
+    pub fn unanswered(how: ConnectionEnd) -> Self {
+        AttemptFailure { how, written: true }
+    }
+
+    fn outcome(self) -> Outcome {
+        match (self.how, self.written) {
+            (ConnectionEnd::NoSocket | ConnectionEnd::Cordoned | ConnectionEnd::OldList, _)
+            | (ConnectionEnd::NoMemory | ConnectionEnd::Left | ConnectionEnd::Unwanted, false) => {
+                Outcome::NeverSent
+            }
+            (ConnectionEnd::GivenUp, _) => Outcome::Cancelled,
+            (_, false) => Outcome::NotConnected,
+            (ConnectionEnd::Silent | ConnectionEnd::Stalled, true) => Outcome::TimedOut,
+            (ConnectionEnd::Garbled | ConnectionEnd::NoMemory, true) => Outcome::Error,
+            (
+                ConnectionEnd::Closed | ConnectionEnd::Broken | ConnectionEnd::Idle | ConnectionEnd::Stopping,
+                true,
+            ) => Outcome::Reset,
+            // A connection that was never there has nothing written to it, nor has one that nothing was to begin on.
+            (
+                ConnectionEnd::Refused
+                | ConnectionEnd::NeverUp
+                | ConnectionEnd::Left
+                | ConnectionEnd::Unwanted,
+                true,
+            ) => Outcome::NotConnected,
+        }
+    }
+}
+
+pub fn of_trip<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
+    match end {
+        Ok((ServerReply::Completed { .. } | ServerReply::Streamed { .. }, _)) => Outcome::Ok,
+        Ok((ServerReply::Failed, _)) => Outcome::Error,
+        Ok((ServerReply::Overloaded, _)) => Outcome::Overloaded,
+        Err(lost) => lost.outcome(),
+    }
+}
+
+/// What a trip that took so long says of its server to other gateways; nothing where it is not the server's doing, or all may have
+/// too much to do.
+pub fn met<T>(took: Micros, end: &Result<(ServerReply, T), AttemptFailure>) -> Option<AttemptResult> {
+    match (of_trip(end), end) {
+        (Outcome::Ok, Ok((ServerReply::Streamed { .. }, _))) => Some(AttemptResult::Forwarded),
+        (Outcome::Ok, _) => Some(AttemptResult::Answered(took)),
+        (Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::NotConnected, _) => {
+            Some(AttemptResult::Failed)
+        }
+        (Outcome::Overloaded | Outcome::Cancelled | Outcome::NeverSent, _) => None,
+    }
+}
+
+pub fn of_probe<T>(end: &Result<T, AttemptFailure>) -> Outcome {
+    end.as_ref().map_or_else(|lost| lost.outcome(), |_| Outcome::Ok)
+}
+
+/// Of a call to the counter four things matter: its total, that nothing was added, that some may be, and then whether
+/// the counter had no time for an answer, or spoilt it or lost it with its connection.
+pub fn of_call(end: &Result<CounterTotal, AttemptFailure>) -> (Outcome, f64) {
+    match end {
+        Ok(CounterTotal::Total(total)) => (Outcome::Ok, *total),
+        Ok(CounterTotal::Full | CounterTotal::Error) => (Outcome::Overloaded, 0.0),
+        Err(AttemptFailure { how: ConnectionEnd::Silent, written: true }) => (Outcome::TimedOut, 0.0),
+        Err(lost) if lost.written => (Outcome::Error, 0.0),
+        Err(lost) => (lost.outcome(), 0.0),
+    }
+}
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -12,9 +12,9 @@
 
 use super::file::{self, Own, LEAST_SOCKETS};
 use super::log::Logging;
-use crate::fleet::{durable, mesh, owners, signals, subsets, trial};
-use crate::protocol::catalog::{self, Known, Members, SlicedReader};
-use crate::transport::clock::{between_slices, Wrong};
+use crate::fleet::{durable_store, leases, membership, outlier_detection, subsetting, trial_leases};
+use crate::protocol::catalog::{self, EndpointUpdate, KnownEndpoints, SlicedReader};
+use crate::transport::clock::{yield_between_slices, ClockFault};
 
 /// Names the platform's file.
 const FILE: &str = "BALANCER_CONFIG";
@@ -39,22 +39,22 @@
     pub outside: PlatformSettings,
     pub logging: Logging,
     /// The way to other gateways; absent, there is none.
-    pub mesh: Option<mesh::Settings>,
+    pub mesh: Option<membership::Settings>,
     /// Jobs of the fleet; absent, it has none.
-    pub owner: Option<owners::Settings>,
+    pub owner: Option<leases::Settings>,
     /// Servers are dealt out among the gateways; absent, each takes a row by its number.
-    pub subsets: Option<subsets::Settings>,
+    pub subsets: Option<subsetting::Settings>,
     /// Gateways tell each other what servers are like; absent, each finds out alone.
-    pub signals: Option<signals::Settings>,
+    pub signals: Option<outlier_detection::Settings>,
     /// Jobs of trials, and what is wrong with the store's folder in trials.
-    pub trial: Option<trial::Settings>,
-    pub folder_trial: durable::Trial,
+    pub trial: Option<trial_leases::Settings>,
+    pub folder_trial: durable_store::StoreFaults,
     /// Clocks that are wrong on purpose, in trials.
-    pub wrong: Wrong,
+    pub wrong: ClockFault,
     /// All that holds until the next start, whatever a later configuration says.
     pub fixed: Value,
     /// The servers as this gateway last knew them.
-    pub known: Option<Members>,
+    pub known: Option<EndpointUpdate>,
 }
 
 /// Where the configuration comes from. What the platform's file says wins over the other.
@@ -82,7 +82,7 @@
         let Some(known) = known else { return Ok(config) };
         let reader = SlicedReader::of(known.get().as_bytes());
         let mut reader = reader.map_err(|why| self.wrong(&why))?;
-        while reader.read_slice(&Known::default(), &config.outside) {}
+        while reader.read_slice(&KnownEndpoints::default(), &config.outside) {}
         self.with_known(config, reader)
     }
 
@@ -92,14 +92,14 @@
         let Some(known) = known else { return Ok(config) };
         let reader = SlicedReader::of(known.get().as_bytes());
         let mut reader = reader.map_err(|why| self.wrong(&why))?;
-        while reader.read_slice(&Known::default(), &config.outside) {
-            between_slices().await;
+        while reader.read_slice(&KnownEndpoints::default(), &config.outside) {
+            yield_between_slices().await;
         }
         self.with_known(config, reader)
     }
 
     fn with_known(&self, config: Config, reader: SlicedReader) -> Result<Config, Vec<String>> {
-        let known = reader.end(&mut Known::default()).map_err(|no| self.wrong(&no.why))?;
+        let known = reader.end(&mut KnownEndpoints::default()).map_err(|no| self.wrong(&no.reason))?;
         Ok(Config { known: Some(known), ..config })
     }
 
@@ -204,20 +204,20 @@
     };
     if let Some(owner) = &own.owner {
         let voter = owner
-            .voters
+            .acceptors
             .names
             .iter()
-            .chain(&owner.voters.previous_names)
+            .chain(&owner.acceptors.previous_names)
             .any(|voter| **voter == *text("name").unwrap_or_default());
         if own.mesh.is_none() {
             return Err("[owner] needs [mesh], by which gateways speak with each other".into());
         }
-        if owner.list && settings.list_poll_interval.unwrap_or(0) == 0 {
+        if owner.leases_endpoint_list && settings.list_poll_interval.unwrap_or(0) == 0 {
             return Err(
                 "'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'".into()
             );
         }
-        if voter && owner.folder.is_none() {
+        if voter && owner.directory.is_none() {
             let name = text("name")?;
             return Err(format!(
                 "'{name}' is among 'owner.voters': it needs [store], where promises are kept"
@@ -267,7 +267,10 @@
         trial: own.trial,
         folder_trial: own.folder_trial,
         wrong: own.wrong,
-        known: known.map(|known| catalog::members(known, &outside)).transpose().map_err(|no| no.why)?,
+        known: known
+            .map(|known| catalog::endpoint_update(known, &outside))
+            .transpose()
+            .map_err(|no| no.reason)?,
         outside,
     })
 }
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -15,22 +15,22 @@
 
 use super::log::{Form, Level, Logging};
 use super::reader::{At, Problem, Problems, Section};
-use crate::fleet::{durable, mesh, owners, signals, subsets, trial};
-use crate::transport::clock::Wrong;
+use crate::fleet::{durable_store, leases, membership, outlier_detection, subsetting, trial_leases};
+use crate::transport::clock::ClockFault;
 
 /// What a file says: the platform's form of it, and what that has no words for.
 #[derive(Debug, Default)]
 pub struct Own {
     pub config: Value,
     pub logging: Logging,
-    pub mesh: Option<mesh::Settings>,
-    pub owner: Option<owners::Settings>,
-    pub subsets: Option<subsets::Settings>,
-    pub signals: Option<signals::Settings>,
-    pub trial: Option<trial::Settings>,
-    pub folder_trial: durable::Trial,
+    pub mesh: Option<membership::Settings>,
+    pub owner: Option<leases::Settings>,
+    pub subsets: Option<subsetting::Settings>,
+    pub signals: Option<outlier_detection::Settings>,
+    pub trial: Option<trial_leases::Settings>,
+    pub folder_trial: durable_store::StoreFaults,
     /// Clocks that are wrong on purpose, in trials.
-    pub wrong: Wrong,
+    pub wrong: ClockFault,
 }
 
 const SECOND: Micros = 1_000_000;
@@ -197,7 +197,7 @@
     let signals = file.section("signals").map(|mut section| {
         let zone = own_zone(&mut section, &zones);
         section.end();
-        signals::Settings { zone }
+        outlier_detection::Settings { zone }
     });
     settings.insert("ceilings".into(), ceilings);
     settings.insert("specifics".into(), specifics);
@@ -209,19 +209,19 @@
 /// What is broken on purpose, and jobs that are there to be broken.
 #[derive(Default)]
 struct Trials {
-    wrong: Wrong,
-    folder: durable::Trial,
-    jobs: Option<trial::Settings>,
+    wrong: ClockFault,
+    folder: durable_store::StoreFaults,
+    jobs: Option<trial_leases::Settings>,
 }
 
 fn trials_section(section: &mut Section) -> Trials {
     let quota = section.size("folder-quota", 0..=MOST_MEMORY);
     let slow = section.time("folder-slow", 0..=DAY);
     let fails = section.flag("folder-fails").unwrap_or(false);
-    let folder = durable::Trial {
-        quota: quota.map(|quota| quota.value),
-        slow: Duration::from_micros(slow.map_or(0, |slow| slow.value)),
-        fails,
+    let folder = durable_store::StoreFaults {
+        quota_bytes: quota.map(|quota| quota.value),
+        sync_delay: Duration::from_micros(slow.map_or(0, |slow| slow.value)),
+        sync_fails: fails,
     };
     let jobs = section.names("jobs").unwrap_or_default();
     let every = section.time("effect-every", 1_000..=DAY).map_or(20_000, |every| every.value);
@@ -231,12 +231,12 @@
         section.problem(job.at, "'trials.jobs' need 'trials.effects', the address that is told of them");
     }
     let jobs = jobs.into_iter().map(|job| job.value.into()).collect();
-    let jobs = effects.map(|effects| trial::Settings { jobs, effects: effects.value, every, pause });
+    let jobs = effects.map(|effects| trial_leases::Settings { jobs, effects: effects.value, every, pause });
     Trials { wrong: clocks(section), folder, jobs }
 }
 
 /// Clocks that are wrong on purpose.
-fn clocks(section: &mut Section) -> Wrong {
+fn clocks(section: &mut Section) -> ClockFault {
     let ahead = section.time("clock-ahead", 0..=DAY);
     let behind = section.time("clock-behind", 0..=DAY);
     if let Some(behind) = behind.as_ref().filter(|_| ahead.is_some()) {
@@ -244,8 +244,8 @@
     }
     let pace = section.number("clock-pace", 0.5..=2.0);
     let time = |time: Option<At<Micros>>| time.map_or(0, |time| time.value as i64);
-    let right = Wrong::default();
-    Wrong {
+    let right = ClockFault::default();
+    ClockFault {
         ahead: time(ahead) - time(behind),
         pace: pace.map_or(right.pace, |pace| (pace.value * 1e6) as u64),
     }
@@ -286,7 +286,7 @@
     put(config, "seed", seed.map(|seed| seed.value));
 }
 
-fn mesh_section(section: &mut Section) -> Option<mesh::Settings> {
+fn mesh_section(section: &mut Section) -> Option<membership::Settings> {
     let listen = section.needed("listen", Section::address);
     let advertise = section.address("advertise");
     if let Some(told) = advertise.as_ref().filter(|told| told.value.ip().is_unspecified()) {
@@ -324,7 +324,7 @@
         section.problem(section.at(), "'mesh.keys' holds no key: the first seals, all of them open");
     }
     let listen = listen.filter(|_| !keys.is_empty());
-    listen.map(|listen| mesh::Settings { listen: listen.value, advertise, seeds, keys })
+    listen.map(|listen| membership::Settings { listen: listen.value, advertise, seeds, keys })
 }
 
 /// The least lease: some times what a letter there and back takes on a busy machine. And the longest that anybody would wait
@@ -338,8 +338,8 @@
 fn owner_section(
     section: &mut Section,
     folder: Option<&Path>,
-    trial: durable::Trial,
-) -> Option<owners::Settings> {
+    trial: durable_store::StoreFaults,
+) -> Option<leases::Settings> {
     let voters = section.needed("voters", Section::names)?;
     for voter in voters.iter().filter(|voter| voter.value.len() > MAX_NAME_BYTES) {
         section.problem(voter.at, format!("a voter's name has {MAX_NAME_BYTES} bytes at the most"));
@@ -366,17 +366,23 @@
     let names = |names: Vec<At<String>>| names.into_iter().map(|name| name.value.into()).collect();
     let voters = AcceptorSet { epoch: number, names: names(voters), previous_names: names(before) };
     let terms = LeaseTerms { duration: lease, max_drift_ppm: (drift * 1e6) as u64 };
-    Some(owners::Settings { voters, terms, list, folder: folder.map(Path::to_path_buf), trial })
+    Some(leases::Settings {
+        acceptors: voters,
+        terms,
+        leases_endpoint_list: list,
+        directory: folder.map(Path::to_path_buf),
+        store_faults: trial,
+    })
 }
 
 /// A server in the most subsets that anybody may mean.
 const MOST_LEAST: u64 = 10_000;
 
-fn subsets_section(section: &mut Section, zones: &[String]) -> subsets::Settings {
+fn subsets_section(section: &mut Section, zones: &[String]) -> subsetting::Settings {
     let usual = fernscale_subsetting::Settings::default().min_servers;
     let least = section.count("least", fernscale_subsetting::MIN_SUBSET_SIZE as u64..=MOST_LEAST);
     let least = least.map_or(usual, |least| least.value as usize);
-    subsets::Settings { least, zone: own_zone(section, zones) }
+    subsetting::Settings { min_servers: least, zone: own_zone(section, zones) }
 }
 
 /// Where this gateway stands.
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -19,21 +19,21 @@
 use slog::{info, warn, Logger};
 
 use super::config::{Config, Source, PASSED};
-use crate::fleet::list as fleet_list;
-use crate::fleet::mesh::{self, Mesh};
-use crate::fleet::owners::{self, Owners};
-use crate::fleet::signals;
-use crate::fleet::subsets::{self, Subsets};
-use crate::fleet::trial;
-use crate::routing::client::{Door, STILL_COMING};
-use crate::routing::counter::Counter;
-use crate::routing::figures::Figures;
-use crate::routing::handover::Link;
-use crate::routing::list::{self, List};
-use crate::routing::module::Module;
-use crate::routing::operator::{self, Desk};
-use crate::routing::{Event, Shared, MOST_EVENTS, MOST_ORDERS};
-use crate::transport::clock::{micros, Clock, Wrong};
+use crate::counter::Counter;
+use crate::discovery::{self, List};
+use crate::dispatcher::Module;
+use crate::downstream::{Door, STILL_COMING};
+use crate::fleet::endpoint_list as fleet_list;
+use crate::fleet::leases::{self, Leases};
+use crate::fleet::membership::{self, Membership};
+use crate::fleet::outlier_detection;
+use crate::fleet::subsetting::{self, Subsetting};
+use crate::fleet::trial_leases;
+use crate::hot_restart::Link;
+use crate::operator::metrics::Metrics;
+use crate::operator::{self, Desk};
+use crate::shared::{Event, Shared, MAX_QUEUED_EVENTS, MAX_QUEUED_ORDERS};
+use crate::transport::clock::{micros, Clock, ClockFault};
 use crate::transport::limits::{Limits, OPERATORS};
 
 /// Connections that may wait to be accepted. Beyond it the system drops what a client sends to connect, which it
@@ -63,8 +63,8 @@
     log: Logger,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    config.wrong.starts();
-    if config.wrong != Wrong::default() {
+    config.wrong.install();
+    if config.wrong != ClockFault::default() {
         warn!(log, #"trial.clock", "this process's clocks are wrong on purpose"; "ahead_us" => config.wrong.ahead,
             "pace_millionths" => config.wrong.pace);
     }
@@ -89,28 +89,28 @@
             config.memory_mb,
             operators.as_ref().map_or(0, |_| OPERATORS + 1),
         ),
-        figures: Figures::new(&config.outside.class_names),
+        metrics: Metrics::new(&config.outside.class_names),
         cordoned: RefCell::default(),
-        starts: RefCell::default(),
-        left: RefCell::default(),
-        outside: config.outside,
-        tightened: Default::default(),
-        list_fresh_until: Cell::new(Micros::MAX),
+        start_times: RefCell::default(),
+        draining: RefCell::default(),
+        platform: config.outside,
+        limits_lowered: Default::default(),
+        endpoints_fresh_until: Cell::new(Micros::MAX),
         ready: Cell::new(false),
         listening: Cell::new(false),
-        stopping: Cell::new(None),
-        next_wrong: Cell::new(Instant::now()),
-        tickets: Cell::new(0),
-        handover: OnceCell::new(),
-        speaks: config.mesh.is_some(),
-        untold: RefCell::default(),
-        mesh: OnceCell::new(),
-        owners: OnceCell::new(),
-        subsets: OnceCell::new(),
-        signals: OnceCell::new(),
+        shutting_down_since: Cell::new(None),
+        next_protocol_error: Cell::new(Instant::now()),
+        next_ticket: Cell::new(0),
+        hot_restart: OnceCell::new(),
+        joins_membership: config.mesh.is_some(),
+        undelivered_updates: RefCell::default(),
+        membership: OnceCell::new(),
+        leases: OnceCell::new(),
+        subsetting: OnceCell::new(),
+        outlier_detection: OnceCell::new(),
     });
-    let (events, mailbox) = async_channel::bounded(MOST_EVENTS);
-    let (list, orders) = async_channel::bounded(MOST_ORDERS);
+    let (events, mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
+    let (list, orders) = async_channel::bounded(MAX_QUEUED_ORDERS);
     let index = config.known.as_ref().filter(|known| !known.servers.is_empty()).map(|known| known.index);
     let fleet = Fleet {
         owner: config.owner,
@@ -118,7 +118,7 @@
         signals: config.signals,
         subsets: config.subsets.map(|settings| {
             let (number, gateways) = (config.settings.gateway_index, config.settings.gateway_count);
-            let me = subsets::Me {
+            let me = subsetting::LocalGateway {
                 name: config.name.clone(),
                 number,
                 gateways,
@@ -127,9 +127,9 @@
             (settings, me)
         }),
         events: events.clone(),
-        list: fleet_list::Needs {
-            within: config.settings.list_poll_interval.unwrap_or(0),
-            known: index,
+        list: fleet_list::EndpointListConfig {
+            poll_interval: config.settings.list_poll_interval.unwrap_or(0),
+            known_index: index,
             orders: list.clone(),
             events: events.clone(),
         },
@@ -137,7 +137,7 @@
     if config.mesh.is_none() {
         fleet.starts_alone(&shared);
     } else if let Some(settings) = &config.mesh {
-        match Mesh::start(&shared, &config.name, config.settings.gateway_count, settings) {
+        match Membership::start(&shared, &config.name, config.settings.gateway_count, settings) {
             Ok(mesh) => fleet.starts(&shared, mesh),
             // The other process of this gateway speaks for it until it ends.
             Err(error) if error.kind() == ErrorKind::AddrInUse && config.passed.is_some() => {
@@ -158,7 +158,7 @@
     let counter = config.counter.map(|address| Counter::start(&shared, &events, address));
     executor.spawn(List::new(&shared, &events, config.discovery, index).run(orders)).detach();
     if config.settings.list_poll_interval.is_none() {
-        let _ = list.try_send(list::Order::Follow(true));
+        let _ = list.try_send(discovery::Order::Follow(true));
     }
     let module = Module::new(&shared, config.settings, &events, counter, list.clone());
     let (order, ordered) = async_channel::bounded(operator::MOST_ORDERS);
@@ -178,7 +178,8 @@
     let opens = async move {
         // Whoever else listens there serves clients meanwhile.
         let began = Instant::now();
-        let settled = || waits.handover.get().is_some_and(|link| link.settled()) || began.elapsed() > SETTLED;
+        let settled =
+            || waits.hot_restart.get().is_some_and(|link| link.settled()) || began.elapsed() > SETTLED;
         while shares && !(waits.ready.get() && settled()) {
             Timer::after(LOOK).await;
         }
@@ -207,40 +208,45 @@
 
 /// What this gateway does together with the others, once it speaks with them.
 struct Fleet {
-    owner: Option<owners::Settings>,
-    trial: Option<trial::Settings>,
-    signals: Option<signals::Settings>,
-    subsets: Option<(subsets::Settings, subsets::Me)>,
+    owner: Option<leases::Settings>,
+    trial: Option<trial_leases::Settings>,
+    signals: Option<outlier_detection::Settings>,
+    subsets: Option<(subsetting::Settings, subsetting::LocalGateway)>,
     events: Sender<Event>,
-    list: fleet_list::Needs,
+    list: fleet_list::EndpointListConfig,
 }
 
 impl Fleet {
-    fn starts(self, shared: &Rc<Shared>, mesh: Rc<Mesh>) {
-        let _ = shared.mesh.set(mesh.clone());
+    fn starts(self, shared: &Rc<Shared>, mesh: Rc<Membership>) {
+        let _ = shared.membership.set(mesh.clone());
         if let Some((settings, me)) = self.subsets {
-            let subsets = Subsets::start(shared, Some(&mesh), settings, me, self.events.clone());
-            let _ = shared.subsets.set(subsets);
+            let subsets = Subsetting::start(shared, Some(&mesh), settings, me, self.events.clone());
+            let _ = shared.subsetting.set(subsets);
         }
         if let Some(settings) = self.signals {
-            let _ = shared.signals.set(signals::Signals::start(shared, &mesh, settings, self.events));
+            let _ = shared.outlier_detection.set(outlier_detection::OutlierDetection::start(
+                shared,
+                &mesh,
+                settings,
+                self.events,
+            ));
         }
         let Some(settings) = self.owner else { return };
-        let by_owner = settings.list;
-        let owners = Owners::start(shared, &mesh, settings);
-        let _ = shared.owners.set(owners.clone());
+        let by_owner = settings.leases_endpoint_list;
+        let owners = Leases::start(shared, &mesh, settings);
+        let _ = shared.leases.set(owners.clone());
         if by_owner {
             fleet_list::start(shared, &mesh, &owners, self.list);
         }
         if let Some(settings) = &self.trial {
-            trial::start(shared, &owners, settings);
+            trial_leases::start(shared, &owners, settings);
         }
     }
 
     /// The same where gateways have no way to each other.
     fn starts_alone(self, shared: &Rc<Shared>) {
         if let Some((settings, me)) = self.subsets {
-            let _ = shared.subsets.set(Subsets::start(shared, None, settings, me, self.events));
+            let _ = shared.subsetting.set(Subsetting::start(shared, None, settings, me, self.events));
         }
     }
 }
@@ -250,14 +256,14 @@
     shared: Rc<Shared>,
     name: String,
     gateways: u32,
-    settings: mesh::Settings,
+    settings: membership::Settings,
     fleet: Fleet,
 ) {
     loop {
         Timer::after(LOOK).await;
-        match Mesh::start(&shared, &name, gateways, &settings) {
+        match Membership::start(&shared, &name, gateways, &settings) {
             Ok(mesh) => {
-                mesh.tells(shared.untold.take());
+                mesh.deliver(shared.undelivered_updates.take());
                 return fleet.starts(&shared, mesh);
             }
             Err(error) if error.kind() == ErrorKind::AddrInUse => {}
@@ -314,23 +320,23 @@
         new: Config,
         shared: &Rc<Shared>,
         events: &Sender<Event>,
-        list: &Sender<list::Order>,
+        list: &Sender<discovery::Order>,
     ) {
-        new.wrong.steps();
-        if let Some((mesh, settings)) = shared.mesh.get().zip(new.mesh.as_ref()) {
-            mesh.turn(&settings.keys);
+        new.wrong.step();
+        if let Some((mesh, settings)) = shared.membership.get().zip(new.mesh.as_ref()) {
+            mesh.set_keys(&settings.keys);
         }
-        if let Some(owners) = shared.owners.get() {
-            owners.turn(new.folder_trial);
+        if let Some(owners) = shared.leases.get() {
+            owners.set_store_faults(new.folder_trial);
         }
         if new.counter != self.counter {
             self.counter = new.counter;
             let counter = new.counter.map(|address| Counter::start(shared, events, address));
-            drop(events.send(Event::Counter(counter)).await);
+            drop(events.send(Event::CounterReplaced(counter)).await);
         }
         if new.discovery != self.discovery {
             self.discovery = new.discovery;
-            drop(list.send(list::Order::Move(new.discovery)).await);
+            drop(list.send(discovery::Order::Move(new.discovery)).await);
         }
         info!(shared.log, #"config.used", "the new configuration is used"; "discovery" => new.discovery.to_string(),
             "counter" => new.counter.map(|counter| counter.to_string()),
@@ -342,38 +348,39 @@
 /// this listener, no transaction is open, and each client's connection has ended, quiet after the last word on it.
 async fn end(shared: &Shared, stay: Sender<()>, listener: Option<Rc<Async<TcpListener>>>) {
     let began = Instant::now();
-    let open = shared.limits.open.taken();
-    info!(shared.log, #"gateway.ends", "ends"; "open" => open, "clients" => shared.limits.clients.taken());
-    shared.stopping.set(Some(began));
-    if let Some(link) = shared.handover.get() {
+    let open = shared.limits.open.used();
+    info!(shared.log, #"gateway.ends", "ends"; "open" => open, "clients" => shared.limits.clients.used());
+    shared.shutting_down_since.set(Some(began));
+    if let Some(link) = shared.hot_restart.get() {
         link.ends();
     }
-    if let Some(owners) = shared.owners.get() {
-        owners.end();
+    if let Some(owners) = shared.leases.get() {
+        owners.shut_down();
     }
     // Where another process has this gateway from now on, it has its servers as well.
-    if let Some(subsets) = shared.subsets.get().filter(|_| shared.handover.get().is_none()) {
-        subsets.end();
+    if let Some(subsets) = shared.subsetting.get().filter(|_| shared.hot_restart.get().is_none()) {
+        subsets.shut_down();
     }
     stay.close();
     let mut stays_in_mesh = true;
-    let most = STILL_COMING + Duration::from_micros(shared.outside.max_client_wait);
+    let most = STILL_COMING + Duration::from_micros(shared.platform.max_client_wait);
     loop {
         Timer::after(LOOK).await;
         let over = began.elapsed();
         let limits = &shared.limits;
-        let quiet = limits.open.taken() + limits.clients.taken() + limits.turned_away.taken() == 0;
+        let quiet = limits.open.used() + limits.clients.used() + limits.turned_away.used() == 0;
         if over >= STILL_COMING && stays_in_mesh {
             stays_in_mesh = false;
-            if let Some(mesh) = shared.mesh.get() {
+            if let Some(mesh) = shared.membership.get() {
                 mesh.leave();
             }
         }
-        let said = shared.mesh.get().is_none_or(|mesh| mesh.said_all()) || over >= STILL_COMING + HEARD;
+        let said =
+            shared.membership.get().is_none_or(|mesh| mesh.is_fully_told()) || over >= STILL_COMING + HEARD;
         // Nothing is waited for between this look at who comes and the end of the process.
         let quiet = quiet && !listener.as_ref().is_some_and(|listener| comes(listener));
         if over >= most || over >= STILL_COMING && quiet && said {
-            let open = shared.limits.open.taken();
+            let open = shared.limits.open.used();
             info!(shared.log, #"gateway.ended", "has ended"; "open" => open, "took_ms" => micros(over) / (1000 as Micros));
             return;
         }
--- a/crates/gateway/src/protocol/call.rs
+++ b/crates/gateway/src/protocol/call.rs
@@ -22,39 +22,39 @@
 /// A transaction as it came in, kept in the form in which it is passed on.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub transaction: Request,
+    pub request: Request,
     verb: Box<[u8]>,
     /// The names and values, in two halves: between them stands how long the answer is waited for.
     before: Box<str>,
     after: Box<str>,
     body: Option<Box<[u8]>>,
     /// The client has gone: nothing is begun for it any more.
-    pub gone: Rc<Cell<bool>>,
+    pub client_gone: Rc<Cell<bool>>,
 }
 
 /// The final answer to a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    Settled(Box<[u8]>),
-    Nacked(Micros),
-    Abandoned,
+pub enum FinalAnswer {
+    Completed(Box<[u8]>),
+    Rejected(Micros),
+    Failed,
     /// It could not be taken as it was asked.
-    Misasked(&'static str),
+    Malformed(&'static str),
 }
 
 /// What a server said to a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
-    Settled {
+pub enum ServerReply {
+    Completed {
         value: Box<[u8]>,
         units: Option<f64>,
     },
     /// Its value has been passed on as it came.
-    Passed {
+    Streamed {
         units: Option<f64>,
     },
     Failed,
-    Full,
+    Overloaded,
 }
 
 /// Bytes of a long value that have to be there before any is passed on: more than a spoilt answer of usual size has.
@@ -130,7 +130,7 @@
         return Err("no transaction takes so many units".into());
     }
     Ok(Call {
-        transaction: Request {
+        request: Request {
             id: Id::from(id),
             class: lane.ok_or("the list has no 'c'")?,
             plan,
@@ -144,7 +144,7 @@
         before: list[..place.start].into(),
         after: list[place.end..].into(),
         body: body.map(Into::into),
-        gone: Rc::default(),
+        client_gone: Rc::default(),
     })
 }
 
@@ -166,7 +166,7 @@
     /// The command for a server, with how long its answer is waited for.
     pub fn command(&self, limit: Micros) -> Vec<u8> {
         let list = format!("{}{}{}", self.before, limit.div_ceil(1000).max(1), self.after);
-        let asked = &self.transaction;
+        let asked = &self.request;
         let mut words = vec![&*self.verb, asked.tenant.as_bytes(), asked.id.as_bytes(), list.as_bytes()];
         words.extend(self.body.as_deref());
         write_command(&words)
@@ -175,22 +175,22 @@
     /// Bytes that it holds.
     pub fn weight(&self) -> usize {
         let body = self.body.as_ref().map_or(0, |body| body.len());
-        body + self.before.len() + self.after.len() + self.transaction.id.len()
+        body + self.before.len() + self.after.len() + self.request.id.len()
     }
 }
 
-impl Answer {
+impl FinalAnswer {
     pub fn write(&self) -> Vec<u8> {
         match self {
-            Answer::Settled(value) => {
+            FinalAnswer::Completed(value) => {
                 let mut bytes = Vec::with_capacity(value.len() + 16);
                 write_bulk(&mut bytes, value);
                 bytes
             }
-            Answer::Nacked(wait) if *wait >= 1000 => format!("-BUSY {}\r\n", wait / 1000).into_bytes(),
-            Answer::Nacked(_) => b"-BUSY\r\n".to_vec(),
-            Answer::Abandoned => error("abandoned"),
-            Answer::Misasked(why) => error(why),
+            FinalAnswer::Rejected(wait) if *wait >= 1000 => format!("-BUSY {}\r\n", wait / 1000).into_bytes(),
+            FinalAnswer::Rejected(_) => b"-BUSY\r\n".to_vec(),
+            FinalAnswer::Failed => error("abandoned"),
+            FinalAnswer::Malformed(why) => error(why),
         }
     }
 }
@@ -202,14 +202,14 @@
 
 /// What a server's reply says, and the load it reports. A value that has come whole is good, whatever stands behind
 /// it: where that can't be read, or `ended` says that it won't come, the value goes without.
-pub fn said(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<(Said, LoadReport)> {
+pub fn said(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<(ServerReply, LoadReport)> {
     match resp::reply(bytes) {
         Ok(Some((reply, length))) => Ok(Some((meaning(&reply, names)?, length))),
         Ok(None) if !ended && bytes.starts_with(b"*") => Ok(resp::first(bytes)?.and(None)),
         Ok(None) if !ended => Ok(None),
         other => match resp::first(bytes)? {
             Some((value, _)) if ended => {
-                let settled = Said::Settled { value: value.into(), units: None };
+                let settled = ServerReply::Completed { value: value.into(), units: None };
                 Ok(Some(((settled, LoadReport::default()), bytes.len())))
             }
             _ => other.map(|_| None),
@@ -219,7 +219,7 @@
 
 /// What has come of a server's reply.
 pub enum Came {
-    Whole((Said, LoadReport)),
+    Whole((ServerReply, LoadReport)),
     Opens(Opening),
 }
 
@@ -235,13 +235,18 @@
 
 /// What stands behind a value that has been passed on: its line end, and the rest of the array. Where only the former
 /// can be read, the value goes without the rest.
-pub fn behind(bytes: &[u8], rest: usize, ended: bool, names: &[String]) -> Scanned<(Said, LoadReport)> {
-    let plain = (Said::Passed { units: None }, LoadReport::default());
+pub fn behind(
+    bytes: &[u8],
+    rest: usize,
+    ended: bool,
+    names: &[String],
+) -> Scanned<(ServerReply, LoadReport)> {
+    let plain = (ServerReply::Streamed { units: None }, LoadReport::default());
     match bytes {
         [b'\r', b'\n', behind @ ..] => match resp::items(behind, rest) {
             Ok(Some((items, length))) => {
                 let (units, load) = report(&items, names);
-                Ok(Some(((Said::Passed { units }, load), length + 2)))
+                Ok(Some(((ServerReply::Streamed { units }, load), length + 2)))
             }
             Ok(None) if !ended => Ok(None),
             _ => Ok(Some((plain, bytes.len()))),
@@ -262,18 +267,18 @@
     (units, load(text(1), names))
 }
 
-fn meaning(reply: &Reply, names: &[String]) -> Result<(Said, LoadReport), &'static str> {
+fn meaning(reply: &Reply, names: &[String]) -> Result<(ServerReply, LoadReport), &'static str> {
     match reply {
         Reply::Array(Some(items)) => {
             let Some(Reply::Bulk(Some(value))) = items.first() else { return Err("no value in an answer") };
             let (units, load) = report(&items[1..], names);
-            Ok((Said::Settled { value: (*value).into(), units }, load))
+            Ok((ServerReply::Completed { value: (*value).into(), units }, load))
         }
         Reply::Error(line) => {
             let line = std::str::from_utf8(line).unwrap_or_default();
             let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
             let report = load(rest.rsplit(' ').next().unwrap_or_default(), names);
-            Ok((if word == "BUSY" { Said::Full } else { Said::Failed }, report))
+            Ok((if word == "BUSY" { ServerReply::Overloaded } else { ServerReply::Failed }, report))
         }
         _ => Err("neither an answer nor an error"),
     }
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -11,7 +11,7 @@
 
 /// The whole list, or what changed in it.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct EndpointUpdate {
     pub index: u64,
     pub full: bool,
     /// The first from another discovery than the one before: its versions are of another row.
@@ -23,10 +23,10 @@
 /// Why an answer is refused whole: nothing in it is taken for known. But what it says to leave is left all the same. Danger: a
 /// drain in an answer that can't be read otherwise counts as told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
-    pub why: String,
+pub struct ListError {
+    pub reason: String,
     pub index: Option<u64>,
-    pub leaving: Vec<Id>,
+    pub draining: Vec<Id>,
 }
 
 /// Latest time of a start that is believed, in milliseconds: later ones would run over the clock.
@@ -41,7 +41,7 @@
 }
 
 /// Reads an answer that has been parsed whole.
-pub fn members(from: &Value, outside: &PlatformSettings) -> Result<Members, Refused> {
+pub fn endpoint_update(from: &Value, outside: &PlatformSettings) -> Result<EndpointUpdate, ListError> {
     let mut reading = Reading::default();
     let entries = from.get("endpoints").and_then(Value::as_array);
     match entries {
@@ -70,7 +70,7 @@
 
 /// Entries of the last whole list by their texts: most of the next one are the same to the letter, and are not parsed again.
 #[derive(Default)]
-pub struct Known(HashMap<Box<str>, Entry>);
+pub struct KnownEndpoints(HashMap<Box<str>, Entry>);
 
 /// What has been read of an answer.
 #[derive(Default)]
@@ -99,7 +99,7 @@
     }
 
     /// Reads an entry by its text.
-    fn take_text(&mut self, text: &RawValue, known: &Known, outside: &PlatformSettings) {
+    fn take_text(&mut self, text: &RawValue, known: &KnownEndpoints, outside: &PlatformSettings) {
         if let Some(entry) = known.0.get(text.get()).cloned() {
             if entry.0.state != EndpointState::Ready {
                 self.leaving.push(entry.0.server.clone());
@@ -131,7 +131,7 @@
         self.why.get_or_insert(why);
     }
 
-    fn end(mut self, index: Option<u64>, full: Option<bool>) -> Result<Members, Refused> {
+    fn end(mut self, index: Option<u64>, full: Option<bool>) -> Result<EndpointUpdate, ListError> {
         if let Some(why) = self.twice.take() {
             self.refuse(why);
         }
@@ -143,9 +143,11 @@
         }
         match (self.why, index, full) {
             (None, Some(index), Some(full)) => {
-                Ok(Members { index, full, moved: false, servers: self.servers })
+                Ok(EndpointUpdate { index, full, moved: false, servers: self.servers })
+            }
+            (why, index, _) => {
+                Err(ListError { reason: why.unwrap_or_default(), index, draining: self.leaving })
             }
-            (why, index, _) => Err(Refused { why: why.unwrap_or_default(), index, leaving: self.leaving }),
         }
     }
 }
@@ -172,7 +174,7 @@
     }
 
     /// Reads the next entries; whether there are more behind them.
-    pub fn read_slice(&mut self, known: &Known, outside: &PlatformSettings) -> bool {
+    pub fn read_slice(&mut self, known: &KnownEndpoints, outside: &PlatformSettings) -> bool {
         let entries = self.outline.endpoints.as_deref().unwrap_or_default();
         let rest = entries.get(self.next..).unwrap_or_default();
         let slice = &rest[..rest.len().min(ENTRIES_A_SLICE)];
@@ -182,7 +184,7 @@
     }
 
     /// What was read. Of a whole list the texts are known from now on.
-    pub fn end(mut self, known: &mut Known) -> Result<Members, Refused> {
+    pub fn end(mut self, known: &mut KnownEndpoints) -> Result<EndpointUpdate, ListError> {
         if self.outline.endpoints.is_none() {
             self.reading.refuse(NO_ENDPOINTS.into());
         }
--- a/crates/gateway/src/transport/buffer.rs
+++ b/crates/gateway/src/transport/buffer.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use super::ending::Ending;
-use super::limits::{Place, Places};
+use super::ending::ConnectionEnd;
+use super::limits::{Reservation, Slots};
 
 /// First size, and the size kept while nothing is in it: most messages fit.
 const BASE: usize = 1024;
@@ -16,12 +16,12 @@
     end: usize,
     most: usize,
     since: Instant,
-    all: Option<Places>,
-    place: Option<Place>,
+    all: Option<Slots>,
+    place: Option<Reservation>,
 }
 
 impl Buffer {
-    pub fn new(most: usize, all: Option<Places>) -> Self {
+    pub fn new(most: usize, all: Option<Slots>) -> Self {
         Buffer { bytes: Vec::new(), start: 0, end: 0, most, since: Instant::now(), all, place: None }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Room for more at the end; none once a limit is reached.
-    pub fn room(&mut self) -> Result<&mut [u8], Ending> {
+    pub fn spare(&mut self) -> Result<&mut [u8], ConnectionEnd> {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
@@ -61,18 +61,18 @@
         if self.end == self.bytes.len() {
             let size = (2 * self.bytes.len()).max(BASE).min(self.most);
             if size == self.bytes.len() {
-                return Err(Ending::Garbled);
+                return Err(ConnectionEnd::Garbled);
             }
             if let Some(all) = self.all.as_ref().filter(|_| size > BASE) {
                 let grown = match &mut self.place {
                     Some(place) => all.resize(place, size),
                     none => {
-                        *none = all.take(size);
+                        *none = all.reserve(size);
                         none.is_some()
                     }
                 };
                 if !grown {
-                    return Err(Ending::NoMemory);
+                    return Err(ConnectionEnd::NoMemory);
                 }
             }
             self.bytes.resize(size, 0);
@@ -81,7 +81,7 @@
     }
 
     /// Says that so many bytes of the room have been written.
-    pub fn filled_up(&mut self, count: usize) {
+    pub fn advance(&mut self, count: usize) {
         if self.is_empty() {
             self.since = Instant::now();
         }
--- a/crates/gateway/src/transport/clock.rs
+++ b/crates/gateway/src/transport/clock.rs
@@ -8,7 +8,7 @@
 use fernscale_policy::Micros;
 use futures_lite::future;
 
-use super::wall::WallClock;
+use super::wall_clock::WallClock;
 
 /// Part of the time gone by that the clock may be set forth or back by: intervals come out right to that part.
 const SLEW: i64 = 64;
@@ -21,28 +21,28 @@
 
 /// Clocks that are wrong on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ClockFault {
     /// Microseconds that the shared clock is ahead; behind, where it is below 0. It may step while the gateway runs.
     pub ahead: i64,
     /// Millionths of a second that the even clock counts in a true second; it is set once, at the start.
     pub pace: u64,
 }
 
-impl Default for Wrong {
+impl Default for ClockFault {
     fn default() -> Self {
-        Wrong { ahead: 0, pace: RIGHT }
+        ClockFault { ahead: 0, pace: RIGHT }
     }
 }
 
-impl Wrong {
+impl ClockFault {
     /// Sets the clocks of this process.
-    pub fn starts(self) {
+    pub fn install(self) {
         PACE.store(self.pace, Ordering::Relaxed);
-        self.steps();
+        self.step();
     }
 
     /// Sets the shared clock alone, as when somebody corrects it.
-    pub fn steps(self) {
+    pub fn step(self) {
         AHEAD.store(self.ahead, Ordering::Relaxed);
     }
 }
@@ -82,7 +82,7 @@
     }
 
     pub fn now(&self) -> Micros {
-        let (since, shared) = (self.even() as i64, shared());
+        let (since, shared) = (self.monotonic() as i64, shared());
         self.wall.borrow_mut().look(since as Micros, shared);
         let ahead = follow(self.ahead.get(), since, shared);
         self.ahead.set((ahead, since));
@@ -92,23 +92,23 @@
     /// How long ago a time was that another machine tells by the shared clock, µs: the least that it may be, as that clock may have
     /// been set meanwhile, here or there.
     pub fn least_age(&self, unix: Micros) -> Micros {
-        let even = self.even();
+        let even = self.monotonic();
         self.wall.borrow_mut().look(even, shared());
         self.wall.borrow().least_age(even, unix)
     }
 
     /// Time since the start by the even clock alone, which nobody can set.
-    pub fn even(&self) -> Micros {
+    pub fn monotonic(&self) -> Micros {
         paced(micros(self.start.elapsed()))
     }
 
     /// The instant of a time told by this clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.even_instant((at as i64 - self.ahead.get().0).max(0) as u64)
+        self.monotonic_instant((at as i64 - self.ahead.get().0).max(0) as u64)
     }
 
     /// The instant of a time told by the even clock.
-    pub fn even_instant(&self, at: Micros) -> Instant {
+    pub fn monotonic_instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(true_span(at))
     }
 }
@@ -119,13 +119,13 @@
 }
 
 /// Time by a clock that nobody can set and that goes on while the machine sleeps. It says nothing but how much has gone by.
-pub fn awake_or_not() -> Micros {
+pub fn boottime() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     paced(time.tv_sec.unsigned_abs() * 1_000_000 + time.tv_nsec.unsigned_abs() / 1_000)
 }
 
 /// The true span for one that was told by that clock.
-pub fn until(span: Micros) -> Duration {
+pub fn real_duration(span: Micros) -> Duration {
     Duration::from_micros(true_span(span))
 }
 
@@ -142,18 +142,18 @@
 
 /// A timer for the earliest of several things, which change more often than they come due. It is not put off, as
 /// each setting costs calls to the system: it may ring early, and whoever waits then looks again.
-pub struct Alarm {
+pub struct DeadlineTimer {
     timer: Timer,
     at: Option<Instant>,
 }
 
-impl Alarm {
+impl DeadlineTimer {
     pub fn new() -> Self {
-        Alarm { timer: Timer::never(), at: None }
+        DeadlineTimer { timer: Timer::never(), at: None }
     }
 
     /// Waits until the time given at the latest; for ever where there is none.
-    pub async fn ring(&mut self, by: Option<Instant>) {
+    pub async fn wait(&mut self, by: Option<Instant>) {
         let Some(by) = by else { return future::pending().await };
         if self.at.is_none_or(|at| by < at) {
             self.timer.set_at(by);
@@ -164,9 +164,9 @@
     }
 }
 
-impl Default for Alarm {
+impl Default for DeadlineTimer {
     fn default() -> Self {
-        Alarm::new()
+        DeadlineTimer::new()
     }
 }
 
@@ -175,7 +175,7 @@
 const BETWEEN_SLICES: Duration = Duration::from_micros(100);
 
 /// Lets everything else have its turn.
-pub async fn between_slices() {
+pub async fn yield_between_slices() {
     Timer::after(BETWEEN_SLICES).await;
 }
 
--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -11,10 +11,10 @@
 use rustix::event::{self, PollFd, PollFlags, Timespec};
 
 use super::buffer::Buffer;
-use super::calls::{dialled, uninterrupted};
-use super::ending::Ending;
-use super::limits::Place;
+use super::ending::ConnectionEnd;
+use super::limits::Reservation;
 use super::stream::write_all;
+use super::syscall::{dialled, uninterrupted};
 use crate::protocol::Scanned;
 
 /// Bytes of a long value that are passed on at a time. A value takes three such pieces, one on each side and one between
@@ -33,51 +33,51 @@
     pub used: Instant,
     /// What comes on it can't be told apart any more.
     pub spoilt: bool,
-    place: Option<Place>,
+    place: Option<Reservation>,
     /// Where it was dialled to.
     to: Option<SocketAddr>,
 }
 
 impl Connection {
-    pub fn new(stream: Async<TcpStream>, buffer: Buffer, place: Option<Place>) -> Self {
+    pub fn new(stream: Async<TcpStream>, buffer: Buffer, place: Option<Reservation>) -> Self {
         // Messages are small and each is waited for.
         let _ = stream.get_ref().set_nodelay(true);
         Connection { stream, buffer, used: Instant::now(), spoilt: false, place, to: None }
     }
 
-    pub async fn dial(
+    pub async fn connect(
         to: SocketAddr,
         limit: Duration,
         buffer: Buffer,
-        place: Option<Place>,
-    ) -> Result<Self, Ending> {
+        place: Option<Reservation>,
+    ) -> Result<Self, ConnectionEnd> {
         let dial = async {
-            dialled(|| Async::<TcpStream>::connect(to)).await.map_err(|error| Ending::of_dial(&error))
+            dialled(|| Async::<TcpStream>::connect(to)).await.map_err(|error| ConnectionEnd::of_dial(&error))
         };
-        let stream = within(Instant::now() + limit, Ending::NeverUp, dial).await?;
+        let stream = within(Instant::now() + limit, ConnectionEnd::NeverUp, dial).await?;
         Ok(Connection { to: Some(to), ..Connection::new(stream, buffer, place) })
     }
 
     /// Waits for more bytes. May be dropped at any time without losing any.
-    pub async fn read(&mut self) -> Result<(), Ending> {
+    pub async fn read(&mut self) -> Result<(), ConnectionEnd> {
         read(&self.stream, &mut self.buffer).await
     }
 
     /// Waits for the other side to end. What comes meanwhile is kept as far as there is room, and what is more stays unread.
-    pub async fn ended(&mut self) -> Ending {
+    pub async fn closed(&mut self) -> ConnectionEnd {
         ended(&self.stream, &mut self.buffer).await
     }
 
     /// Writes all, as [`Connection::write`] does, and gives up as soon as the other side has ended.
-    pub async fn write_while_there(&mut self, bytes: &[u8]) -> Result<(), Ending> {
+    pub async fn write_unless_closed(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         self.used = Instant::now();
         let Connection { stream, buffer, .. } = self;
-        let write = async { write_all(stream, bytes).await.map_err(|_| Ending::Broken) };
+        let write = async { write_all(stream, bytes).await.map_err(|_| ConnectionEnd::Broken) };
         future::or(write, async { Err(ended(stream, buffer).await) }).await
     }
 
     /// The next bytes of a long value, `most` of them at most and as many as a piece has.
-    pub async fn piece(&mut self, most: usize) -> Result<Vec<u8>, Ending> {
+    pub async fn read_chunk(&mut self, most: usize) -> Result<Vec<u8>, ConnectionEnd> {
         let most = most.min(PIECE);
         if !self.buffer.is_empty() {
             let filled = self.buffer.filled();
@@ -87,27 +87,27 @@
         }
         let mut piece = vec![0; most];
         match self.stream.read_with(|mut stream| uninterrupted(|| stream.read(&mut piece))).await {
-            Ok(0) => Err(Ending::Closed),
+            Ok(0) => Err(ConnectionEnd::Closed),
             Ok(count) => {
                 piece.truncate(count);
                 Ok(piece)
             }
-            Err(_) => Err(Ending::Broken),
+            Err(_) => Err(ConnectionEnd::Broken),
         }
     }
 
     /// Writes all; the last byte is written only if this succeeds.
-    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), Ending> {
+    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         self.used = Instant::now();
-        write_all(&self.stream, bytes).await.map_err(|_| Ending::Broken)
+        write_all(&self.stream, bytes).await.map_err(|_| ConnectionEnd::Broken)
     }
 
-    pub fn goes_to(&self, address: SocketAddr) -> bool {
+    pub fn is_connected_to(&self, address: SocketAddr) -> bool {
         self.to == Some(address)
     }
 
     /// Stands in another place from now on; the one that it had is free.
-    pub fn moves_to(&mut self, place: Place) {
+    pub fn move_reservation(&mut self, place: Reservation) {
         self.place = Some(place);
     }
 
@@ -122,33 +122,33 @@
         mut scan: impl FnMut(&[u8]) -> Scanned<T>,
         until: Instant,
         piece: Duration,
-    ) -> Result<T, Ending> {
+    ) -> Result<T, ConnectionEnd> {
         loop {
-            if let Some((message, length)) = scan(self.buffer.filled()).map_err(|_| Ending::Garbled)? {
+            if let Some((message, length)) = scan(self.buffer.filled()).map_err(|_| ConnectionEnd::Garbled)? {
                 self.buffer.consume(length);
                 return Ok(message);
             }
             match self.buffer.since().map(|since| since + piece).filter(|torn| *torn < until) {
-                Some(torn) => within(torn, Ending::Garbled, self.read()).await?,
-                None => within(until, Ending::Silent, self.read()).await?,
+                Some(torn) => within(torn, ConnectionEnd::Garbled, self.read()).await?,
+                None => within(until, ConnectionEnd::Silent, self.read()).await?,
             }
         }
     }
 
     /// Nothing has come that is not in the buffer; false, too, once the other side has closed it.
-    pub fn still(&self) -> bool {
+    pub fn is_open_and_idle(&self) -> bool {
         let looked = uninterrupted(|| self.stream.get_ref().peek(&mut [0]));
         matches!(looked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
     /// Whether it is open with nothing left to read: an idle one may have ended, and a write would be lost.
-    pub fn quiet(&self) -> bool {
-        self.buffer.is_empty() && self.still()
+    pub fn has_no_input(&self) -> bool {
+        self.buffer.is_empty() && self.is_open_and_idle()
     }
 }
 
-async fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<(), Ending> {
-    let room = buffer.room()?;
+async fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<(), ConnectionEnd> {
+    let room = buffer.spare()?;
     // To try a read first would be in vain nearly always, and again with each wake of a task that waits for
     // several things.
     let read = future::poll_fn(|context| loop {
@@ -161,28 +161,28 @@
         }
     });
     match read.await {
-        Ok(0) => Err(Ending::Closed),
+        Ok(0) => Err(ConnectionEnd::Closed),
         Ok(count) => {
-            buffer.filled_up(count);
+            buffer.advance(count);
             Ok(())
         }
-        Err(_) => Err(Ending::Broken),
+        Err(_) => Err(ConnectionEnd::Broken),
     }
 }
 
-async fn ended(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Ending {
+async fn ended(stream: &Async<TcpStream>, buffer: &mut Buffer) -> ConnectionEnd {
     loop {
         if buffer.filled().len() < AHEAD {
             match read(stream, buffer).await {
                 Ok(()) => continue,
-                Err(how @ (Ending::Closed | Ending::Broken)) => return how,
+                Err(how @ (ConnectionEnd::Closed | ConnectionEnd::Broken)) => return how,
                 // There is no room: only whether it has ended is looked at.
                 Err(_) => {}
             }
         }
         let mut looked = [PollFd::new(stream, PollFlags::RDHUP)];
         if event::poll(&mut looked, Some(&Timespec::default())).is_ok() && !looked[0].revents().is_empty() {
-            return Ending::Closed;
+            return ConnectionEnd::Closed;
         }
         Timer::after(LOOK).await;
     }
@@ -191,9 +191,9 @@
 /// The outcome of some work, or an ending once the time has come.
 pub async fn within<T>(
     until: Instant,
-    ending: Ending,
-    work: impl Future<Output = Result<T, Ending>>,
-) -> Result<T, Ending> {
+    ending: ConnectionEnd,
+    work: impl Future<Output = Result<T, ConnectionEnd>>,
+) -> Result<T, ConnectionEnd> {
     let late = async {
         Timer::at(until).await;
         Err(ending)
--- a/crates/gateway/src/transport/ending.rs
+++ b/crates/gateway/src/transport/ending.rs
@@ -2,10 +2,10 @@
 
 use std::io;
 
-use super::calls::NotDialled;
+use super::syscall::ConnectFailure;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ConnectionEnd {
     /// No descriptor was left for it.
     NoSocket,
     /// No memory was left for what the other side wrote.
@@ -40,12 +40,12 @@
     Stopping,
 }
 
-impl Ending {
+impl ConnectionEnd {
     /// How a dial that failed ends.
     pub fn of_dial(error: &io::Error) -> Self {
-        match NotDialled::of(error) {
-            NotDialled::TryAgain | NotDialled::NoDescriptor => Ending::NoSocket,
-            NotDialled::Unreachable => Ending::Refused,
+        match ConnectFailure::classify(error) {
+            ConnectFailure::TryAgain | ConnectFailure::NoDescriptor => ConnectionEnd::NoSocket,
+            ConnectFailure::Unreachable => ConnectionEnd::Refused,
         }
     }
 }
