--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -29,61 +29,61 @@
 
 /// Counts what is out; each takes one place and gives it back when dropped.
 #[derive(Clone)]
-pub struct Places {
-    taken: Rc<Cell<usize>>,
-    most: Rc<Cell<usize>>,
+pub struct Slots {
+    used: Rc<Cell<usize>>,
+    capacity: Rc<Cell<usize>>,
 }
 
-impl Places {
+impl Slots {
     pub fn new(most: usize) -> Self {
-        Places { taken: Rc::default(), most: Rc::new(Cell::new(most)) }
+        Slots { used: Rc::default(), capacity: Rc::new(Cell::new(most)) }
     }
 
-    pub fn take(&self, count: usize) -> Option<Place> {
-        let taken = self.taken.get() + count;
-        if taken > self.most.get() {
+    pub fn reserve(&self, count: usize) -> Option<Reservation> {
+        let taken = self.used.get() + count;
+        if taken > self.capacity.get() {
             return None;
         }
-        self.taken.set(taken);
-        Some(Place { taken: self.taken.clone(), count })
+        self.used.set(taken);
+        Some(Reservation { taken: self.used.clone(), count })
     }
 
-    pub fn taken(&self) -> usize {
-        self.taken.get()
+    pub fn used(&self) -> usize {
+        self.used.get()
     }
 
     /// Makes a place larger or smaller; false, and as it was, where there is no room for that.
-    pub fn resize(&self, place: &mut Place, count: usize) -> bool {
-        let taken = self.taken.get() - place.count + count;
-        if taken > self.most.get() && count > place.count {
+    pub fn resize(&self, place: &mut Reservation, count: usize) -> bool {
+        let taken = self.used.get() - place.count + count;
+        if taken > self.capacity.get() && count > place.count {
             return false;
         }
-        self.taken.set(taken);
+        self.used.set(taken);
         place.count = count;
         true
     }
 
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn capacity(&self) -> usize {
+        self.capacity.get()
     }
 
     /// At least a third is free.
-    pub fn spare(&self) -> bool {
-        3 * self.taken.get() <= 2 * self.most.get()
+    pub fn has_spare(&self) -> bool {
+        3 * self.used.get() <= 2 * self.capacity.get()
     }
 
     /// At least a quarter is free.
-    pub fn roomy(&self) -> bool {
-        4 * self.taken.get() <= 3 * self.most.get()
+    pub fn is_mostly_free(&self) -> bool {
+        4 * self.used.get() <= 3 * self.capacity.get()
     }
 }
 
-pub struct Place {
+pub struct Reservation {
     taken: Rc<Cell<usize>>,
     count: usize,
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.taken.set(self.taken.get() - self.count);
     }
@@ -92,15 +92,15 @@
 #[derive(Clone)]
 pub struct Limits {
     /// Connections of clients that are served, and of those that are only turned away.
-    pub clients: Places,
-    pub turned_away: Places,
-    pub servers: Places,
+    pub clients: Slots,
+    pub turned_away: Slots,
+    pub servers: Slots,
     /// Transactions, and bytes of them.
-    pub open: Places,
-    pub bytes: Places,
+    pub open: Slots,
+    pub bytes: Slots,
     /// Bytes of messages that have begun.
-    pub from_clients: Places,
-    pub from_servers: Places,
+    pub from_clients: Slots,
+    pub from_servers: Slots,
     reserved: usize,
     memory_mb: usize,
 }
@@ -109,39 +109,39 @@
     /// `reserved`: descriptors for what else this gateway has been told to have.
     pub fn new(sockets: usize, memory_mb: usize, reserved: usize) -> Self {
         let limits = Limits {
-            clients: Places::new(0),
-            turned_away: Places::new(0),
-            servers: Places::new(0),
-            open: Places::new(0),
-            bytes: Places::new(0),
-            from_clients: Places::new(0),
-            from_servers: Places::new(0),
+            clients: Slots::new(0),
+            turned_away: Slots::new(0),
+            servers: Slots::new(0),
+            open: Slots::new(0),
+            bytes: Slots::new(0),
+            from_clients: Slots::new(0),
+            from_servers: Slots::new(0),
             reserved,
             memory_mb,
         };
-        limits.part(sockets, 1);
+        limits.set_process_share(sockets, 1);
         limits
     }
 
     /// Goes by other limits from now on: so many descriptors, and memory shared by so many processes. What is out
     /// beyond them stays until it is given back.
-    pub fn part(&self, sockets: usize, processes: usize) {
+    pub fn set_process_share(&self, sockets: usize, processes: usize) {
         let (reserved, memory_mb) = (self.reserved, self.memory_mb / processes.max(1));
         let rest = sockets.saturating_sub(OWN + reserved);
         let servers = rest * SERVERS_TENTHS / 10;
         let turned_away = (rest - servers) * TURNED_AWAY_TENTHS / 10;
         let part = (memory_mb.saturating_sub(PROGRAM_MIB) * 1024 * 1024 / PARTS).max(MOST_MESSAGE);
-        self.clients.most.set(rest - servers - turned_away);
-        self.turned_away.most.set(turned_away);
-        self.servers.most.set(servers);
-        self.open.most.set(part / RECORDS);
+        self.clients.capacity.set(rest - servers - turned_away);
+        self.turned_away.capacity.set(turned_away);
+        self.servers.capacity.set(servers);
+        self.open.capacity.set(part / RECORDS);
         for places in [&self.bytes, &self.from_clients, &self.from_servers] {
-            places.most.set(part);
+            places.capacity.set(part);
         }
     }
 
     /// Descriptors that are taken, with those that this gateway has for itself.
-    pub fn held(&self) -> usize {
-        OWN + self.reserved + self.clients.taken() + self.turned_away.taken() + self.servers.taken()
+    pub fn used_descriptors(&self) -> usize {
+        OWN + self.reserved + self.clients.used() + self.turned_away.used() + self.servers.used()
     }
 }
--- a/crates/gateway/src/transport/stream.rs
+++ b/crates/gateway/src/transport/stream.rs
@@ -5,7 +5,7 @@
 
 use async_io::Async;
 
-use super::calls::uninterrupted;
+use super::syscall::uninterrupted;
 
 /// Bytes that are made room for at a time: memory grows with what comes, not with what was announced.
 const PIECE: usize = 16 * 1024;
--- a/crates/gateway/src/transport/calls.rs
+++ b/crates/gateway/src/transport/syscall.rs
@@ -28,28 +28,28 @@
 
 /// Why a connection could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotAccepted {
+pub enum AcceptFailure {
     /// That one had ended, or its network had a fault: the next may well be there.
     ThisOne,
     /// The machine lacks descriptors or memory: the next would fare no better at once.
     NoResources,
 }
 
-impl NotAccepted {
+impl AcceptFailure {
     /// By the errors that accept(2) documents.
-    pub fn of(error: &io::Error) -> Self {
+    pub fn classify(error: &io::Error) -> Self {
         // ENOMEM, ENFILE, EMFILE, ENOBUFS.
         match error.raw_os_error() {
-            Some(12 | 23 | 24 | 105) => NotAccepted::NoResources,
-            _ => NotAccepted::ThisOne,
+            Some(12 | 23 | 24 | 105) => AcceptFailure::NoResources,
+            _ => AcceptFailure::ThisOne,
         }
     }
 
     /// How long to wait before the next is accepted. Neither may spin while an error lasts.
-    pub fn pause(self) -> Duration {
+    pub fn backoff(self) -> Duration {
         match self {
-            NotAccepted::ThisOne => AFTER_THIS_ONE,
-            NotAccepted::NoResources => WITHOUT_RESOURCES,
+            AcceptFailure::ThisOne => AFTER_THIS_ONE,
+            AcceptFailure::NoResources => WITHOUT_RESOURCES,
         }
     }
 }
@@ -61,7 +61,7 @@
 
 /// What the error of a dial says: of the other side, or of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotDialled {
+pub enum ConnectFailure {
     /// Nothing yet: a signal came, or this machine lacked memory, buffers or a free port for a moment.
     TryAgain,
     /// No descriptor is left here: something has to end first.
@@ -70,15 +70,15 @@
     Unreachable,
 }
 
-impl NotDialled {
+impl ConnectFailure {
     /// By the errors that socket(2) and connect(2) document.
-    pub fn of(error: &io::Error) -> Self {
+    pub fn classify(error: &io::Error) -> Self {
         match error.raw_os_error() {
             // EINTR, EAGAIN, ENOMEM, EADDRNOTAVAIL, ENOBUFS.
-            Some(4 | 11 | 12 | 99 | 105) => NotDialled::TryAgain,
+            Some(4 | 11 | 12 | 99 | 105) => ConnectFailure::TryAgain,
             // ENFILE, EMFILE.
-            Some(23 | 24) => NotDialled::NoDescriptor,
-            _ => NotDialled::Unreachable,
+            Some(23 | 24) => ConnectFailure::NoDescriptor,
+            _ => ConnectFailure::Unreachable,
         }
     }
 }
@@ -88,7 +88,7 @@
 pub async fn dialled<T, D: Future<Output = io::Result<T>>>(mut dial: impl FnMut() -> D) -> io::Result<T> {
     for _ in 1..MOST_DIALS {
         match dial().await {
-            Err(error) if NotDialled::of(&error) == NotDialled::TryAgain => {
+            Err(error) if ConnectFailure::classify(&error) == ConnectFailure::TryAgain => {
                 Timer::after(BEFORE_ANOTHER_DIAL).await;
             }
             other => return other,
--- a/crates/gateway/src/routing/peer.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -13,15 +13,15 @@
 use fernscale_policy::{Id, LoadReport, Micros};
 use futures_lite::{future, StreamExt};
 
-use super::outcome::Lost;
-use super::{Event, Flow, Piece, Return, Shared, MOST_ORDERS};
-use crate::protocol::call::{self, Call, Came, Said};
+use crate::outcome::AttemptFailure;
+use crate::protocol::call::{self, Call, Came, ServerReply};
 use crate::protocol::resp::{self, Opening, Reply};
 use crate::protocol::Scanned;
+use crate::shared::{CompletedAttempt, Event, Piece, ResponseStream, Shared, MAX_QUEUED_ORDERS};
 use crate::transport::buffer::Buffer;
-use crate::transport::clock::{awake_or_not, micros, Alarm};
+use crate::transport::clock::{boottime, micros, DeadlineTimer};
 use crate::transport::connection::{within, Connection};
-use crate::transport::ending::Ending;
+use crate::transport::ending::ConnectionEnd;
 
 /// How often idle connections are looked at: those that have ended or stood too long give their sockets back.
 const SWEEP: Duration = Duration::from_secs(1);
@@ -66,7 +66,7 @@
 
 /// Starts the actor; it ends, and its trips with their answers, once nobody can order anything any more.
 pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, server: &Id, address: SocketAddr) -> Sender<Order> {
-    let (orders, mailbox) = async_channel::bounded(MOST_ORDERS);
+    let (orders, mailbox) = async_channel::bounded(MAX_QUEUED_ORDERS);
     let peer = Rc::new(Peer {
         server: server.clone(),
         address: Cell::new(address),
@@ -83,18 +83,18 @@
 
 /// How long a connection is kept idle where nothing speaks against it.
 fn longest(shared: &Shared) -> Duration {
-    Duration::from_micros((KEPT * shared.outside.idle_timeout as f64) as Micros)
+    Duration::from_micros((KEPT * shared.platform.idle_timeout as f64) as Micros)
 }
 
 impl Peer {
     async fn run(self: Rc<Self>, mailbox: Receiver<Order>) {
         let mut mailbox = std::pin::pin!(mailbox);
-        let mut alarm = Alarm::new();
+        let mut alarm = DeadlineTimer::new();
         loop {
             let next = self.swept.get() + SWEEP;
             let any = !self.idle.borrow().is_empty();
             let sweep = async {
-                alarm.ring(any.then_some(next)).await;
+                alarm.wait(any.then_some(next)).await;
                 Some(None)
             };
             match future::or(async { mailbox.next().await.map(Some) }, sweep).await {
@@ -115,7 +115,7 @@
     async fn obey(self: &Rc<Self>, order: Order) {
         match order {
             Order::Trip { call, trip, limit, made } => {
-                let key = (call.transaction.id.clone(), trip);
+                let key = (call.request.id.clone(), trip);
                 let peer = self.clone();
                 let task = self.shared.executor.spawn(peer.trip(call, trip, limit, made));
                 self.trips.borrow_mut().insert(key, (task, made));
@@ -125,9 +125,15 @@
                 if let Some((task, made)) = task {
                     // Its connection is closed before its end is told.
                     task.cancel().await;
-                    let end = Err(Lost::unsent(Ending::GivenUp));
+                    let end = Err(AttemptFailure::unsent(ConnectionEnd::GivenUp));
                     let (server, took) = (self.server.clone(), micros(made.elapsed()));
-                    let returned = Event::Returned(Return { transaction, trip, server, end, took });
+                    let returned = Event::AttemptCompleted(CompletedAttempt {
+                        request: transaction,
+                        attempt: trip,
+                        server,
+                        end,
+                        elapsed: took,
+                    });
                     // The module waits for this mailbox at times, so this actor never waits for the module's.
                     let events = self.events.clone();
                     let tell = async move { drop(events.send(returned).await) };
@@ -138,7 +144,7 @@
                 let peer = self.clone();
                 let probe = async move {
                     let end = peer.probe().await;
-                    let probed = Event::Probed { server: peer.server.clone(), end };
+                    let probed = Event::HealthCheckCompleted { server: peer.server.clone(), end };
                     drop(peer.events.send(probed).await);
                 };
                 self.shared.executor.spawn(probe).detach();
@@ -153,14 +159,16 @@
 
     /// Whether an idle connection may be used: it is open, and the server won't close it under a trip.
     fn good(&self, connection: &Connection) -> bool {
-        connection.used.elapsed() < self.kept.get() && connection.quiet()
+        connection.used.elapsed() < self.kept.get() && connection.has_no_input()
     }
 
     /// Learns from what became of a connection that had been idle for so long.
-    fn learn<T>(&self, idle: Option<Duration>, end: &Result<T, Lost>) {
+    fn learn<T>(&self, idle: Option<Duration>, end: &Result<T, AttemptFailure>) {
         match (idle, end) {
             (_, Ok(_)) => self.kept.set((self.kept.get() + REGAINED).min(longest(&self.shared))),
-            (Some(idle), Err(Lost { how: Ending::Broken | Ending::Closed, .. })) => self.kept.set(idle / CUT),
+            (Some(idle), Err(AttemptFailure { how: ConnectionEnd::Broken | ConnectionEnd::Closed, .. })) => {
+                self.kept.set(idle / CUT)
+            }
             _ => {}
         }
     }
@@ -168,10 +176,10 @@
     async fn trip(self: Rc<Self>, call: Rc<Call>, trip: usize, limit: Micros, made: Instant) {
         let until = made + Duration::from_micros(limit);
         let command = call.command(limit);
-        let transaction = call.transaction.id.clone();
+        let transaction = call.request.id.clone();
         // Danger: a client that leaves while its trip waits here or dials. To begin nothing is no cancelling, and always allowed.
-        let wanted = || !call.gone.get();
-        let sent = || self.shared.figures.tried();
+        let wanted = || !call.client_gone.get();
+        let sent = || self.shared.metrics.tried();
         let scan = |bytes: &[u8], ended: bool| call::came(bytes, ended, self.load());
         let came = self.exchange(&command, until, wanted, sent, scan);
         let end = match came.await {
@@ -188,12 +196,12 @@
             task.detach();
         }
         let (server, took) = (self.server.clone(), micros(made.elapsed()));
-        let returned = Return { transaction, trip, server, end, took };
-        drop(self.events.send(Event::Returned(returned)).await);
+        let returned = CompletedAttempt { request: transaction, attempt: trip, server, end, elapsed: took };
+        drop(self.events.send(Event::AttemptCompleted(returned)).await);
     }
 
-    async fn probe(&self) -> Result<LoadReport, Lost> {
-        let until = Instant::now() + Duration::from_micros(self.shared.outside.connect_timeout);
+    async fn probe(&self) -> Result<LoadReport, AttemptFailure> {
+        let until = Instant::now() + Duration::from_micros(self.shared.platform.connect_timeout);
         let command = resp::write_command(&[b"PING"]);
         let said = |bytes: &[u8], _: bool| match resp::reply(bytes)? {
             Some((Reply::Simple(_), length)) => Ok(Some((LoadReport::default(), length))),
@@ -206,7 +214,7 @@
     }
 
     fn load(&self) -> &[String] {
-        &self.shared.outside.load_fields
+        &self.shared.platform.load_fields
     }
 
     /// Passes a long value on as it comes, and reads what stands behind it.
@@ -216,29 +224,30 @@
         mut connection: Connection,
         transaction: Id,
         trip: usize,
-    ) -> Result<(Said, LoadReport), Lost> {
+    ) -> Result<(ServerReply, LoadReport), AttemptFailure> {
         let (pass, pieces) = async_channel::bounded(1);
-        let flow = Flow { length: opening.length, pieces };
-        drop(self.events.send(Event::Flowing { transaction, trip, flow }).await);
-        let given_up = |_| Lost::unanswered(Ending::GivenUp);
+        let flow = ResponseStream { length: opening.length, pieces };
+        drop(self.events.send(Event::ResponseStarted { request: transaction, attempt: trip, flow }).await);
+        let given_up = |_| AttemptFailure::unanswered(ConnectionEnd::GivenUp);
         let mut left = opening.length;
         while left > 0 {
             let until = Instant::now() + STALLED;
-            let piece =
-                within(until, Ending::Stalled, connection.piece(left)).await.map_err(Lost::unanswered)?;
+            let piece = within(until, ConnectionEnd::Stalled, connection.read_chunk(left))
+                .await
+                .map_err(AttemptFailure::unanswered)?;
             left -= piece.len();
             // The client's task takes it when it has written the last: so a slow client holds the server back.
             pass.send(Piece::Bytes(piece)).await.map_err(given_up)?;
         }
         let (rest, until) = (opening.items - 1, Instant::now() + STALLED);
-        let piece = Duration::from_micros(self.shared.outside.connect_timeout);
+        let piece = Duration::from_micros(self.shared.platform.connect_timeout);
         // The value is whole as soon as its line end is there, and its client does not wait for what is behind that.
         let line_end = |bytes: &[u8]| match bytes {
             [b'\r', b'\n', ..] => Ok(Some(((), 0))),
             [] | [b'\r'] => Ok(None),
             _ => Err("a value does not end where it should"),
         };
-        connection.message(line_end, until, STALLED).await.map_err(Lost::unanswered)?;
+        connection.message(line_end, until, STALLED).await.map_err(AttemptFailure::unanswered)?;
         pass.send(Piece::End).await.map_err(given_up)?;
         drop(pass);
         let scan = |bytes: &[u8]| call::behind(bytes, rest, false, self.load());
@@ -249,7 +258,7 @@
             }
             Err(how) => match call::behind(connection.buffer.filled(), rest, true, self.load()) {
                 Ok(Some((said, _))) => Ok(said),
-                _ => Err(Lost::unanswered(how)),
+                _ => Err(AttemptFailure::unanswered(how)),
             },
         }
     }
@@ -263,20 +272,23 @@
         wanted: impl Fn() -> bool,
         sent: impl Fn(),
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
-    ) -> Result<(T, Connection), Lost> {
+    ) -> Result<(T, Connection), AttemptFailure> {
         let (connection, idle) = match self.quiet_one() {
             Some(connection) => {
                 let idle = connection.used.elapsed();
                 (connection, Some(idle))
             }
-            None => (within(until, Ending::NeverUp, self.dial()).await.map_err(Lost::unsent)?, None),
+            None => (
+                within(until, ConnectionEnd::NeverUp, self.dial()).await.map_err(AttemptFailure::unsent)?,
+                None,
+            ),
         };
         // Nothing is waited for between this look and the first byte.
         if let Err(how) = self.may_begin(&connection, wanted()) {
-            if how == Ending::Unwanted {
+            if how == ConnectionEnd::Unwanted {
                 self.keep(connection);
             }
-            return Err(Lost::unsent(how));
+            return Err(AttemptFailure::unsent(how));
         }
         let end = self.exchange_on(connection, command, until, sent, scan).await;
         self.learn(idle, &end);
@@ -285,21 +297,23 @@
 
     /// What was right when a trip was made may not be once it has waited for this actor, or dialled: whether its first byte
     /// may still go out on this connection.
-    fn may_begin(&self, connection: &Connection, wanted: bool) -> Result<(), Ending> {
+    fn may_begin(&self, connection: &Connection, wanted: bool) -> Result<(), ConnectionEnd> {
         if !wanted {
-            return Err(Ending::Unwanted);
+            return Err(ConnectionEnd::Unwanted);
         }
         // Danger: the server was taken out of use meanwhile, drains, has left, or has another address.
         if self.shared.cordoned.borrow().contains(&self.server) {
-            return Err(Ending::Cordoned);
+            return Err(ConnectionEnd::Cordoned);
         }
-        if self.shared.left.borrow().contains(&self.server) || !connection.goes_to(self.address.get()) {
-            return Err(Ending::Left);
+        if self.shared.draining.borrow().contains(&self.server)
+            || !connection.is_connected_to(self.address.get())
+        {
+            return Err(ConnectionEnd::Left);
         }
         // Danger: this process was stopped, and goes on by a list of long ago.
-        let fresh = self.shared.list_fresh_until.get();
-        if fresh < Micros::MAX && awake_or_not() >= fresh {
-            return Err(Ending::OldList);
+        let fresh = self.shared.endpoints_fresh_until.get();
+        if fresh < Micros::MAX && boottime() >= fresh {
+            return Err(ConnectionEnd::OldList);
         }
         Ok(())
     }
@@ -312,11 +326,13 @@
         until: Instant,
         sent: impl Fn(),
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
-    ) -> Result<(T, Connection), Lost> {
-        within(until, Ending::Silent, connection.write(command)).await.map_err(Lost::unsent)?;
+    ) -> Result<(T, Connection), AttemptFailure> {
+        within(until, ConnectionEnd::Silent, connection.write(command))
+            .await
+            .map_err(AttemptFailure::unsent)?;
         sent();
         // An answer that has begun comes in one piece: its end is not longer in coming than a connection is.
-        let piece = Duration::from_micros(self.shared.outside.connect_timeout);
+        let piece = Duration::from_micros(self.shared.platform.connect_timeout);
         let said = match connection.message(|bytes| scan(bytes, false), until, piece).await {
             Ok(said) => said,
             Err(how) => match scan(connection.buffer.filled(), true) {
@@ -325,7 +341,7 @@
                     connection.spoilt = true;
                     said
                 }
-                _ => return Err(Lost::unanswered(how)),
+                _ => return Err(AttemptFailure::unanswered(how)),
             },
         };
         Ok((said, connection))
@@ -334,9 +350,10 @@
     /// Keeps a connection for the next trip, if it is good for one.
     fn keep(&self, mut connection: Connection) {
         // Idle connections must leave sockets for those to other servers.
-        let good =
-            connection.buffer.is_empty() && !connection.spoilt && connection.goes_to(self.address.get());
-        if good && self.shared.limits.servers.roomy() {
+        let good = connection.buffer.is_empty()
+            && !connection.spoilt
+            && connection.is_connected_to(self.address.get());
+        if good && self.shared.limits.servers.is_mostly_free() {
             connection.used = Instant::now();
             self.idle.borrow_mut().push(connection);
         }
@@ -358,10 +375,10 @@
         None
     }
 
-    async fn dial(&self) -> Result<Connection, Ending> {
-        let place = self.shared.limits.servers.take(1).ok_or(Ending::NoSocket)?;
-        let limit = Duration::from_micros(self.shared.outside.connect_timeout);
+    async fn dial(&self) -> Result<Connection, ConnectionEnd> {
+        let place = self.shared.limits.servers.reserve(1).ok_or(ConnectionEnd::NoSocket)?;
+        let limit = Duration::from_micros(self.shared.platform.connect_timeout);
         let buffer = Buffer::new(resp::MOST_MESSAGE, Some(self.shared.limits.from_servers.clone()));
-        Connection::dial(self.address.get(), limit, buffer, Some(place)).await
+        Connection::connect(self.address.get(), limit, buffer, Some(place)).await
     }
 }
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -10,20 +10,20 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use fernscale_gateway::counter::{Add, Counter};
+use fernscale_gateway::discovery::draining::DrainingEndpoints;
+use fernscale_gateway::discovery::{self, List};
+use fernscale_gateway::operator::metrics::Metrics;
+use fernscale_gateway::outcome::{of_call, of_trip};
 use fernscale_gateway::protocol::call::{self, Command};
-use fernscale_gateway::protocol::catalog::{self, Members};
-use fernscale_gateway::routing::counter::{Add, Counter};
-use fernscale_gateway::routing::figures::Figures;
-use fernscale_gateway::routing::leavers::Leavers;
-use fernscale_gateway::routing::list::{self, List};
-use fernscale_gateway::routing::outcome::{of_call, of_trip};
-use fernscale_gateway::routing::peer::{self, Order};
-use fernscale_gateway::routing::{Event, Shared};
+use fernscale_gateway::protocol::catalog::{self, EndpointUpdate};
+use fernscale_gateway::shared::{Event, Shared};
 use fernscale_gateway::transport::buffer::Buffer;
 use fernscale_gateway::transport::clock::{follow, Clock};
 use fernscale_gateway::transport::connection::Connection;
-use fernscale_gateway::transport::ending::Ending;
+use fernscale_gateway::transport::ending::ConnectionEnd;
 use fernscale_gateway::transport::limits::Limits;
+use fernscale_gateway::upstream::{self, Order};
 use fernscale_policy::settings::PlatformSettings;
 use fernscale_policy::Outcome;
 
@@ -38,7 +38,7 @@
         log: slog::Logger::root(slog::Discard, slog::o!()),
         clock: Clock::start(),
         limits: Limits::new(1024, 192, 0),
-        outside: PlatformSettings {
+        platform: PlatformSettings {
             counter_timeout: 50_000,
             connect_timeout: 250_000,
             max_client_wait: 1_000_000,
@@ -46,24 +46,24 @@
             list_is_pushed: agent,
             ..PlatformSettings::default()
         },
-        figures: Figures::new(&[]),
+        metrics: Metrics::new(&[]),
         cordoned: RefCell::default(),
-        starts: RefCell::default(),
-        left: RefCell::default(),
-        tightened: Default::default(),
-        list_fresh_until: Cell::new(u64::MAX),
+        start_times: RefCell::default(),
+        draining: RefCell::default(),
+        limits_lowered: Default::default(),
+        endpoints_fresh_until: Cell::new(u64::MAX),
         ready: Cell::new(true),
         listening: Cell::new(true),
-        stopping: Cell::new(None),
-        next_wrong: Cell::new(Instant::now()),
-        tickets: Cell::new(0),
-        handover: Default::default(),
-        speaks: false,
-        untold: Default::default(),
-        mesh: Default::default(),
-        owners: Default::default(),
-        subsets: Default::default(),
-        signals: Default::default(),
+        shutting_down_since: Cell::new(None),
+        next_protocol_error: Cell::new(Instant::now()),
+        next_ticket: Cell::new(0),
+        hot_restart: Default::default(),
+        joins_membership: false,
+        undelivered_updates: Default::default(),
+        membership: Default::default(),
+        leases: Default::default(),
+        subsetting: Default::default(),
+        outlier_detection: Default::default(),
     })
 }
 
@@ -113,7 +113,8 @@
         drop(orders);
         let mut all = Vec::new();
         while all.len() < calls.len() {
-            if let Event::Counted { count, end, .. } = told.recv().await.expect("the actor runs") {
+            if let Event::CounterReplied { key: count, end, .. } = told.recv().await.expect("the actor runs")
+            {
                 let (outcome, total) = of_call(&end);
                 all.push((count.to_string(), outcome, total));
             }
@@ -218,12 +219,12 @@
     let (orders, mailbox) = async_channel::bounded(16);
     shared.executor.spawn(List::new(&shared, &events, address, known).run(mailbox)).detach();
     let all = async {
-        orders.send(list::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
         let mut all = Vec::new();
         while all.iter().flatten().count() < lists {
             match told.recv().await.expect("the actor runs") {
-                Event::List(members) => all.push(Some(members.index)),
-                Event::ListLate => all.push(None),
+                Event::EndpointsUpdated(members) => all.push(Some(members.index)),
+                Event::EndpointsLate => all.push(None),
                 _ => panic!("no list"),
             }
         }
@@ -316,11 +317,13 @@
     shared.executor.spawn(List::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
     let all = async {
         let mut all = Vec::new();
-        orders.send(list::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
         while all.len() < lists {
             match told.recv().await.expect("the actor runs") {
-                Event::List(members) => all.push((members.index, Instant::now())),
-                Event::ListFailed => orders.send(list::Order::Follow(true)).await.expect("the actor runs"),
+                Event::EndpointsUpdated(members) => all.push((members.index, Instant::now())),
+                Event::EndpointsUnavailable => {
+                    orders.send(discovery::Order::Follow(true)).await.expect("the actor runs")
+                }
                 _ => {}
             }
         }
@@ -380,15 +383,16 @@
 }
 
 /// A list with servers: name, state, start in ms.
-fn listed(index: u64, full: bool, moved: bool, servers: &[(&str, &str, u64)]) -> Members {
+fn listed(index: u64, full: bool, moved: bool, servers: &[(&str, &str, u64)]) -> EndpointUpdate {
     let entry = |(name, state, since): &(&str, &str, u64)| {
         format!(r#"{{"name":"{name}","address":"127.0.0.1:1","status":"{state}","since_ms":{since}}}"#)
     };
     let entries: Vec<String> = servers.iter().map(entry).collect();
     let body = format!(r#"{{"index":{index},"snapshot":{full},"endpoints":[{}]}}"#, entries.join(","));
     let body = serde_json::from_str(&body).expect("a list");
-    let members = catalog::members(&body, &PlatformSettings::default()).expect("a list that is understood");
-    Members { moved, ..members }
+    let members =
+        catalog::endpoint_update(&body, &PlatformSettings::default()).expect("a list that is understood");
+    EndpointUpdate { moved, ..members }
 }
 
 #[test]
@@ -415,7 +419,7 @@
         (&ended, listed(9, true, false, &[("s", up, 7)]), false),
         (&ended, listed(9, true, false, &[("s", up, 8)]), true),
     ] {
-        let (mut leavers, s) = (Leavers::default(), fernscale_policy::Id::from("s"));
+        let (mut leavers, s) = (DrainingEndpoints::default(), fernscale_policy::Id::from("s"));
         for members in known {
             leavers.read(&mut members.clone());
         }
@@ -439,9 +443,13 @@
     let two = r#"{"index":4,"snapshot":false,"endpoints":[
         {"name":"s","address":"127.0.0.1:1","status":"terminating"},
         {"name":"s","address":"127.0.0.1:1","status":"in_service"}]}"#;
-    let refused = catalog::members(&serde_json::from_str(two).expect("json"), &PlatformSettings::default());
+    let refused =
+        catalog::endpoint_update(&serde_json::from_str(two).expect("json"), &PlatformSettings::default());
     let refused = refused.expect_err("two words");
-    assert_eq!((refused.why.as_str(), &refused.leaving[..]), ("server 's' comes twice", &["s".into()][..]));
+    assert_eq!(
+        (refused.reason.as_str(), &refused.draining[..]),
+        ("server 's' comes twice", &["s".into()][..])
+    );
 }
 
 /// Danger: an answer is refused whole for one entry, and a drain in it counts as told.
@@ -469,16 +477,18 @@
         let (orders, mailbox) = async_channel::bounded(16);
         shared.executor.spawn(List::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
         let all = async {
-            orders.send(list::Order::Follow(true)).await.expect("the actor runs");
+            orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
             let (mut leaving, mut failed) = (Vec::new(), 0);
             loop {
                 match told.recv().await.expect("the actor runs") {
-                    Event::Leaving(servers) => leaving.extend(servers.iter().map(|id| id.to_string())),
-                    Event::ListFailed => {
+                    Event::EndpointsDraining(servers) => {
+                        leaving.extend(servers.iter().map(|id| id.to_string()))
+                    }
+                    Event::EndpointsUnavailable => {
                         failed += 1;
-                        orders.send(list::Order::Follow(true)).await.expect("the actor runs");
+                        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
                     }
-                    Event::List(members) => return (leaving, failed, members.index),
+                    Event::EndpointsUpdated(members) => return (leaving, failed, members.index),
                     _ => {}
                 }
             }
@@ -509,11 +519,11 @@
     let (orders, mailbox) = async_channel::bounded(16);
     shared.executor.spawn(List::new(&shared, &events, address, None).run(mailbox)).detach();
     let three = async {
-        orders.send(list::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
         let (mut full, mut gaps) = (Vec::new(), Vec::new());
         for _ in 0..3 {
             let began = Instant::now();
-            let Ok(Event::List(members)) = told.recv().await else { panic!("no list") };
+            let Ok(Event::EndpointsUpdated(members)) = told.recv().await else { panic!("no list") };
             full.push(members.full);
             gaps.push(began.elapsed());
         }
@@ -544,13 +554,13 @@
         class_names: vec!["read".into()],
         plan_names: vec!["team".into()],
         gateway_count: 1,
-        ..shared.outside.clone()
+        ..shared.platform.clone()
     };
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", b"t1", b"c=read,t=team,d=900"];
     let Ok(Command::Call(call)) = call::command(&words, &outside) else { panic!("a call") };
     let (events, told) = async_channel::bounded(4);
     let name: fernscale_policy::Id = "s0".into();
-    let orders = peer::start(&shared, &events, &name, address);
+    let orders = upstream::start(&shared, &events, &name, address);
     let order = Order::Trip { call: Rc::new(call), trip: 0, limit: 900_000, made: Instant::now() };
     let outcome = async {
         orders.send(order).await.expect("the actor runs");
@@ -558,7 +568,7 @@
             shared.cordoned.borrow_mut().insert(name);
         }
         match told.recv().await.expect("the actor runs") {
-            Event::Returned(returned) => of_trip(&returned.end),
+            Event::AttemptCompleted(returned) => of_trip(&returned.end),
             _ => panic!("another event"),
         }
     };
@@ -580,7 +590,7 @@
         plan_names: vec!["team".into()],
         gateway_count: 1,
         max_client_wait: 9_000_000,
-        ..shared.outside.clone()
+        ..shared.platform.clone()
     };
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", b"t1", b"c=read,t=team,d=9000"];
     let Ok(Command::Call(call)) = call::command(&words, &outside) else { panic!("a call") };
@@ -598,10 +608,10 @@
     assert!((1..8).contains(&waiting.len()), "the dial has to wait");
     let shared = shared();
     let shared = Rc::try_unwrap(shared).unwrap_or_else(|_| panic!("one owner"));
-    let outside = PlatformSettings { connect_timeout: 8_000_000, ..shared.outside.clone() };
-    let shared = Rc::new(Shared { outside, ..shared });
+    let outside = PlatformSettings { connect_timeout: 8_000_000, ..shared.platform.clone() };
+    let shared = Rc::new(Shared { platform: outside, ..shared });
     let (events, told) = async_channel::bounded(4);
-    let orders = peer::start(&shared, &events, &"s0".into(), address);
+    let orders = upstream::start(&shared, &events, &"s0".into(), address);
     let call = one_call(&shared);
     let order = Order::Trip { call: call.clone(), trip: 0, limit: 8_000_000, made: Instant::now() };
     let outcome = async {
@@ -619,8 +629,10 @@
             dialled.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
             (&dialled).read(&mut [0; 1024]).expect("its end, or bytes")
         });
-        let Event::Returned(returned) = told.recv().await.expect("the actor runs") else { panic!("another") };
-        drop(returned.transaction);
+        let Event::AttemptCompleted(returned) = told.recv().await.expect("the actor runs") else {
+            panic!("another")
+        };
+        drop(returned.request);
         let outcome = of_trip(&returned.end);
         // An idle connection is not closed at once.
         orders.send(Order::CloseIdle).await.expect("the actor runs");
@@ -637,19 +649,19 @@
 #[test]
 fn a_trip_that_dials_while_its_server_leaves_or_moves_or_its_client_leaves_is_never_sent() {
     let up = [("s0", "in_service", 0), ("s1", "in_service", 0)];
-    let known = move |shared: &Shared| shared.left.borrow_mut().read(&mut listed(1, true, false, &up));
+    let known = move |shared: &Shared| shared.draining.borrow_mut().read(&mut listed(1, true, false, &up));
     let (outcome, bytes) = crossed_while_dialling(|shared, _, _| known(shared));
     assert!(bytes > 0 && outcome != Outcome::NeverSent, "nothing has happened: {outcome:?}");
     for state in ["terminating", "terminated"] {
         let (outcome, bytes) = crossed_while_dialling(|shared, _, _| {
             known(shared);
-            shared.left.borrow_mut().read(&mut listed(2, false, false, &[("s0", state, 0)]));
+            shared.draining.borrow_mut().read(&mut listed(2, false, false, &[("s0", state, 0)]));
         });
         assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "{state}");
     }
     let (outcome, bytes) = crossed_while_dialling(|shared, _, _| {
         known(shared);
-        shared.left.borrow_mut().read(&mut listed(2, true, false, &up[1..]));
+        shared.draining.borrow_mut().read(&mut listed(2, true, false, &up[1..]));
     });
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "it is not in the list any more");
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -657,7 +669,7 @@
         orders.try_send(Order::Move(elsewhere)).expect("there is room");
     });
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "another may be at that address by now");
-    let (outcome, bytes) = crossed_while_dialling(|_, call, _| call.gone.set(true));
+    let (outcome, bytes) = crossed_while_dialling(|_, call, _| call.client_gone.set(true));
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "its client has gone");
 }
 
@@ -684,7 +696,7 @@
     });
     let shared = shared();
     let (events, told) = async_channel::bounded(8);
-    let orders = peer::start(&shared, &events, &"s0".into(), address);
+    let orders = upstream::start(&shared, &events, &"s0".into(), address);
     let trip =
         |number, limit| Order::Trip { call: one_call(&shared), trip: number, limit, made: Instant::now() };
     let all = async {
@@ -699,12 +711,12 @@
         crosses(&orders);
         let mut ends = [Vec::new(), Vec::new()];
         let mut next = |event| match event {
-            Event::Returned(end) => {
+            Event::AttemptCompleted(end) => {
                 let value = end.end.as_ref().ok().map(|(said, _)| match said {
-                    call::Said::Settled { value, .. } => String::from_utf8_lossy(value).into_owned(),
+                    call::ServerReply::Completed { value, .. } => String::from_utf8_lossy(value).into_owned(),
                     _ => "another".into(),
                 });
-                ends[end.trip].push((of_trip(&end.end), value));
+                ends[end.attempt].push((of_trip(&end.end), value));
             }
             _ => panic!("another event"),
         };
@@ -762,7 +774,7 @@
     });
     let shared = shared();
     let (events, told) = async_channel::bounded(8);
-    let orders = peer::start(&shared, &events, &"s0".into(), address);
+    let orders = upstream::start(&shared, &events, &"s0".into(), address);
     // The dial is over and the process stands still until the limit is: the write and the clock are due in one turn.
     for still in [0, 30, 60] {
         let order = Order::Trip { call: one_call(&shared), trip: 0, limit: 30_000, made: Instant::now() };
@@ -772,7 +784,7 @@
                 futures_lite::future::yield_now().await;
             }
             thread::sleep(Duration::from_millis(still));
-            let Event::Returned(returned) = told.recv().await.expect("the actor runs") else {
+            let Event::AttemptCompleted(returned) = told.recv().await.expect("the actor runs") else {
                 panic!("another")
             };
             of_trip(&returned.end)
@@ -809,13 +821,13 @@
             at
         });
         let end =
-            futures_lite::future::or(async { Some(connection.write_while_there(&bytes).await) }, async {
+            futures_lite::future::or(async { Some(connection.write_unless_closed(&bytes).await) }, async {
                 Timer::after(Duration::from_secs(3)).await;
                 None
             });
         let end = async_io::block_on(end);
         let late = ends.join().expect("it ends").elapsed();
-        assert!(matches!(end, Some(Err(Ending::Closed | Ending::Broken))), "{end:?}");
+        assert!(matches!(end, Some(Err(ConnectionEnd::Closed | ConnectionEnd::Broken))), "{end:?}");
         assert!(late < Duration::from_millis(300), "seen {late:?} later");
     }
 }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -4,9 +4,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-use fernscale_gateway::transport::calls::{dialled, uninterrupted, NotAccepted};
-use fernscale_gateway::transport::ending::Ending;
+use fernscale_gateway::transport::ending::ConnectionEnd;
 use fernscale_gateway::transport::stream::{read_exact, write_all};
+use fernscale_gateway::transport::syscall::{dialled, uninterrupted, AcceptFailure};
 
 #[test]
 fn a_call_that_signals_interrupt_is_made_again_and_any_other_error_is_told() {
@@ -38,23 +38,23 @@
 
 #[test]
 fn only_what_the_machine_lacks_keeps_others_from_being_accepted() {
-    let of = |number| NotAccepted::of(&Error::from_raw_os_error(number));
+    let of = |number| AcceptFailure::classify(&Error::from_raw_os_error(number));
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
-    assert!([24, 23, 105, 12].into_iter().all(|number| of(number) == NotAccepted::NoResources));
+    assert!([24, 23, 105, 12].into_iter().all(|number| of(number) == AcceptFailure::NoResources));
     // ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, ETIMEDOUT.
-    assert!([103, 4, 71, 100, 113, 110].into_iter().all(|number| of(number) == NotAccepted::ThisOne));
-    assert!(NotAccepted::ThisOne.pause() < NotAccepted::NoResources.pause());
+    assert!([103, 4, 71, 100, 113, 110].into_iter().all(|number| of(number) == AcceptFailure::ThisOne));
+    assert!(AcceptFailure::ThisOne.backoff() < AcceptFailure::NoResources.backoff());
 }
 
 /// What becomes of dials that fail with these errors, the last of them for ever; `None`: one that comes up. And how many there were.
-fn after_dials(errors: &[Option<i32>]) -> (Result<(), Ending>, usize) {
+fn after_dials(errors: &[Option<i32>]) -> (Result<(), ConnectionEnd>, usize) {
     let mut dials = 0;
     let end = async_io::block_on(dialled(|| {
         let error = errors[dials.min(errors.len() - 1)];
         dials += 1;
         async move { error.map_or(Ok(()), |error| Err(Error::from_raw_os_error(error))) }
     }));
-    (end.map_err(|error| Ending::of_dial(&error)), dials)
+    (end.map_err(|error| ConnectionEnd::of_dial(&error)), dials)
 }
 
 #[test]
@@ -62,13 +62,13 @@
     // EINTR, EAGAIN, ENOMEM, EADDRNOTAVAIL, ENOBUFS.
     for here in [4, 11, 12, 99, 105] {
         assert_eq!(after_dials(&[Some(here), Some(here), None]), (Ok(()), 3), "{here}");
-        assert_eq!(after_dials(&[Some(here)]), (Err(Ending::NoSocket), 10), "{here}");
+        assert_eq!(after_dials(&[Some(here)]), (Err(ConnectionEnd::NoSocket), 10), "{here}");
     }
     // ENFILE, EMFILE: what has one must end first.
-    assert!([23, 24].into_iter().all(|here| after_dials(&[Some(here)]) == (Err(Ending::NoSocket), 1)));
+    assert!([23, 24].into_iter().all(|here| after_dials(&[Some(here)]) == (Err(ConnectionEnd::NoSocket), 1)));
     // ENETUNREACH, ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH.
     let there = [101, 104, 110, 111, 113];
-    assert!(there.into_iter().all(|there| after_dials(&[Some(there)]) == (Err(Ending::Refused), 1)));
+    assert!(there.into_iter().all(|there| after_dials(&[Some(there)]) == (Err(ConnectionEnd::Refused), 1)));
 }
 
 /// Two ends of a connection, the first of the event loop.
--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -227,7 +227,6 @@
         write_count: writes,
         incarnation: life,
         start: start.map(ProcessId),
-        ..PeerRecord::default()
     };
     let others = [("gateway-1".into(), other(1, 2, None)), ("gateway-2".into(), other(3, 4, Some(5)))];
     let head = DurableHead {
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -3,9 +3,9 @@
 
 use std::time::{Duration, Instant};
 
-use fernscale_gateway::protocol::catalog::{members, Known, Refused, SlicedReader};
+use fernscale_gateway::discovery::draining::DrainingEndpoints;
+use fernscale_gateway::protocol::catalog::{endpoint_update, KnownEndpoints, ListError, SlicedReader};
 use fernscale_gateway::protocol::http;
-use fernscale_gateway::routing::leavers::Leavers;
 use fernscale_policy::settings::PlatformSettings;
 
 const GOOD: &str = r#"{"name":"a","address":"127.0.0.1:1","zone":"z","group":2,"status":"in_service","weight":2.5,"since_ms":7}"#;
@@ -16,17 +16,17 @@
     PlatformSettings { zones: vec!["z".into()], ..PlatformSettings::default() }
 }
 
-fn read_in_slices(body: &str, known: &mut Known) -> Result<String, Refused> {
-    let refused = |why| Refused { why, index: None, leaving: Vec::new() };
+fn read_in_slices(body: &str, known: &mut KnownEndpoints) -> Result<String, ListError> {
+    let refused = |why| ListError { reason: why, index: None, draining: Vec::new() };
     let mut reader = SlicedReader::of(body.as_bytes()).map_err(refused)?;
     while reader.read_slice(known, &outside()) {}
     reader.end(known).map(|members| format!("{members:?}"))
 }
 
-fn read_at_once(body: &str) -> Result<String, Refused> {
-    let refused = |why| Refused { why, index: None, leaving: Vec::new() };
+fn read_at_once(body: &str) -> Result<String, ListError> {
+    let refused = |why| ListError { reason: why, index: None, draining: Vec::new() };
     let value = serde_json::from_str(body).map_err(|error: serde_json::Error| refused(error.to_string()))?;
-    members(&value, &outside()).map(|members| format!("{members:?}"))
+    endpoint_update(&value, &outside()).map(|members| format!("{members:?}"))
 }
 
 #[test]
@@ -59,17 +59,17 @@
         "".into(),
     ];
     // A list that comes again, and one behind another list, meets entries that are known by their texts.
-    let mut known = Known::default();
+    let mut known = KnownEndpoints::default();
     for body in bodies.iter().flat_map(|body| [body, body]) {
         let (sliced, whole) = (read_in_slices(body, &mut known), read_at_once(body));
         match (&sliced, &whole) {
             // Where it is no JSON the parser's words may name another place.
             (Err(one), Err(other)) if serde_json::from_str::<serde_json::Value>(body).is_err() => {
-                assert_eq!(one.leaving, other.leaving);
+                assert_eq!(one.draining, other.draining);
             }
             // What an answer without entries has for an index is of no use.
             (Err(one), Err(other)) => {
-                assert_eq!((&one.why, &one.leaving), (&other.why, &other.leaving), "{body}")
+                assert_eq!((&one.reason, &one.draining), (&other.reason, &other.draining), "{body}")
             }
             _ => assert_eq!(sliced, whole, "{body}"),
         }
@@ -139,12 +139,12 @@
             .map(|at| format!(r#"{{"name":"s{at}","address":"127.0.0.1:1","status":"in_service"}}"#))
             .collect();
         let body = format!(r#"{{"index":4,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
-        members(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
+        endpoint_update(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
     };
     let apply = |servers: usize| {
         let members = list(servers);
         fastest(|| {
-            let mut leavers = Leavers::default();
+            let mut leavers = DrainingEndpoints::default();
             (0..4).for_each(|_| leavers.read(&mut members.clone()));
         })
     };
@@ -153,11 +153,11 @@
 
 #[test]
 fn whoever_left_long_ago_is_forgotten_beyond_a_bound_and_the_latest_are_not() {
-    let mut leavers = Leavers::default();
+    let mut leavers = DrainingEndpoints::default();
     let leave = |index: usize| {
         let entry = format!(r#"{{"name":"s{index}","address":"127.0.0.1:1","status":"terminated"}}"#);
         let body = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{entry}]}}"#);
-        members(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
+        endpoint_update(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
     };
     const MANY: usize = 20_000;
     (0..MANY).for_each(|index| leavers.read(&mut leave(index)));
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,10 +1,10 @@
 //! The parsers on every split of their input, on generated input, and on input that means harm.
 
-use fernscale_gateway::protocol::call::{self, Answer, Command, Said};
+use fernscale_gateway::protocol::call::{self, Command, FinalAnswer, ServerReply};
 use fernscale_gateway::protocol::{http, resp, Scanned};
 use fernscale_gateway::transport::buffer::Buffer;
-use fernscale_gateway::transport::ending::Ending;
-use fernscale_gateway::transport::limits::Places;
+use fernscale_gateway::transport::ending::ConnectionEnd;
+use fernscale_gateway::transport::limits::Slots;
 
 use fernscale_policy::settings::PlatformSettings;
 use fernscale_policy::LoadReport;
@@ -195,7 +195,7 @@
     let words: [&[u8]; 5] =
         [b"CALL.POST", b"00000000b4d65521", b"9b1f03aa5c7e2d41", list.as_bytes(), b"BO\r\nDY"];
     let Ok(Command::Call(call)) = call::command(&words, &outside()) else { panic!("no call") };
-    let asked = &call.transaction;
+    let asked = &call.request;
     assert_eq!((asked.class, asked.plan, asked.time_left), (1, 0, 480_000));
     assert_eq!((asked.units, asked.gateway_spread, asked.first_gateway), (2.0, 3, 1));
     let sent = call.command(77_001);
@@ -211,7 +211,7 @@
     let Ok(Command::Call(call)) = request("c=lookup,t=team,d=99999999999999999999") else {
         panic!("no call")
     };
-    assert_eq!(call.transaction.time_left, 3_000_000);
+    assert_eq!(call.request.time_left, 3_000_000);
     for list in [
         "t=team,d=480",
         "c=lookup,d=480",
@@ -254,20 +254,20 @@
     let said = |bytes: &[u8]| Ok::<_, &str>(call::said(bytes, false, &names)?.expect("whole").0);
     let (settled, load) =
         said(b"*3\r\n$2\r\nok\r\n$14\r\nused=86,cost=3\r\n$11\r\nbusy_reqs=7\r\n").expect("an answer");
-    assert_eq!(settled, Said::Settled { value: b"ok"[..].into(), units: Some(3.0) });
+    assert_eq!(settled, ServerReply::Completed { value: b"ok"[..].into(), units: Some(3.0) });
     assert_eq!(load.in_flight, Some(7.0));
     assert_eq!(
         said(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n").expect("an answer").0,
-        Said::Settled { value: [].into(), units: None }
+        ServerReply::Completed { value: [].into(), units: None }
     );
-    assert_eq!(said(b"-ERR failed\r\n").expect("an error").0, Said::Failed);
+    assert_eq!(said(b"-ERR failed\r\n").expect("an error").0, ServerReply::Failed);
     let (full, load) = said(b"-BUSY busy_reqs=9\r\n").expect("an error");
-    assert_eq!((full, load.in_flight), (Said::Full, Some(9.0)));
+    assert_eq!((full, load.in_flight), (ServerReply::Overloaded, Some(9.0)));
     for bad in [&b"+OK\r\n"[..], b"$2\r\nok\r\n", b"*0\r\n", b"*1\r\n$-1\r\n", b"*-1\r\n"] {
         assert!(said(bad).is_err());
     }
     // A value that has come whole is good, whatever is behind it, but not before it is sure that nothing comes.
-    let value = Said::Settled { value: b"ok"[..].into(), units: None };
+    let value = ServerReply::Completed { value: b"ok"[..].into(), units: None };
     for behind in
         ["", "$-1\r\n", "$-1\r\n$20\r\nbusy", "$-1\r\n$3\r\nbusy_reqs=1\r\n", "?what\r\n", "$99999999\r\n"]
     {
@@ -280,10 +280,10 @@
     for spoilt in ["*3\r\n$2\r\no", "*3\r\n$1\r\nok\r\n", "*3\r\n$3000000000\r\nok", "*-7\r\n", "*3", "x"] {
         assert!(!matches!(call::said(spoilt.as_bytes(), true, &names), Ok(Some(_))), "{spoilt}");
     }
-    assert_eq!(Answer::Nacked(500_000).write(), b"-BUSY 500\r\n");
-    assert_eq!(Answer::Nacked(0).write(), b"-BUSY\r\n");
-    assert_eq!(on_every_split(&Answer::Settled(b"v"[..].into()).write(), shown), "Bulk(Some([118]))");
-    assert!(matches!(resp::reply(&Answer::Abandoned.write()), Ok(Some((Reply::Error(_), _)))));
+    assert_eq!(FinalAnswer::Rejected(500_000).write(), b"-BUSY 500\r\n");
+    assert_eq!(FinalAnswer::Rejected(0).write(), b"-BUSY\r\n");
+    assert_eq!(on_every_split(&FinalAnswer::Completed(b"v"[..].into()).write(), shown), "Bulk(Some([118]))");
+    assert!(matches!(resp::reply(&FinalAnswer::Failed.write()), Ok(Some((Reply::Error(_), _)))));
 }
 
 #[test]
@@ -292,14 +292,14 @@
         let (mut buffer, mut model, mut next) = (Buffer::new(5_000, None), Vec::new(), 0u8);
         for (filled, read) in steps {
             for _ in 0..filled {
-                let Ok(room) = buffer.room() else { break };
+                let Ok(room) = buffer.spare() else { break };
                 let count = room.len().min(37);
                 for place in &mut room[..count] {
                     *place = next;
                     model.push(next);
                     next = next.wrapping_add(1);
                 }
-                buffer.filled_up(count);
+                buffer.advance(count);
             }
             let count = model.len().min(16 * usize::from(read));
             buffer.consume(count);
@@ -313,18 +313,18 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 7)).tests(300).quickcheck(keeps as fn(_) -> _);
     // Full is full: a message that is longer than any may be is not awaited, nor one that memory has no room for.
     let fill = |buffer: &mut Buffer| loop {
-        match buffer.room().map(|room| room.len()) {
-            Ok(count) => buffer.filled_up(count),
+        match buffer.spare().map(|room| room.len()) {
+            Ok(count) => buffer.advance(count),
             Err(how) => break how,
         }
     };
-    let (mut alone, all) = (Buffer::new(5_000, None), Places::new(9_000));
-    assert_eq!((fill(&mut alone), alone.filled().len()), (Ending::Garbled, 5_000));
+    let (mut alone, all) = (Buffer::new(5_000, None), Slots::new(9_000));
+    assert_eq!((fill(&mut alone), alone.filled().len()), (ConnectionEnd::Garbled, 5_000));
     let mut both = [Buffer::new(5_000, Some(all.clone())), Buffer::new(5_000, Some(all.clone()))];
-    assert_eq!((fill(&mut both[0]), fill(&mut both[1])), (Ending::Garbled, Ending::NoMemory));
-    assert_eq!((all.taken(), both[1].filled().len()), (7_048, 2_048));
+    assert_eq!((fill(&mut both[0]), fill(&mut both[1])), (ConnectionEnd::Garbled, ConnectionEnd::NoMemory));
+    assert_eq!((all.used(), both[1].filled().len()), (7_048, 2_048));
     both[0].consume(5_000);
-    assert_eq!((fill(&mut both[1]), all.taken()), (Ending::Garbled, 5_000));
+    assert_eq!((fill(&mut both[1]), all.used()), (ConnectionEnd::Garbled, 5_000));
 }
 
 /// A long value is known by its head, wherever the bytes are cut, and what stands behind it is read or done without.
@@ -353,16 +353,19 @@
         let ended = call::behind(&end[..cut], 2, true, &names);
         match cut {
             0 | 1 => assert!(ended.is_err()),
-            _ => assert_eq!(ended, Ok(Some(((Said::Passed { units: None }, LoadReport::default()), cut)))),
+            _ => assert_eq!(
+                ended,
+                Ok(Some(((ServerReply::Streamed { units: None }, LoadReport::default()), cut)))
+            ),
         }
     }
     let load = LoadReport { queued: Some(7.0), ..LoadReport::default() };
-    let passed = (Said::Passed { units: Some(2.5) }, load);
+    let passed = (ServerReply::Streamed { units: Some(2.5) }, load);
     assert_eq!(call::behind(end, 2, false, &names), Ok(Some((passed, end.len()))));
     assert!(call::behind(b"vv$-1\r\n$-1\r\n", 2, false, &names).is_err());
     assert!(matches!(
         call::behind(b"\r\n?what\r\n", 2, false, &names),
-        Ok(Some(((Said::Passed { units: None }, _), 9)))
+        Ok(Some(((ServerReply::Streamed { units: None }, _), 9)))
     ));
 }
 
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -1,8 +1,8 @@
 //! When servers started, while the wall clock is set to other times.
 
-use fernscale_gateway::protocol::catalog::Members;
-use fernscale_gateway::routing::starts::StartTimes;
-use fernscale_gateway::transport::wall::WallClock;
+use fernscale_gateway::discovery::start_times::StartTimes;
+use fernscale_gateway::protocol::catalog::EndpointUpdate;
+use fernscale_gateway::transport::wall_clock::WallClock;
 use fernscale_policy::{Endpoint, EndpointState, Id, Micros};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -12,7 +12,7 @@
 /// The wall clock at the start.
 const WALL: i64 = 1_790_000_000_000_000;
 
-fn list(servers: &[(&str, Micros)]) -> Members {
+fn list(servers: &[(&str, Micros)]) -> EndpointUpdate {
     let listed = |(server, told): &(&str, Micros)| {
         let (server, start) = (Id::from(*server), Some(*told));
         let listed = Endpoint {
@@ -27,7 +27,7 @@
         };
         (listed, ([127, 0, 0, 1], 1).into())
     };
-    Members { index: 1, full: true, moved: false, servers: servers.iter().map(listed).collect() }
+    EndpointUpdate { index: 1, full: true, moved: false, servers: servers.iter().map(listed).collect() }
 }
 
 /// The start of the first server of a list that comes now.
