--- a/crates/lab/src/checkers/lease.rs
+++ b/crates/lab/src/checkers/lease.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use super::Broken;
-use crate::history::{Event, Goods, Judge};
+use super::Violations;
+use crate::history::{Checker, Event, LinkTraffic};
 use crate::{Micros, MILLISECOND, SECOND};
 
 /// Effects come some times in this.
@@ -25,10 +25,12 @@
 
 /// What the judge must know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Size {
+pub struct LeaseBounds {
     pub gateways: u32,
-    pub voters: Vec<u32>,
-    pub jobs: Vec<String>,
+    #[serde(rename = "voters")]
+    pub acceptors: Vec<u32>,
+    #[serde(rename = "jobs")]
+    pub leases: Vec<String>,
     /// For which a voter holds a job for whoever it has promised it to.
     #[serde(default)]
     pub lease: Micros,
@@ -78,8 +80,8 @@
     }
 }
 
-pub struct Owners {
-    size: Size,
+pub struct LeaseChecker {
+    size: LeaseBounds,
     runs: BTreeMap<u64, u32>,
     terms: BTreeMap<(String, u64), u64>,
     jobs: BTreeMap<String, Job>,
@@ -92,13 +94,13 @@
     times: Times,
     owners: u64,
     refused: u64,
-    broken: [Broken; 2],
+    broken: [Violations; 2],
 }
 
-impl Owners {
-    pub fn new(size: Size) -> Self {
-        let jobs = size.jobs.iter().map(|job| (job.clone(), Job::default())).collect();
-        Owners {
+impl LeaseChecker {
+    pub fn new(size: LeaseBounds) -> Self {
+        let jobs = size.leases.iter().map(|job| (job.clone(), Job::default())).collect();
+        LeaseChecker {
             size,
             runs: BTreeMap::new(),
             terms: BTreeMap::new(),
@@ -189,8 +191,8 @@
 
     /// Whether a majority of the voters run and nobody is parted from anybody; where not, nothing is measured.
     fn agrees(&self) -> bool {
-        let run = self.size.voters.iter().filter(|voter| !self.away.contains(voter)).count();
-        2 * run > self.size.voters.len() && self.parted.is_empty()
+        let run = self.size.acceptors.iter().filter(|voter| !self.away.contains(voter)).count();
+        2 * run > self.size.acceptors.len() && self.parted.is_empty()
     }
 
     fn changed(&mut self, at: Micros) {
@@ -212,8 +214,8 @@
     }
 }
 
-impl Judge for Owners {
-    fn hear(&mut self, at: Micros, event: &Event) {
+impl Checker for LeaseChecker {
+    fn observe(&mut self, at: Micros, event: &Event) {
         match event {
             Event::Effect { job, term, run, taken, .. } => self.effect(at, job, *term, *run, *taken),
             Event::Record { gateway, event, fields, .. } => self.says(at, *gateway, event, fields),
@@ -225,7 +227,7 @@
                 self.goes(at, *gateway, true);
                 self.changed(at);
             }
-            Event::Ends { gateway } => {
+            Event::ShutdownRequested { gateway } => {
                 self.goes(at, *gateway, false);
                 self.changed(at);
             }
@@ -233,17 +235,17 @@
                 self.away.insert(*gateway);
                 self.changed(at);
             }
-            Event::Parts { from, to, goods: Goods::Datagrams, on } => {
+            Event::TrafficBlocked { from, to, traffic: LinkTraffic::Datagrams, on } => {
                 let faults = self.parted.entry((*from, *to)).or_default();
                 *faults = if *on { *faults + 1 } else { faults.saturating_sub(1) };
                 self.parted.retain(|_, faults| *faults > 0);
                 self.changed(at);
             }
-            Event::FaultBegins { number } => {
+            Event::FaultBegan { number } => {
                 self.standing.insert(*number);
                 self.disturbed = at;
             }
-            Event::FaultEnds { number } => {
+            Event::FaultEnded { number } => {
                 self.standing.remove(number);
                 self.disturbed = at;
             }
@@ -251,7 +253,7 @@
         }
     }
 
-    fn end(&mut self, at: Micros) {
+    fn finish(&mut self, at: Micros) {
         if !self.standing.is_empty() || at < self.disturbed + self.size.settles || !self.agrees() {
             return;
         }
@@ -262,11 +264,11 @@
         }
     }
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         ["terms", "owned"].into_iter().zip(&self.broken).collect()
     }
 
-    fn shown(&self) -> Option<(&'static str, Value)> {
-        Some(("owner", Owners::shown(self)))
+    fn figures(&self) -> Option<(&'static str, Value)> {
+        Some(("owner", LeaseChecker::shown(self)))
     }
 }
--- a/crates/lab/src/checkers/membership.rs
+++ b/crates/lab/src/checkers/membership.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Broken;
-use crate::history::{Event, Goods, Judge};
+use super::Violations;
+use crate::history::{Checker, Event, LinkTraffic};
 use crate::{Micros, MILLISECOND, SECOND};
 
 /// How long whoever is taken for gone, and whoever says so, must have been within reach for it to be wrong: a suspicion
@@ -32,7 +32,7 @@
 
 /// What the judge must know of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Size {
+pub struct MembershipBounds {
     pub gateways: u32,
     /// Where each is told to be, by which gateways name each other.
     pub addresses: Vec<String>,
@@ -58,8 +58,8 @@
     by: BTreeMap<u32, Micros>,
 }
 
-pub struct Fleet {
-    size: Size,
+pub struct MembershipChecker {
+    size: MembershipBounds,
     states: Vec<State>,
     started: Vec<Micros>,
     /// The run of each that speaks now, as it said itself.
@@ -78,13 +78,13 @@
     seen: BTreeSet<u32>,
     counts: BTreeMap<String, Count>,
     sums: BTreeMap<u32, BTreeMap<String, (f64, u32)>>,
-    broken: [Broken; 3],
+    broken: [Violations; 3],
 }
 
-impl Fleet {
-    pub fn new(size: Size) -> Self {
+impl MembershipChecker {
+    pub fn new(size: MembershipBounds) -> Self {
         let count = size.gateways as usize;
-        Fleet {
+        MembershipChecker {
             states: vec![State::Away; count],
             started: vec![0; count],
             runs: BTreeMap::new(),
@@ -215,8 +215,8 @@
     }
 }
 
-impl Judge for Fleet {
-    fn hear(&mut self, at: Micros, event: &Event) {
+impl Checker for MembershipChecker {
+    fn observe(&mut self, at: Micros, event: &Event) {
         match event {
             Event::Started { gateway } => {
                 self.started[*gateway as usize] = at;
@@ -233,22 +233,24 @@
                 }
                 self.state(at, *gateway, State::Away);
             }
-            Event::Ends { gateway } | Event::Ended { gateway } => self.state(at, *gateway, State::Away),
-            Event::Clock { gateway, ahead } => {
+            Event::ShutdownRequested { gateway } | Event::Ended { gateway } => {
+                self.state(at, *gateway, State::Away)
+            }
+            Event::ClockStepped { gateway, ahead } => {
                 self.clocks[*gateway as usize] = *ahead;
                 self.changed(at);
             }
-            Event::Parts { from, to, goods: Goods::Datagrams, on } => {
+            Event::TrafficBlocked { from, to, traffic: LinkTraffic::Datagrams, on } => {
                 let faults = self.parted.entry((*from, *to)).or_default();
                 *faults = if *on { *faults + 1 } else { faults.saturating_sub(1) };
                 self.parted.retain(|_, faults| *faults > 0);
                 self.changed(at);
             }
-            Event::FaultBegins { number } => {
+            Event::FaultBegan { number } => {
                 self.standing.insert(*number);
                 self.changed(at);
             }
-            Event::FaultEnds { number } => {
+            Event::FaultEnded { number } => {
                 self.standing.remove(number);
                 self.mended = Some(at);
                 self.changed(at);
@@ -260,13 +262,13 @@
             Event::Record { gateway, event, fields, within } if event == "mesh.gone" => {
                 self.gone(at, *gateway, fields, *within);
             }
-            Event::View { gateway, live, suspected } => self.view(at, *gateway, live, suspected),
-            Event::Added { gateway, count, amount, .. } => {
+            Event::MembershipView { gateway, live, suspected } => self.view(at, *gateway, live, suspected),
+            Event::CounterAdded { gateway, key: count, amount, .. } => {
                 let count = self.counts.entry(count.clone()).or_default();
                 count.added += amount;
                 count.by.insert(*gateway, at);
             }
-            Event::Sums { gateway, sums } => {
+            Event::CounterTotals { gateway, totals: sums } => {
                 let sums = sums.iter().map(|(count, total, left)| (count.clone(), (*total, *left)));
                 self.sums.insert(*gateway, sums.collect());
             }
@@ -274,7 +276,7 @@
         }
     }
 
-    fn end(&mut self, at: Micros) {
+    fn finish(&mut self, at: Micros) {
         let runs = (0..self.size.gateways).filter(|own| self.states[*own as usize] == State::Runs);
         let unseen: Vec<u32> = runs.filter(|own| !self.seen.contains(own)).collect();
         if self.broken[0].count == 0 {
@@ -288,7 +290,7 @@
         }
     }
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         ["members", "reached", "counts"].into_iter().zip(&self.broken).collect()
     }
 }
--- a/crates/lab/src/checkers/mod.rs
+++ b/crates/lab/src/checkers/mod.rs
@@ -5,13 +5,13 @@
 pub mod outlier_detection;
 pub mod subsetting;
 
-use crate::request_ledger::Broken;
+use crate::request_ledger::Violations;
 use crate::{Micros, SECOND};
 
 /// Instances of a broken rule that are kept to be shown; all are counted.
 const KEPT: usize = 20;
 
-impl Broken {
+impl Violations {
     /// The rule was broken once more.
     pub fn add(&mut self, at: Micros, what: String) {
         self.count += 1;
--- a/crates/lab/src/checkers/outlier_detection.rs
+++ b/crates/lab/src/checkers/outlier_detection.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use super::Broken;
-use crate::history::{Event, Judge};
+use super::Violations;
+use crate::history::{Checker, Event};
 use crate::{Micros, SECOND};
 
 /// In which all may find out.
@@ -21,10 +21,12 @@
 
 /// What the judge must know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Size {
-    pub boxes: u32,
+pub struct OutlierBounds {
+    #[serde(rename = "boxes")]
+    pub servers: u32,
     /// Faults that make boxes ill, by their numbers, and these.
-    pub ill: BTreeMap<usize, Vec<String>>,
+    #[serde(rename = "ill")]
+    pub faulty: BTreeMap<usize, Vec<String>>,
     /// Faults on links of some gateways alone.
     pub links: BTreeMap<usize, Vec<u32>>,
 }
@@ -37,8 +39,8 @@
     later: u64,
 }
 
-pub struct Signals {
-    size: Size,
+pub struct OutlierChecker {
+    size: OutlierBounds,
     ill: BTreeMap<usize, Ill>,
     /// Link faults that stand, and until when those that have ended are felt.
     links: BTreeMap<usize, Option<Micros>>,
@@ -47,12 +49,12 @@
     most_out: usize,
     outs: u64,
     moved: u64,
-    broken: Broken,
+    broken: Violations,
 }
 
-impl Signals {
-    pub fn new(size: Size) -> Self {
-        Signals {
+impl OutlierChecker {
+    pub fn new(size: OutlierBounds) -> Self {
+        OutlierChecker {
             size,
             ill: BTreeMap::new(),
             links: BTreeMap::new(),
@@ -60,7 +62,7 @@
             most_out: 0,
             outs: 0,
             moved: 0,
-            broken: Broken::default(),
+            broken: Violations::default(),
         }
     }
 
@@ -74,7 +76,8 @@
         self.outs += 1;
         let count = own.len();
         self.most_out = self.most_out.max(count);
-        let most = (MOST_OUT * f64::from(self.size.boxes)).max(if self.size.boxes >= 3 { 1.0 } else { 0.0 });
+        let most =
+            (MOST_OUT * f64::from(self.size.servers)).max(if self.size.servers >= 3 { 1.0 } else { 0.0 });
         if count as f64 > most + 1e-9 {
             self.broken
                 .add(at, format!("gateway {gateway} leaves {count} boxes out of use, {most:.1} it may"));
@@ -85,16 +88,16 @@
     }
 }
 
-impl Judge for Signals {
-    fn hear(&mut self, at: Micros, event: &Event) {
+impl Checker for OutlierChecker {
+    fn observe(&mut self, at: Micros, event: &Event) {
         match event {
-            Event::FaultBegins { number } if self.size.ill.contains_key(number) => {
+            Event::FaultBegan { number } if self.size.faulty.contains_key(number) => {
                 self.ill.entry(*number).or_default().began = Some(at);
             }
-            Event::FaultBegins { number } if self.size.links.contains_key(number) => {
+            Event::FaultBegan { number } if self.size.links.contains_key(number) => {
                 self.links.insert(*number, None);
             }
-            Event::FaultEnds { number } => {
+            Event::FaultEnded { number } => {
                 if let Some(ill) = self.ill.get_mut(number) {
                     ill.ended = Some(at);
                 }
@@ -102,9 +105,9 @@
                     *until = Some(at + FELT);
                 }
             }
-            Event::Arrived { arrival } => {
+            Event::AttemptArrived { arrival } => {
                 for (number, ill) in &mut self.ill {
-                    let stands = ill.ended.is_none() && self.size.ill[number].contains(&arrival.box_);
+                    let stands = ill.ended.is_none() && self.size.faulty[number].contains(&arrival.server);
                     match ill.began.filter(|_| stands) {
                         Some(began) if at < began + FINDS => ill.first += 1,
                         Some(_) => ill.later += 1,
@@ -123,17 +126,17 @@
         }
     }
 
-    fn end(&mut self, at: Micros) {
+    fn finish(&mut self, at: Micros) {
         for ill in self.ill.values_mut() {
             ill.ended.get_or_insert(at);
         }
     }
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         vec![("out", &self.broken)]
     }
 
-    fn shown(&self) -> Option<(&'static str, Value)> {
+    fn figures(&self) -> Option<(&'static str, Value)> {
         let (mut all, mut later, mut long) = (0, 0, 0.0);
         let each = self.ill.iter().map(|(number, ill)| {
             let lasted = ill.ended.zip(ill.began).map_or(0, |(ended, began)| ended - began);
--- a/crates/lab/src/checkers/subsetting.rs
+++ b/crates/lab/src/checkers/subsetting.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use super::Broken;
-use crate::history::{Event, Judge};
+use super::Violations;
+use crate::history::{Checker, Event};
 use crate::model::discovery::Status;
 use crate::{Micros, SECOND};
 
@@ -21,7 +21,7 @@
 
 /// What the judge must know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Size {
+pub struct SubsettingBounds {
     /// How long after the first transaction windows count.
     pub settle_in: Micros,
 }
@@ -43,25 +43,25 @@
     most_users: usize,
 }
 
-pub struct Cover {
-    size: Size,
+pub struct SubsettingChecker {
+    size: SubsettingBounds,
     open: BTreeMap<String, Open>,
     began: Option<Micros>,
     /// When the window that runs began.
     window: Micros,
     means: Means,
-    broken: Broken,
+    broken: Violations,
 }
 
-impl Cover {
-    pub fn new(size: Size) -> Self {
-        Cover {
+impl SubsettingChecker {
+    pub fn new(size: SubsettingBounds) -> Self {
+        SubsettingChecker {
             size,
             open: BTreeMap::new(),
             began: None,
             window: 0,
             means: Means::default(),
-            broken: Broken::default(),
+            broken: Violations::default(),
         }
     }
 
@@ -96,22 +96,24 @@
     }
 }
 
-impl Judge for Cover {
-    fn hear(&mut self, at: Micros, event: &Event) {
+impl Checker for SubsettingChecker {
+    fn observe(&mut self, at: Micros, event: &Event) {
         self.turn(at);
         match event {
-            Event::Asked { .. } if self.began.is_none() => (self.began, self.window) = (Some(at), at),
-            Event::BoxStarts { name, started, cold, .. } => {
+            Event::RequestCreated { .. } if self.began.is_none() => {
+                (self.began, self.window) = (Some(at), at)
+            }
+            Event::ServerStarted { name, started, cold, .. } => {
                 let warm = started.map_or(0, |started| started + cold.warm_up);
                 self.open.insert(name.clone(), Open { warm, trips: 0, by: BTreeSet::new() });
             }
             // Whoever is to drain takes no part from the moment that the first gateway knows.
-            Event::Told { name, status, .. } if *status != Status::InService => {
+            Event::EndpointNotified { name, status, .. } if *status != Status::InService => {
                 self.open.remove(name);
             }
-            Event::Fell { name } => drop(self.open.remove(name)),
-            Event::Arrived { arrival } => {
-                if let Some(own) = self.open.get_mut(&arrival.box_) {
+            Event::ServerCollapsed { name } => drop(self.open.remove(name)),
+            Event::AttemptArrived { arrival } => {
+                if let Some(own) = self.open.get_mut(&arrival.server) {
                     own.trips += 1;
                     own.by.insert(arrival.gateway);
                 }
@@ -120,15 +122,15 @@
         }
     }
 
-    fn end(&mut self, at: Micros) {
+    fn finish(&mut self, at: Micros) {
         self.turn(at);
     }
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         vec![("cover", &self.broken)]
     }
 
-    fn shown(&self) -> Option<(&'static str, Value)> {
+    fn figures(&self) -> Option<(&'static str, Value)> {
         let Means { windows, busiest, worst, off, users, most_users } = self.means;
         let mean = |sum: f64| if windows == 0 { 0.0 } else { sum / windows as f64 };
         let shown = json!({ "windows": windows, "busiest": mean(busiest), "worst": worst, "off": mean(off),
--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -14,7 +14,7 @@
 /// What storms are drawn from.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Menu {
+pub struct FaultDistribution {
     /// Faults of one storm.
     pub faults: u32,
     /// The longest of them; the shortest lasts a twentieth of it.
@@ -63,7 +63,7 @@
 /// Times are drawn in steps of this, so that a schedule can be read.
 const STEP: Micros = 100 * MILLISECOND;
 
-impl Menu {
+impl FaultDistribution {
     pub fn wrong(&self, scenario: &Scenario) -> Option<String> {
         let sum: f64 = self.shares.values().sum();
         if self.faults == 0 || sum <= 0.0 || self.shares.values().any(|share| *share < 0.0) {
@@ -84,7 +84,7 @@
 }
 
 /// The storm of this seed, as a scenario.
-pub fn draw(base: &Scenario, menu: &Menu, seed: u64) -> Scenario {
+pub fn draw(base: &Scenario, menu: &FaultDistribution, seed: u64) -> Scenario {
     let mut chance = ChaCha8Rng::seed_from_u64(seed_of(seed, "storm"));
     let mut scenario = base.clone();
     scenario.name = format!("{}-storm-{seed}", base.name);
@@ -102,7 +102,7 @@
     Time(chance.gen_range(from / STEP..=(to / STEP).max(from / STEP)) * STEP)
 }
 
-fn one(base: &Scenario, menu: &Menu, kind: Kind, chance: &mut ChaCha8Rng) -> Fault {
+fn one(base: &Scenario, menu: &FaultDistribution, kind: Kind, chance: &mut ChaCha8Rng) -> Fault {
     let count = base.fleet.gateways;
     let mut all: Vec<u32> = (0..count).collect();
     all.shuffle(chance);
@@ -160,7 +160,7 @@
         Kind::Streams => {
             let cut = between(some(chance, count), BetweenIll::Cut, 1.0, 0.0);
             fault.between =
-                Some(BetweenFault { goods: Some(crate::history::Goods::Streams), both: true, ..cut });
+                Some(BetweenFault { goods: Some(crate::history::LinkTraffic::Streams), both: true, ..cut });
         }
         Kind::Pause => fault.gateway = Some(stop(some(chance, third), Stop::Pause)),
         Kind::Kill => fault.gateway = Some(stop(some(chance, third), Stop::Kill)),
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -11,21 +11,21 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::checkers::lease::{self, Owners};
-use crate::checkers::membership::{Fleet, Size};
-use crate::checkers::outlier_detection::{self, Signals};
-use crate::checkers::subsetting::{self, Cover};
-use crate::model::clients::Ask;
+use crate::checkers::lease::{self, LeaseChecker};
+use crate::checkers::membership::{MembershipBounds, MembershipChecker};
+use crate::checkers::outlier_detection::{self, OutlierChecker};
+use crate::checkers::subsetting::{self, SubsettingChecker};
+use crate::model::clients::ClientRequest;
 use crate::model::discovery::Status;
-use crate::model::server::{Cold, End};
-use crate::request_ledger::{Arrival, Broken, Harm, Ledger, Link, Terms};
+use crate::model::server::{AttemptEnd, SlowStart};
+use crate::request_ledger::{Arrival, Link, MisbehaviorOutcome, RequestLedger, RuleBounds, Violations};
 use crate::wire::Answer;
 use crate::Micros;
 
 /// What goes from one gateway to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Goods {
+pub enum LinkTraffic {
     Datagrams,
     Streams,
 }
@@ -35,14 +35,18 @@
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Event {
     // Clients.
-    Asked {
-        ask: Ask,
+    #[serde(rename = "asked")]
+    RequestCreated {
+        #[serde(rename = "ask")]
+        request: ClientRequest,
     },
-    Written {
+    #[serde(rename = "written")]
+    RequestWritten {
         id: u64,
         gateway: u32,
     },
-    Unsent {
+    #[serde(rename = "unsent")]
+    RequestUnsent {
         id: u64,
     },
     Answered {
@@ -54,7 +58,8 @@
         closed: bool,
     },
     /// Its client has closed the connection before anything came.
-    Left {
+    #[serde(rename = "left")]
+    ClientDisconnected {
         id: u64,
     },
     Stray {
@@ -62,34 +67,43 @@
         since: Micros,
         bytes: Vec<u8>,
     },
-    Harm {
+    #[serde(rename = "harm")]
+    MisbehaviorEnded {
         gateway: u32,
-        got: Harm,
+        got: MisbehaviorOutcome,
     },
     // Boxes.
-    BoxStarts {
+    #[serde(rename = "box-starts")]
+    ServerStarted {
         name: String,
         zone: String,
         cell: u32,
         started: Option<Micros>,
         power: f64,
-        cold: Cold,
+        cold: SlowStart,
     },
-    Arrived {
+    #[serde(rename = "arrived")]
+    AttemptArrived {
         arrival: Arrival,
     },
-    Ran {
-        trip: usize,
-        end: End,
+    #[serde(rename = "ran")]
+    AttemptEnded {
+        #[serde(rename = "trip")]
+        attempt: usize,
+        end: AttemptEnd,
     },
-    Over {
-        trip: usize,
+    #[serde(rename = "over")]
+    AttemptClosed {
+        #[serde(rename = "trip")]
+        attempt: usize,
     },
-    Fell {
+    #[serde(rename = "fell")]
+    ServerCollapsed {
         name: String,
     },
     // Discovery, operators, the counter.
-    Told {
+    #[serde(rename = "told")]
+    EndpointNotified {
         gateway: u32,
         name: String,
         status: Status,
@@ -102,11 +116,14 @@
         out: bool,
     },
     /// The counter has added an amount for a gateway to a name that lives so long.
-    Added {
+    #[serde(rename = "added")]
+    CounterAdded {
         gateway: u32,
-        count: String,
+        #[serde(rename = "count")]
+        key: String,
         amount: f64,
-        life: Micros,
+        #[serde(rename = "life")]
+        lifetime: Micros,
     },
     // Gateways' processes.
     /// A process starts; it knows what it was given at the start only.
@@ -118,7 +135,8 @@
         gateway: u32,
     },
     /// SIGTERM was sent to a gateway's last process.
-    Ends {
+    #[serde(rename = "ends")]
+    ShutdownRequested {
         gateway: u32,
     },
     Ended {
@@ -135,29 +153,36 @@
         gateway: u32,
     },
     /// A gateway's shared clock is so many microseconds ahead from now on.
-    Clock {
+    #[serde(rename = "clock")]
+    ClockStepped {
         gateway: u32,
         ahead: i64,
     },
     // Links.
-    LinkBreaks {
+    #[serde(rename = "link-breaks")]
+    LinkBroken {
         link: Link,
     },
-    LinkMends {
+    #[serde(rename = "link-mends")]
+    LinkRestored {
         link: Link,
     },
     /// Nothing of these goods passes from one gateway to another from now on, or too little to speak of; or it does again.
-    Parts {
+    #[serde(rename = "parts")]
+    TrafficBlocked {
         from: u32,
         to: u32,
-        goods: Goods,
+        #[serde(rename = "goods")]
+        traffic: LinkTraffic,
         on: bool,
     },
     // Faults, as the scenario numbers them.
-    FaultBegins {
+    #[serde(rename = "fault-begins")]
+    FaultBegan {
         number: usize,
     },
-    FaultEnds {
+    #[serde(rename = "fault-ends")]
+    FaultEnded {
         number: usize,
     },
     /// Something done by the owner of a job has come to where it has its effect.
@@ -179,30 +204,33 @@
         within: Micros,
     },
     /// Whom a gateway sees, by their names; suspected ones too.
-    View {
+    #[serde(rename = "view")]
+    MembershipView {
         gateway: u32,
         live: Vec<String>,
         suspected: Vec<String>,
     },
     /// What a gateway knows of the counts that live, and the milliseconds they still do.
-    Sums {
+    #[serde(rename = "sums")]
+    CounterTotals {
         gateway: u32,
-        sums: Vec<(String, f64, u32)>,
+        #[serde(rename = "sums")]
+        totals: Vec<(String, f64, u32)>,
     },
 }
 
 /// Someone who hears of everything and judges by rules of its own.
-pub trait Judge {
-    fn hear(&mut self, at: Micros, event: &Event);
+pub trait Checker {
+    fn observe(&mut self, at: Micros, event: &Event);
 
     /// Nothing more will come.
-    fn end(&mut self, at: Micros);
+    fn finish(&mut self, at: Micros);
 
     /// Its rules by the names of the report, and how each was broken.
-    fn rules(&self) -> Vec<(&'static str, &Broken)>;
+    fn rules(&self) -> Vec<(&'static str, &Violations)>;
 
     /// What it has measured, for the report, under a name of its own.
-    fn shown(&self) -> Option<(&'static str, Value)> {
+    fn figures(&self) -> Option<(&'static str, Value)> {
         None
     }
 }
@@ -212,18 +240,18 @@
 pub struct Head {
     pub scenario: String,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: RuleBounds,
     /// Absent, nobody judges how gateways see each other.
-    pub fleet: Option<Size>,
+    pub fleet: Option<MembershipBounds>,
     /// Absent, nobody judges who owns jobs.
     #[serde(default)]
-    pub owners: Option<lease::Size>,
+    pub owners: Option<lease::LeaseBounds>,
     /// Absent, nobody judges how the work comes to the boxes.
     #[serde(default)]
-    pub subsets: Option<subsetting::Size>,
+    pub subsets: Option<subsetting::SubsettingBounds>,
     /// Absent, nobody measures what ill boxes cost.
     #[serde(default)]
-    pub signals: Option<outlier_detection::Size>,
+    pub signals: Option<outlier_detection::OutlierBounds>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -234,45 +262,45 @@
 }
 
 /// Those who judge a run, and where it is written down.
-pub struct Court {
-    pub ledger: Ledger,
-    judges: Vec<Box<dyn Judge>>,
+pub struct Recorder {
+    pub ledger: RequestLedger,
+    checkers: Vec<Box<dyn Checker>>,
     out: Option<BufWriter<File>>,
-    pub heard: u64,
+    pub recorded: u64,
     /// The history could not be written on.
-    pub failed: Option<io::Error>,
+    pub write_error: Option<io::Error>,
 }
 
-impl Court {
+impl Recorder {
     /// The five rules alone.
-    pub fn of(ledger: Ledger) -> Self {
-        Court { ledger, judges: Vec::new(), out: None, heard: 0, failed: None }
+    pub fn with_ledger(ledger: RequestLedger) -> Self {
+        Recorder { ledger, checkers: Vec::new(), out: None, recorded: 0, write_error: None }
     }
 
     /// All who judge by these terms.
     pub fn new(head: &Head) -> Self {
-        let mut court = Court::of(Ledger::new(head.terms.clone()));
+        let mut court = Recorder::with_ledger(RequestLedger::new(head.terms.clone()));
         if let Some(size) = head.fleet.clone() {
-            court.judges.push(Box::new(Fleet::new(size)));
+            court.checkers.push(Box::new(MembershipChecker::new(size)));
         }
         if let Some(size) = head.owners.clone() {
-            court.judges.push(Box::new(Owners::new(size)));
+            court.checkers.push(Box::new(LeaseChecker::new(size)));
         }
         if let Some(size) = head.subsets.clone() {
-            court.judges.push(Box::new(Cover::new(size)));
+            court.checkers.push(Box::new(SubsettingChecker::new(size)));
         }
         if let Some(size) = head.signals.clone() {
-            court.judges.push(Box::new(Signals::new(size)));
+            court.checkers.push(Box::new(OutlierChecker::new(size)));
         }
         court
     }
 
-    pub fn judged_by(&mut self, judge: Box<dyn Judge>) {
-        self.judges.push(judge);
+    pub fn add_checker(&mut self, judge: Box<dyn Checker>) {
+        self.checkers.push(judge);
     }
 
     /// Writes down all that is heard from now on.
-    pub fn keep(&mut self, file: &Path, head: &Head) -> io::Result<()> {
+    pub fn write_to(&mut self, file: &Path, head: &Head) -> io::Result<()> {
         let mut out = BufWriter::new(File::create(file)?);
         serde_json::to_writer(&mut out, head)?;
         out.write_all(b"\n")?;
@@ -281,39 +309,39 @@
     }
 
     /// Something has happened. Gives the number of a trip that arrived, by which it is told on.
-    pub fn hear(&mut self, at: Micros, event: Event) -> usize {
-        self.heard += 1;
-        self.ledger.hear(at, &event);
-        self.judges.iter_mut().for_each(|judge| judge.hear(at, &event));
+    pub fn record(&mut self, at: Micros, event: Event) -> usize {
+        self.recorded += 1;
+        self.ledger.observe(at, &event);
+        self.checkers.iter_mut().for_each(|judge| judge.observe(at, &event));
         if let Some(out) = &mut self.out {
             let written = serde_json::to_writer(&mut *out, &Line { at, event }).map_err(io::Error::from);
             if let Err(why) = written.and_then(|()| out.write_all(b"\n")) {
-                self.failed = Some(why);
+                self.write_error = Some(why);
                 self.out = None;
             }
         }
-        self.ledger.trips().saturating_sub(1)
+        self.ledger.attempt_count().saturating_sub(1)
     }
 
-    pub fn end(&mut self, at: Micros) {
-        self.ledger.end(at);
-        self.judges.iter_mut().for_each(|judge| judge.end(at));
+    pub fn finish(&mut self, at: Micros) {
+        self.ledger.finish(at);
+        self.checkers.iter_mut().for_each(|judge| judge.finish(at));
         if let Some(Err(why)) = self.out.take().map(|mut out| out.flush()) {
-            self.failed = Some(why);
+            self.write_error = Some(why);
         }
     }
 
-    pub fn rules(&self) -> Vec<(&'static str, &Broken)> {
-        let others = self.judges.iter().flat_map(|judge| judge.rules());
-        Judge::rules(&self.ledger).into_iter().chain(others).collect()
+    pub fn rules(&self) -> Vec<(&'static str, &Violations)> {
+        let others = self.checkers.iter().flat_map(|judge| judge.rules());
+        Checker::rules(&self.ledger).into_iter().chain(others).collect()
     }
 
     /// What the judges have measured.
-    pub fn shown(&self) -> Vec<(&'static str, Value)> {
-        self.judges.iter().filter_map(|judge| judge.shown()).collect()
+    pub fn figures(&self) -> Vec<(&'static str, Value)> {
+        self.checkers.iter().filter_map(|judge| judge.figures()).collect()
     }
 
-    pub fn any_broken(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.rules().iter().map(|(_, broken)| broken.count).sum()
     }
 }
@@ -329,14 +357,14 @@
 }
 
 /// Judges a history that was kept, from its file alone.
-pub fn judge(file: &Path) -> Result<(Head, Court), Error> {
+pub fn check(file: &Path) -> Result<(Head, Recorder), Error> {
     let path = file.display().to_string();
     let unread = |why| Error::Unread { path: path.clone(), why };
     let mut lines = BufReader::new(File::open(file).map_err(unread)?).lines();
     let first = lines.next().ok_or_else(|| Error::Empty { path: path.clone() })?.map_err(unread)?;
     let head: Head =
         serde_json::from_str(&first).map_err(|why| Error::Unclear { path: path.clone(), line: 1, why })?;
-    let (mut court, mut last) = (Court::new(&head), 0);
+    let (mut court, mut last) = (Recorder::new(&head), 0);
     for (number, line) in lines.enumerate() {
         let line = line.map_err(unread)?;
         let Line { at, event } = serde_json::from_str(&line).map_err(|why| Error::Unclear {
@@ -344,9 +372,9 @@
             line: number + 2,
             why,
         })?;
-        court.hear(at, event);
+        court.record(at, event);
         last = at;
     }
-    court.end(last);
+    court.finish(last);
     Ok((head, court))
 }
--- a/crates/lab/src/lease_explorer.rs
+++ b/crates/lab/src/lease_explorer.rs
@@ -17,7 +17,7 @@
 
 /// A mistake that the explorer must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, clap::ValueEnum)]
-pub enum Seeded {
+pub enum SeededMistake {
     None,
     /// A voter answers before its promise is durable.
     EarlyAnswer,
@@ -35,7 +35,7 @@
 
 /// What may happen beside messages.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
+pub struct FaultBudget {
     /// How much may be out of the usual in one run, all in all: a message that is overtaken, lost or doubled, a voter that
     /// ends, a clock that moves on before all that was sent has come.
     pub odd: u32,
@@ -92,8 +92,8 @@
 }
 
 #[derive(Clone, Hash)]
-pub struct Owners {
-    seeded: Seeded,
+pub struct LeaseSystem {
+    seeded: SeededMistake,
     /// How many things may still be out of the usual.
     odd: u32,
     left: [u32; 6],
@@ -135,9 +135,9 @@
     "job".into()
 }
 
-impl Owners {
-    pub fn new(seeded: Seeded, trouble: Trouble) -> Self {
-        let mut owners = Owners {
+impl LeaseSystem {
+    pub fn new(seeded: SeededMistake, trouble: FaultBudget) -> Self {
+        let mut owners = LeaseSystem {
             seeded,
             odd: trouble.odd,
             left: [
@@ -182,7 +182,7 @@
         for at in 0..CLAIMERS {
             let terms = LeaseTerms {
                 duration: LEASE,
-                max_drift_ppm: if seeded == Seeded::NoMargin { 0 } else { DRIFT },
+                max_drift_ppm: if seeded == SeededMistake::NoMargin { 0 } else { DRIFT },
             };
             let voters = &sets()[usize::from(trouble.change.is_some() && at > 0)];
             let mut claimer = Candidate::new(ProcessId(100 + at as u64), voters, terms, 7);
@@ -202,7 +202,7 @@
         self.starts += 1;
         let terms = LeaseTerms { duration: LEASE, max_drift_ppm: DRIFT };
         let voters = &sets()[usize::from(self.changed(at))];
-        if self.seeded == Seeded::NoFreeze && self.changed(at) {
+        if self.seeded == SeededMistake::NoFreeze && self.changed(at) {
             (self.disks[at].acceptors, self.disks[at].is_initialized) = (voters.id(), true);
         }
         let (run, folder) = (ProcessId(self.starts), self.disks[at].clone());
@@ -249,7 +249,7 @@
             match output {
                 Output::Persist { number, change } => {
                     self.writes[at].push_back((number, change));
-                    if self.seeded == Seeded::EarlyAnswer {
+                    if self.seeded == SeededMistake::EarlyAnswer {
                         let time = self.voter_time();
                         if let Some(voter) = &mut self.voters[at] {
                             voter.write_completed(time, number, true);
@@ -265,10 +265,10 @@
                 // What voters tell each other of their writes matters only to a folder from before.
                 Output::Request { request: AcceptorRequest::WriteCount { .. }, .. } => {}
                 Output::Request { to, request: ask } => {
-                    self.send(Message::Ask { to: Owners::place(&to), from: ProcessId(at as u64), ask });
+                    self.send(Message::Ask { to: LeaseSystem::place(&to), from: ProcessId(at as u64), ask });
                 }
                 Output::PeerReply { to, reply: say } => {
-                    self.send(Message::Answer { to: Owners::place(&to), from: at, say });
+                    self.send(Message::Answer { to: LeaseSystem::place(&to), from: at, say });
                 }
                 Output::Event(_) => {}
             }
@@ -280,7 +280,7 @@
             match wanted {
                 Wants::Request { to, request: ask } => {
                     let from = self.claimers[at].process();
-                    self.send(Message::Ask { to: Owners::place(&to), from, ask });
+                    self.send(Message::Ask { to: LeaseSystem::place(&to), from, ask });
                 }
                 Wants::Event(Event::Acquired { token: fence, .. }) => self.owns(fence),
                 // Nobody hands over here.
@@ -323,7 +323,7 @@
 
     fn comes(&mut self, fence: FencingToken) {
         let admitted = match self.seeded {
-            Seeded::NoFence => true,
+            SeededMistake::NoFence => true,
             _ => matches!(self.guard.check(&job(), fence), FencingDecision::Current | FencingDecision::Newer),
         };
         if admitted {
@@ -362,7 +362,7 @@
     }
 }
 
-impl Owners {
+impl LeaseSystem {
     /// Who owns the job now, if anybody does.
     pub fn owner(&self) -> Option<ProcessId> {
         let owns = |claimer: &&Candidate| claimer.authorization(self.now, "job").is_some();
@@ -391,7 +391,7 @@
     }
 }
 
-impl System for Owners {
+impl System for LeaseSystem {
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
@@ -469,7 +469,7 @@
                     self.disks[*at].apply(&change);
                     let time = self.voter_time();
                     if let Some(voter) =
-                        self.voters[*at].as_mut().filter(|_| self.seeded != Seeded::EarlyAnswer)
+                        self.voters[*at].as_mut().filter(|_| self.seeded != SeededMistake::EarlyAnswer)
                     {
                         voter.write_completed(time, number, true);
                     }
@@ -481,13 +481,13 @@
                 self.voters[*at] = None;
                 self.writes[*at].clear();
                 if self.lose_folder {
-                    let founded = self.seeded == Seeded::Forgets;
+                    let founded = self.seeded == SeededMistake::Forgets;
                     // One that forgets believes that it votes as before.
                     let set = if founded { self.disks[*at].acceptors } else { AcceptorSetId::default() };
                     self.disks[*at] =
                         DurableState { is_initialized: founded, acceptors: set, ..DurableState::default() };
                 }
-                if self.seeded == Seeded::Reused {
+                if self.seeded == SeededMistake::Reused {
                     // A claimer ends as well, and comes back as who it was.
                     let run = self.claimers[0].process();
                     let mut claimer = Candidate::new(
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -13,7 +13,7 @@
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::history::Event;
-use crate::model::clients::{Ask, Front, Kind};
+use crate::model::clients::{ClientModel, ClientRequest, Idempotency};
 use crate::request_ledger::Fate;
 use crate::wire::{self, Answer, Call, Value};
 use crate::{Micros, MILLISECOND, SECOND};
@@ -37,7 +37,7 @@
 
 pub struct Host {
     world: Rc<World>,
-    front: RefCell<Front>,
+    front: RefCell<ClientModel>,
     gates: Vec<Gate>,
     slack: Micros,
     /// How late transactions were written, and how long settled ones of each lane took, in microseconds.
@@ -64,14 +64,14 @@
 }
 
 impl Host {
-    pub fn new(world: &Rc<World>, front: Front, gateways: &[SocketAddr], slack: Micros) -> Rc<Host> {
+    pub fn new(world: &Rc<World>, front: ClientModel, gateways: &[SocketAddr], slack: Micros) -> Rc<Host> {
         let gate = |address: &SocketAddr| Gate {
             address: *address,
             idle: RefCell::default(),
             serves: Cell::new(false),
             probed: Cell::new(false),
         };
-        let lanes = front.lanes().len();
+        let lanes = front.classes().len();
         Rc::new(Host {
             world: world.clone(),
             front: RefCell::new(front),
@@ -85,7 +85,7 @@
         })
     }
 
-    pub fn with<T>(&self, act: impl FnOnce(&mut Front) -> T) -> T {
+    pub fn with<T>(&self, act: impl FnOnce(&mut ClientModel) -> T) -> T {
         act(&mut self.front.borrow_mut())
     }
 
@@ -142,12 +142,12 @@
                 self.world.until(at.min(self.world.now() + PROBE)).await;
                 continue;
             }
-            let Some(ask) = self.front.borrow_mut().ask() else { return };
+            let Some(ask) = self.front.borrow_mut().next_request() else { return };
             let host = self.clone();
             self.open.set(self.open.get() + 1);
             self.asked.set(self.asked.get() + 1);
             self.world.works.borrow_mut().insert(ask.id, ask.work);
-            self.world.happens(Event::Asked { ask: ask.clone() });
+            self.world.happens(Event::RequestCreated { request: ask.clone() });
             self.world.spawn(async move {
                 host.one(ask).await;
                 host.open.set(host.open.get() - 1);
@@ -194,32 +194,33 @@
         Ok((Stream::dial(gate.address, DIAL).await?, false))
     }
 
-    async fn one(self: &Rc<Self>, ask: Ask) {
+    async fn one(self: &Rc<Self>, ask: ClientRequest) {
         let (lane, plan) = {
             let front = self.front.borrow();
-            (front.lanes()[ask.lane].clone(), front.plans()[ask.plan].name.clone())
+            (front.classes()[ask.class].clone(), front.plans()[ask.plan].name.clone())
         };
         let gateways = self.gates.len() as u32;
         // Those of its set, from the one it was dealt to.
-        let step = (ask.gateway + gateways - ask.first) % gateways;
-        let set = (0..ask.spread).map(|more| (ask.first + (step + more) % ask.spread) % gateways);
+        let step = (ask.gateway + gateways - ask.first_gateway) % gateways;
+        let set = (0..ask.gateway_spread)
+            .map(|more| (ask.first_gateway + (step + more) % ask.gateway_spread) % gateways);
         let Some(gateway) = set.into_iter().find(|gateway| self.gates[*gateway as usize].serves.get()) else {
             return self.unsent(&ask);
         };
         let call = Call {
-            customer: format!("{:016x}", ask.customer),
+            customer: format!("{:016x}", ask.tenant),
             id: format!("{:016x}", ask.id),
             lane: lane.name.clone(),
             plan,
-            wait_ms: lane.hard_stop as f64 / MILLISECOND as f64,
+            wait_ms: lane.deadline as f64 / MILLISECOND as f64,
             key: ask.key.map(|key| format!("{key:016x}")),
             units: ask.units as f64,
-            spread: ask.spread,
-            first: ask.first,
-            repeat: ask.try_ > 0,
-            body: (lane.kind != Kind::Redoable).then(|| b"{}".to_vec()),
+            spread: ask.gateway_spread,
+            first: ask.first_gateway,
+            repeat: ask.attempt > 0,
+            body: (lane.idempotency != Idempotency::Idempotent).then(|| b"{}".to_vec()),
         };
-        let command = call.write(lane.kind == Kind::Redoable);
+        let command = call.write(lane.idempotency == Idempotency::Idempotent);
         let mut written_once = false;
         loop {
             let connected = self.connection(gateway).await;
@@ -248,14 +249,14 @@
             if !written_once {
                 let _ = self.behind.borrow_mut().record((now - ask.at).max(1));
             }
-            self.world.happened(now, Event::Written { id: ask.id, gateway });
-            let limit = now + lane.hard_stop + self.slack + PATIENCE;
+            self.world.happened(now, Event::RequestWritten { id: ask.id, gateway });
+            let limit = now + lane.deadline + self.slack + PATIENCE;
             let leaves = self.front.borrow().leaves_after(&ask).map(|after| now + after);
             let got = self.answer(&mut stream, limit, leaves).await;
             match got {
                 Got::Left => {
                     drop(stream);
-                    self.world.happens(Event::Left { id: ask.id });
+                    self.world.happens(Event::ClientDisconnected { id: ask.id });
                     return;
                 }
                 Got::Whole(value) => {
@@ -263,7 +264,7 @@
                     self.gates[gateway as usize].idle.borrow_mut().push((stream, now));
                     return self.ended(&ask, Some(Answer::of(value)), false);
                 }
-                Got::Closed(false) if used && !written_once && !self.world.ledger().has_trip(ask.id) => {
+                Got::Closed(false) if used && !written_once && !self.world.ledger().has_attempt(ask.id) => {
                     // The close crossed the command, and nobody read it.
                     written_once = true;
                 }
@@ -298,12 +299,12 @@
         future::or(read, late).await
     }
 
-    fn unsent(self: &Rc<Self>, ask: &Ask) {
-        self.world.happens(Event::Unsent { id: ask.id });
+    fn unsent(self: &Rc<Self>, ask: &ClientRequest) {
+        self.world.happens(Event::RequestUnsent { id: ask.id });
         self.front.borrow_mut().unserved(self.world.now(), ask, true, 0);
     }
 
-    fn ended(self: &Rc<Self>, ask: &Ask, answer: Option<Answer>, closed: bool) {
+    fn ended(self: &Rc<Self>, ask: &ClientRequest, answer: Option<Answer>, closed: bool) {
         let now = self.world.now();
         let Some(answer) = answer else {
             self.world.happened(now, Event::Unanswered { id: ask.id, closed });
@@ -311,17 +312,17 @@
         };
         self.world.happened(now, Event::Answered { id: ask.id, answer: answer.clone() });
         match answer {
-            Answer::Settled(_) => {
+            Answer::Completed(_) => {
                 let took = (now - ask.at).max(1);
-                let _ = self.took.borrow_mut()[ask.lane].record(took);
-                let agreed = self.front.borrow().lanes()[ask.lane].agreed;
+                let _ = self.took.borrow_mut()[ask.class].record(took);
+                let agreed = self.front.borrow().classes()[ask.class].latency_objective;
                 self.late.borrow_mut().insert(ask.id, took > agreed);
             }
-            Answer::Nacked { wait_ms } => {
+            Answer::Rejected { wait_ms } => {
                 let wait = wait_ms.unwrap_or(0) * MILLISECOND;
                 self.front.borrow_mut().unserved(now, ask, true, wait);
             }
-            Answer::Abandoned => self.front.borrow_mut().unserved(now, ask, false, 0),
+            Answer::Failed => self.front.borrow_mut().unserved(now, ask, false, 0),
         }
     }
 
@@ -329,6 +330,6 @@
     pub fn standing(&self) -> (u64, u64, u64, u64) {
         let ledger = self.world.ledger();
         let count = |fate: Fate| ledger.fates().filter(|(_, _, own, _)| *own == fate).count() as u64;
-        (self.asked.get(), self.open.get(), count(Fate::Settled), count(Fate::Nacked))
+        (self.asked.get(), self.open.get(), count(Fate::Completed), count(Fate::Rejected))
     }
 }
--- a/crates/lab/src/live/counter.rs
+++ b/crates/lab/src/live/counter.rs
@@ -8,11 +8,11 @@
 use async_channel::Receiver;
 use futures_lite::future;
 
-use super::listener::Door;
+use super::listener::Listener;
 use super::stream::Stream;
 use super::World;
 use crate::history::Event;
-use crate::model::counter::{Counter, Ill, Said, Spec};
+use crate::model::counter::{Counter, Reply, ReplyFault, Spec};
 use crate::wire;
 use crate::{seed_of, Micros};
 
@@ -26,7 +26,7 @@
     models: RefCell<Vec<Counter>>,
     /// Which model each gateway sees.
     sees: Vec<Cell<usize>>,
-    doors: RefCell<Vec<Rc<Door>>>,
+    doors: RefCell<Vec<Rc<Listener>>>,
     swaps: Cell<u64>,
 }
 
@@ -51,7 +51,7 @@
         for (gateway, address) in doors.iter().enumerate() {
             let own = host.clone();
             let serve = move |stream| own.clone().serve(gateway, stream);
-            let door = Door::open(world, *address, connections, serve)?;
+            let door = Listener::open(world, *address, connections, serve)?;
             host.doors.borrow_mut().push(door);
         }
         Ok(host)
@@ -141,19 +141,19 @@
         let model = &mut models[self.sees[gateway].get()];
         let life = life.saturating_mul(1000);
         let (said, at) = model.add(now, text(1), amount, life);
-        if said != Said::Busy && model.ill != Ill::Deaf {
+        if said != Reply::Busy && model.ill != ReplyFault::Deaf {
             let (gateway, count) = (gateway as u32, text(1).to_string());
-            self.world.happened(now, Event::Added { gateway, count, amount, life });
+            self.world.happened(now, Event::CounterAdded { gateway, key: count, amount, lifetime: life });
         }
         let bytes = match said {
-            Said::Total(total) => {
+            Reply::Total(total) => {
                 let mut bytes = Vec::new();
                 wire::bulk(&mut bytes, total.to_string().as_bytes());
                 Some(bytes)
             }
-            Said::Busy => Some(b"-BUSY\r\n".to_vec()),
-            Said::Spoilt => Some(b"$3\r\n?a!\r\n".to_vec()),
-            Said::Nothing => None,
+            Reply::Busy => Some(b"-BUSY\r\n".to_vec()),
+            Reply::Spoilt => Some(b"$3\r\n?a!\r\n".to_vec()),
+            Reply::Nothing => None,
         };
         (bytes, at)
     }
--- a/crates/lab/src/live/discovery.rs
+++ b/crates/lab/src/live/discovery.rs
@@ -9,11 +9,11 @@
 use futures_lite::future;
 use serde_json::json;
 
-use super::listener::Door;
+use super::listener::Listener;
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::history::Event;
-use crate::model::discovery::{Entry, List, Status};
+use crate::model::discovery::{EndpointList, Entry, Status};
 use crate::request_ledger::Link;
 use crate::scenario::OnRequest;
 use crate::{Micros, MILLISECOND, SECOND};
@@ -28,7 +28,7 @@
 
 pub struct Host {
     world: Rc<World>,
-    pub list: RefCell<List>,
+    pub list: RefCell<EndpointList>,
     /// Where each gateway finds each box.
     pub addresses: RefCell<HashMap<(u32, String), SocketAddr>>,
     silent: Vec<Cell<bool>>,
@@ -41,7 +41,7 @@
     calls: Cell<u64>,
     turned_away: Cell<u64>,
     room: Cell<(f64, Micros)>,
-    doors: RefCell<Vec<Rc<Door>>>,
+    doors: RefCell<Vec<Rc<Listener>>>,
 }
 
 impl Host {
@@ -75,7 +75,7 @@
                     own.world.until(at).await;
                     for gateway in 0..own.silent.len() as u32 {
                         let name = name.clone();
-                        own.world.happens(Event::Told { gateway, name, status, started });
+                        own.world.happens(Event::EndpointNotified { gateway, name, status, started });
                     }
                 });
             }
@@ -118,7 +118,7 @@
         for (gateway, address) in doors.iter().enumerate() {
             let own = host.clone();
             let serve = move |stream| own.clone().serve(gateway as u32, stream);
-            let door = Door::open(world, *address, usize::MAX, serve)?;
+            let door = Listener::open(world, *address, usize::MAX, serve)?;
             host.doors.borrow_mut().push(door);
         }
         Ok(host)
@@ -151,7 +151,7 @@
         let all: Vec<_> = all.map(|(name, entry)| (name.to_string(), entry.status, entry.started)).collect();
         drop(list);
         for (name, status, started) in all {
-            self.world.happens(Event::Told { gateway, name, status, started });
+            self.world.happens(Event::EndpointNotified { gateway, name, status, started });
         }
     }
 
@@ -213,7 +213,7 @@
     async fn tell(&self, gateway: u32, since: Option<u64>, stream: &Stream) -> io::Result<()> {
         let (body, told) = {
             let list = self.list.borrow();
-            let entries = since.map_or_else(|| list.whole(), |since| list.since(since));
+            let entries = since.map_or_else(|| list.complete(), |since| list.since(since));
             let shown: Vec<_> =
                 entries.iter().map(|(name, entry)| self.entry(gateway, name, entry)).collect();
             let told: Vec<_> =
@@ -230,7 +230,7 @@
         // What a broken link may have kept back is not held against the gateway.
         if !self.world.ledger().is_faulty(&Link::List(gateway), now) {
             for (name, status, started) in told {
-                self.world.happened(now, Event::Told { gateway, name, status, started });
+                self.world.happened(now, Event::EndpointNotified { gateway, name, status, started });
             }
         }
         Ok(())
@@ -255,7 +255,7 @@
     pub fn known(&self, gateway: u32) -> serde_json::Value {
         let list = self.list.borrow();
         let entries: Vec<_> =
-            list.whole().iter().map(|(name, entry)| self.entry(gateway, name, entry)).collect();
+            list.complete().iter().map(|(name, entry)| self.entry(gateway, name, entry)).collect();
         json!({ "index": list.index(), "snapshot": true, "endpoints": entries })
     }
 }
--- a/crates/lab/src/live/effects.rs
+++ b/crates/lab/src/live/effects.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::listener::Door;
+use super::listener::Listener;
 use super::stream::Stream;
 use super::World;
 use crate::history::Event;
@@ -32,7 +32,7 @@
     highest: RefCell<BTreeMap<String, (u64, u64)>>,
     pub taken: Cell<u64>,
     pub refused: Cell<u64>,
-    door: RefCell<Option<Rc<Door>>>,
+    door: RefCell<Option<Rc<Listener>>>,
 }
 
 impl Host {
@@ -47,7 +47,7 @@
         });
         let own = host.clone();
         let serve = move |stream| own.clone().serve(stream);
-        let door = Door::open(world, SocketAddr::new(world.host(), 0), usize::MAX, serve)?;
+        let door = Listener::open(world, SocketAddr::new(world.host(), 0), usize::MAX, serve)?;
         host.door.replace(Some(door));
         Ok(host)
     }
--- a/crates/lab/src/live/faults.rs
+++ b/crates/lab/src/live/faults.rs
@@ -10,10 +10,10 @@
 use serde_json::{json, Value};
 
 use super::play::Run;
-use super::route::Ill;
+use super::route::RouteFault;
 use super::{counter, misbehaving_client, servers, sleep};
-use crate::history::{Event, Goods};
-use crate::model::counter::Ill as CounterBad;
+use crate::history::{Event, LinkTraffic};
+use crate::model::counter::ReplyFault as CounterBad;
 use crate::model::discovery::Status;
 use crate::request_ledger::Link;
 use crate::scenario::*;
@@ -33,10 +33,10 @@
                 return self.faults.borrow_mut().never_came(number);
             }
         }
-        self.world.happens(Event::FaultBegins { number });
+        self.world.happens(Event::FaultBegan { number });
         self.faults.borrow_mut().begun(number, self.world.now());
         let felt = self.clone().harm(&fault).await;
-        self.world.happens(Event::FaultEnds { number });
+        self.world.happens(Event::FaultEnded { number });
         self.faults.borrow_mut().ended(number, self.world.now(), felt);
     }
 
@@ -180,11 +180,11 @@
     }
 
     /// The ordered pairs that a fault between gateways is about, with the goods.
-    fn ways_between(&self, fault: &BetweenFault) -> BTreeSet<(u32, u32, Goods)> {
+    fn ways_between(&self, fault: &BetweenFault) -> BTreeSet<(u32, u32, LinkTraffic)> {
         let all: Vec<u32> = (0..self.scenario.fleet.gateways).collect();
         let to = if fault.to.is_empty() { &all } else { &fault.to };
         let mut ways = BTreeSet::new();
-        for goods in [Goods::Datagrams, Goods::Streams] {
+        for goods in [LinkTraffic::Datagrams, LinkTraffic::Streams] {
             if fault.goods.is_some_and(|own| own != goods) {
                 continue;
             }
@@ -196,19 +196,24 @@
         ways
     }
 
-    async fn harm_between(&self, ways: BTreeSet<(u32, u32, Goods)>, ill: Ill, for_: Option<Micros>) -> u64 {
+    async fn harm_between(
+        &self,
+        ways: BTreeSet<(u32, u32, LinkTraffic)>,
+        ill: RouteFault,
+        for_: Option<Micros>,
+    ) -> u64 {
         let Some(between) = &self.between else { return 0 };
         let parts = ill.parts();
         let tell = |on: bool| {
             for (from, to, goods) in ways.iter().filter(|_| parts) {
-                self.world.happens(Event::Parts { from: *from, to: *to, goods: *goods, on });
+                self.world.happens(Event::TrafficBlocked { from: *from, to: *to, traffic: *goods, on });
             }
         };
         tell(true);
         let begun: Vec<_> = ways
             .iter()
             .map(|(from, to, goods)| {
-                let way = between.way(*from, *to, *goods);
+                let way = between.route(*from, *to, *goods);
                 let token = way.begin(ill);
                 (way, token)
             })
@@ -226,16 +231,17 @@
     async fn part(self: Rc<Self>, fleet: &FleetFault, for_: Option<Micros>) -> u64 {
         let all = 0..self.scenario.fleet.gateways;
         let pairs = all.clone().flat_map(|one| all.clone().map(move |other| (one, other)));
-        let ways = pairs
-            .filter(|(one, other)| one != other && !fleet.joins(*one, *other))
-            .flat_map(|(one, other)| [Goods::Datagrams, Goods::Streams].map(|goods| (one, other, goods)));
+        let ways = pairs.filter(|(one, other)| one != other && !fleet.joins(*one, *other)).flat_map(
+            |(one, other)| [LinkTraffic::Datagrams, LinkTraffic::Streams].map(|goods| (one, other, goods)),
+        );
         let far = |link: &Link| match link {
             Link::Counter(own) => fleet.out_of_reach(*own, LinkEnd::Counter),
             Link::List(own) => fleet.out_of_reach(*own, LinkEnd::Discovery),
             _ => false,
         };
-        let links = self.harm_links(far, Ill::Blackhole, for_);
-        let (felt, _) = future::zip(self.harm_between(ways.collect(), Ill::Blackhole, for_), links).await;
+        let links = self.harm_links(far, RouteFault::Blackhole, for_);
+        let (felt, _) =
+            future::zip(self.harm_between(ways.collect(), RouteFault::Blackhole, for_), links).await;
         felt
     }
 
@@ -260,7 +266,7 @@
 
     async fn stop_gateway(&self, number: u32, how: Stop, folder: Folder, for_: Option<Micros>) {
         let gateway = &self.gateways[number as usize];
-        let longest = self.lanes.iter().map(|lane| lane.hard_stop).max().unwrap_or(0);
+        let longest = self.lanes.iter().map(|lane| lane.deadline).max().unwrap_or(0);
         let said = |what: &str, done: io::Result<()>| {
             if let Err(why) = done {
                 eprintln!("fernscale-lab: gateway {number} {what}: {why}");
@@ -315,25 +321,25 @@
         let host = self.boxes.borrow()[place as usize].clone();
         let mend = |host: &servers::Host, amount: f64| {
             host.with(|model| match how {
-                BoxIll::Slow => model.ills.slow = amount,
-                BoxIll::Fail => model.ills.fails = amount,
-                BoxIll::Busy => model.ills.busy = amount,
-                BoxIll::Silent => model.ills.silent = amount,
-                BoxIll::Garble => model.ills.garbles = amount,
+                BoxIll::Slow => model.faults.slow = amount,
+                BoxIll::Fail => model.faults.fails = amount,
+                BoxIll::Busy => model.faults.busy = amount,
+                BoxIll::Silent => model.faults.silent = amount,
+                BoxIll::Garble => model.faults.garbles = amount,
                 _ => {}
             });
         };
         match how {
             BoxIll::Drain => {
-                self.list.list.borrow_mut().turn(&host.name, Status::Terminating);
+                self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
                 host.with(|model| model.drain());
                 let Some(time) = for_ else { return };
                 sleep(time).await;
-                self.list.list.borrow_mut().turn(&host.name, Status::InService);
+                self.list.list.borrow_mut().set_status(&host.name, Status::InService);
                 host.with(|model| model.serve_again());
             }
             BoxIll::Replace => {
-                self.list.list.borrow_mut().turn(&host.name, Status::Terminating);
+                self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
                 host.with(|model| model.drain());
                 self.replaced.set(self.replaced.get() + 1);
                 let name = format!("box-{place}-{}", self.replaced.get());
@@ -342,7 +348,7 @@
                     Err(why) => eprintln!("fernscale-lab: {name} does not start: {why}"),
                 }
                 sleep(GONE).await;
-                self.list.list.borrow_mut().turn(&host.name, Status::Terminated);
+                self.list.list.borrow_mut().set_status(&host.name, Status::Terminated);
                 host.kill();
             }
             BoxIll::Kill => {
@@ -413,11 +419,11 @@
         }
     }
 
-    async fn harm_links(&self, wanted: impl Fn(&Link) -> bool, ill: Ill, for_: Option<Micros>) -> u64 {
+    async fn harm_links(&self, wanted: impl Fn(&Link) -> bool, ill: RouteFault, for_: Option<Micros>) -> u64 {
         let relays: Vec<_> = self.relays.borrow().iter().filter(|(link, _)| wanted(link)).cloned().collect();
         let mut begun = Vec::new();
         for (link, relay) in relays {
-            self.world.happens(Event::LinkBreaks { link: link.clone() });
+            self.world.happens(Event::LinkBroken { link: link.clone() });
             let token = relay.begin(ill);
             begun.push((link, relay, token));
         }
@@ -429,7 +435,7 @@
                 Ok(count) => felt += count,
                 Err(why) => eprintln!("fernscale-lab: a link does not come back: {why}"),
             }
-            self.world.happens(Event::LinkMends { link });
+            self.world.happens(Event::LinkRestored { link });
         }
         felt
     }
@@ -438,7 +444,7 @@
 fn wanted(fault: &LinkFault, link: &Link) -> bool {
     let end = match link {
         Link::Clients(_) => LinkEnd::Clients,
-        Link::Box_(..) => LinkEnd::Boxes,
+        Link::Server(..) => LinkEnd::Boxes,
         Link::List(_) => LinkEnd::Discovery,
         Link::Counter(_) => LinkEnd::Counter,
     };
@@ -449,28 +455,28 @@
     (amount * MILLISECOND as f64) as Micros
 }
 
-fn link_ill(fault: &LinkFault) -> Ill {
+fn link_ill(fault: &LinkFault) -> RouteFault {
     match fault.how {
-        LinkIll::Cut => Ill::Cut,
-        LinkIll::Blackhole => Ill::Blackhole,
-        LinkIll::Reset => Ill::Reset,
-        LinkIll::Delay => Ill::Delay { by: ms(fault.amount), spread: 0 },
-        LinkIll::Throttle => Ill::Throttle(fault.amount),
-        LinkIll::Corrupt => Ill::Corrupt(fault.amount.clamp(0.0, 1.0)),
+        LinkIll::Cut => RouteFault::Cut,
+        LinkIll::Blackhole => RouteFault::Blackhole,
+        LinkIll::Reset => RouteFault::Reset,
+        LinkIll::Delay => RouteFault::Delay { by: ms(fault.amount), spread: 0 },
+        LinkIll::Throttle => RouteFault::Throttle(fault.amount),
+        LinkIll::Corrupt => RouteFault::Corrupt(fault.amount.clamp(0.0, 1.0)),
     }
 }
 
-pub fn between_ill(fault: &BetweenFault) -> Ill {
+pub fn between_ill(fault: &BetweenFault) -> RouteFault {
     match fault.how {
-        BetweenIll::Cut => Ill::Cut,
-        BetweenIll::Blackhole => Ill::Blackhole,
-        BetweenIll::Reset => Ill::Reset,
-        BetweenIll::Lose => Ill::Lose(fault.amount),
-        BetweenIll::Delay => Ill::Delay { by: ms(fault.amount), spread: ms(fault.spread) },
-        BetweenIll::Double => Ill::Double(fault.amount),
-        BetweenIll::Overtake => Ill::Overtake { share: fault.amount, by: ms(fault.spread) },
-        BetweenIll::Corrupt => Ill::Corrupt(fault.amount),
-        BetweenIll::Throttle => Ill::Throttle(fault.amount),
+        BetweenIll::Cut => RouteFault::Cut,
+        BetweenIll::Blackhole => RouteFault::Blackhole,
+        BetweenIll::Reset => RouteFault::Reset,
+        BetweenIll::Lose => RouteFault::Lose(fault.amount),
+        BetweenIll::Delay => RouteFault::Delay { by: ms(fault.amount), spread: ms(fault.spread) },
+        BetweenIll::Double => RouteFault::Double(fault.amount),
+        BetweenIll::Overtake => RouteFault::Overtake { share: fault.amount, by: ms(fault.spread) },
+        BetweenIll::Corrupt => RouteFault::Corrupt(fault.amount),
+        BetweenIll::Throttle => RouteFault::Throttle(fault.amount),
     }
 }
 
--- a/crates/lab/src/live/gateway.rs
+++ b/crates/lab/src/live/gateway.rs
@@ -16,7 +16,7 @@
 use super::records::{Log, Record};
 use super::{discovery, queries, sleep, World};
 use crate::history::Event;
-use crate::model::clients::Kind;
+use crate::model::clients::Idempotency;
 use crate::scenario::{Fleet, Folder, FolderIll, Scenario, Who};
 use crate::{seed_of, Micros, MILLISECOND, SECOND};
 
@@ -240,7 +240,7 @@
         self.ahead.set(ahead);
         self.own_file()?;
         self.signal(Signal::HUP);
-        self.world.happens(Event::Clock { gateway: self.number, ahead });
+        self.world.happens(Event::ClockStepped { gateway: self.number, ahead });
         Ok(())
     }
 
@@ -347,7 +347,7 @@
     /// Asks it to end, and waits until it has, or for as long as the platform would.
     pub async fn end(&self, longest: Micros) {
         self.ends.set(true);
-        self.world.happens(Event::Ends { gateway: self.number });
+        self.world.happens(Event::ShutdownRequested { gateway: self.number });
         self.signal(Signal::TERM);
         let until = self.world.now() + longest + STILL_COMING;
         while self.world.now() < until && self.runs() {
@@ -492,7 +492,7 @@
     seed: u64,
 ) -> serde_json::Value {
     let ms = |time: Micros| time as f64 / MILLISECOND as f64;
-    let lane = |lane: &crate::model::clients::Lane| {
+    let lane = |lane: &crate::model::clients::RequestClass| {
         let group = match scenario.lanes.iter().find(|own| own.name == lane.name).map(|own| own.group) {
             Some(Who::Zone) => "zone",
             Some(Who::Cell) => "cell",
@@ -500,16 +500,16 @@
         };
         json!({
             "name": lane.name,
-            "effect": match lane.kind {
-                Kind::Redoable => "read_like",
-                Kind::Labelled => "idempotency_key",
-                Kind::Irreversible => "non_idempotent",
+            "effect": match lane.idempotency {
+                Idempotency::Idempotent => "read_like",
+                Idempotency::Keyed => "idempotency_key",
+                Idempotency::NonIdempotent => "non_idempotent",
             },
             "group": group,
-            "memorySpanMs": ms(lane.memory),
-            "onTimeMs": ms(lane.agreed),
-            "giveUpMs": ms(lane.hard_stop),
-            "value": lane.importance,
+            "memorySpanMs": ms(lane.retention),
+            "onTimeMs": ms(lane.latency_objective),
+            "giveUpMs": ms(lane.deadline),
+            "value": lane.priority_weight,
         })
     };
     let plan = |plan: &crate::scenario::Plan| {
--- a/crates/lab/src/live/inter_gateway_links.rs
+++ b/crates/lab/src/live/inter_gateway_links.rs
@@ -18,12 +18,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::clients::histogram;
-use super::listener::Door;
+use super::listener::Listener;
 use super::relay::Passing;
-use super::route::Way;
+use super::route::Route;
 use super::stream::Stream;
 use super::World;
-use crate::history::Goods;
+use crate::history::LinkTraffic;
 use crate::{Micros, MILLISECOND};
 
 /// The largest datagram there is.
@@ -38,13 +38,13 @@
     real: SocketAddr,
     told: SocketAddr,
     socket: Async<UdpSocket>,
-    door: RefCell<Option<Rc<Door>>>,
+    door: RefCell<Option<Rc<Listener>>>,
 }
 
-pub struct Between {
+pub struct InterGatewayLinks {
     world: Rc<World>,
     places: Vec<Place>,
-    ways: BTreeMap<(u32, u32, Goods), Rc<Way>>,
+    ways: BTreeMap<(u32, u32, LinkTraffic), Rc<Route>>,
     chance: Rc<RefCell<ChaCha8Rng>>,
     pub passed: Cell<u64>,
     pub bytes: Cell<u64>,
@@ -54,9 +54,9 @@
     pub late: RefCell<Histogram<u64>>,
 }
 
-impl Between {
+impl InterGatewayLinks {
     /// Opens a place for each gateway, by where they listen.
-    pub fn start(world: &Rc<World>, listen: &[SocketAddr], seed: u64) -> io::Result<Rc<Between>> {
+    pub fn start(world: &Rc<World>, listen: &[SocketAddr], seed: u64) -> io::Result<Rc<InterGatewayLinks>> {
         let mut places = Vec::new();
         for real in listen {
             let socket = Async::<UdpSocket>::bind((world.host(), 0))?;
@@ -66,9 +66,9 @@
         let all = 0..listen.len() as u32;
         let pairs = all.clone().flat_map(|from| all.clone().map(move |to| (from, to)));
         let ways = pairs.flat_map(|(from, to)| {
-            [Goods::Datagrams, Goods::Streams].map(|goods| ((from, to, goods), Rc::default()))
+            [LinkTraffic::Datagrams, LinkTraffic::Streams].map(|goods| ((from, to, goods), Rc::default()))
         });
-        let between = Rc::new(Between {
+        let between = Rc::new(InterGatewayLinks {
             world: world.clone(),
             ways: ways.collect(),
             places,
@@ -81,18 +81,18 @@
         for (at, place) in between.places.iter().enumerate() {
             let own = between.clone();
             let serve = move |stream| own.clone().stream(at as u32, stream);
-            place.door.replace(Some(Door::open(world, place.told, usize::MAX, serve)?));
+            place.door.replace(Some(Listener::open(world, place.told, usize::MAX, serve)?));
             world.spawn(between.clone().datagrams(at as u32));
         }
         Ok(between)
     }
 
     /// What a gateway is to tell the others as its own.
-    pub fn told(&self, gateway: u32) -> SocketAddr {
+    pub fn advertised(&self, gateway: u32) -> SocketAddr {
         self.places[gateway as usize].told
     }
 
-    pub fn way(&self, from: u32, to: u32, goods: Goods) -> Rc<Way> {
+    pub fn route(&self, from: u32, to: u32, goods: LinkTraffic) -> Rc<Route> {
         self.ways[&(from, to, goods)].clone()
     }
 
@@ -117,7 +117,7 @@
 
     fn datagram(self: Rc<Self>, from: u32, to: u32, bytes: Vec<u8>) {
         let now = self.world.now();
-        let way = &self.ways[&(from, to, Goods::Datagrams)];
+        let way = &self.ways[&(from, to, LinkTraffic::Datagrams)];
         let due = way.datagram(now, bytes, &mut self.chance.borrow_mut());
         for (at, bytes) in due {
             if at <= now {
@@ -146,7 +146,8 @@
             self.strangers.set(self.strangers.get() + 1);
             return near.reset();
         };
-        let (there, back) = (self.way(from, to, Goods::Streams), self.way(to, from, Goods::Streams));
+        let (there, back) =
+            (self.route(from, to, LinkTraffic::Streams), self.route(to, from, LinkTraffic::Streams));
         // A connection needs both ways to come up. Its first word would else reach a gateway that its caller can't.
         while there.held() || back.held() {
             super::sleep(LOOK).await;
--- a/crates/lab/src/live/listener.rs
+++ b/crates/lab/src/live/listener.rs
@@ -20,7 +20,7 @@
 /// Connections that may wait to be accepted.
 const AWAITING: i32 = 1_024;
 
-pub struct Door {
+pub struct Listener {
     world: Rc<World>,
     address: SocketAddr,
     /// Connections at once; further ones are reset.
@@ -31,16 +31,16 @@
     next: Cell<u64>,
 }
 
-impl Door {
+impl Listener {
     /// Opens at an address; port 0 takes a free one.
     pub fn open<F: Future<Output = ()> + 'static>(
         world: &Rc<World>,
         address: SocketAddr,
         most: usize,
         serve: impl Fn(Stream) -> F + 'static,
-    ) -> io::Result<Rc<Door>> {
+    ) -> io::Result<Rc<Listener>> {
         let listener = TcpListener::bind(address)?;
-        let door = Rc::new(Door {
+        let door = Rc::new(Listener {
             world: world.clone(),
             address: listener.local_addr()?,
             most,
--- a/crates/lab/src/live/load.rs
+++ b/crates/lab/src/live/load.rs
@@ -161,12 +161,12 @@
         let command = call.write(self.load.redoable);
         let answer = self.ask(&command, due).await;
         let at = match answer {
-            Ok(Answer::Settled(_)) => {
+            Ok(Answer::Completed(_)) => {
                 let _ = self.took.borrow_mut().record((self.world.now() - due).max(1));
                 0
             }
-            Ok(Answer::Nacked { .. }) => 1,
-            Ok(Answer::Abandoned) => 2,
+            Ok(Answer::Rejected { .. }) => 1,
+            Ok(Answer::Failed) => 2,
             Err(_) => 3,
         };
         self.counts[at].set(self.counts[at].get() + 1);
--- a/crates/lab/src/live/misbehaving_client.rs
+++ b/crates/lab/src/live/misbehaving_client.rs
@@ -11,7 +11,7 @@
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::history::Event;
-use crate::request_ledger::Harm;
+use crate::request_ledger::MisbehaviorOutcome;
 use crate::wire;
 use crate::{Micros, SECOND};
 
@@ -96,7 +96,7 @@
             world.spawn(async move {
                 if let Some(got) = one(&own, to, bytes, slack).await {
                     let now = own.now();
-                    own.happened(now, Event::Harm { gateway, got });
+                    own.happened(now, Event::MisbehaviorEnded { gateway, got });
                 }
             });
         }
@@ -105,13 +105,13 @@
 }
 
 /// What one such client got; nothing where it could not even connect.
-async fn one(world: &World, to: SocketAddr, bytes: Vec<u8>, slack: Micros) -> Option<Harm> {
+async fn one(world: &World, to: SocketAddr, bytes: Vec<u8>, slack: Micros) -> Option<MisbehaviorOutcome> {
     let stream = Stream::dial(to, SECOND).await.ok()?;
     let until = world.now() + TOLD_IN + slack;
     let mut other = stream.other();
     let write = async {
         let _ = stream.write(&bytes).await;
-        future::pending::<Harm>().await
+        future::pending::<MisbehaviorOutcome>().await
     };
     let read = async {
         loop {
@@ -120,16 +120,16 @@
                 let what = String::from_utf8_lossy(&other.bytes[..other.bytes.len().min(40)])
                     .escape_debug()
                     .to_string();
-                return if told { Harm::Told } else { Harm::Served(what) };
+                return if told { MisbehaviorOutcome::Answered } else { MisbehaviorOutcome::Served(what) };
             }
             if other.more().await.is_err() {
-                return Harm::Told;
+                return MisbehaviorOutcome::Answered;
             }
         }
     };
     let late = async {
         world.until(until).await;
-        Harm::Ignored
+        MisbehaviorOutcome::Ignored
     };
     let got = future::or(read, future::or(write, late)).await;
     Some(got)
--- a/crates/lab/src/live/misbehaving_gateway.rs
+++ b/crates/lab/src/live/misbehaving_gateway.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value as Json;
 
-use super::listener::Door;
+use super::listener::Listener;
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::wire::{self, Call, Value};
@@ -73,7 +73,7 @@
     async_io::block_on(executor.run(async {
         let own = rogue.clone();
         let serve = move |stream| own.clone().client(stream);
-        let _door = Door::open(&world, listen, usize::MAX, serve).map_err(|error| error.to_string())?;
+        let _door = Listener::open(&world, listen, usize::MAX, serve).map_err(|error| error.to_string())?;
         rogue.follow(discovery).await;
         Ok(())
     }))
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -30,14 +30,14 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 
-use crate::history::{Court, Event};
-use crate::request_ledger::Ledger;
+use crate::history::{Event, Recorder};
+use crate::request_ledger::RequestLedger;
 use crate::Micros;
 
 /// What all parties of a run share.
 pub struct World {
     pub executor: Rc<LocalExecutor<'static>>,
-    pub court: RefCell<Court>,
+    pub court: RefCell<Recorder>,
     /// The work of each transaction, for the boxes that do it.
     pub works: RefCell<HashMap<u64, Micros>>,
     start: Instant,
@@ -46,7 +46,7 @@
 }
 
 impl World {
-    pub fn new(executor: Rc<LocalExecutor<'static>>, court: Court) -> Rc<Self> {
+    pub fn new(executor: Rc<LocalExecutor<'static>>, court: Recorder) -> Rc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(World {
             executor,
@@ -63,7 +63,7 @@
 
     /// One whose court keeps and judges nothing.
     pub fn blind(executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
-        World::new(executor, Court::of(Ledger::blind()))
+        World::new(executor, Recorder::with_ledger(RequestLedger::recording_nothing()))
     }
 
     /// Something happens now. Gives the number of a trip that arrived.
@@ -73,10 +73,10 @@
 
     /// Something happened at this time, no earlier than what was told of before but for a few milliseconds.
     pub fn happened(&self, at: Micros, event: Event) -> usize {
-        self.court.borrow_mut().hear(at, event)
+        self.court.borrow_mut().record(at, event)
     }
 
-    pub fn ledger(&self) -> Ref<'_, Ledger> {
+    pub fn ledger(&self) -> Ref<'_, RequestLedger> {
         Ref::map(self.court.borrow(), |court| &court.ledger)
     }
 
--- a/crates/lab/src/live/play.rs
+++ b/crates/lab/src/live/play.rs
@@ -12,17 +12,17 @@
 
 use super::faults::{Faults, Waits};
 use super::gateway::{MeshPlaces, Places, Program};
-use super::inter_gateway_links::Between;
+use super::inter_gateway_links::InterGatewayLinks;
 use super::relay::Relay;
 use super::{clients, counter, discovery, effects, gateway, queries, servers, sleep, World};
-use crate::checkers::membership::Size;
+use crate::checkers::membership::MembershipBounds;
 use crate::checkers::{lease, outlier_detection, subsetting};
-use crate::history::{Court, Event, Head};
-use crate::model::clients::{Front, Group, Lane};
+use crate::history::{Event, Head, Recorder};
+use crate::model::clients::{ClientModel, KeyScope, RequestClass};
 use crate::model::discovery::{Entry, Status};
-use crate::model::server::{Box_, Memory};
+use crate::model::server::{KeyMemory, Server};
 use crate::report;
-use crate::request_ledger::{Link, Terms};
+use crate::request_ledger::{Link, RuleBounds};
 use crate::scenario::*;
 use crate::virtual_time;
 use crate::{seed_of, Micros, MILLISECOND, SECOND};
@@ -81,12 +81,12 @@
     }))
 }
 
-pub(super) type Memories = BTreeMap<(Group, String), Rc<RefCell<Memory>>>;
+pub(super) type Memories = BTreeMap<(KeyScope, String), Rc<RefCell<KeyMemory>>>;
 
 pub(super) struct Run {
     pub(super) scenario: Scenario,
     pub(super) world: Rc<World>,
-    pub(super) lanes: Rc<Vec<Lane>>,
+    pub(super) lanes: Rc<Vec<RequestClass>>,
     pub(super) list: Rc<discovery::Host>,
     pub(super) counter: Option<Rc<counter::Host>>,
     /// The boxes by place; one that was replaced or came back is the newest at its place.
@@ -102,7 +102,7 @@
     folder: PathBuf,
     _kept: Option<tempfile::TempDir>,
     pub(super) replaced: Cell<u32>,
-    pub(super) between: Option<Rc<Between>>,
+    pub(super) between: Option<Rc<InterGatewayLinks>>,
     pub(super) faults: RefCell<Faults>,
     pub(super) waits: Waits,
     /// What the lab itself had taken of the cores when the load began.
@@ -126,7 +126,7 @@
             }
         };
         let lanes = Rc::new(scenario.front_lanes());
-        let terms = Terms {
+        let terms = RuleBounds {
             grace: scenario.fleet.grace.0,
             slack: scenario.slack.time.0,
             lanes: scenario.front_lanes(),
@@ -144,7 +144,7 @@
             subsets: None,
             signals: None,
         };
-        let world = World::new(executor, Court::new(&head));
+        let world = World::new(executor, Recorder::new(&head));
         // Hosts that nobody else has, so that addresses that are let go stay free.
         let mut listens = Vec::new();
         for _ in 0..if scenario.fleet.mesh { count } else { 0 } {
@@ -152,33 +152,33 @@
         }
         let between = match scenario.fleet.mesh {
             true => {
-                let between = Between::start(&world, &listens, seed_of(scenario.seed, "between"));
+                let between = InterGatewayLinks::start(&world, &listens, seed_of(scenario.seed, "between"));
                 Some(between.map_err(failed("the links between gateways"))?)
             }
             false => None,
         };
         let settle_in = scenario.settle_in.0;
-        head.subsets = scenario.fleet.subsets.as_ref().map(|_| subsetting::Size { settle_in });
+        head.subsets = scenario.fleet.subsets.as_ref().map(|_| subsetting::SubsettingBounds { settle_in });
         head.signals = measures_signals(scenario);
-        *world.court.borrow_mut() = Court::new(&head);
+        *world.court.borrow_mut() = Recorder::new(&head);
         if let Some(between) = &between {
-            head.fleet = Some(Size {
+            head.fleet = Some(MembershipBounds {
                 gateways: count,
-                addresses: (0..count).map(|number| between.told(number).to_string()).collect(),
+                addresses: (0..count).map(|number| between.advertised(number).to_string()).collect(),
                 settles: scenario.fleet.agree_within.0,
                 counter_knows: scenario.counter_knows(),
             });
-            head.owners = scenario.fleet.owners.as_ref().map(|owners| lease::Size {
+            head.owners = scenario.fleet.owners.as_ref().map(|owners| lease::LeaseBounds {
                 gateways: count,
-                voters: owners.voters.clone(),
-                jobs: owners.jobs.clone(),
+                acceptors: owners.voters.clone(),
+                leases: owners.jobs.clone(),
                 lease: owners.lease.0,
                 settles: scenario.fleet.agree_within.0,
             });
-            *world.court.borrow_mut() = Court::new(&head);
+            *world.court.borrow_mut() = Recorder::new(&head);
         }
         if let Some(file) = &options.history {
-            let kept = world.court.borrow_mut().keep(file, &head);
+            let kept = world.court.borrow_mut().write_to(file, &head);
             kept.map_err(failed("the history"))?;
         }
         let list = discovery::Host::start(&world, count, scenario.fleet.on_request.clone());
@@ -203,7 +203,9 @@
         let (mut gateways, mut doors) = (Vec::new(), Vec::new());
         let seeds: Vec<SocketAddr> = between
             .iter()
-            .flat_map(|between| scenario.first().into_iter().take(SEEDS).map(|number| between.told(number)))
+            .flat_map(|between| {
+                scenario.first().into_iter().take(SEEDS).map(|number| between.advertised(number))
+            })
             .collect();
         for number in 0..count {
             let passed = match scenario.passed(number) {
@@ -231,7 +233,7 @@
             };
             let mesh = between.as_ref().map(|between| MeshPlaces {
                 listen: listens[number as usize],
-                told: between.told(number),
+                told: between.advertised(number),
                 seeds: seeds.clone(),
             });
             let places = Places { listen, discovery, counter, mesh };
@@ -244,7 +246,7 @@
         }
         let (lanes_, plans, groups) =
             (scenario.front_lanes(), scenario.front_plans(), scenario.front_customers());
-        let front = Front::new(lanes_, plans, groups, count, seed_of(scenario.seed, "front"));
+        let front = ClientModel::new(lanes_, plans, groups, count, seed_of(scenario.seed, "front"));
         let run = Rc::new(Run {
             scenario: scenario.clone(),
             front: clients::Host::new(&world, front, &doors, scenario.slack.time.0),
@@ -288,19 +290,19 @@
     ) -> Result<Rc<servers::Host>, Error> {
         let (zone, cell) = self.place(place);
         // A key is known to all who share its lane's memory, and a box remembers for each such group.
-        let memory = |group: Group| {
+        let memory = |group: KeyScope| {
             let who = match group {
-                Group::All => String::new(),
-                Group::Zone => zone.clone(),
-                Group::Cell => format!("{cell}"),
+                KeyScope::All => String::new(),
+                KeyScope::Zone => zone.clone(),
+                KeyScope::Cell => format!("{cell}"),
             };
             self.memories.borrow_mut().entry((group, who)).or_default().clone()
         };
-        let memory = [Group::All, Group::Zone, Group::Cell].map(|group| (group, memory(group)));
+        let memory = [KeyScope::All, KeyScope::Zone, KeyScope::Cell].map(|group| (group, memory(group)));
         let (spec, now) = (self.scenario.box_spec(), self.world.now());
         let age = if started.is_some() { 0 } else { spec.cold.warm_up };
         let (power, cold) = (spec.cores as f64 * spec.speed, spec.cold);
-        let model = Box_::new(spec, age, now, memory, seed_of(self.scenario.seed, name));
+        let model = Server::new(spec, age, now, memory, seed_of(self.scenario.seed, name));
         let doors: Vec<SocketAddr> = match at {
             [] => (0..self.scenario.fleet.gateways).map(|_| SocketAddr::new(self.world.host(), 0)).collect(),
             known => known.to_vec(),
@@ -314,7 +316,7 @@
         for gateway in 0..self.scenario.fleet.gateways {
             let mut address = host.address(if common { 0 } else { gateway });
             if self.scenario.relayed(gateway, LinkEnd::Boxes) {
-                let link = Link::Box_(gateway, name.to_string());
+                let link = Link::Server(gateway, name.to_string());
                 let seed = seed_of(self.scenario.seed, name) + gateway as u64;
                 let known =
                     self.relays.borrow().iter().find(|(own, _)| *own == link).map(|(_, relay)| relay.clone());
@@ -331,7 +333,14 @@
             self.list.addresses.borrow_mut().insert((gateway, name.to_string()), address);
         }
         let (own_name, own_zone) = (name.to_string(), zone.clone());
-        self.world.happens(Event::BoxStarts { name: own_name, zone: own_zone, cell, started, power, cold });
+        self.world.happens(Event::ServerStarted {
+            name: own_name,
+            zone: own_zone,
+            cell,
+            started,
+            power,
+            cold,
+        });
         let entry = Entry { zone, kind: "box".into(), cell, status: Status::InService, weight: 1.0, started };
         self.list.list.borrow_mut().put(name, entry);
         self.every.borrow_mut().push(host.clone());
@@ -377,7 +386,7 @@
         }
         self.read();
         let now = self.world.now();
-        self.world.court.borrow_mut().end(now);
+        self.world.court.borrow_mut().finish(now);
         Ok(self.report(from, cpu, turns).await)
     }
 
@@ -426,7 +435,7 @@
             loop {
                 match queries::sums(&self.world, mesh.listen, gateway.ahead.get()).await {
                     Ok(sums) => {
-                        self.world.happens(Event::Sums { gateway: gateway.number, sums });
+                        self.world.happens(Event::CounterTotals { gateway: gateway.number, totals: sums });
                         break;
                     }
                     Err(_) if self.world.now() < until => sleep(ASK_AGAIN).await,
@@ -466,7 +475,7 @@
     async fn live_line(self: Rc<Self>, from: Micros) {
         loop {
             let (asked, open, settled, nacked) = self.front.standing();
-            let broken = self.world.court.borrow().any_broken();
+            let broken = self.world.court.borrow().violation_count();
             let at = (self.world.now() - from) as f64 / SECOND as f64;
             eprint!("\r{at:6.1} s  {asked} asked, {open} open, {settled} settled, {nacked} nacked, {broken} breaks ");
             sleep(SECOND / 2).await;
@@ -480,7 +489,7 @@
         turns: Rc<RefCell<hdrhistogram::Histogram<u64>>>,
     ) -> Value {
         let played = self.world.now() - from;
-        let longest = self.lanes.iter().map(|lane| lane.hard_stop).max().unwrap_or(0);
+        let longest = self.lanes.iter().map(|lane| lane.deadline).max().unwrap_or(0);
         let (mut each, mut cpu, mut peak, mut starts, mut crashes) = (Vec::new(), 0, 0, 0, 0);
         for gateway in &self.gateways {
             gateway.watch();
@@ -527,8 +536,8 @@
             "gateways": { "each": each, "cpu_us_a_transaction": cpu as f64 / asked.max(1) as f64,
                 "peak_mb": peak as f64 / 1024.0, "starts": starts, "crashes": crashes },
             "boxes": {
-                "trips": ledger.trips(),
-                "fell": sum(&|host| host.with(|model| model.fell()) as u64),
+                "trips": ledger.attempt_count(),
+                "fell": sum(&|host| host.with(|model| model.collapsed()) as u64),
                 "most_connections": every.iter().map(|host| host.most_open.get()).max(),
                 "connections_opened": sum(&|host| host.opened.get()),
                 "misworded": misworded,
@@ -552,7 +561,7 @@
                 "late": report::quantiles(&between.late.borrow()),
             })),
             "lab": { "behind": report::quantiles(&behind), "turns": report::quantiles(&turns.borrow()),
-                "cpu_share": own as f64 / played as f64, "events": self.world.court.borrow().heard,
+                "cpu_share": own as f64 / played as f64, "events": self.world.court.borrow().recorded,
                 "descriptors": std::fs::read_dir("/proc/self/fd").map_or(0, |files| files.count()) },
         });
         for (key, value) in own.as_object().into_iter().flatten() {
@@ -561,7 +570,7 @@
         if self.between.is_some() {
             report["virtual"] = self.virtually();
         }
-        for (name, shown) in self.world.court.borrow().shown() {
+        for (name, shown) in self.world.court.borrow().figures() {
             report[name] = shown;
         }
         report["claims"] = report::claims(&report, &self.scenario.claims);
@@ -578,7 +587,7 @@
             _ if self.between.is_some() && held > TURNS => {
                 format!("the lab was {:.1} ms late with its own turns at p99", held as f64 / 1000.0).into()
             }
-            _ if self.world.court.borrow().failed.is_some() => "the history could not be written".into(),
+            _ if self.world.court.borrow().write_error.is_some() => "the history could not be written".into(),
             _ if misworded > 0 => {
                 format!("{misworded} commands reached boxes in a form that no client sent").into()
             }
@@ -592,12 +601,12 @@
 async fn view(world: Rc<World>, gateway: Rc<gateway::Host>) {
     let Some(mesh) = gateway.places.mesh.as_ref().filter(|_| gateway.runs()) else { return };
     if let Ok((live, suspected)) = queries::view(&world, mesh.listen, gateway.ahead.get()).await {
-        world.happens(Event::View { gateway: gateway.number, live, suspected });
+        world.happens(Event::MembershipView { gateway: gateway.number, live, suspected });
     }
 }
 
 /// What is measured of ill boxes, where gateways may tell each other of them.
-fn measures_signals(scenario: &Scenario) -> Option<outlier_detection::Size> {
+fn measures_signals(scenario: &Scenario) -> Option<outlier_detection::OutlierBounds> {
     use BoxIll::{Fail, Garble, Kill, Silent, Slow};
     let faults = || scenario.faults.iter().enumerate();
     let ill = faults().filter_map(|(number, fault)| {
@@ -609,8 +618,11 @@
         let link = fault.link.as_ref().filter(|link| link.to == LinkEnd::Boxes)?;
         Some((number, link.which.clone()))
     });
-    let size =
-        outlier_detection::Size { boxes: scenario.fleet.boxes, ill: ill.collect(), links: links.collect() };
+    let size = outlier_detection::OutlierBounds {
+        servers: scenario.fleet.boxes,
+        faulty: ill.collect(),
+        links: links.collect(),
+    };
     scenario.fleet.mesh.then_some(size)
 }
 
--- a/crates/lab/src/live/relay.rs
+++ b/crates/lab/src/live/relay.rs
@@ -10,9 +10,9 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::listener::Door;
-pub use super::route::Ill;
-use super::route::Way;
+use super::listener::Listener;
+use super::route::Route;
+pub use super::route::RouteFault;
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::{Micros, SECOND};
@@ -24,10 +24,10 @@
 pub struct Relay {
     world: Rc<World>,
     to: Cell<SocketAddr>,
-    way: Rc<Way>,
+    way: Rc<Route>,
     /// How many faults keep it shut.
     cuts: Cell<u32>,
-    door: RefCell<Option<Rc<Door>>>,
+    door: RefCell<Option<Rc<Listener>>>,
 }
 
 /// A fault that stands on a relay.
@@ -48,7 +48,7 @@
         });
         let own = Rc::downgrade(&relay);
         let chance = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-        let door = Door::open(world, SocketAddr::new(world.host(), 0), usize::MAX, move |stream| {
+        let door = Listener::open(world, SocketAddr::new(world.host(), 0), usize::MAX, move |stream| {
             let (relay, chance) = (own.upgrade(), chance.clone());
             async move {
                 if let Some(relay) = relay {
@@ -66,7 +66,7 @@
         Ok(relay)
     }
 
-    fn door(&self) -> Rc<Door> {
+    fn door(&self) -> Rc<Listener> {
         self.door.borrow().clone().expect("a relay has its door from the start")
     }
 
@@ -75,8 +75,8 @@
     }
 
     /// Something is broken from now on, both ways.
-    pub fn begin(&self, ill: Ill) -> Token {
-        if ill == Ill::Cut {
+    pub fn begin(&self, ill: RouteFault) -> Token {
+        if ill == RouteFault::Cut {
             self.cuts.set(self.cuts.get() + 1);
             self.door().shut();
             return Token::Cut;
@@ -102,8 +102,8 @@
 /// One connection through a relay.
 pub struct Passing {
     pub world: Rc<World>,
-    pub there: Rc<Way>,
-    pub back: Rc<Way>,
+    pub there: Rc<Route>,
+    pub back: Rc<Route>,
     pub chance: Rc<RefCell<ChaCha8Rng>>,
 }
 
@@ -123,14 +123,14 @@
         }
     }
 
-    async fn one_way(&self, way: &Way, mut from: Stream, to: Stream) -> Result<(), ()> {
+    async fn one_way(&self, way: &Route, mut from: Stream, to: Stream) -> Result<(), ()> {
         let (parts, queue) = async_channel::bounded(UNDER_WAY);
         let read = self.read(way, &mut from, parts);
         let write = self.write(way, to, queue);
         future::try_zip(read, write).await.map(|_| ())
     }
 
-    async fn read(&self, way: &Way, from: &mut Stream, parts: Sender<(Micros, Vec<u8>)>) -> Result<(), ()> {
+    async fn read(&self, way: &Route, from: &mut Stream, parts: Sender<(Micros, Vec<u8>)>) -> Result<(), ()> {
         loop {
             match from.more().await {
                 Ok(_) => {}
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn write(&self, way: &Way, to: Stream, queue: Receiver<(Micros, Vec<u8>)>) -> Result<(), ()> {
+    async fn write(&self, way: &Route, to: Stream, queue: Receiver<(Micros, Vec<u8>)>) -> Result<(), ()> {
         while let Ok((due, part)) = queue.recv().await {
             if due > self.world.now() {
                 self.world.until(due).await;
--- a/crates/lab/src/live/route.rs
+++ b/crates/lab/src/live/route.rs
@@ -10,7 +10,7 @@
 use crate::{Micros, MILLISECOND, SECOND};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ill {
+pub enum RouteFault {
     /// Datagrams are lost, streams reset and refused.
     Cut,
     /// Datagrams are lost; what has been written on streams is held until the way is well again, as retransmission would.
@@ -41,14 +41,14 @@
 const SLOWEST: f64 = 20_000.0;
 const LATEST: Micros = 100 * MILLISECOND;
 
-impl Ill {
+impl RouteFault {
     /// Whether so little passes that nobody can be held to reach the other.
     pub fn parts(self) -> bool {
         match self {
-            Ill::Cut | Ill::Blackhole => true,
-            Ill::Lose(share) | Ill::Corrupt(share) => share >= HARDLY,
-            Ill::Throttle(rate) => rate < SLOWEST,
-            Ill::Delay { by, spread } => by + spread / 2 >= LATEST,
+            RouteFault::Cut | RouteFault::Blackhole => true,
+            RouteFault::Lose(share) | RouteFault::Corrupt(share) => share >= HARDLY,
+            RouteFault::Throttle(rate) => rate < SLOWEST,
+            RouteFault::Delay { by, spread } => by + spread / 2 >= LATEST,
             _ => false,
         }
     }
@@ -59,13 +59,13 @@
 
 struct Standing {
     token: u64,
-    ill: Ill,
+    ill: RouteFault,
     /// How often something met it.
     felt: u64,
 }
 
 #[derive(Default)]
-pub struct Way {
+pub struct Route {
     ills: RefCell<Vec<Standing>>,
     next: Cell<u64>,
     /// When what is throttled will have passed.
@@ -73,9 +73,9 @@
     changed: Event,
 }
 
-impl Way {
+impl Route {
     /// A fault begins; the token ends it.
-    pub fn begin(&self, ill: Ill) -> u64 {
+    pub fn begin(&self, ill: RouteFault) -> u64 {
         let token = self.next.get();
         self.next.set(token + 1);
         self.ills.borrow_mut().push(Standing { token, ill, felt: 0 });
@@ -93,12 +93,12 @@
         felt
     }
 
-    pub fn is_well(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         self.ills.borrow().is_empty()
     }
 
     /// Whether any such fault stands; it has then been met.
-    fn met(&self, is: impl Fn(&Ill) -> bool) -> bool {
+    fn met(&self, is: impl Fn(&RouteFault) -> bool) -> bool {
         let mut met = false;
         for standing in self.ills.borrow_mut().iter_mut().filter(|standing| is(&standing.ill)) {
             standing.felt += 1;
@@ -108,7 +108,7 @@
     }
 
     /// By chance, for each such fault that stands: whether any of them strikes.
-    fn strikes(&self, chance: &mut ChaCha8Rng, share: impl Fn(&Ill) -> Option<f64>) -> bool {
+    fn strikes(&self, chance: &mut ChaCha8Rng, share: impl Fn(&RouteFault) -> Option<f64>) -> bool {
         let mut struck = false;
         for standing in self.ills.borrow_mut().iter_mut() {
             if share(&standing.ill).is_some_and(|share| chance.gen_bool(share)) {
@@ -120,11 +120,11 @@
     }
 
     pub fn cut(&self) -> bool {
-        self.met(|ill| *ill == Ill::Cut)
+        self.met(|ill| *ill == RouteFault::Cut)
     }
 
     pub fn held(&self) -> bool {
-        self.ills.borrow().iter().any(|standing| standing.ill == Ill::Blackhole)
+        self.ills.borrow().iter().any(|standing| standing.ill == RouteFault::Blackhole)
     }
 
     /// Waits until streams are to be reset at once.
@@ -142,7 +142,7 @@
     pub async fn until_open(&self) {
         loop {
             let changed = self.changed.listen();
-            if !self.met(|ill| *ill == Ill::Blackhole) {
+            if !self.met(|ill| *ill == RouteFault::Blackhole) {
                 return;
             }
             changed.await;
@@ -150,13 +150,13 @@
     }
 
     pub fn resets(&self) -> bool {
-        self.met(|ill| *ill == Ill::Reset)
+        self.met(|ill| *ill == RouteFault::Reset)
     }
 
     fn delay(&self, chance: &mut ChaCha8Rng, spreads: bool) -> Micros {
         let mut sum = 0;
         for standing in self.ills.borrow_mut().iter_mut() {
-            if let Ill::Delay { by, spread } = standing.ill {
+            if let RouteFault::Delay { by, spread } = standing.ill {
                 standing.felt += 1;
                 sum += by + if spreads && spread > 0 { chance.gen_range(0..=spread) } else { 0 };
             }
@@ -173,7 +173,7 @@
     pub fn takes(&self, bytes: usize) -> Option<Micros> {
         let mut least: Option<f64> = None;
         for standing in self.ills.borrow_mut().iter_mut() {
-            if let Ill::Throttle(rate) = standing.ill {
+            if let RouteFault::Throttle(rate) = standing.ill {
                 standing.felt += 1;
                 least = Some(least.map_or(rate, |least| least.min(rate)));
             }
@@ -183,8 +183,8 @@
 
     /// Changes a byte, by chance.
     pub fn spoil(&self, bytes: &mut [u8], chance: &mut ChaCha8Rng) {
-        let share = |ill: &Ill| match ill {
-            Ill::Corrupt(share) => Some(*share),
+        let share = |ill: &RouteFault| match ill {
+            RouteFault::Corrupt(share) => Some(*share),
             _ => None,
         };
         if !bytes.is_empty() && self.strikes(chance, share) {
@@ -200,12 +200,12 @@
         mut bytes: Vec<u8>,
         chance: &mut ChaCha8Rng,
     ) -> Vec<(Micros, Vec<u8>)> {
-        if self.is_well() {
+        if self.is_healthy() {
             return vec![(now, bytes)];
         }
-        let lost = |ill: &Ill| match ill {
-            Ill::Cut | Ill::Blackhole => Some(1.0),
-            Ill::Lose(share) => Some(*share),
+        let lost = |ill: &RouteFault| match ill {
+            RouteFault::Cut | RouteFault::Blackhole => Some(1.0),
+            RouteFault::Lose(share) => Some(*share),
             _ => None,
         };
         if self.strikes(chance, lost) {
@@ -220,15 +220,15 @@
             self.free.set(due);
         }
         self.spoil(&mut bytes, chance);
-        let twice = |ill: &Ill| match ill {
-            Ill::Double(share) => Some(*share),
+        let twice = |ill: &RouteFault| match ill {
+            RouteFault::Double(share) => Some(*share),
             _ => None,
         };
         let copies = 1 + self.strikes(chance, twice) as usize;
         let mut one = || {
             let mut at = due + self.delay(chance, true);
             for standing in self.ills.borrow_mut().iter_mut() {
-                if let Ill::Overtake { share, by } = standing.ill {
+                if let RouteFault::Overtake { share, by } = standing.ill {
                     if chance.gen_bool(share) {
                         standing.felt += 1;
                         at += by;
--- a/crates/lab/src/live/servers.rs
+++ b/crates/lab/src/live/servers.rs
@@ -10,12 +10,12 @@
 use event_listener::Event;
 use futures_lite::future;
 
-use super::listener::Door;
+use super::listener::Listener;
 use super::stream::Stream;
 use super::{sleep, World};
 use crate::history::Event as Happens;
-use crate::model::clients::{Kind, Lane};
-use crate::model::server::{Box_, End, Life, Told, Trip};
+use crate::model::clients::{Idempotency, RequestClass};
+use crate::model::server::{AnswerFault, Attempt, AttemptEnd, Server, ServerState};
 use crate::request_ledger::Arrival;
 use crate::wire::{self, Call};
 use crate::Micros;
@@ -23,13 +23,13 @@
 pub struct Host {
     world: Rc<World>,
     pub name: String,
-    lanes: Rc<Vec<Lane>>,
-    model: RefCell<Box_>,
+    lanes: Rc<Vec<RequestClass>>,
+    model: RefCell<Server>,
     settles: bool,
     /// Who waits for the end of which trip.
-    waiting: RefCell<HashMap<u64, Sender<(End, bool)>>>,
+    waiting: RefCell<HashMap<u64, Sender<(AttemptEnd, bool)>>>,
     more: Event,
-    doors: RefCell<Vec<Rc<Door>>>,
+    doors: RefCell<Vec<Rc<Listener>>>,
     connections: Cell<usize>,
     /// Commands in a form that no client sent.
     pub misworded: Cell<u64>,
@@ -44,8 +44,8 @@
     pub fn start(
         world: &Rc<World>,
         name: &str,
-        model: Box_,
-        lanes: &Rc<Vec<Lane>>,
+        model: Server,
+        lanes: &Rc<Vec<RequestClass>>,
         settles: bool,
         doors: &[SocketAddr],
     ) -> io::Result<Rc<Host>> {
@@ -67,7 +67,7 @@
         for (gateway, address) in doors.iter().enumerate() {
             let own = host.clone();
             let serve = move |stream| own.clone().serve(gateway as u32, stream);
-            host.doors.borrow_mut().push(Door::open(world, *address, usize::MAX, serve)?);
+            host.doors.borrow_mut().push(Listener::open(world, *address, usize::MAX, serve)?);
         }
         world.spawn(host.clone().work());
         Ok(host)
@@ -77,13 +77,13 @@
         self.doors.borrow()[gateway as usize].address()
     }
 
-    pub fn with<T>(&self, act: impl FnOnce(&mut Box_) -> T) -> T {
+    pub fn with<T>(&self, act: impl FnOnce(&mut Server) -> T) -> T {
         act(&mut self.model.borrow_mut())
     }
 
     /// Gone at once, with all it had.
     pub fn kill(&self) {
-        self.model.borrow_mut().down();
+        self.model.borrow_mut().take_down();
         self.waiting.borrow_mut().clear();
         self.doors.borrow().iter().for_each(|door| door.shut());
     }
@@ -100,9 +100,9 @@
                 }
             };
             future::or(wait, more).await;
-            let ended = self.model.borrow_mut().ended(self.world.now());
+            let ended = self.model.borrow_mut().take_ended(self.world.now());
             for (ticket, end, wanted) in ended {
-                self.world.happens(Happens::Ran { trip: ticket as usize, end });
+                self.world.happens(Happens::AttemptEnded { attempt: ticket as usize, end });
                 if let Some(waiter) = self.waiting.borrow_mut().remove(&ticket) {
                     let _ = waiter.try_send((end, wanted));
                 }
@@ -160,7 +160,7 @@
         fresh: bool,
     ) -> io::Result<()> {
         match &*words[0] {
-            b"PING" if self.model.borrow().life() == Life::Serving => {
+            b"PING" if self.model.borrow().state() == ServerState::Serving => {
                 return stream.write(b"+PONG\r\n").await
             }
             b"PING" => return stream.write(b"-ERR draining\r\n").await,
@@ -181,28 +181,34 @@
         // At an address that all gateways have, it is known by whose client the transaction is.
         let of_client = self.by_client.get().then(|| self.world.ledger().gateway_of(id)).flatten();
         let gateway = of_client.unwrap_or(gateway);
-        let arrival = Arrival { at: now, began, box_: self.name.clone(), gateway, id, work };
-        let number = self.world.happened(now, Happens::Arrived { arrival });
+        let arrival = Arrival { at: now, began, server: self.name.clone(), gateway, id, work };
+        let number = self.world.happened(now, Happens::AttemptArrived { arrival });
         let _out = Out(&self.world, number);
         let key = call
             .key
             .clone()
-            .filter(|_| lane.kind == Kind::Labelled)
-            .map(|key| (key, lane.group, lane.memory));
-        let trip = Trip { ticket: number as u64, customer: call.customer.clone(), key, work, fresh };
+            .filter(|_| lane.idempotency == Idempotency::Keyed)
+            .map(|key| (key, lane.scope, lane.retention));
+        let trip = Attempt {
+            ticket: number as u64,
+            tenant: call.customer.clone(),
+            key,
+            work,
+            is_first_on_connection: fresh,
+        };
         let (done, ends) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(number as u64, done);
         let arrived = self.model.borrow_mut().arrive(now, trip);
-        if self.model.borrow().fell() {
+        if self.model.borrow().collapsed() {
             // It takes down with it whatever it had, this trip as well.
-            self.world.happened(now, Happens::Fell { name: self.name.clone() });
+            self.world.happened(now, Happens::ServerCollapsed { name: self.name.clone() });
             self.kill();
             return Err(io::Error::other("fell"));
         }
         let end = match arrived {
             Some(end) => {
                 self.waiting.borrow_mut().remove(&(number as u64));
-                self.world.happens(Happens::Ran { trip: number, end });
+                self.world.happens(Happens::AttemptEnded { attempt: number, end });
                 end
             }
             None => {
@@ -215,9 +221,9 @@
                 match future::or(ended, left).await {
                     Some(end) => end,
                     None => {
-                        let dropped = self.model.borrow_mut().give_up(number as u64);
+                        let dropped = self.model.borrow_mut().cancel(number as u64);
                         if let Some(end) = dropped {
-                            self.world.happens(Happens::Ran { trip: number, end });
+                            self.world.happens(Happens::AttemptEnded { attempt: number, end });
                         }
                         return Err(io::Error::other("the trip was given up"));
                     }
@@ -227,7 +233,7 @@
         self.answer(stream, end, &call, id).await
     }
 
-    async fn answer(&self, stream: &mut Stream, end: End, call: &Call, id: u64) -> io::Result<()> {
+    async fn answer(&self, stream: &mut Stream, end: AttemptEnd, call: &Call, id: u64) -> io::Result<()> {
         let report = {
             let model = self.model.borrow();
             let (running, waiting, busy) = model.load();
@@ -238,9 +244,9 @@
             None => format!("-{word}\r\n").into_bytes(),
         };
         match end {
-            End::Busy | End::Dropped => return stream.write(&line("BUSY")).await,
-            End::Failed => return stream.write(&line("ERR failed")).await,
-            End::Ran { .. } => {}
+            AttemptEnd::Rejected | AttemptEnd::Dropped => return stream.write(&line("BUSY")).await,
+            AttemptEnd::Failed => return stream.write(&line("ERR failed")).await,
+            AttemptEnd::Ran { .. } => {}
         }
         let mut bytes = b"*3\r\n".to_vec();
         wire::bulk(&mut bytes, format!("{}:{}", call.id, self.name).as_bytes());
@@ -257,9 +263,9 @@
         }
         let told = self.model.borrow_mut().answer();
         match told {
-            Told::Well => stream.write(&bytes).await,
-            Told::Nothing => Ok(()),
-            Told::Spoilt(way) => {
+            AnswerFault::Well => stream.write(&bytes).await,
+            AnswerFault::Nothing => Ok(()),
+            AnswerFault::Spoilt(way) => {
                 let spoilt: &[u8] = match way {
                     0 => b"?what is this\r\n",
                     1 => b"*3\r\n$3000000000\r\nand it comes",
@@ -277,7 +283,7 @@
 
 impl Drop for Out<'_> {
     fn drop(&mut self) {
-        self.0.happens(Happens::Over { trip: self.1 });
+        self.0.happens(Happens::AttemptClosed { attempt: self.1 });
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -9,14 +9,14 @@
 use async_executor::LocalExecutor;
 use clap::{Args, Parser, Subcommand};
 use fernscale_lab::explore::{explore, Bounds};
-use fernscale_lab::lease_explorer::{Owners, Seeded, Trouble};
+use fernscale_lab::lease_explorer::{FaultBudget, LeaseSystem, SeededMistake};
 use fernscale_lab::live::gateway::Program;
 use fernscale_lab::live::load::{Load, Pace};
 use fernscale_lab::live::play::{beside_this, play, Options};
 use fernscale_lab::live::{counter, discovery, load, misbehaving_gateway, servers, World};
-use fernscale_lab::model::clients::{Group, Kind, Lane};
+use fernscale_lab::model::clients::{Idempotency, KeyScope, RequestClass};
 use fernscale_lab::model::discovery::{Entry, Status};
-use fernscale_lab::model::server::{alone, Box_, Cold, Spec};
+use fernscale_lab::model::server::{unshared_memories, Server, SlowStart, Spec};
 use fernscale_lab::scenario::Scenario;
 use fernscale_lab::{
     fault_schedule, history, lease_simulation, outlier_simulation, quota_simulation, report, scenario,
@@ -153,7 +153,7 @@
 struct Explore {
     /// A mistake that is to be found
     #[arg(long, default_value = "none")]
-    seeded: Seeded,
+    seeded: SeededMistake,
     /// How much may be out of the usual in one run, all in all
     #[arg(long, default_value_t = 3)]
     odd: u32,
@@ -496,27 +496,27 @@
         odd, lost, doubled, overtaken, jumps, crashes, advances, effects, lose_folder, change, ..
     } = *asked;
     let trouble =
-        Trouble { odd, lost, doubled, overtaken, jumps, crashes, lose_folder, advances, effects, change };
-    let start = Owners::new(asked.seeded, trouble);
+        FaultBudget { odd, lost, doubled, overtaken, jumps, crashes, lose_folder, advances, effects, change };
+    let start = LeaseSystem::new(asked.seeded, trouble);
     let found = explore(start, Bounds { depth: asked.depth, states: asked.states });
     let a_second = found.states as f64 / found.seconds.max(1e-9);
     let whole = if found.whole { "all of them" } else { "not all of them" };
     println!("{} states, {whole}, {a_second:.0} a second, {:.1} s", found.states, found.seconds);
     let Some((wrong, steps)) = found.wrong else { return ExitCode::SUCCESS };
     println!("wrong: {wrong}, after {} steps", steps.len());
-    Owners::new(asked.seeded, trouble).told(&steps).iter().for_each(|step| println!("  {step}"));
+    LeaseSystem::new(asked.seeded, trouble).told(&steps).iter().for_each(|step| println!("  {step}"));
     ExitCode::from(NOT_HELD)
 }
 
 fn judge(file: &Path) -> Result<ExitCode, String> {
-    let (head, court) = history::judge(file).map_err(|why| why.to_string())?;
-    println!("{}, seed {}: {} events", head.scenario, head.seed, court.heard);
+    let (head, court) = history::check(file).map_err(|why| why.to_string())?;
+    println!("{}, seed {}: {} events", head.scenario, head.seed, court.recorded);
     for (name, broken) in court.rules() {
         let told = if broken.count == 0 { "kept".into() } else { format!("BROKEN {} times", broken.count) };
         println!("  rule {name:<10} {told}");
         broken.instances.iter().for_each(|instance| println!("    {instance}"));
     }
-    Ok(if court.any_broken() == 0 { ExitCode::SUCCESS } else { ExitCode::from(NOT_HELD) })
+    Ok(if court.violation_count() == 0 { ExitCode::SUCCESS } else { ExitCode::from(NOT_HELD) })
 }
 
 fn put_load(asked: Asked) -> Result<ExitCode, String> {
@@ -565,17 +565,17 @@
 fn stand_ins(asked: StandIns) -> Result<ExitCode, String> {
     let executor = Rc::new(LocalExecutor::new());
     let main = executor.clone();
-    let lane = |name: &str, kind| Lane {
+    let lane = |name: &str, kind| RequestClass {
         name: name.into(),
-        kind,
-        memory: 5_000_000,
-        group: Group::All,
-        agreed: 400_000,
-        hard_stop: 1_500_000,
-        importance: 1.0,
+        idempotency: kind,
+        retention: 5_000_000,
+        scope: KeyScope::All,
+        latency_objective: 400_000,
+        deadline: 1_500_000,
+        priority_weight: 1.0,
         work: asked.work,
     };
-    let lanes = Rc::new(vec![lane("lookup", Kind::Redoable), lane("order", Kind::Labelled)]);
+    let lanes = Rc::new(vec![lane("lookup", Idempotency::Idempotent), lane("order", Idempotency::Keyed)]);
     let spec = Spec {
         cores: asked.cores,
         speed: 1.0,
@@ -585,7 +585,7 @@
         idle: 60_000_000,
         cancels: true,
         reports: false,
-        cold: Cold { share: 1.0, warm_up: 0, multiple: 1e9, window: 1 },
+        cold: SlowStart { share: 1.0, warm_up: 0, multiple: 1e9, window: 1 },
     };
     let told = |why: std::io::Error| why.to_string();
     let work = async {
@@ -601,7 +601,7 @@
         let mut hosts = Vec::new();
         for number in 0..asked.boxes {
             let name = format!("box-{number}");
-            let model = Box_::new(spec.clone(), 0, 0, alone(), number as u64);
+            let model = Server::new(spec.clone(), 0, 0, unshared_memories(), number as u64);
             let at = SocketAddr::from(([127, 0, 0, 1], FIRST_BOX + number));
             hosts.push(servers::Host::start(&world, &name, model, &lanes, false, &[at]).map_err(told)?);
             list.addresses.borrow_mut().insert((0, name.clone()), at);
--- a/crates/lab/src/membership_simulation.rs
+++ b/crates/lab/src/membership_simulation.rs
@@ -12,21 +12,21 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
 
-use crate::history::Goods;
-use crate::live::route::Way;
+use crate::history::LinkTraffic;
+use crate::live::route::Route;
 use crate::{Micros, MILLISECOND, SECOND};
 
 /// What the network does to datagrams; streams only fail where it is parted.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct LinkFaults {
     pub loss: f64,
     pub doubled: f64,
     /// One way, least and most.
     pub delay: (Micros, Micros),
 }
 
-impl Weather {
-    pub const FAIR: Weather = Weather { loss: 0.0, doubled: 0.0, delay: (200, 800) };
+impl LinkFaults {
+    pub const FAIR: LinkFaults = LinkFaults { loss: 0.0, doubled: 0.0, delay: (200, 800) };
 }
 
 enum Come {
@@ -42,18 +42,18 @@
 /// Bytes that a seal adds to a packet.
 const SEAL: usize = 45;
 
-pub struct Mesh {
+pub struct SimulatedFleet {
     pub now: Micros,
     nodes: Vec<Option<Node>>,
     /// What each instance has truly added, and whether it still runs.
     pub truth: BTreeMap<(String, Instance), f64>,
-    pub weather: Weather,
+    pub weather: LinkFaults,
     /// Pairs of which the first can't reach the second.
     cut: BTreeSet<(usize, usize)>,
     /// Pairs between which no stream comes up.
     streams: BTreeSet<(usize, usize)>,
     /// What else is broken from one to another, by the same rules as between processes.
-    ways: BTreeMap<(usize, usize), [Way; 2]>,
+    ways: BTreeMap<(usize, usize), [Route; 2]>,
     /// What came to those who are paused.
     paused: BTreeMap<usize, Vec<(SocketAddr, Come)>>,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -80,14 +80,14 @@
     }
 }
 
-impl Mesh {
+impl SimulatedFleet {
     /// So many nodes that start at once, each with the first two as seeds.
     pub fn new(count: usize, seed: u64) -> Self {
-        let mut mesh = Mesh {
+        let mut mesh = SimulatedFleet {
             now: 0,
             nodes: (0..count).map(|_| None).collect(),
             truth: BTreeMap::new(),
-            weather: Weather::FAIR,
+            weather: LinkFaults::FAIR,
             cut: BTreeSet::new(),
             streams: BTreeSet::new(),
             ways: BTreeMap::new(),
@@ -155,13 +155,13 @@
     }
 
     /// What is broken from the first to the second: on datagrams, and on streams.
-    pub fn way(&mut self, from: usize, to: usize, goods: Goods) -> &Way {
+    pub fn way(&mut self, from: usize, to: usize, goods: LinkTraffic) -> &Route {
         &self.ways.entry((from, to)).or_default()[goods as usize]
     }
 
     fn stream_up(&self, from: usize, to: usize) -> bool {
         let way = |one, other| {
-            let way = self.ways.get(&(one, other)).map(|ways| &ways[Goods::Streams as usize]);
+            let way = self.ways.get(&(one, other)).map(|ways| &ways[LinkTraffic::Streams as usize]);
             way.is_none_or(|way| !way.held() && !way.cut())
         };
         to < self.count()
@@ -233,7 +233,7 @@
                         continue;
                     }
                     if let Some(ways) = self.ways.get(&(at, place(to))) {
-                        let way = &ways[Goods::Datagrams as usize];
+                        let way = &ways[LinkTraffic::Datagrams as usize];
                         // Where a byte was changed the seal does not hold, and it is as good as lost.
                         let come = way.datagram(self.now, vec![0; size], &mut self.chance);
                         let whole = come.into_iter().filter(|(_, bytes)| bytes.iter().all(|byte| *byte == 0));
@@ -343,8 +343,8 @@
 /// Measures a mesh of so many gateways: seconds until all know all, bytes a second for each, and how far totals are off
 /// while each gateway adds to shared counts all the time, with one datagram in a hundred lost.
 pub fn measure(count: usize, customers: usize, adds_a_second: f64, seed: u64) -> Value {
-    let mut mesh = Mesh::new(count, seed);
-    mesh.weather = Weather { loss: 0.01, doubled: 0.0, delay: (200, 2_000) };
+    let mut mesh = SimulatedFleet::new(count, seed);
+    mesh.weather = LinkFaults { loss: 0.01, doubled: 0.0, delay: (200, 2_000) };
     let mut joined = None;
     while joined.is_none() && mesh.now < 120 * SECOND {
         mesh.run(mesh.now + 50 * MILLISECOND);
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -12,28 +12,37 @@
 use crate::{Micros, SECOND};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Lane {
+pub struct RequestClass {
     pub name: String,
-    pub kind: Kind,
+    #[serde(rename = "kind")]
+    pub idempotency: Idempotency,
     /// How long a key is remembered, and by whom, in a labelled lane.
-    pub memory: Micros,
-    pub group: Group,
-    pub agreed: Micros,
-    pub hard_stop: Micros,
-    pub importance: f64,
+    #[serde(rename = "memory")]
+    pub retention: Micros,
+    #[serde(rename = "group")]
+    pub scope: KeyScope,
+    #[serde(rename = "agreed")]
+    pub latency_objective: Micros,
+    #[serde(rename = "hard_stop")]
+    pub deadline: Micros,
+    #[serde(rename = "importance")]
+    pub priority_weight: f64,
     /// Work of a transaction of one unit: the mean of an exponential time, with a floor of a quarter of it.
     pub work: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    Redoable,
-    Labelled,
-    Irreversible,
+pub enum Idempotency {
+    #[serde(rename = "Redoable")]
+    Idempotent,
+    #[serde(rename = "Labelled")]
+    Keyed,
+    #[serde(rename = "Irreversible")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Group {
+pub enum KeyScope {
     All,
     Zone,
     Cell,
@@ -50,7 +59,7 @@
 
 /// Customers of one kind.
 #[derive(Clone, Debug)]
-pub struct Customers {
+pub struct TenantGroup {
     pub name: String,
     pub plan: usize,
     pub count: u32,
@@ -74,27 +83,32 @@
 
 /// One transaction that a client asks for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ClientRequest {
     pub at: Micros,
     pub id: u64,
     pub group: usize,
-    pub customer: u64,
+    #[serde(rename = "customer")]
+    pub tenant: u64,
     pub plan: usize,
-    pub lane: usize,
+    #[serde(rename = "lane")]
+    pub class: usize,
     pub units: u32,
-    pub first: u32,
-    pub spread: u32,
+    #[serde(rename = "first")]
+    pub first_gateway: u32,
+    #[serde(rename = "spread")]
+    pub gateway_spread: u32,
     /// The gateway that it is dealt to.
     pub gateway: u32,
     pub key: Option<u64>,
     pub work: Micros,
     /// Which try it is, from 0, and the first one's id.
-    pub try_: u32,
+    #[serde(rename = "try_")]
+    pub attempt: u32,
     pub origin: u64,
 }
 
-pub struct Front {
-    lanes: Vec<Lane>,
+pub struct ClientModel {
+    classes: Vec<RequestClass>,
     plans: Vec<Plan>,
     groups: Vec<State>,
     gateways: u32,
@@ -103,11 +117,11 @@
     next_once: u64,
     /// Tries again that are due, by time and id.
     again: BinaryHeap<Reverse<(Micros, u64)>>,
-    asked_again: std::collections::BTreeMap<u64, Ask>,
+    asked_again: std::collections::BTreeMap<u64, ClientRequest>,
 }
 
 struct State {
-    customers: Customers,
+    customers: TenantGroup,
     /// Number of the first of them.
     from: u64,
     /// Times the usual load, and how far their gateways have moved.
@@ -116,8 +130,14 @@
     next: Micros,
 }
 
-impl Front {
-    pub fn new(lanes: Vec<Lane>, plans: Vec<Plan>, groups: Vec<Customers>, gateways: u32, seed: u64) -> Self {
+impl ClientModel {
+    pub fn new(
+        lanes: Vec<RequestClass>,
+        plans: Vec<Plan>,
+        groups: Vec<TenantGroup>,
+        gateways: u32,
+        seed: u64,
+    ) -> Self {
         let mut from = 1;
         let states = groups.into_iter().map(|customers| {
             let state = State { from, surge: 1.0, moved: 0, next: 0, customers };
@@ -125,8 +145,8 @@
             state
         });
         let groups = states.collect();
-        let mut front = Front {
-            lanes,
+        let mut front = ClientModel {
+            classes: lanes,
             plans,
             groups,
             gateways,
@@ -148,7 +168,7 @@
         self.groups.iter_mut().for_each(|group| group.next = group.next.saturating_add(at));
     }
 
-    pub fn groups(&self) -> impl Iterator<Item = &Customers> {
+    pub fn groups(&self) -> impl Iterator<Item = &TenantGroup> {
         self.groups.iter().map(|group| &group.customers)
     }
 
@@ -197,16 +217,18 @@
     }
 
     /// How long the client of a transaction waits before it leaves for good, if it does.
-    pub fn leaves_after(&self, ask: &Ask) -> Option<Micros> {
+    pub fn leaves_after(&self, ask: &ClientRequest) -> Option<Micros> {
         let share = self.groups[ask.group].customers.leaves;
         let mut chance = ChaCha8Rng::seed_from_u64(ask.id);
         let leaves = share > 0.0 && chance.gen_bool(share);
         // Most go early, while their transactions wait or dial.
-        leaves.then(|| (self.lanes[ask.lane].agreed as f64 * chance.gen::<f64>().powi(4)) as Micros)
+        leaves.then(|| {
+            (self.classes[ask.class].latency_objective as f64 * chance.gen::<f64>().powi(4)) as Micros
+        })
     }
 
     /// The next that asks.
-    pub fn ask(&mut self) -> Option<Ask> {
+    pub fn next_request(&mut self) -> Option<ClientRequest> {
         let at = self.next_at();
         if self.again.peek().is_some_and(|Reverse((due, _))| *due == at) {
             let Reverse((_, id)) = self.again.pop()?;
@@ -234,25 +256,25 @@
         };
         let lane = self.lane(&customers.lanes);
         let units = self.chance.gen_range(customers.units.0..=customers.units.1);
-        let mean = self.lanes[lane].work as f64 * units as f64;
+        let mean = self.classes[lane].work as f64 * units as f64;
         let drawn = 0.25 + 0.75 * -(1.0 - self.chance.gen::<f64>()).ln();
-        let labelled = self.lanes[lane].kind == Kind::Labelled;
+        let labelled = self.classes[lane].idempotency == Idempotency::Keyed;
         let id = self.next_id;
         self.next_id += 1;
-        Some(Ask {
+        Some(ClientRequest {
             at,
             id,
             group,
-            customer,
+            tenant: customer,
             plan: customers.plan,
-            lane,
+            class: lane,
             units,
-            first,
-            spread,
+            first_gateway: first,
+            gateway_spread: spread,
             gateway: (first + step) % self.gateways,
             key: labelled.then(|| self.chance.gen()),
             work: (mean * drawn) as Micros,
-            try_: 0,
+            attempt: 0,
             origin: id,
         })
     }
@@ -271,11 +293,11 @@
 
     /// An ask ended without being served: perhaps its client tries again, under a new id and the old key, while its
     /// first try's hard stop has not come. `harmless`: it was told so.
-    pub fn unserved(&mut self, now: Micros, ask: &Ask, harmless: bool, wait: Micros) {
+    pub fn unserved(&mut self, now: Micros, ask: &ClientRequest, harmless: bool, wait: Micros) {
         let customers = &self.groups[ask.group].customers;
-        let may = harmless || self.lanes[ask.lane].kind != Kind::Irreversible;
+        let may = harmless || self.classes[ask.class].idempotency != Idempotency::NonIdempotent;
         let (again, most) = (customers.again, customers.most_again);
-        if !may || ask.try_ >= most || !self.chance.gen_bool(again) {
+        if !may || ask.attempt >= most || !self.chance.gen_bool(again) {
             return;
         }
         let id = self.next_id;
@@ -283,11 +305,11 @@
         // Clients that were told the same time do not all come back in the same instant.
         let at = now + wait + self.chance.gen_range(0..=wait / 4 + SECOND / 100);
         self.again.push(Reverse((at, id)));
-        self.asked_again.insert(id, Ask { at, id, try_: ask.try_ + 1, ..ask.clone() });
+        self.asked_again.insert(id, ClientRequest { at, id, attempt: ask.attempt + 1, ..ask.clone() });
     }
 
-    pub fn lanes(&self) -> &[Lane] {
-        &self.lanes
+    pub fn classes(&self) -> &[RequestClass] {
+        &self.classes
     }
 
     pub fn plans(&self) -> &[Plan] {
--- a/crates/lab/src/model/counter.rs
+++ b/crates/lab/src/model/counter.rs
@@ -23,7 +23,7 @@
 const LONGEST_LIFE: Micros = 60 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ill {
+pub enum ReplyFault {
     Well,
     /// Every call is turned away.
     Busy,
@@ -49,7 +49,7 @@
 
 /// What is said to a call, and when; nothing where it stays silent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Reply {
     Total(f64),
     Busy,
     Nothing,
@@ -63,7 +63,7 @@
     /// When the calls that have come will all have had their turn.
     free: Micros,
     chance: ChaCha8Rng,
-    pub ill: Ill,
+    pub ill: ReplyFault,
     pub calls: u64,
     pub turned_away: u64,
 }
@@ -76,7 +76,7 @@
             swept: 0,
             free: 0,
             chance: ChaCha8Rng::seed_from_u64(seed),
-            ill: Ill::Well,
+            ill: ReplyFault::Well,
             calls: 0,
             turned_away: 0,
         }
@@ -99,18 +99,18 @@
     }
 
     /// A call has come; what is said to it, and when.
-    pub fn add(&mut self, now: Micros, name: &str, amount: f64, life: Micros) -> (Said, Micros) {
+    pub fn add(&mut self, now: Micros, name: &str, amount: f64, life: Micros) -> (Reply, Micros) {
         self.calls += 1;
         self.sweep(now);
-        if self.ill == Ill::Deaf {
-            return (Said::Nothing, now);
+        if self.ill == ReplyFault::Deaf {
+            return (Reply::Nothing, now);
         }
-        let slow = if let Ill::Slow(times) = self.ill { times } else { 1.0 };
+        let slow = if let ReplyFault::Slow(times) = self.ill { times } else { 1.0 };
         let turn = (SECOND as f64 * slow / self.spec.capacity) as Micros;
         let begins = self.free.max(now);
-        if self.ill == Ill::Busy || (begins - now) as f64 > self.spec.queue * turn as f64 {
+        if self.ill == ReplyFault::Busy || (begins - now) as f64 > self.spec.queue * turn as f64 {
             self.turned_away += 1;
-            return (Said::Busy, now);
+            return (Reply::Busy, now);
         }
         self.free = begins + turn;
         let own = self.spec.latency as f64 * slow;
@@ -123,7 +123,7 @@
         });
         entry.total += amount;
         let total = match self.ill {
-            Ill::Old(by) => {
+            ReplyFault::Old(by) => {
                 entry.added.push((now, amount));
                 entry.added.retain(|(at, _)| at + by > now);
                 entry.total - entry.added.iter().map(|(_, amount)| amount).sum::<f64>()
@@ -136,9 +136,9 @@
         // Totals are exact to seven digits.
         let total = format!("{total:.6e}").parse().unwrap_or(total);
         match self.ill {
-            Ill::Silent => (Said::Nothing, at),
-            Ill::Garbled => (Said::Spoilt, at),
-            _ => (Said::Total(total), at),
+            ReplyFault::Silent => (Reply::Nothing, at),
+            ReplyFault::Garbled => (Reply::Spoilt, at),
+            _ => (Reply::Total(total), at),
         }
     }
 
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -35,12 +35,12 @@
 }
 
 #[derive(Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     index: u64,
     entries: BTreeMap<String, (u64, Entry)>,
 }
 
-impl List {
+impl EndpointList {
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -51,7 +51,7 @@
         self.entries.insert(name.into(), (self.index, entry));
     }
 
-    pub fn turn(&mut self, name: &str, status: Status) {
+    pub fn set_status(&mut self, name: &str, status: Status) {
         if let Some((version, entry)) = self.entries.get_mut(name).filter(|(_, entry)| entry.status != status)
         {
             self.index += 1;
@@ -64,7 +64,7 @@
     }
 
     /// Those that are there; the ones that are gone appear among changes only.
-    pub fn whole(&self) -> Vec<(&str, &Entry)> {
+    pub fn complete(&self) -> Vec<(&str, &Entry)> {
         let there = self.entries.iter().filter(|(_, (_, entry))| entry.status != Status::Terminated);
         there.map(|(name, (_, entry))| (&**name, entry)).collect()
     }
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use super::clients::Group;
+use super::clients::KeyScope;
 use crate::Micros;
 
 /// What a box is like.
@@ -30,12 +30,12 @@
     /// A trip that was given up is not begun, or is ended.
     pub cancels: bool,
     pub reports: bool,
-    pub cold: Cold,
+    pub cold: SlowStart,
 }
 
 /// How a box starts, and what fells it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Cold {
+pub struct SlowStart {
     /// Share of its capacity that it has at the start, from which it grows evenly.
     pub share: f64,
     pub warm_up: Micros,
@@ -44,7 +44,7 @@
     pub window: Micros,
 }
 
-impl Cold {
+impl SlowStart {
     /// Share of its capacity that a box has so long after its start.
     pub fn capacity(&self, age: Micros) -> f64 {
         if age >= self.warm_up {
@@ -56,12 +56,12 @@
 
 /// Keys that a rack remembers, each with when its first trip ran.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct KeyMemory {
     ran: BTreeMap<(String, String), Micros>,
     forgets: VecDeque<(Micros, (String, String))>,
 }
 
-impl Memory {
+impl KeyMemory {
     /// Whether the key is new here; from now on it is not, for that long.
     fn first(&mut self, customer: &str, key: &str, now: Micros, memory: Micros) -> bool {
         while self.forgets.front().is_some_and(|(at, _)| *at <= now) {
@@ -81,42 +81,43 @@
 }
 
 /// What a box remembers of keys, by whom it shares that with: each lane has its group.
-pub type Memories = [(Group, Rc<RefCell<Memory>>); 3];
+pub type KeyMemories = [(KeyScope, Rc<RefCell<KeyMemory>>); 3];
 
 /// Memories that no other box shares.
-pub fn alone() -> Memories {
-    [Group::All, Group::Zone, Group::Cell].map(|group| (group, Rc::default()))
+pub fn unshared_memories() -> KeyMemories {
+    [KeyScope::All, KeyScope::Zone, KeyScope::Cell].map(|group| (group, Rc::default()))
 }
 
 /// One trip, as it came whole to the box.
 #[derive(Clone, Debug)]
-pub struct Trip {
+pub struct Attempt {
     /// Tells trips of one box apart.
     pub ticket: u64,
-    pub customer: String,
+    pub tenant: String,
     /// The key, by whom it is remembered and for how long, in a labelled lane.
-    pub key: Option<(String, Group, Micros)>,
+    pub key: Option<(String, KeyScope, Micros)>,
     pub work: Micros,
     /// The first on its connection.
-    pub fresh: bool,
+    pub is_first_on_connection: bool,
 }
 
 /// How a trip ends at the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum AttemptEnd {
     /// It ran; its answer is given. `first` is false where the key was known, so that nothing was done again.
     Ran { first: bool },
     /// It ran, and says that it failed.
     Failed,
     /// It never ran.
-    Busy,
+    #[serde(rename = "Busy")]
+    Rejected,
     /// It was given up before it was begun.
     Dropped,
 }
 
 /// What a box does to answers, by fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ills {
+pub struct ServerFaults {
     /// Times as much work as usual.
     pub slow: f64,
     /// Shares of the trips that run and then say that they failed, that are turned away, whose answer never comes.
@@ -127,14 +128,14 @@
     pub garbles: f64,
 }
 
-impl Default for Ills {
+impl Default for ServerFaults {
     fn default() -> Self {
-        Ills { slow: 1.0, fails: 0.0, busy: 0.0, silent: 0.0, garbles: 0.0 }
+        ServerFaults { slow: 1.0, fails: 0.0, busy: 0.0, silent: 0.0, garbles: 0.0 }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
     Serving,
     /// Finishes what it has, and turns away what is new.
     Draining,
@@ -142,16 +143,16 @@
     Down,
 }
 
-pub struct Box_ {
+pub struct Server {
     spec: Spec,
     started: Micros,
-    life: Life,
-    fell: bool,
-    memory: Memories,
+    state: ServerState,
+    collapsed: bool,
+    memory: KeyMemories,
     chance: ChaCha8Rng,
-    pub ills: Ills,
+    pub faults: ServerFaults,
     busy_cores: u32,
-    waiting: VecDeque<Trip>,
+    waiting: VecDeque<Attempt>,
     /// Ends that are due, the earliest first.
     running: BinaryHeap<Reverse<(Micros, u64)>>,
     trips: BTreeMap<u64, Running>,
@@ -162,21 +163,21 @@
 }
 
 struct Running {
-    trip: Trip,
-    end: End,
+    trip: Attempt,
+    end: AttemptEnd,
     given_up: bool,
 }
 
-impl Box_ {
+impl Server {
     /// `started` in the past by more than its warm-up: warm.
-    pub fn new(spec: Spec, age: Micros, now: Micros, memory: Memories, seed: u64) -> Self {
-        Box_ {
+    pub fn new(spec: Spec, age: Micros, now: Micros, memory: KeyMemories, seed: u64) -> Self {
+        Server {
             started: now.saturating_sub(age),
-            life: Life::Serving,
-            fell: false,
+            state: ServerState::Serving,
+            collapsed: false,
             memory,
             chance: ChaCha8Rng::seed_from_u64(seed),
-            ills: Ills::default(),
+            faults: ServerFaults::default(),
             busy_cores: 0,
             waiting: VecDeque::new(),
             running: BinaryHeap::new(),
@@ -185,7 +186,7 @@
             push: 0,
             served: 0,
             spec: if age >= spec.cold.warm_up {
-                Spec { cold: Cold { warm_up: 0, ..spec.cold }, ..spec }
+                Spec { cold: SlowStart { warm_up: 0, ..spec.cold }, ..spec }
             } else {
                 spec
             },
@@ -196,30 +197,30 @@
         &self.spec
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn state(&self) -> ServerState {
+        self.state
     }
 
     /// It was pushed over.
-    pub fn fell(&self) -> bool {
-        self.fell
+    pub fn collapsed(&self) -> bool {
+        self.collapsed
     }
 
     pub fn drain(&mut self) {
-        if self.life == Life::Serving {
-            self.life = Life::Draining;
+        if self.state == ServerState::Serving {
+            self.state = ServerState::Draining;
         }
     }
 
     pub fn serve_again(&mut self) {
-        if self.life == Life::Draining {
-            self.life = Life::Serving;
+        if self.state == ServerState::Draining {
+            self.state = ServerState::Serving;
         }
     }
 
     /// Everything that it had is gone.
-    pub fn down(&mut self) {
-        self.life = Life::Down;
+    pub fn take_down(&mut self) {
+        self.state = ServerState::Down;
         self.waiting.clear();
         self.running.clear();
         self.trips.clear();
@@ -231,13 +232,13 @@
     }
 
     /// A trip has come whole. Its end follows from `due` unless it is given here.
-    pub fn arrive(&mut self, now: Micros, mut trip: Trip) -> Option<End> {
-        if trip.fresh {
+    pub fn arrive(&mut self, now: Micros, mut trip: Attempt) -> Option<AttemptEnd> {
+        if trip.is_first_on_connection {
             trip.work += self.spec.dial_work;
         }
         self.pushed(now, trip.work);
-        if self.life != Life::Serving || self.chance.gen_bool(self.ills.busy) {
-            return Some(End::Busy);
+        if self.state != ServerState::Serving || self.chance.gen_bool(self.faults.busy) {
+            return Some(AttemptEnd::Rejected);
         }
         if self.busy_cores < self.spec.cores {
             self.begin(now, trip);
@@ -246,15 +247,15 @@
             self.waiting.push_back(trip);
             None
         } else {
-            Some(End::Busy)
+            Some(AttemptEnd::Rejected)
         }
     }
 
     /// All that reaches it counts, also what it turns away.
     fn pushed(&mut self, now: Micros, work: Micros) {
-        let Cold { warm_up, multiple, window, .. } = self.spec.cold;
+        let SlowStart { warm_up, multiple, window, .. } = self.spec.cold;
         let age = now.saturating_sub(self.started);
-        if warm_up == 0 || age >= warm_up || self.life == Life::Down {
+        if warm_up == 0 || age >= warm_up || self.state == ServerState::Down {
             return;
         }
         self.pushed.push_back((now, work));
@@ -264,28 +265,32 @@
         }
         let can = self.capacity(now) * self.spec.cores as f64 * self.spec.speed * window as f64;
         if self.push as f64 > multiple * can {
-            self.fell = true;
-            self.down();
+            self.collapsed = true;
+            self.take_down();
         }
     }
 
-    fn begin(&mut self, now: Micros, trip: Trip) {
+    fn begin(&mut self, now: Micros, trip: Attempt) {
         let first = match &trip.key {
             Some((key, group, memory)) => {
                 let shared = self.memory.iter().find(|(own, _)| own == group);
-                shared.is_none_or(|(_, shared)| shared.borrow_mut().first(&trip.customer, key, now, *memory))
+                shared.is_none_or(|(_, shared)| shared.borrow_mut().first(&trip.tenant, key, now, *memory))
             }
             None => true,
         };
-        let end = if self.chance.gen_bool(self.ills.fails) { End::Failed } else { End::Ran { first } };
-        let took = trip.work as f64 * self.ills.slow / (self.spec.speed * self.capacity(now));
+        let end = if self.chance.gen_bool(self.faults.fails) {
+            AttemptEnd::Failed
+        } else {
+            AttemptEnd::Ran { first }
+        };
+        let took = trip.work as f64 * self.faults.slow / (self.spec.speed * self.capacity(now));
         self.busy_cores += 1;
         self.running.push(Reverse((now + took as Micros, trip.ticket)));
         self.trips.insert(trip.ticket, Running { trip, end, given_up: false });
     }
 
     /// Nobody waits for this trip any more.
-    pub fn give_up(&mut self, ticket: u64) -> Option<End> {
+    pub fn cancel(&mut self, ticket: u64) -> Option<AttemptEnd> {
         if let Some(running) = self.trips.get_mut(&ticket) {
             running.given_up = true;
             return None;
@@ -295,7 +300,7 @@
         }
         let at = self.waiting.iter().position(|trip| trip.ticket == ticket)?;
         self.waiting.remove(at);
-        Some(End::Dropped)
+        Some(AttemptEnd::Dropped)
     }
 
     pub fn due(&self) -> Option<Micros> {
@@ -303,7 +308,7 @@
     }
 
     /// The trips that have ended by now, with whether anybody is to be answered.
-    pub fn ended(&mut self, now: Micros) -> Vec<(u64, End, bool)> {
+    pub fn take_ended(&mut self, now: Micros) -> Vec<(u64, AttemptEnd, bool)> {
         let mut ended = Vec::new();
         while let Some(Reverse((at, ticket))) =
             self.running.peek().copied().filter(|Reverse((at, _))| *at <= now)
@@ -322,13 +327,13 @@
     }
 
     /// What becomes of an answer: spoilt or kept back, by the ills of the moment.
-    pub fn answer(&mut self) -> Told {
-        if self.chance.gen_bool(self.ills.silent) {
-            Told::Nothing
-        } else if self.chance.gen_bool(self.ills.garbles) {
-            Told::Spoilt(self.chance.gen_range(0..4))
+    pub fn answer(&mut self) -> AnswerFault {
+        if self.chance.gen_bool(self.faults.silent) {
+            AnswerFault::Nothing
+        } else if self.chance.gen_bool(self.faults.garbles) {
+            AnswerFault::Spoilt(self.chance.gen_range(0..4))
         } else {
-            Told::Well
+            AnswerFault::Well
         }
     }
 
@@ -339,7 +344,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AnswerFault {
     Well,
     Nothing,
     /// In one of several ways.
--- a/crates/lab/src/quota_simulation.rs
+++ b/crates/lab/src/quota_simulation.rs
@@ -13,8 +13,10 @@
 };
 use serde_json::{json, Value};
 
-use crate::model::clients::{Ask, Customers, Front, Group, Kind, Lane, Plan};
-use crate::model::counter::{Counter, Said, Spec};
+use crate::model::clients::{
+    ClientModel, ClientRequest, Idempotency, KeyScope, Plan, RequestClass, TenantGroup,
+};
+use crate::model::counter::{Counter, Reply, Spec};
 use crate::{Micros, MILLISECOND as MS, SECOND};
 
 /// The clock at the start, and what is asked until then counts for nothing: names and shares have to be learnt.
@@ -80,7 +82,7 @@
 /// The customers' true stores.
 struct Truth {
     plans: Vec<Plan>,
-    lanes: Vec<Lane>,
+    lanes: Vec<RequestClass>,
     stores: BTreeMap<u64, Store>,
     seen: BTreeSet<(u64, u32)>,
     outcomes: Outcomes,
@@ -97,12 +99,12 @@
 }
 
 impl Truth {
-    fn new(plans: &[Plan], lanes: &[Lane]) -> Self {
+    fn new(plans: &[Plan], lanes: &[RequestClass]) -> Self {
         let (plans, lanes) = (plans.to_vec(), lanes.to_vec());
         Truth { plans, lanes, stores: BTreeMap::new(), seen: BTreeSet::new(), outcomes: Outcomes::default() }
     }
 
-    fn store(&mut self, ask: &Ask, now: Micros) -> &mut Store {
+    fn store(&mut self, ask: &ClientRequest, now: Micros) -> &mut Store {
         let plan = &self.plans[ask.plan];
         let fresh = || Store {
             level: plan.burst,
@@ -111,7 +113,7 @@
             offered: VecDeque::new(),
             draw: 0.0,
         };
-        let store = self.stores.entry(ask.customer).or_insert_with(fresh);
+        let store = self.stores.entry(ask.tenant).or_insert_with(fresh);
         store.level = (store.level + plan.rate * (now - store.at) as f64 / SECOND as f64).min(plan.burst);
         store.at = now;
         while store.taken.front().is_some_and(|(at, _)| at + LATE <= now) {
@@ -122,7 +124,7 @@
 
     /// Whether it is inside its quota now, and whether a policy lets it pass that sees the truth late: the store, and what all
     /// gateways were offered in a period. The page's fraction, with all of the sight that a counter could give.
-    fn asked(&mut self, ask: &Ask) -> (bool, bool) {
+    fn asked(&mut self, ask: &ClientRequest) -> (bool, bool) {
         let (rate, burst) = (self.plans[ask.plan].rate, self.plans[ask.plan].burst);
         let store = self.store(ask, ask.at);
         let level = (store.level + store.taken.iter().map(|(_, units)| units).sum::<f64>()).min(burst);
@@ -139,12 +141,12 @@
         (store.level >= ask.units as f64, passes)
     }
 
-    fn worth(&self, ask: &Ask) -> f64 {
-        self.lanes[ask.lane].importance * self.plans[ask.plan].price * ask.units as f64
+    fn worth(&self, ask: &ClientRequest) -> f64 {
+        self.lanes[ask.class].priority_weight * self.plans[ask.plan].price * ask.units as f64
     }
 
     /// A transaction has been sent on, or refused.
-    fn decided(&mut self, ask: &Ask, inside_when_asked: bool, passed: bool, now: Micros) {
+    fn decided(&mut self, ask: &ClientRequest, inside_when_asked: bool, passed: bool, now: Micros) {
         let store = self.store(ask, now);
         let units = ask.units as f64;
         let inside = store.level >= units;
@@ -152,7 +154,7 @@
             store.level -= units;
             store.taken.push_back((now, units));
         }
-        let first = self.seen.insert((ask.customer, ask.gateway));
+        let first = self.seen.insert((ask.tenant, ask.gateway));
         if ask.at < LEARNS {
             return;
         }
@@ -161,7 +163,7 @@
         if passed {
             own.refused.remove(&ask.origin);
         }
-        if inside_when_asked && ask.try_ == 0 {
+        if inside_when_asked && ask.attempt == 0 {
             own.inside += worth;
             let keeps = KINDS[ask.group % KINDS.len()].1 < 1.0;
             own.tries += u64::from(keeps);
@@ -234,8 +236,8 @@
     counter: Counter,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Due>,
-    open: BTreeMap<Id, (Ask, bool)>,
-    front: Front,
+    open: BTreeMap<Id, (ClientRequest, bool)>,
+    front: ClientModel,
     truth: Truth,
 }
 
@@ -271,8 +273,8 @@
                 Act::Add(count, amount, life) => {
                     let (said, at) = self.counter.add(now, &count, amount, life);
                     let (outcome, total) = match said {
-                        Said::Total(total) if at <= now + CALL => (Outcome::Ok, total),
-                        Said::Busy => (Outcome::Overloaded, 0.0),
+                        Reply::Total(total) if at <= now + CALL => (Outcome::Ok, total),
+                        Reply::Busy => (Outcome::Overloaded, 0.0),
                         _ => (Outcome::TimedOut, 0.0),
                     };
                     let at = at.min(now + CALL);
@@ -287,7 +289,7 @@
             Due::Ask => {
                 // Those that come again may have come in between.
                 let due = self.front.next_at() <= self.now;
-                let ask = if due { self.front.ask() } else { None };
+                let ask = if due { self.front.next_request() } else { None };
                 let next = self.front.next_at().min(self.now + TURN);
                 self.at(next.max(self.now), Due::Ask);
                 let Some(ask) = ask else { return };
@@ -295,13 +297,13 @@
                 let id = Id::from(format!("{:x}", ask.id));
                 let asked = Request {
                     id: id.clone(),
-                    class: ask.lane,
+                    class: ask.class,
                     plan: ask.plan,
-                    tenant: Id::from(format!("{:x}", ask.customer)),
+                    tenant: Id::from(format!("{:x}", ask.tenant)),
                     units: ask.units as f64,
-                    first_gateway: ask.first,
-                    gateway_spread: ask.spread,
-                    time_left: self.truth.lanes[ask.lane].hard_stop,
+                    first_gateway: ask.first_gateway,
+                    gateway_spread: ask.gateway_spread,
+                    time_left: self.truth.lanes[ask.class].deadline,
                 };
                 let gateway = ask.gateway as usize;
                 self.open.insert(id, (ask, inside));
@@ -340,10 +342,10 @@
     vec![plan("small", 0.8, 4.0, 0.6), plan("usual", 2.5, 9.0, 0.8), plan("large", 15.0, 28.0, 1.4)]
 }
 
-fn front(day: &Day, lanes: &[Lane], plans: &[Plan]) -> Front {
+fn front(day: &Day, lanes: &[RequestClass], plans: &[Plan]) -> ClientModel {
     let spread = (day.gateways * 3 / 4).max(2).min(day.gateways);
     let groups = (0..plans.len()).flat_map(|plan| {
-        KINDS.map(|(name, load, tenths)| Customers {
+        KINDS.map(|(name, load, tenths)| TenantGroup {
             name: format!("{name} {}", plans[plan].name),
             plan,
             count: (day.customers * tenths / 30).max(1),
@@ -358,25 +360,25 @@
             leaves: 0.0,
         })
     });
-    Front::new(lanes.to_vec(), plans.to_vec(), groups.collect(), day.gateways, day.seed)
+    ClientModel::new(lanes.to_vec(), plans.to_vec(), groups.collect(), day.gateways, day.seed)
 }
 
 /// What the module of each gateway makes of a day, and the policy that sees late.
 pub fn play(day: &Day) -> (Outcomes, Outcomes) {
     let plans = plans();
-    let lanes = vec![Lane {
+    let lanes = vec![RequestClass {
         name: "read".into(),
-        kind: Kind::Redoable,
-        memory: 0,
-        group: Group::All,
-        agreed: 750 * MS,
-        hard_stop: 2_500 * MS,
-        importance: 1.0,
+        idempotency: Idempotency::Idempotent,
+        retention: 0,
+        scope: KeyScope::All,
+        latency_objective: 750 * MS,
+        deadline: 2_500 * MS,
+        priority_weight: 1.0,
         work: TRIP,
     }];
     let mut late = Truth::new(&plans, &lanes);
     let mut asks = front(day, &lanes, &plans);
-    while let Some(ask) = asks.ask().filter(|ask| ask.at < day.lasts) {
+    while let Some(ask) = asks.next_request().filter(|ask| ask.at < day.lasts) {
         let (inside, seems) = late.asked(&ask);
         late.decided(&ask, inside, seems, ask.at);
         if !seems {
@@ -392,7 +394,7 @@
             gateway_count: day.gateways,
             classes: vec![module::RequestClass {
                 idempotency: module::Idempotency::Idempotent,
-                latency_objective: lanes[0].agreed,
+                latency_objective: lanes[0].latency_objective,
                 priority_weight: 1.0,
             }],
             plans: plans.iter().map(module_plan).collect(),
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 
-use crate::history::Court;
-use crate::request_ledger::{Fate, Ledger};
+use crate::history::Recorder;
+use crate::request_ledger::{Fate, RequestLedger};
 use crate::scenario::{Claim, Scenario};
 use crate::{Micros, MILLISECOND, SECOND};
 
@@ -51,11 +51,11 @@
         self.sent += (fate != Fate::Unsent) as u64;
         let of = match fate {
             Fate::Unsent => &mut self.unsent,
-            Fate::Settled => &mut self.settled,
-            Fate::Nacked => &mut self.nacked,
-            Fate::Abandoned => &mut self.abandoned,
+            Fate::Completed => &mut self.settled,
+            Fate::Rejected => &mut self.nacked,
+            Fate::Failed => &mut self.abandoned,
             Fate::Excused => &mut self.excused,
-            Fate::Left => &mut self.left,
+            Fate::Disconnected => &mut self.left,
             Fate::Open | Fate::Lost => &mut self.lost,
         };
         *of += 1;
@@ -111,33 +111,38 @@
 }
 
 /// The figures of all transactions that were asked from `from` on.
-pub fn transactions(ledger: &Ledger, scenario: &Scenario, late: &dyn Fn(u64) -> bool, from: Micros) -> Value {
+pub fn transactions(
+    ledger: &RequestLedger,
+    scenario: &Scenario,
+    late: &dyn Fn(u64) -> bool,
+    from: Micros,
+) -> Value {
     let mut counts = Counts::default();
     let (mut tries, mut origins) = (0u64, BTreeMap::new());
     for (ask, inside, fate, _) in ledger.fates() {
         if ask.at < from {
             continue;
         }
-        counts.add(fate, fate == Fate::Settled && late(ask.id));
-        tries += (ask.try_ > 0) as u64;
+        counts.add(fate, fate == Fate::Completed && late(ask.id));
+        tries += (ask.attempt > 0) as u64;
         let origin =
-            origins.entry(ask.origin).or_insert((ask.group, ask.customer, inside, ask.units, Vec::new()));
+            origins.entry(ask.origin).or_insert((ask.group, ask.tenant, inside, ask.units, Vec::new()));
         origin.4.push(fate);
     }
     // Of customers that went beyond their quota any transaction may be nacked; of the others none should be.
     let beyond: BTreeSet<u64> =
-        ledger.fates().filter(|(_, inside, ..)| !inside).map(|(ask, ..)| ask.customer).collect();
+        ledger.fates().filter(|(_, inside, ..)| !inside).map(|(ask, ..)| ask.tenant).collect();
     let mut within = Firsts::default();
     let mut all = Firsts::default();
     let mut groups = vec![Firsts::default(); scenario.customers.len()];
     for (group, customer, inside, units, fates) in origins.values() {
         // Who left has had nothing, and nobody is to blame for it.
-        let waited = |fate: &Fate| !matches!(fate, Fate::Unsent | Fate::Left);
+        let waited = |fate: &Fate| !matches!(fate, Fate::Unsent | Fate::Disconnected);
         if !fates.iter().any(waited) {
             continue;
         }
-        let settled = fates.contains(&Fate::Settled);
-        let nacked = !settled && fates.contains(&Fate::Nacked);
+        let settled = fates.contains(&Fate::Completed);
+        let nacked = !settled && fates.contains(&Fate::Rejected);
         let always = !beyond.contains(customer);
         for own in [&mut groups[*group], &mut all].into_iter().chain(always.then_some(&mut within)) {
             own.add(*inside, settled, nacked, *units as f64);
@@ -159,11 +164,11 @@
 
 /// For each group, the most that any customer had settled in any window, beside what its plan gives in that time: what
 /// the rate gives and one burst.
-fn worst_windows(ledger: &Ledger, scenario: &Scenario, from: Micros) -> BTreeMap<String, f64> {
+fn worst_windows(ledger: &RequestLedger, scenario: &Scenario, from: Micros) -> BTreeMap<String, f64> {
     let mut settled: BTreeMap<(usize, u64), Vec<(Micros, f64)>> = BTreeMap::new();
     for (ask, _, fate, _) in ledger.fates() {
-        if fate == Fate::Settled && ask.at >= from {
-            settled.entry((ask.group, ask.customer)).or_default().push((ask.at, ask.units as f64));
+        if fate == Fate::Completed && ask.at >= from {
+            settled.entry((ask.group, ask.tenant)).or_default().push((ask.at, ask.units as f64));
         }
     }
     let mut worst: BTreeMap<String, f64> = BTreeMap::new();
@@ -187,8 +192,8 @@
     worst
 }
 
-pub fn rules(court: &Court) -> Value {
-    let mut shown = json!({ "broken": court.any_broken() });
+pub fn rules(court: &Recorder) -> Value {
+    let mut shown = json!({ "broken": court.violation_count() });
     for (name, broken) in court.rules() {
         shown[name] = json!({ "broken": broken.count, "instances": broken.instances });
     }
--- a/crates/lab/src/request_ledger.rs
+++ b/crates/lab/src/request_ledger.rs
@@ -9,10 +9,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::history::{Event, Judge};
-use crate::model::clients::{Ask, Group, Kind, Lane, Plan};
+use crate::history::{Checker, Event};
+use crate::model::clients::{ClientRequest, Idempotency, KeyScope, Plan, RequestClass};
 use crate::model::discovery::Status;
-use crate::model::server::{Cold, End};
+use crate::model::server::{AttemptEnd, SlowStart};
 use crate::wire::Answer;
 use crate::{Micros, MILLISECOND, SECOND};
 
@@ -32,12 +32,12 @@
 
 /// Bounds of the rules that the site sets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Terms {
+pub struct RuleBounds {
     /// Nothing new may be sent so long after a gateway was told of a drain.
     pub grace: Micros,
     /// How late things may be seen on a busy machine.
     pub slack: Micros,
-    pub lanes: Vec<Lane>,
+    pub lanes: Vec<RequestClass>,
     pub plans: Vec<Plan>,
     /// Units of the largest transaction.
     pub largest: f64,
@@ -47,7 +47,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Link {
     Clients(u32),
-    Box_(u32, String),
+    #[serde(rename = "Box_")]
+    Server(u32, String),
     List(u32),
     Counter(u32),
 }
@@ -56,7 +57,7 @@
     pub fn gateway(&self) -> u32 {
         match self {
             Link::Clients(gateway)
-            | Link::Box_(gateway, _)
+            | Link::Server(gateway, _)
             | Link::List(gateway)
             | Link::Counter(gateway) => *gateway,
         }
@@ -69,7 +70,8 @@
     pub at: Micros,
     /// When its first byte came.
     pub began: Micros,
-    pub box_: String,
+    #[serde(rename = "box_")]
+    pub server: String,
     pub gateway: u32,
     pub id: u64,
     pub work: Micros,
@@ -81,19 +83,19 @@
     Open,
     /// Not taken: no connection, or broken before the last byte.
     Unsent,
-    Settled,
-    Nacked,
-    Abandoned,
+    Completed,
+    Rejected,
+    Failed,
     /// Without an answer, by a kill or a broken link.
     Excused,
     /// Without an answer.
     Lost,
     /// Its client left before it had one, and is owed nothing.
-    Left,
+    Disconnected,
 }
 
 struct Transaction {
-    ask: Ask,
+    ask: ClientRequest,
     inside: bool,
     written: Option<Micros>,
     ended: Option<Micros>,
@@ -106,7 +108,7 @@
 
 struct Trip {
     box_: String,
-    ran: Option<End>,
+    ran: Option<AttemptEnd>,
     /// Its answer was written, or its connection ended.
     over: bool,
     arrived: Micros,
@@ -118,7 +120,7 @@
     cell: u32,
     started: Option<Micros>,
     power: f64,
-    cold: Cold,
+    cold: SlowStart,
     pushes: VecDeque<(Micros, Micros, bool)>,
     /// Enough of the last window's push was theirs who knew of its start.
     knew: bool,
@@ -129,13 +131,13 @@
 type Span = (Micros, Option<Micros>);
 
 #[derive(Default)]
-pub struct Broken {
+pub struct Violations {
     pub count: u64,
     pub instances: Vec<String>,
 }
 
-pub struct Ledger {
-    terms: Terms,
+pub struct RequestLedger {
+    terms: RuleBounds,
     transactions: BTreeMap<u64, Transaction>,
     trips: Vec<Trip>,
     /// Trips that came; without judging, none of them is kept.
@@ -143,7 +145,7 @@
     judges: bool,
     boxes: BTreeMap<String, Known>,
     /// For each gateway and box, what it was told last, and when.
-    told: BTreeMap<(u32, String), (Status, Micros)>,
+    endpoint_notified: BTreeMap<(u32, String), (Status, Micros)>,
     /// Boxes that operators have taken out of use at a gateway, and since when.
     cordons: BTreeMap<(u32, String), Micros>,
     /// Gateways that have been told that a box started, by its start.
@@ -153,7 +155,7 @@
     faults: BTreeMap<Link, Vec<Span>>,
     ceilings: BTreeMap<u64, (f64, Micros)>,
     quotas: BTreeMap<u64, (f64, Micros)>,
-    broken: [Broken; 6],
+    broken: [Violations; 6],
     pub strays: u64,
     pub hostile: Hostile,
 }
@@ -168,16 +170,16 @@
     pub ignored: u64,
 }
 
-impl Ledger {
-    pub fn new(terms: Terms) -> Self {
-        Ledger {
+impl RequestLedger {
+    pub fn new(terms: RuleBounds) -> Self {
+        RequestLedger {
             terms,
             transactions: BTreeMap::new(),
             trips: Vec::new(),
             came: 0,
             judges: true,
             boxes: BTreeMap::new(),
-            told: BTreeMap::new(),
+            endpoint_notified: BTreeMap::new(),
             cordons: BTreeMap::new(),
             told_start: BTreeSet::new(),
             kills: BTreeMap::new(),
@@ -192,16 +194,16 @@
     }
 
     /// One that keeps and judges nothing, for stand-ins that run for as long as somebody likes.
-    pub fn blind() -> Self {
-        let terms = Terms { grace: 0, slack: 0, lanes: Vec::new(), plans: Vec::new(), largest: 0.0 };
-        Ledger { judges: false, ..Ledger::new(terms) }
+    pub fn recording_nothing() -> Self {
+        let terms = RuleBounds { grace: 0, slack: 0, lanes: Vec::new(), plans: Vec::new(), largest: 0.0 };
+        RequestLedger { judges: false, ..RequestLedger::new(terms) }
     }
 
-    pub fn broken(&self) -> impl Iterator<Item = (&'static str, &Broken)> {
+    pub fn broken(&self) -> impl Iterator<Item = (&'static str, &Violations)> {
         RULES.into_iter().zip(&self.broken)
     }
 
-    pub fn any_broken(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.broken.iter().map(|rule| rule.count).sum()
     }
 
@@ -222,13 +224,13 @@
     }
 
     /// A link is broken from now on. Told before it is done, so that no effect of it comes before it.
-    pub fn breaks_link(&mut self, link: Link, at: Micros) {
+    pub fn link_broken(&mut self, link: Link, at: Micros) {
         self.faults.entry(link).or_default().push((at, None));
     }
 
     /// One thing that was broken on a link is whole again. Told after it is done. Which of several does not matter: until
     /// the last has ended one span stands open.
-    pub fn mends_link(&mut self, link: &Link, at: Micros) {
+    pub fn link_restored(&mut self, link: &Link, at: Micros) {
         let mut open = self.faults.get_mut(link).into_iter().flatten().filter(|span| span.1.is_none());
         if let Some(span) = open.next() {
             span.1 = Some(at);
@@ -262,13 +264,13 @@
         self.faulty(link, at, at)
     }
 
-    pub fn box_starts(
+    pub fn server_started(
         &mut self,
         name: &str,
         place: (&str, u32),
         started: Option<Micros>,
         power: f64,
-        cold: Cold,
+        cold: SlowStart,
     ) {
         let (zone, cell) = (place.0.to_string(), place.1);
         let known = Known {
@@ -288,7 +290,7 @@
 
     /// A transaction is about to be asked for. Says whether it is inside its customer's quota, had all been admitted
     /// that came before; a further try belongs to the first.
-    pub fn asked(&mut self, ask: &Ask) -> bool {
+    pub fn request_created(&mut self, ask: &ClientRequest) -> bool {
         let inside = match self.transactions.get(&ask.origin) {
             Some(origin) => origin.inside,
             None => self.in_quota(ask),
@@ -308,12 +310,12 @@
         inside
     }
 
-    fn in_quota(&mut self, ask: &Ask) -> bool {
+    fn in_quota(&mut self, ask: &ClientRequest) -> bool {
         let plan = &self.terms.plans[ask.plan];
         if plan.rate == 0.0 {
             return true;
         }
-        let (level, at) = self.quotas.entry(ask.customer).or_insert((plan.burst, ask.at));
+        let (level, at) = self.quotas.entry(ask.tenant).or_insert((plan.burst, ask.at));
         let gone = ask.at.saturating_sub(*at) as f64 / SECOND as f64;
         (*level, *at) = ((*level + gone * plan.rate).min(plan.burst), ask.at);
         let inside = *level >= ask.units as f64;
@@ -345,19 +347,19 @@
         let Some(transaction) = self.transactions.get_mut(&id) else { return };
         transaction.ended = Some(at);
         transaction.fate = match answer {
-            Answer::Settled(value) => {
+            Answer::Completed(value) => {
                 // The answer belongs to this transaction, and one of its boxes made it.
                 let text = String::from_utf8_lossy(value);
                 let made_by = text.strip_prefix(&format!("{id:016x}:"));
                 let ran = |trip: &usize| {
-                    matches!(self.trips[*trip].ran, Some(End::Ran { .. }))
+                    matches!(self.trips[*trip].ran, Some(AttemptEnd::Ran { .. }))
                         && made_by == Some(&*self.trips[*trip].box_)
                 };
                 transaction.wrong_value = !transaction.trips.iter().any(ran);
-                Fate::Settled
+                Fate::Completed
             }
-            Answer::Nacked { .. } => Fate::Nacked,
-            Answer::Abandoned => Fate::Abandoned,
+            Answer::Rejected { .. } => Fate::Rejected,
+            Answer::Failed => Fate::Failed,
         };
         let (fate, wrong) = (transaction.fate, transaction.wrong_value);
         let (ask, written, gateway) =
@@ -365,13 +367,13 @@
         if wrong {
             self.breaks(0, at, format!("transaction {id:x} was settled with what no box made for it"));
         }
-        let limit = self.terms.lanes[ask.lane].hard_stop + SOCKETS + self.terms.slack;
+        let limit = self.terms.lanes[ask.class].deadline + SOCKETS + self.terms.slack;
         let excused = self.faulty(&Link::Clients(gateway), written, at) || self.stood(gateway, written, at);
         if at > written + limit && !excused {
             let late = (at - written - limit) / MILLISECOND;
             self.breaks(0, at, format!("transaction {id:x} was answered {late} ms after its hard stop"));
         }
-        if fate == Fate::Nacked {
+        if fate == Fate::Rejected {
             self.nack_of_what_ran(id, at);
         }
     }
@@ -379,13 +381,14 @@
     /// A nack says that to try again is harmless.
     fn nack_of_what_ran(&mut self, id: u64, at: Micros) {
         let Some(transaction) = self.transactions.get(&id) else { return };
-        let lane = &self.terms.lanes[transaction.ask.lane];
-        let harmless = match lane.kind {
-            Kind::Redoable => true,
-            Kind::Labelled => lane.group == Group::All,
-            Kind::Irreversible => false,
+        let lane = &self.terms.lanes[transaction.ask.class];
+        let harmless = match lane.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => lane.scope == KeyScope::All,
+            Idempotency::NonIdempotent => false,
         };
-        let may_have_run = transaction.trips.iter().any(|trip| self.trips[*trip].ran != Some(End::Busy));
+        let may_have_run =
+            transaction.trips.iter().any(|trip| self.trips[*trip].ran != Some(AttemptEnd::Rejected));
         if may_have_run && !harmless {
             self.breaks(1, at, format!("transaction {id:x} was nacked after a trip of it may have run"));
         }
@@ -418,9 +421,10 @@
     }
 
     /// Its client has closed the connection.
-    pub fn left(&mut self, id: u64, at: Micros) {
+    pub fn client_disconnected(&mut self, id: u64, at: Micros) {
         if let Some(transaction) = self.transactions.get_mut(&id) {
-            (transaction.left, transaction.ended, transaction.fate) = (Some(at), Some(at), Fate::Left);
+            (transaction.left, transaction.ended, transaction.fate) =
+                (Some(at), Some(at), Fate::Disconnected);
         }
     }
 
@@ -442,7 +446,7 @@
         if !self.judges {
             return number;
         }
-        let (box_, arrived) = (arrival.box_.clone(), arrival.at);
+        let (box_, arrived) = (arrival.server.clone(), arrival.at);
         self.trips.push(Trip { box_, ran: None, over: false, arrived });
         self.drain_kept(arrival);
         self.left_kept(arrival);
@@ -465,48 +469,51 @@
 
     fn sent_again(&mut self, arrival: &Arrival, earlier: &[usize]) {
         let Some(transaction) = self.transactions.get(&arrival.id) else { return };
-        let lane = self.terms.lanes[transaction.ask.lane].clone();
+        let lane = self.terms.lanes[transaction.ask.class].clone();
         let (id, at) = (arrival.id, arrival.at);
         // A link that holds bytes back makes two of what were one after the other.
         let delayed = |trip: &Trip| {
             let links = [
-                Link::Box_(arrival.gateway, trip.box_.clone()),
-                Link::Box_(arrival.gateway, arrival.box_.clone()),
+                Link::Server(arrival.gateway, trip.box_.clone()),
+                Link::Server(arrival.gateway, arrival.server.clone()),
             ];
             links.iter().any(|link| self.faulty(link, trip.arrived, at))
         };
         let out = earlier.iter().any(|trip| !self.trips[*trip].over && !delayed(&self.trips[*trip]));
-        let ran: Vec<_> = earlier.iter().filter(|trip| self.trips[**trip].ran != Some(End::Busy)).collect();
+        let ran: Vec<_> =
+            earlier.iter().filter(|trip| self.trips[**trip].ran != Some(AttemptEnd::Rejected)).collect();
         let first = ran.first().map(|trip| (self.trips[**trip].box_.clone(), self.trips[**trip].arrived));
         if out {
             self.breaks(
                 1,
                 at,
-                format!("transaction {id:x} has a trip to {} while another is out", arrival.box_),
+                format!("transaction {id:x} has a trip to {} while another is out", arrival.server),
             );
         }
         let Some((first_box, first_at)) = first else { return };
-        match lane.kind {
-            Kind::Redoable => {}
-            Kind::Irreversible => {
-                let what =
-                    format!("transaction {id:x} went to {} after {first_box} may have run it", arrival.box_);
+        match lane.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => {
+                let what = format!(
+                    "transaction {id:x} went to {} after {first_box} may have run it",
+                    arrival.server
+                );
                 self.breaks(1, at, what);
             }
-            Kind::Labelled => {
+            Idempotency::Keyed => {
                 let place = |name: &str| self.boxes.get(name).map(|known| (known.zone.clone(), known.cell));
-                let (one, other) = (place(&first_box), place(&arrival.box_));
-                let same = match lane.group {
-                    Group::All => true,
-                    Group::Zone => one.map(|place| place.0) == other.map(|place| place.0),
-                    Group::Cell => one == other,
+                let (one, other) = (place(&first_box), place(&arrival.server));
+                let same = match lane.scope {
+                    KeyScope::All => true,
+                    KeyScope::Zone => one.map(|place| place.0) == other.map(|place| place.0),
+                    KeyScope::Cell => one == other,
                 };
-                let late = at > first_at + lane.memory + self.terms.slack;
+                let late = at > first_at + lane.retention + self.terms.slack;
                 if !same || late {
                     let why = if same { "its key is forgotten" } else { "another group" };
                     let what = format!(
                         "labelled transaction {id:x} went from {first_box} to {}: {why}",
-                        arrival.box_
+                        arrival.server
                     );
                     self.breaks(1, at, what);
                 }
@@ -515,19 +522,19 @@
     }
 
     fn drain_kept(&mut self, arrival: &Arrival) {
-        let key = (arrival.gateway, arrival.box_.clone());
-        let told = match self.told.get(&key) {
+        let key = (arrival.gateway, arrival.server.clone());
+        let told = match self.endpoint_notified.get(&key) {
             Some((Status::Terminating | Status::Terminated, told)) => Some(told),
             _ => None,
         };
         let Some(told) = told.into_iter().chain(self.cordons.get(&key)).min() else { return };
         let until = told + self.terms.grace + self.terms.slack;
-        let held = self.faulty(&Link::Box_(arrival.gateway, arrival.box_.clone()), *told, arrival.at);
+        let held = self.faulty(&Link::Server(arrival.gateway, arrival.server.clone()), *told, arrival.at);
         if arrival.began > until && !held {
             let late = (arrival.began - told) / MILLISECOND;
             let what = format!(
                 "gateway {} sent to {} {late} ms after it heard of its end",
-                arrival.gateway, arrival.box_
+                arrival.gateway, arrival.server
             );
             self.breaks(2, arrival.at, what);
         }
@@ -539,26 +546,26 @@
             return;
         };
         let gateway = arrival.gateway;
-        let links = [Link::Box_(gateway, arrival.box_.clone()), Link::Clients(gateway)];
+        let links = [Link::Server(gateway, arrival.server.clone()), Link::Clients(gateway)];
         let held = links.iter().any(|link| self.faulty(link, left, arrival.at));
         if !held && !self.stood(gateway, left, arrival.at) {
             let late = (arrival.began - left) / MILLISECOND;
             let what = format!(
                 "gateway {gateway} sent transaction {:x} to {} {late} ms after its client had left",
-                arrival.id, arrival.box_
+                arrival.id, arrival.server
             );
             self.breaks(5, arrival.at, what);
         }
     }
 
     fn cold_kept(&mut self, arrival: &Arrival) {
-        let Some(known) = self.boxes.get_mut(&arrival.box_) else { return };
+        let Some(known) = self.boxes.get_mut(&arrival.server) else { return };
         let Some(started) = known.started else { return };
         let age = arrival.at.saturating_sub(started);
         if age >= known.cold.warm_up || known.pushed_over {
             return;
         }
-        let knew = self.told_start.contains(&(arrival.gateway, arrival.box_.clone(), started));
+        let knew = self.told_start.contains(&(arrival.gateway, arrival.server.clone(), started));
         known.pushes.push_back((arrival.at, arrival.work, knew));
         while known.pushes.front().is_some_and(|(at, ..)| at + known.cold.window <= arrival.at) {
             known.pushes.pop_front();
@@ -572,14 +579,14 @@
         if over && known.knew {
             known.pushed_over = true;
             let (times, old) = (push as f64 / can, age / MILLISECOND);
-            let what = format!("{} was sent {times:.1} times what it can do, {old} ms old", arrival.box_);
+            let what = format!("{} was sent {times:.1} times what it can do, {old} ms old", arrival.server);
             self.breaks(3, arrival.at, what);
         }
     }
 
     /// A box has fallen under the trip that came last: those who sent the last window's have pushed it over, if they
     /// knew.
-    pub fn fell(&mut self, box_: &str, at: Micros) {
+    pub fn server_collapsed(&mut self, box_: &str, at: Micros) {
         let fallen = self.boxes.get_mut(box_).filter(|known| known.knew && !known.pushed_over);
         let Some(known) = fallen else { return };
         known.pushed_over = true;
@@ -590,7 +597,7 @@
     fn ceiling_kept(&mut self, arrival: &Arrival) {
         let Some(transaction) = self.transactions.get(&arrival.id) else { return };
         let (customer, units, plan) =
-            (transaction.ask.customer, transaction.ask.units as f64, &self.terms.plans[transaction.ask.plan]);
+            (transaction.ask.tenant, transaction.ask.units as f64, &self.terms.plans[transaction.ask.plan]);
         let Some((rate, burst)) = plan.ceiling else { return };
         let at = arrival.at;
         let (level, since) = self.ceilings.entry(customer).or_insert((burst, at));
@@ -609,21 +616,28 @@
     }
 
     /// What became of a trip at its box, whether or not anybody hears of it.
-    pub fn ran(&mut self, trip: usize, end: End) {
+    pub fn attempt_ended(&mut self, trip: usize, end: AttemptEnd) {
         if let Some(trip) = self.trips.get_mut(trip) {
             trip.ran = Some(end);
         }
     }
 
     /// Its answer has been written, or its connection has ended.
-    pub fn over(&mut self, trip: usize) {
+    pub fn attempt_closed(&mut self, trip: usize) {
         if let Some(trip) = self.trips.get_mut(trip) {
             trip.over = true;
         }
     }
 
     /// Discovery has written this to a gateway.
-    pub fn told(&mut self, gateway: u32, box_: &str, status: Status, started: Option<Micros>, at: Micros) {
+    pub fn endpoint_notified(
+        &mut self,
+        gateway: u32,
+        box_: &str,
+        status: Status,
+        started: Option<Micros>,
+        at: Micros,
+    ) {
         if !self.judges {
             return;
         }
@@ -631,17 +645,17 @@
             self.told_start.insert((gateway, box_.into(), started));
         }
         let key = (gateway, box_.to_string());
-        match self.told.get(&key) {
+        match self.endpoint_notified.get(&key) {
             // Told again of what it knows: the first time counts.
             Some((known, _)) if *known == status => {}
             Some((Status::Terminating, _)) if status == Status::Terminated => {}
-            _ => drop(self.told.insert(key, (status, at))),
+            _ => drop(self.endpoint_notified.insert(key, (status, at))),
         }
     }
 
     /// A gateway starts anew, and knows what it was given at the start only.
     pub fn forgets(&mut self, gateway: u32) {
-        self.told.retain(|(told, _), _| *told != gateway);
+        self.endpoint_notified.retain(|(told, _), _| *told != gateway);
         self.cordons.retain(|(told, _), _| *told != gateway);
         self.told_start.retain(|(told, ..)| *told != gateway);
     }
@@ -657,12 +671,12 @@
     }
 
     /// A client that means harm has had its turn.
-    pub fn harm(&mut self, at: Micros, gateway: u32, got: Harm) {
+    pub fn misbehavior_ended(&mut self, at: Micros, gateway: u32, got: MisbehaviorOutcome) {
         self.hostile.sent += 1;
         match got {
-            Harm::Told => self.hostile.told += 1,
-            Harm::Ignored => self.hostile.ignored += 1,
-            Harm::Served(what) => {
+            MisbehaviorOutcome::Answered => self.hostile.told += 1,
+            MisbehaviorOutcome::Ignored => self.hostile.ignored += 1,
+            MisbehaviorOutcome::Served(what) => {
                 self.hostile.served += 1;
                 self.breaks(
                     0,
@@ -676,18 +690,18 @@
     // Figures.
 
     /// All transactions, as (ask, inside its quota, fate, time from its last byte to its end).
-    pub fn fates(&self) -> impl Iterator<Item = (&Ask, bool, Fate, Option<Micros>)> {
+    pub fn fates(&self) -> impl Iterator<Item = (&ClientRequest, bool, Fate, Option<Micros>)> {
         self.transactions.values().map(|transaction| {
             let took = transaction.written.zip(transaction.ended).map(|(from, to)| to.saturating_sub(from));
             (&transaction.ask, transaction.inside, transaction.fate, took)
         })
     }
 
-    pub fn has_trip(&self, id: u64) -> bool {
+    pub fn has_attempt(&self, id: u64) -> bool {
         self.transactions.get(&id).is_some_and(|transaction| !transaction.trips.is_empty())
     }
 
-    pub fn trips(&self) -> usize {
+    pub fn attempt_count(&self) -> usize {
         self.came
     }
 
@@ -696,34 +710,34 @@
         let mut effects: BTreeMap<(u64, u64), u32> = BTreeMap::new();
         for transaction in self.transactions.values() {
             let Some(key) = transaction.ask.key else { continue };
-            let ran = |trip: &&usize| matches!(self.trips[**trip].ran, Some(End::Ran { first: true }));
+            let ran = |trip: &&usize| matches!(self.trips[**trip].ran, Some(AttemptEnd::Ran { first: true }));
             let count = transaction.trips.iter().filter(ran).count() as u32;
-            *effects.entry((transaction.ask.customer, key)).or_default() += count;
+            *effects.entry((transaction.ask.tenant, key)).or_default() += count;
         }
         effects.values().filter(|count| **count > 1).count() as u64
     }
 }
 
-impl Judge for Ledger {
-    fn hear(&mut self, at: Micros, event: &Event) {
+impl Checker for RequestLedger {
+    fn observe(&mut self, at: Micros, event: &Event) {
         match event {
-            Event::Asked { ask } => drop(self.asked(ask)),
-            Event::Written { id, gateway } => self.written(*id, *gateway, at),
-            Event::Unsent { id } => self.unsent(*id),
+            Event::RequestCreated { request: ask } => drop(self.request_created(ask)),
+            Event::RequestWritten { id, gateway } => self.written(*id, *gateway, at),
+            Event::RequestUnsent { id } => self.unsent(*id),
             Event::Answered { id, answer } => self.answered(*id, at, answer),
             Event::Unanswered { id, closed } => self.unanswered(*id, at, *closed),
-            Event::Left { id } => self.left(*id, at),
+            Event::ClientDisconnected { id } => self.client_disconnected(*id, at),
             Event::Stray { gateway, since, bytes } => self.stray(*gateway, *since, at, bytes),
-            Event::Harm { gateway, got } => self.harm(at, *gateway, got.clone()),
-            Event::BoxStarts { name, zone, cell, started, power, cold } => {
-                self.box_starts(name, (zone, *cell), *started, *power, *cold);
+            Event::MisbehaviorEnded { gateway, got } => self.misbehavior_ended(at, *gateway, got.clone()),
+            Event::ServerStarted { name, zone, cell, started, power, cold } => {
+                self.server_started(name, (zone, *cell), *started, *power, *cold);
             }
-            Event::Arrived { arrival } => drop(self.arrived(arrival)),
-            Event::Ran { trip, end } => self.ran(*trip, *end),
-            Event::Over { trip } => self.over(*trip),
-            Event::Fell { name } => self.fell(name, at),
-            Event::Told { gateway, name, status, started } => {
-                self.told(*gateway, name, *status, *started, at);
+            Event::AttemptArrived { arrival } => drop(self.arrived(arrival)),
+            Event::AttemptEnded { attempt: trip, end } => self.attempt_ended(*trip, *end),
+            Event::AttemptClosed { attempt: trip } => self.attempt_closed(*trip),
+            Event::ServerCollapsed { name } => self.server_collapsed(name, at),
+            Event::EndpointNotified { gateway, name, status, started } => {
+                self.endpoint_notified(*gateway, name, *status, *started, at);
             }
             Event::Cordoned { gateway, name, out } => self.cordoned(*gateway, name, *out, at),
             Event::Started { gateway } => self.forgets(*gateway),
@@ -731,24 +745,25 @@
             Event::Crashed { gateway } => self.crashed(*gateway, at),
             Event::Paused { gateway } => self.paused(*gateway, true, at),
             Event::Resumed { gateway } => self.paused(*gateway, false, at),
-            Event::LinkBreaks { link } => self.breaks_link(link.clone(), at),
-            Event::LinkMends { link } => self.mends_link(link, at),
+            Event::LinkBroken { link } => self.link_broken(link.clone(), at),
+            Event::LinkRestored { link } => self.link_restored(link, at),
             _ => {}
         }
     }
 
-    fn end(&mut self, _at: Micros) {}
+    fn finish(&mut self, _at: Micros) {}
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         self.broken().collect()
     }
 }
 
 /// What a client that means harm got.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Harm {
+pub enum MisbehaviorOutcome {
     /// An error, or the end of its connection, in time.
-    Told,
+    #[serde(rename = "Told")]
+    Answered,
     Ignored,
     /// It was served as though what it asked had run.
     Served(String),
--- a/crates/lab/src/scenario/faults.rs
+++ b/crates/lab/src/scenario/faults.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{whole, Time};
-use crate::history::Goods;
+use crate::history::LinkTraffic;
 
 /// Something that is broken on purpose; one of the kinds each.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -136,7 +136,7 @@
     pub spread: f64,
     /// Datagrams or streams only.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub goods: Option<Goods>,
+    pub goods: Option<LinkTraffic>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
--- a/crates/lab/src/scenario/lower.rs
+++ b/crates/lab/src/scenario/lower.rs
@@ -1,13 +1,13 @@
 //! What the models are made from.
 
 use super::{BoxIll, Customers, Fault, FleetFault, Lane, LinkEnd, Plan, Repeat, Scenario, Stop, Who};
-use crate::model::clients::{self, Group, Kind};
+use crate::model::clients::{self, Idempotency, KeyScope};
 use crate::model::counter::Spec as CounterSpec;
-use crate::model::server::{Cold, Spec as BoxSpec};
+use crate::model::server::{SlowStart, Spec as BoxSpec};
 
 impl Scenario {
-    pub fn cold(&self) -> Cold {
-        Cold {
+    pub fn cold(&self) -> SlowStart {
+        SlowStart {
             share: self.fleet.cold_share,
             warm_up: self.fleet.warm_up.0,
             multiple: self.fleet.fall_multiple,
@@ -40,23 +40,23 @@
         })
     }
 
-    pub fn front_lanes(&self) -> Vec<clients::Lane> {
-        let lane = |lane: &Lane| clients::Lane {
+    pub fn front_lanes(&self) -> Vec<clients::RequestClass> {
+        let lane = |lane: &Lane| clients::RequestClass {
             name: lane.name.clone(),
-            kind: match lane.repeat {
-                Repeat::Redoable => Kind::Redoable,
-                Repeat::Labelled => Kind::Labelled,
-                Repeat::Irreversible => Kind::Irreversible,
+            idempotency: match lane.repeat {
+                Repeat::Redoable => Idempotency::Idempotent,
+                Repeat::Labelled => Idempotency::Keyed,
+                Repeat::Irreversible => Idempotency::NonIdempotent,
             },
-            memory: lane.memory.0,
-            group: match lane.group {
-                Who::All => Group::All,
-                Who::Zone => Group::Zone,
-                Who::Cell => Group::Cell,
+            retention: lane.memory.0,
+            scope: match lane.group {
+                Who::All => KeyScope::All,
+                Who::Zone => KeyScope::Zone,
+                Who::Cell => KeyScope::Cell,
             },
-            agreed: lane.agreed.0,
-            hard_stop: lane.hard_stop.0,
-            importance: lane.importance,
+            latency_objective: lane.agreed.0,
+            deadline: lane.hard_stop.0,
+            priority_weight: lane.importance,
             work: lane.work.0,
         };
         self.lanes.iter().map(lane).collect()
@@ -73,9 +73,9 @@
         self.plans.iter().map(plan).collect()
     }
 
-    pub fn front_customers(&self) -> Vec<clients::Customers> {
+    pub fn front_customers(&self) -> Vec<clients::TenantGroup> {
         let lane = |name: &str| self.lanes.iter().position(|lane| lane.name == name).unwrap_or(0);
-        let group = |customers: &Customers| clients::Customers {
+        let group = |customers: &Customers| clients::TenantGroup {
             name: customers.name.clone(),
             plan: self.plans.iter().position(|plan| plan.name == customers.plan).unwrap_or(0),
             count: customers.count,
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 
 pub use faults::*;
 
-use crate::fault_schedule::Menu;
+use crate::fault_schedule::FaultDistribution;
 use crate::{Micros, MILLISECOND, SECOND};
 
 #[derive(Debug, thiserror::Error)]
@@ -66,7 +66,7 @@
     pub faults: Vec<Fault>,
     /// What storms are drawn from.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub storm: Option<Menu>,
+    pub storm: Option<FaultDistribution>,
     #[serde(default)]
     pub claims: Vec<Claim>,
 }
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -10,11 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
 
-use crate::checkers::membership::{Fleet, Size};
-use crate::history::{Event, Goods, Judge};
+use crate::checkers::membership::{MembershipBounds, MembershipChecker};
+use crate::history::{Checker, Event, LinkTraffic};
 use crate::live::faults::between_ill;
-use crate::live::route::Ill;
-use crate::membership_simulation::{address, Mesh, Weather};
+use crate::live::route::RouteFault;
+use crate::membership_simulation::{address, LinkFaults, SimulatedFleet};
 use crate::scenario::{Fault, Scenario, Stop};
 use crate::{Micros, MILLISECOND, SECOND};
 
@@ -42,10 +42,10 @@
 /// One run of it.
 struct Run<'s> {
     scenario: &'s Scenario,
-    mesh: Mesh,
-    judge: Fleet,
+    mesh: SimulatedFleet,
+    judge: MembershipChecker,
     chance: ChaCha8Rng,
-    tokens: Vec<Vec<(usize, usize, Goods, u64)>>,
+    tokens: Vec<Vec<(usize, usize, LinkTraffic, u64)>>,
     plan: BinaryHeap<Reverse<(Micros, usize)>>,
     acts: Vec<Act>,
     left_out: u32,
@@ -59,7 +59,7 @@
 /// What it comes to: each rule of the judge, and how many faults have no sense here.
 pub fn play(scenario: &Scenario) -> (Vec<Rule>, u32) {
     let count = scenario.fleet.gateways;
-    let size = Size {
+    let size = MembershipBounds {
         gateways: count,
         addresses: (0..count).map(|at| address(at as usize).to_string()).collect(),
         settles: scenario.fleet.agree_within.0,
@@ -67,8 +67,8 @@
     };
     let mut run = Run {
         scenario,
-        mesh: Mesh::new(count as usize, scenario.seed),
-        judge: Fleet::new(size),
+        mesh: SimulatedFleet::new(count as usize, scenario.seed),
+        judge: MembershipChecker::new(size),
         chance: ChaCha8Rng::seed_from_u64(scenario.seed ^ 2),
         tokens: scenario.faults.iter().map(|_| Vec::new()).collect(),
         plan: BinaryHeap::new(),
@@ -76,7 +76,7 @@
         left_out: 0,
         ends: BTreeSet::new(),
     };
-    run.mesh.weather = Weather::FAIR;
+    run.mesh.weather = LinkFaults::FAIR;
     run.all();
     let rules = run.judge.rules().into_iter();
     let rules = rules.map(|(name, broken)| (name, broken.count, broken.instances.clone()));
@@ -114,13 +114,13 @@
                 .into_iter()
                 .map(|sum| (sum.key, sum.total, sum.expires_in_ms));
             let sums = sums.collect();
-            self.tell(Event::Sums { gateway, sums });
+            self.tell(Event::CounterTotals { gateway, totals: sums });
         }
-        self.judge.end(self.mesh.now);
+        self.judge.finish(self.mesh.now);
     }
 
     fn tell(&mut self, event: Event) {
-        self.judge.hear(self.mesh.now, &event);
+        self.judge.observe(self.mesh.now, &event);
     }
 
     fn plans(&mut self, at: Micros, act: Act) {
@@ -164,16 +164,16 @@
     fn act(&mut self, act: usize) {
         match self.acts[act] {
             Act::Begin(number) => {
-                self.tell(Event::FaultBegins { number });
+                self.tell(Event::FaultBegan { number });
                 self.begin(number);
             }
             Act::End(number) => {
                 for (from, to, goods, token) in std::mem::take(&mut self.tokens[number]) {
                     self.mesh.way(from, to, goods).end(token);
                     let (from, to) = (from as u32, to as u32);
-                    self.tell(Event::Parts { from, to, goods, on: false });
+                    self.tell(Event::TrafficBlocked { from, to, traffic: goods, on: false });
                 }
-                self.tell(Event::FaultEnds { number });
+                self.tell(Event::FaultEnded { number });
             }
             Act::Stop(gateway, how) => {
                 let at = gateway as usize;
@@ -189,7 +189,7 @@
                     }
                     Stop::Leave | Stop::Restart if runs => {
                         // It adds nothing more, and leaves a while later, as a process does.
-                        self.tell(Event::Ends { gateway });
+                        self.tell(Event::ShutdownRequested { gateway });
                         self.ends.insert(at);
                         let after = self.mesh.now + ENDS - MET;
                         self.plans(after, Act::Gone(gateway));
@@ -233,10 +233,12 @@
         let all: Vec<u32> = (0..self.scenario.fleet.gateways).collect();
         let pairs = all.iter().flat_map(|one| all.iter().map(move |other| (*one, *other)));
         let pairs = pairs.filter(|(one, other)| one != other);
-        let (ill, pairs, goods): (Ill, Vec<(u32, u32)>, Option<Goods>) = match fault {
-            Fault { fleet: Some(fleet), .. } => {
-                (Ill::Blackhole, pairs.filter(|(one, other)| !fleet.joins(*one, *other)).collect(), None)
-            }
+        let (ill, pairs, goods): (RouteFault, Vec<(u32, u32)>, Option<LinkTraffic>) = match fault {
+            Fault { fleet: Some(fleet), .. } => (
+                RouteFault::Blackhole,
+                pairs.filter(|(one, other)| !fleet.joins(*one, *other)).collect(),
+                None,
+            ),
             Fault { between: Some(between), .. } => {
                 let to = |other: &u32| between.to.is_empty() || between.to.contains(other);
                 let meant = |(one, other): &(u32, u32)| {
@@ -249,12 +251,12 @@
         };
         let parts = ill.parts();
         for (one, other) in pairs {
-            for own in [Goods::Datagrams, Goods::Streams] {
+            for own in [LinkTraffic::Datagrams, LinkTraffic::Streams] {
                 if goods.is_none_or(|goods| goods == own) {
                     let token = self.mesh.way(one as usize, other as usize, own).begin(ill);
                     self.tokens[number].push((one as usize, other as usize, own, token));
                     if parts {
-                        self.tell(Event::Parts { from: one, to: other, goods: own, on: true });
+                        self.tell(Event::TrafficBlocked { from: one, to: other, traffic: own, on: true });
                     }
                 }
             }
@@ -272,7 +274,8 @@
                     let run = format!("{:016x}", peer.instance.0);
                     let fields = json!({ "peer": format!("{} at {}", peer.name, peer.address), "run": run });
                     let event = "mesh.gone".into();
-                    self.judge.hear(at, &Event::Record { gateway: teller as u32, event, fields, within: 0 });
+                    self.judge
+                        .observe(at, &Event::Record { gateway: teller as u32, event, fields, within: 0 });
                 }
             }
             let count = self.mesh.count();
@@ -283,7 +286,7 @@
                     let name = format!("q:{first:016x}");
                     self.mesh.add(at, &name, 1.0, LIFE);
                     let (gateway, count) = (at as u32, name);
-                    self.tell(Event::Added { gateway, count, amount: 1.0, life: LIFE });
+                    self.tell(Event::CounterAdded { gateway, key: count, amount: 1.0, lifetime: LIFE });
                 }
             }
             if self.mesh.now / SECOND != (self.mesh.now - ADDS.min(self.mesh.now)) / SECOND {
@@ -301,6 +304,6 @@
             those.map(|member| member.peer.address.to_string()).collect()
         };
         let (live, suspected) = (of(MemberState::Alive), of(MemberState::Suspect));
-        self.tell(Event::View { gateway, live, suspected });
+        self.tell(Event::MembershipView { gateway, live, suspected });
     }
 }
