--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 /// Longest message that a stand-in takes: a value of 64 KiB with its words.
-pub const MOST_MESSAGE: usize = 128 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
 /// Most words of a command, and most values of an answer.
 const MOST_WORDS: usize = 64;
 
@@ -34,7 +34,7 @@
         return Err("no RESP2 value");
     }
     let Some((text, mut used)) = line(&bytes[1..]) else {
-        return if bytes.len() > MOST_MESSAGE { Err("a line without an end") } else { Ok(None) };
+        return if bytes.len() > MAX_MESSAGE_BYTES { Err("a line without an end") } else { Ok(None) };
     };
     used += 1;
     let words = || String::from_utf8_lossy(text).into_owned();
@@ -44,7 +44,7 @@
         b':' => Value::Number(number(text)?),
         b'$' => match number(text)? {
             -1 => Value::Bulk(None),
-            length if (0..=MOST_MESSAGE as i64).contains(&length) => {
+            length if (0..=MAX_MESSAGE_BYTES as i64).contains(&length) => {
                 let length = length as usize;
                 let Some(body) = bytes.get(used..used + length + 2) else { return Ok(None) };
                 if &body[length..] != b"\r\n" {
@@ -180,27 +180,30 @@
 /// What a client makes of a gateway's answer.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Answer {
-    Settled(Vec<u8>),
-    Nacked { wait_ms: Option<u64> },
-    Abandoned,
+    #[serde(rename = "Settled")]
+    Completed(Vec<u8>),
+    #[serde(rename = "Nacked")]
+    Rejected { wait_ms: Option<u64> },
+    #[serde(rename = "Abandoned")]
+    Failed,
 }
 
 impl Answer {
     pub fn of(value: Value) -> Answer {
         match value {
-            Value::Bulk(Some(value)) => Answer::Settled(value),
+            Value::Bulk(Some(value)) => Answer::Completed(value),
             Value::Array(Some(items)) => match items.into_iter().next() {
-                Some(Value::Bulk(Some(value))) => Answer::Settled(value),
-                _ => Answer::Abandoned,
+                Some(Value::Bulk(Some(value))) => Answer::Completed(value),
+                _ => Answer::Failed,
             },
             Value::Error(line) => {
                 let mut words = line.split(' ');
                 match words.next() {
-                    Some("BUSY") => Answer::Nacked { wait_ms: words.next().and_then(|ms| ms.parse().ok()) },
-                    _ => Answer::Abandoned,
+                    Some("BUSY") => Answer::Rejected { wait_ms: words.next().and_then(|ms| ms.parse().ok()) },
+                    _ => Answer::Failed,
                 }
             }
-            _ => Answer::Abandoned,
+            _ => Answer::Failed,
         }
     }
 }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use fernscale_lab::membership_simulation::Mesh;
-use fernscale_lab::model::counter::{Counter, Said, Spec};
+use fernscale_lab::membership_simulation::SimulatedFleet;
+use fernscale_lab::model::counter::{Counter, Reply, Spec};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 use fernscale_lease::ranking::{first_ranked, Participant};
 use fernscale_membership::node::{Config, Node, Output};
@@ -15,7 +15,7 @@
 /// Whoever adds the first one to a term's name has the lock of that term.
 fn locks(counter: &mut Counter, now: Micros, term: u64) -> bool {
     let (said, _) = counter.add(now, &format!("lock:bills:{term}"), 1.0, 60 * SECOND);
-    said == Said::Total(1.0)
+    said == Reply::Total(1.0)
 }
 
 #[test]
@@ -38,9 +38,9 @@
 
 #[test]
 fn by_membership_alone_a_parted_fleet_has_two_owners() {
-    let mut mesh = Mesh::new(7, 3);
+    let mut mesh = SimulatedFleet::new(7, 3);
     mesh.run(5 * SECOND);
-    let owners = |mesh: &Mesh| -> BTreeSet<String> {
+    let owners = |mesh: &SimulatedFleet| -> BTreeSet<String> {
         let views = (0..7).filter_map(|at| mesh.node(at));
         let first = views.filter_map(|node| {
             let live =
--- a/crates/lab/tests/clocks.rs
+++ b/crates/lab/tests/clocks.rs
@@ -5,15 +5,15 @@
 use std::time::{Duration, SystemTime};
 
 use async_executor::LocalExecutor;
-use fernscale_lab::history::{Court, Event, Judge};
+use fernscale_lab::history::{Checker, Event, Recorder};
 use fernscale_lab::live::records::Log;
 use fernscale_lab::live::stream::Stream;
 use fernscale_lab::live::{discovery, sleep, World};
 use fernscale_lab::model::discovery::{Entry, Status};
-use fernscale_lab::request_ledger::{Broken, Ledger};
+use fernscale_lab::request_ledger::{RequestLedger, Violations};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 
-fn with_world<F: std::future::Future<Output = ()>>(court: Court, test: impl FnOnce(Rc<World>) -> F) {
+fn with_world<F: std::future::Future<Output = ()>>(court: Recorder, test: impl FnOnce(Rc<World>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     let main = executor.clone();
     async_io::block_on(main.run(async { test(World::new(executor, court)).await }));
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_record_is_placed_by_its_own_time_where_that_can_be_and_by_when_it_was_read_otherwise() {
-    with_world(Court::of(Ledger::blind()), |world| async move {
+    with_world(Recorder::with_ledger(RequestLedger::recording_nothing()), |world| async move {
         let mut file = tempfile::NamedTempFile::new().expect("a file");
         let mut log = Log::open(file.path(), world.now()).expect("opened");
         let written = world.now();
@@ -54,16 +54,16 @@
 #[derive(Default)]
 struct Drains(Rc<std::cell::RefCell<Vec<(u32, Micros)>>>);
 
-impl Judge for Drains {
-    fn hear(&mut self, at: Micros, event: &Event) {
-        if let Event::Told { gateway, status: Status::Terminating, .. } = event {
+impl Checker for Drains {
+    fn observe(&mut self, at: Micros, event: &Event) {
+        if let Event::EndpointNotified { gateway, status: Status::Terminating, .. } = event {
             self.0.borrow_mut().push((*gateway, at));
         }
     }
 
-    fn end(&mut self, _at: Micros) {}
+    fn finish(&mut self, _at: Micros) {}
 
-    fn rules(&self) -> Vec<(&'static str, &Broken)> {
+    fn rules(&self) -> Vec<(&'static str, &Violations)> {
         Vec::new()
     }
 }
@@ -72,8 +72,8 @@
 fn a_gateway_whose_discovery_is_late_is_told_so_much_later_and_held_to_nothing_before() {
     let drains = Drains::default();
     let told = drains.0.clone();
-    let mut court = Court::of(Ledger::blind());
-    court.judged_by(Box::new(drains));
+    let mut court = Recorder::with_ledger(RequestLedger::recording_nothing());
+    court.add_checker(Box::new(drains));
     with_world(court, |world| async move {
         let host = discovery::Host::start(&world, 2, None).expect("agents");
         let entry = |status| Entry {
@@ -97,7 +97,7 @@
         }
         sleep(20 * MILLISECOND).await;
         let at = world.now();
-        host.list.borrow_mut().turn("box", Status::Terminating);
+        host.list.borrow_mut().set_status("box", Status::Terminating);
         for watch in &mut watches {
             watch.more().await.expect("an answer");
         }
--- a/crates/lab/tests/histories.rs
+++ b/crates/lab/tests/histories.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use fernscale_lab::history::{judge, Event, Head};
+use fernscale_lab::history::{check, Event, Head};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -72,10 +72,10 @@
 
 #[test]
 fn it_is_judged_as_it_was() {
-    let (head, court) = judge(&file()).expect("it is judged");
+    let (head, court) = check(&file()).expect("it is judged");
     let verdict: Vec<String> =
         court.rules().iter().map(|(rule, broken)| format!("{rule} {}", broken.count)).collect();
-    assert_eq!((head.scenario.as_str(), head.seed, court.heard), ("every-event", 7, 88));
+    assert_eq!((head.scenario.as_str(), head.seed, court.recorded), ("every-event", 7, 88));
     assert_eq!(
         verdict,
         [
--- a/crates/lab/tests/links.rs
+++ b/crates/lab/tests/links.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use fernscale_lab::live::listener::Door;
-use fernscale_lab::live::relay::{Ill, Relay};
+use fernscale_lab::live::listener::Listener;
+use fernscale_lab::live::relay::{Relay, RouteFault};
 use fernscale_lab::live::stream::Stream;
 use fernscale_lab::live::{sleep, World};
 use fernscale_lab::{MILLISECOND, SECOND};
@@ -16,7 +16,7 @@
 struct Link {
     world: Rc<World>,
     relay: Rc<Relay>,
-    _echo: Rc<Door>,
+    _echo: Rc<Listener>,
 }
 
 /// What came for some bytes, within a time.
@@ -46,7 +46,7 @@
                 }
             }
         };
-        let echo = Door::open(world, (world.host(), 0).into(), usize::MAX, serve).expect("a door");
+        let echo = Listener::open(world, (world.host(), 0).into(), usize::MAX, serve).expect("a door");
         let relay = Relay::start(world, echo.address(), 1).expect("a relay");
         Link { world: world.clone(), relay, _echo: echo }
     }
@@ -71,7 +71,7 @@
         let mut stream = link.dial().await;
         let long = vec![7; 100_000];
         assert_eq!(echoed(&mut stream, &long, WAIT).await, Some(long));
-        let cut = link.relay.begin(Ill::Cut);
+        let cut = link.relay.begin(RouteFault::Cut);
         assert_eq!(echoed(&mut stream, b"x", WAIT).await, None);
         assert!(Stream::dial(link.relay.address(), WAIT).await.is_err());
         link.relay.end(cut).await.expect("mended");
@@ -83,7 +83,7 @@
 fn a_black_hole_holds_what_is_written_and_gives_it_back_when_it_heals() {
     with_link(|link| async move {
         let mut stream = link.dial().await;
-        let held = link.relay.begin(Ill::Blackhole);
+        let held = link.relay.begin(RouteFault::Blackhole);
         assert_eq!(echoed(&mut stream, b"held", SHORT).await, None);
         assert!(link.relay.end(held).await.expect("mended") > 0, "it met nobody");
         while stream.bytes.len() < 4 {
@@ -97,7 +97,7 @@
 fn a_reset_comes_in_the_middle_of_a_message() {
     with_link(|link| async move {
         let mut stream = link.dial().await;
-        link.relay.begin(Ill::Reset);
+        link.relay.begin(RouteFault::Reset);
         assert_eq!(echoed(&mut stream, b"12345678", WAIT).await, None);
         assert!(stream.bytes.len() < 8);
     });
@@ -107,7 +107,7 @@
 fn delay_and_throttle_take_their_time_and_corruption_changes_a_byte() {
     with_link(|link| async move {
         let mut stream = link.dial().await;
-        for ill in [Ill::Delay { by: 30 * MILLISECOND, spread: 0 }, Ill::Throttle(1000.0)] {
+        for ill in [RouteFault::Delay { by: 30 * MILLISECOND, spread: 0 }, RouteFault::Throttle(1000.0)] {
             let token = link.relay.begin(ill);
             let from = link.world.now();
             assert_eq!(echoed(&mut stream, &[1; 30], WAIT).await, Some(vec![1; 30]));
@@ -115,7 +115,7 @@
             assert!(took >= SHORT, "{ill:?}: 30 ms each way, {took} us");
             link.relay.end(token).await.expect("mended");
         }
-        link.relay.begin(Ill::Corrupt(1.0));
+        link.relay.begin(RouteFault::Corrupt(1.0));
         let got = echoed(&mut stream, &[1; 30], WAIT).await.expect("it comes");
         assert_ne!(got, [1; 30]);
     });
@@ -124,12 +124,12 @@
 #[test]
 fn a_fault_that_ends_while_another_stands_mends_nothing_of_it() {
     with_link(|link| async move {
-        let (one, other) = (link.relay.begin(Ill::Cut), link.relay.begin(Ill::Cut));
+        let (one, other) = (link.relay.begin(RouteFault::Cut), link.relay.begin(RouteFault::Cut));
         link.relay.end(one).await.expect("mended");
         assert!(Stream::dial(link.relay.address(), WAIT).await.is_err());
         link.relay.end(other).await.expect("mended");
         let mut stream = link.dial().await;
-        let (one, other) = (link.relay.begin(Ill::Blackhole), link.relay.begin(Ill::Blackhole));
+        let (one, other) = (link.relay.begin(RouteFault::Blackhole), link.relay.begin(RouteFault::Blackhole));
         link.relay.end(one).await.expect("mended");
         assert_eq!(echoed(&mut stream, b"held", SHORT).await, None);
         link.relay.end(other).await.expect("mended");
@@ -143,7 +143,7 @@
 fn a_door_lets_in_as_many_as_it_may() {
     with_link(|link| async move {
         let serve = |mut stream: Stream| async move { while stream.more().await.is_ok() {} };
-        let door = Door::open(&link.world, (link.world.host(), 0).into(), 2, serve).expect("a door");
+        let door = Listener::open(&link.world, (link.world.host(), 0).into(), 2, serve).expect("a door");
         let mut held = Vec::new();
         for _ in 0..2 {
             held.push(Stream::dial(door.address(), WAIT).await.expect("connected"));
--- a/crates/lab/tests/mesh.rs
+++ b/crates/lab/tests/mesh.rs
@@ -1,6 +1,6 @@
 //! The mesh under random schedules of loss, delay, doubling, overtaking, partitions and restarts; and its hard cases.
 
-use fernscale_lab::membership_simulation::{Mesh, Weather};
+use fernscale_lab::membership_simulation::{LinkFaults, SimulatedFleet};
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 use fernscale_membership::node::Event;
 use fernscale_membership::packet::{Packet, PacketBody, Peer};
@@ -17,8 +17,8 @@
 fn schedule(seed: u64) {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let count = chance.gen_range(2..=6);
-    let mut mesh = Mesh::new(count, seed);
-    mesh.weather = Weather {
+    let mut mesh = SimulatedFleet::new(count, seed);
+    mesh.weather = LinkFaults {
         loss: chance.gen_range(0.0..0.4),
         doubled: chance.gen_range(0.0..0.2),
         delay: (100, chance.gen_range(200..150 * MILLISECOND)),
@@ -48,7 +48,7 @@
         }
     }
     mesh.heal();
-    mesh.weather = Weather::FAIR;
+    mesh.weather = LinkFaults::FAIR;
     for at in 0..count {
         if mesh.node(at).is_none() {
             mesh.start(at);
@@ -74,7 +74,7 @@
     }
 }
 
-fn views(mesh: &Mesh) -> Vec<Vec<String>> {
+fn views(mesh: &SimulatedFleet) -> Vec<Vec<String>> {
     let view = |at| {
         let members = mesh.node(at).into_iter().flat_map(|node| node.live_members());
         members.map(|member| format!("{} {:?}", member.peer.name, member.state)).collect()
@@ -87,8 +87,8 @@
     (0..SCHEDULES).for_each(schedule);
 }
 
-fn settled(count: usize) -> Mesh {
-    let mut mesh = Mesh::new(count, 7);
+fn settled(count: usize) -> SimulatedFleet {
+    let mut mesh = SimulatedFleet::new(count, 7);
     mesh.run(5 * SECOND);
     assert!(mesh.converged(), "{:?}", views(&mesh));
     mesh.events.clear();
@@ -103,8 +103,9 @@
     }
     (0..3).for_each(|at| mesh.add(at, "n", 1.0, LIFE));
     mesh.run(mesh.now + 6 * SECOND);
-    let known =
-        |mesh: &Mesh| [0, 1, 2].map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n")));
+    let known = |mesh: &SimulatedFleet| {
+        [0, 1, 2].map(|at| mesh.node(at).and_then(|node| node.counter_total(mesh.now, "n")))
+    };
     assert_eq!(known(&mesh), [Some(1.0), Some(2.0), Some(2.0)]);
     assert_eq!(mesh.node(0).map(|node| node.live_members().count()), Some(0));
     mesh.heal();
@@ -116,7 +117,7 @@
 #[test]
 fn what_a_gateway_adds_last_before_it_ends_is_known_to_all_soon_though_datagrams_are_lost() {
     for seed in 0..20 {
-        let mut mesh = Mesh::new(8, seed);
+        let mut mesh = SimulatedFleet::new(8, seed);
         mesh.run(5 * SECOND);
         (0..8).for_each(|at| mesh.add(at, "n", 1.0, LIFE));
         mesh.run(mesh.now + 2 * SECOND);
@@ -137,7 +138,7 @@
 fn what_is_added_last_while_one_is_cut_off_comes_to_all_soon_though_nobody_is_taken_for_gone() {
     for lasts in [100, 300, 600, 1_000, 1_500, 2_500, 4_000] {
         for seed in 0..10 {
-            let mut mesh = Mesh::new(5, seed);
+            let mut mesh = SimulatedFleet::new(5, seed);
             mesh.run(5 * SECOND);
             (0..5).for_each(|at| mesh.add(at, "n", 1.0, LIFE));
             mesh.run(mesh.now + 2 * SECOND);
@@ -337,7 +338,7 @@
 fn a_bridge_between_two_halves_keeps_all_of_them_there() {
     let (one, other) = ([0, 3, 4, 5], [1, 2, 4, 6]);
     for seed in 1..8 {
-        let mut mesh = Mesh::new(7, seed);
+        let mut mesh = SimulatedFleet::new(7, seed);
         mesh.run(8 * SECOND);
         for (from, to) in (0..7).flat_map(|from| (0..7).map(move |to| (from, to))) {
             let together = |group: &[usize]| group.contains(&from) && group.contains(&to);
