--- /dev/null
+++ b/crates/policy/src/concurrency_limit.rs
@@ -0,0 +1,162 @@
+//! Adaptive concurrency limits: how many attempts may be in flight at a server and at the fleet, by their latency.
+
+use crate::event::Micros;
+use crate::latency::ClassLatency;
+use crate::numeric::{update_mean, FAST_MEAN_WEIGHT, SECOND, SLOW_MEAN_WEIGHT};
+
+/// Limit of a server that nothing is known of, for all gateways together: one attempt for each core.
+const INITIAL_SERVER_LIMIT: f64 = 4.0;
+
+/// Part of that limit for a server in slow start.
+const SLOW_START_LIMIT_SHARE: f64 = 0.5;
+
+/// Limit of a server, for all gateways together, below which it never falls: so few attempts overload none.
+const MIN_SERVER_LIMIT: f64 = 3.0;
+
+/// Latency, as a ratio to the idle fleet's, above which a server's limit falls instead of rising.
+const MAX_GROWTH_LATENCY_RATIO: f64 = 1.15;
+
+/// Latency of all servers, as a ratio to the idle fleet's, above which the sum of limits is scaled down.
+const SLOW_FLEET_LATENCY_RATIO: f64 = 1.2;
+
+/// A response counts as at most so slow. Danger: one huge request would pass for a slow server.
+const MAX_LATENCY_RATIO: f64 = 10.0;
+
+/// The longest pause of a gateway whose limits add up to less than one attempt, in microseconds.
+const MAX_SLOT_PAUSE: f64 = SECOND as f64;
+
+/// The attempts in flight at some servers, and how many there may be.
+#[derive(Clone, Copy)]
+pub struct Utilization {
+    /// Attempts in flight.
+    pub in_flight: f64,
+    /// The limit on them; it may be below one.
+    pub limit: f64,
+}
+
+/// The limit of one server, from this gateway. It may be a fraction of one attempt.
+#[derive(Default)]
+pub struct ServerLimit {
+    limit: f64,
+    /// Latency as a ratio to the class on an idle fleet.
+    latency_ratio: f64,
+    /// Latency as a ratio to the class on this fleet now.
+    relative_latency: f64,
+}
+
+impl ServerLimit {
+    /// The limit of a server that has just started: not set yet, with the latency of any other.
+    pub fn unset() -> Self {
+        ServerLimit { limit: 0.0, latency_ratio: 1.0, relative_latency: 1.0 }
+    }
+
+    /// Whether the limit has yet to be set.
+    pub fn is_unset(&self) -> bool {
+        self.limit == 0.0
+    }
+
+    /// The limit.
+    pub fn get(&self) -> f64 {
+        self.limit
+    }
+
+    /// The server's latency as a ratio to the other servers'.
+    pub fn relative_latency(&self) -> f64 {
+        self.relative_latency
+    }
+
+    /// Sets the limit where it has yet to be set.
+    pub fn initialize(&mut self, fleet: &FleetLimit, warming_up: bool) {
+        if self.is_unset() {
+            let initial = fleet.initial_limit();
+            self.limit = if warming_up { SLOW_START_LIMIT_SHARE * initial } else { initial };
+        }
+    }
+
+    /// Takes in one response, after which so many attempts are in flight at the server.
+    ///
+    /// A slow machine is not an overloaded one: the server is compared with its own speed.
+    pub fn record(&mut self, elapsed: f64, class: ClassLatency, in_flight: u32, min_limit: f64) {
+        update_mean(&mut self.latency_ratio, FAST_MEAN_WEIGHT, bounded_ratio(elapsed, class.idle));
+        update_mean(&mut self.relative_latency, SLOW_MEAN_WEIGHT, bounded_ratio(elapsed, class.usual));
+        let change = (1.0 - self.latency_ratio / self.relative_latency / MAX_GROWTH_LATENCY_RATIO).max(-1.0);
+        // A limit that is not used up must not grow.
+        if change < 0.0 || f64::from(in_flight) + 2.0 > self.limit {
+            self.limit = (self.limit + change * min_limit / self.limit).max(min_limit);
+        }
+    }
+}
+
+/// The limit of all assigned servers together.
+pub struct FleetLimit {
+    gateways_per_server: f64,
+    min_limit: f64,
+    latency_ratio: f64,
+    next_slot_at: Micros,
+}
+
+impl FleetLimit {
+    /// The state before anything is known.
+    pub fn new(now: Micros) -> Self {
+        FleetLimit { gateways_per_server: 1.0, min_limit: 1.0, latency_ratio: 1.0, next_slot_at: now }
+    }
+
+    /// How many gateways use a server.
+    pub fn gateways_per_server(&self) -> f64 {
+        self.gateways_per_server
+    }
+
+    /// Sets how many gateways use a server.
+    pub fn set_gateways_per_server(&mut self, gateways: f64) {
+        self.gateways_per_server = gateways;
+        self.min_limit = (MIN_SERVER_LIMIT / gateways).min(1.0);
+    }
+
+    /// The least limit of one server, from this gateway.
+    pub fn min_limit(&self) -> f64 {
+        self.min_limit
+    }
+
+    /// The limit of a server that nothing is known of, from this gateway.
+    pub fn initial_limit(&self) -> f64 {
+        INITIAL_SERVER_LIMIT / self.gateways_per_server
+    }
+
+    /// Sums up servers, each given by its attempts in flight and its limit.
+    ///
+    /// Many gateways see few responses each, and learn of all servers together long before they learn of each: so the
+    /// sum is scaled down at once while all are slow.
+    pub fn utilization(&self, servers: impl Iterator<Item = (u32, f64)>) -> Utilization {
+        let mut count = 0usize;
+        let mut in_flight = 0.0;
+        let mut limits = 0.0;
+        for (attempts, limit) in servers {
+            count += 1;
+            in_flight += f64::from(attempts);
+            limits += limit;
+        }
+        let floor = count as f64 * self.min_limit;
+        let limit = (limits * (SLOW_FLEET_LATENCY_RATIO / self.latency_ratio).min(1.0)).max(floor);
+        Utilization { in_flight, limit }
+    }
+
+    /// Takes in the latency of one response.
+    pub fn record(&mut self, elapsed: f64, class: ClassLatency) {
+        update_mean(&mut self.latency_ratio, FAST_MEAN_WEIGHT, bounded_ratio(elapsed, class.idle));
+    }
+
+    /// Pauses after an attempt where the limit is below one, so that the one slot is used for that part of the time.
+    pub fn pause(&mut self, elapsed: f64, limit: f64, now: Micros) {
+        let pause = elapsed * (1.0 / limit.min(1.0) - 1.0);
+        self.next_slot_at = now + pause.min(MAX_SLOT_PAUSE) as Micros;
+    }
+
+    /// Whether the gateway pauses now.
+    pub fn is_paused(&self, now: Micros) -> bool {
+        now < self.next_slot_at
+    }
+}
+
+fn bounded_ratio(elapsed: f64, latency: f64) -> f64 {
+    (elapsed / latency).min(MAX_LATENCY_RATIO)
+}
--- /dev/null
+++ b/crates/policy/src/counter.rs
@@ -0,0 +1,28 @@
+//! The shared counter as this gateway uses it: keys, pacing of calls, and updates of offered units.
+
+mod key;
+mod pacer;
+mod units;
+
+pub use key::{CounterKey, CounterTarget, KeyedCounter};
+pub use pacer::{CounterPacer, MAX_TOTAL_AGE, MIN_UPDATE_INTERVAL};
+pub use units::{update_probability, Decay, UnitsCounter, UnitsReading, UnitsUpdate, MAX_WINDOW};
+
+use crate::event::{Micros, Outcome};
+
+/// The end of one call to the shared counter.
+pub struct CounterReply {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The total, where it succeeded.
+    pub total: f64,
+    /// The time from the call to the reply.
+    pub elapsed: Micros,
+}
+
+impl CounterReply {
+    /// Whether the counter may have added the amount.
+    pub fn may_have_counted(&self) -> bool {
+        matches!(self.outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Error)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/counter/units.rs
@@ -0,0 +1,193 @@
+//! The units of one tenant on their way to the shared counter, and what its totals say of all gateways.
+
+use crate::event::Micros;
+use crate::numeric::{NEGLIGIBLE, SECOND};
+use crate::settings::Plan;
+
+/// The longest window of a counter, and the lifetime that the counter is given.
+pub const MAX_WINDOW: Micros = 60 * SECOND;
+
+/// Decay times in a window, at most. Danger: at a window's end a unit weighs e to this power, and the counter takes and
+/// reports at most 1e9.
+const MAX_DECAYS_PER_WINDOW: f64 = 16.0;
+
+/// The decay time, as a share of the time in which the bucket fills.
+const DECAY_TIME_IN_FILLS: f64 = 0.25;
+
+/// The least decay time, in microseconds.
+const MIN_DECAY_TIME: f64 = 1e6;
+
+/// Updates that a total needs in a decay time where calls are few.
+const SAMPLES_PER_DECAY_TIME: f64 = 6.0;
+
+/// How units of a plan lose weight over time: those of now count e-fold beside those of one decay time ago.
+#[derive(Clone, Copy)]
+pub struct Decay {
+    /// The decay time, in microseconds.
+    pub time: f64,
+}
+
+impl Decay {
+    /// The decay of a plan.
+    pub fn of(plan: &Plan) -> Self {
+        let fill_time = DECAY_TIME_IN_FILLS * plan.burst / plan.rate.max(NEGLIGIBLE) * SECOND as f64;
+        Decay { time: fill_time.max(MIN_DECAY_TIME) }
+    }
+
+    /// What a unit of now weighs beside one at the window's start.
+    pub fn weight(self, window_start: Micros, now: Micros) -> f64 {
+        (now.saturating_sub(window_start) as f64 / self.time).exp()
+    }
+
+    /// The part of a weight that is left after some time.
+    pub fn remaining(self, elapsed: Micros) -> f64 {
+        (-(elapsed as f64) / self.time).exp()
+    }
+
+    /// The start of the window that is open now.
+    pub fn window_start(self, now: Micros) -> Micros {
+        let length = MAX_WINDOW.min((MAX_DECAYS_PER_WINDOW * self.time) as Micros);
+        now - now % length
+    }
+}
+
+/// An update under way.
+#[derive(Clone, Copy)]
+pub struct UnitsUpdate {
+    /// What is added to the counter.
+    pub amount: f64,
+    /// The units offered here that it reports for the first time.
+    pub pending: f64,
+}
+
+/// What a total says of all gateways.
+pub struct UnitsReading {
+    /// Units offered to all within the last decay time.
+    pub offered: f64,
+    /// Units that others added since the last total.
+    pub others: f64,
+    /// The part of a decay time that the window covers, from 0 to 1: a young one has not counted all.
+    pub coverage: f64,
+    /// The time that `others` begins at.
+    pub since: Micros,
+}
+
+/// One tenant's units on their way to the counter and back.
+#[derive(Default)]
+pub struct UnitsCounter {
+    /// Units offered here that no update has reported.
+    pending: f64,
+    /// What earlier updates certainly did not add, as far as it still counts.
+    undelivered: f64,
+    update: Option<UnitsUpdate>,
+    updated_at: Micros,
+    window: u64,
+    last_total: f64,
+    last_total_at: Option<Micros>,
+}
+
+impl UnitsCounter {
+    /// Counts units offered here; negative ones correct an estimate.
+    pub fn add(&mut self, units: f64) {
+        self.pending += units;
+    }
+
+    /// When the last total came.
+    pub fn last_total_at(&self) -> Option<Micros> {
+        self.last_total_at
+    }
+
+    /// An update is under way.
+    pub fn is_update_pending(&self) -> bool {
+        self.update.is_some()
+    }
+
+    /// Whether the last total reached a limit.
+    pub fn has_reached(&self, limit: f64) -> bool {
+        self.last_total + NEGLIGIBLE >= limit
+    }
+
+    /// When the last update of decaying units was made or skipped.
+    pub fn updated_at(&self) -> Micros {
+        self.updated_at
+    }
+
+    /// Goes on to a window; totals of the one before don't count in it.
+    pub fn enter_window(&mut self, window: u64) {
+        if self.window != window {
+            self.window = window;
+            self.last_total = 0.0;
+        }
+    }
+
+    /// Takes the pending units for an update that is made or skipped now.
+    pub fn take_pending(&mut self) -> f64 {
+        std::mem::take(&mut self.pending)
+    }
+
+    /// Notes the time of an update of decaying units, made or skipped.
+    pub fn note_update(&mut self, now: Micros) {
+        self.updated_at = now;
+    }
+
+    /// Begins an update of a sparse tenant's units.
+    pub fn begin_sparse_update(&mut self, pending: f64) -> UnitsUpdate {
+        *self.update.insert(UnitsUpdate { amount: pending, pending })
+    }
+
+    /// Begins an update of decaying units that is made with this probability, and weighs as much more.
+    pub fn begin_update(&mut self, pending: f64, probability: f64, decay: Decay, now: Micros) -> UnitsUpdate {
+        let amount = (pending + self.undelivered) / probability * decay.weight(self.window, now);
+        *self.update.insert(UnitsUpdate { amount, pending })
+    }
+
+    /// Ends the update under way.
+    pub fn take_update(&mut self) -> Option<UnitsUpdate> {
+        self.update.take()
+    }
+
+    /// Takes in a total of a sparse tenant's window.
+    pub fn record_total(&mut self, total: f64, now: Micros) {
+        self.last_total = total;
+        self.last_total_at = Some(now);
+    }
+
+    /// Keeps the units that an update may have added out of the next one, or else for it.
+    ///
+    /// Danger: what was not added and is forgotten makes each gateway take itself for all; but it decays like the rest.
+    pub fn settle_update(&mut self, may_have_counted: bool, pending: f64, remaining: f64) {
+        self.undelivered = if may_have_counted { 0.0 } else { self.undelivered * remaining + pending };
+    }
+
+    /// Assumes that an update without a reply was added.
+    pub fn assume_counted(&mut self, amount: f64) {
+        self.last_total += amount;
+    }
+
+    /// Takes in a total of decaying units, after an update of this amount.
+    pub fn read_total(&mut self, total: f64, amount: f64, decay: Decay, now: Micros) -> UnitsReading {
+        let weight = decay.weight(self.window, now);
+        let others = (total - self.last_total - amount).max(0.0) / weight;
+        let coverage = (1.0 - decay.remaining(now - self.window)).max(NEGLIGIBLE);
+        let offered = total / weight / coverage;
+        let since = self.last_total_at.unwrap_or(0).max(self.window);
+        self.record_total(total, now);
+        UnitsReading { offered, others, coverage, since }
+    }
+}
+
+/// The probability of an update where calls run short: no more of them than a total needs, and few for tenants whose
+/// quota is not in doubt.
+pub fn update_probability(
+    call_probability: f64,
+    pending: f64,
+    demand: f64,
+    decay: Decay,
+    in_doubt: bool,
+) -> f64 {
+    if call_probability >= 1.0 {
+        return 1.0;
+    }
+    let needed = (SAMPLES_PER_DECAY_TIME * pending.abs() / (demand * decay.time).max(NEGLIGIBLE)).min(1.0);
+    needed * if in_doubt { call_probability } else { call_probability * call_probability }
+}
--- /dev/null
+++ b/crates/policy/src/engine.rs
@@ -0,0 +1,212 @@
+//! The coordinator: takes an event, asks the concerns in order and acts through the host. It has no formula of its own.
+//!
+//! `requests` carries a request from its admission to its answer, `quota` speaks with the shared counter, `endpoints`
+//! follows the list of servers and the operators.
+
+mod endpoints;
+mod quota;
+mod requests;
+
+use std::collections::{BTreeMap, HashMap};
+
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+
+use crate::concurrency_limit::{FleetLimit, Utilization};
+use crate::counter::CounterPacer;
+use crate::deadline::{initial_expiry, Expirations, TimerToken};
+use crate::endpoints::{EndpointTable, ListBackoff};
+use crate::event::{AttemptCompleted, Id, LoadReport, Micros, Outcome, Request, Subset};
+use crate::host::Host;
+use crate::in_flight::InFlight;
+use crate::latency::ClassLatencies;
+use crate::queue::Queue;
+use crate::quota::{QuotaHistory, TenantState};
+use crate::retry::RetryBudget;
+use crate::settings::Settings;
+use crate::slow_start::{SlowStartRules, WarmLoad};
+
+/// Every decision of one gateway.
+///
+/// Call the method named after what happened; the engine acts through its host before the method returns. Times are by
+/// the host's clock, which must not go back.
+pub struct Engine<H: Host> {
+    host: H,
+    settings: Settings,
+    rng: ChaCha8Rng,
+    /// Since when this process has its present part of the gateway's ceilings.
+    share_since: Micros,
+    /// The part of the gateway's ceilings and slow-start budgets that this process has; another one has the rest.
+    process_share: f64,
+    servers: EndpointTable,
+    /// The servers assigned to this gateway among all gateways; without them it uses a stretch of the ring.
+    subset: Option<Subset>,
+    list_backoff: ListBackoff,
+    fleet_limit: FleetLimit,
+    warm_load: WarmLoad,
+    latencies: ClassLatencies,
+    tenants: BTreeMap<Id, TenantState>,
+    quota_history: QuotaHistory,
+    counter_pacer: CounterPacer,
+    in_flight: HashMap<Id, InFlight>,
+    queue: Queue,
+    expirations: Expirations,
+    retry_budget: RetryBudget,
+}
+
+impl<H: Host> Engine<H> {
+    /// An engine that knows no server yet. It sets its first timer, and opens the watch on the endpoint list where that
+    /// has to be polled.
+    pub fn new(settings: Settings, mut host: H) -> Self {
+        let now = host.now();
+        let warm_load = WarmLoad::new(now);
+        let first_wakeup = warm_load.next_measurement();
+        host.set_timer(first_wakeup - now, &TimerToken::Wakeup.to_string());
+        if settings.list_poll_interval.is_some() {
+            host.watch_endpoints(true);
+        }
+        Engine {
+            rng: ChaCha8Rng::seed_from_u64(settings.seed),
+            share_since: now,
+            process_share: 1.0,
+            servers: EndpointTable::default(),
+            subset: None,
+            list_backoff: ListBackoff::default(),
+            fleet_limit: FleetLimit::new(now),
+            warm_load,
+            latencies: ClassLatencies::new(&settings.classes),
+            tenants: BTreeMap::new(),
+            quota_history: QuotaHistory::new(&settings.plans),
+            counter_pacer: CounterPacer::new(settings.gateway_count, now),
+            in_flight: HashMap::new(),
+            queue: Queue::default(),
+            expirations: Expirations::new(first_wakeup),
+            retry_budget: RetryBudget::full(),
+            host,
+            settings,
+        }
+    }
+
+    /// A client's request has come in.
+    pub fn request_received(&mut self, request: Request) {
+        let now = self.host.now();
+        let id = request.id.clone();
+        let deadline = now + request.time_left;
+        let expires_at = initial_expiry(deadline, now);
+        let within_quota = self.meter(&request, now);
+        self.expirations.insert(expires_at, &id);
+        self.in_flight.insert(id.clone(), InFlight::new(request, deadline, expires_at));
+        if let Some(within_quota) = within_quota {
+            self.admit(&id, within_quota, now);
+        }
+        self.schedule_wakeup(now);
+    }
+
+    /// A response has begun to stream from this attempt: the request has its final answer.
+    pub fn response_started(&mut self, request: &Id, attempt: usize) {
+        self.complete(request, Some(attempt));
+    }
+
+    /// An attempt has ended.
+    pub fn attempt_completed(&mut self, end: AttemptCompleted) {
+        let now = self.host.now();
+        let Some(in_flight) = self.in_flight.get_mut(&end.request) else { return };
+        if !in_flight.end_attempt(end.attempt, end.outcome) {
+            return;
+        }
+        let class = in_flight.request.class;
+        let tenant = in_flight.request.tenant.clone();
+        let within_quota = in_flight.within_quota == Some(true);
+        let correction = end.units.map_or(0.0, |units| units - in_flight.request.units);
+        let is_answered = in_flight.answered || end.is_final;
+        self.learn_from_attempt(&end, class, now);
+        if let Some(tenant) = self.tenants.get_mut(&tenant) {
+            tenant.correct(correction, within_quota);
+        }
+        if is_answered {
+            self.complete(&end.request, None);
+        } else {
+            self.retry_or_give_up(&end.request, now);
+        }
+        self.forward_queued(now);
+        self.schedule_wakeup(now);
+    }
+
+    /// The client has gone; its request needs no answer any more.
+    pub fn client_disconnected(&mut self, request: &Id) {
+        self.complete(request, None);
+    }
+
+    /// A timer that the engine set has fired.
+    pub fn timer_fired(&mut self, token: &str) {
+        match TimerToken::parse(token) {
+            TimerToken::Watch => self.host.watch_endpoints(true),
+            TimerToken::ConcurrencyWindow(tenant) => {
+                let now = self.host.now();
+                self.update_concurrency_counter(&tenant, now);
+            }
+            TimerToken::Wakeup => self.wake_up(),
+        }
+    }
+
+    fn wake_up(&mut self) {
+        let now = self.host.now();
+        self.expirations.wakeup_fired(now);
+        while let Some(id) = self.expirations.pop_expired(now) {
+            if let Some(in_flight) = self.in_flight.get(&id) {
+                let reason = in_flight.expiry_reason();
+                self.give_up(&id, reason);
+            }
+        }
+        self.forward_queued(now);
+        if now >= self.warm_load.next_measurement() {
+            let rules = self.slow_start_rules(now);
+            let warm = self.servers.in_use().filter(|server| rules.is_warm(server.effective_start())).count();
+            self.warm_load.measure(warm, now);
+            self.tenants.retain(|_, tenant| !tenant.is_stale(now));
+        }
+        self.schedule_wakeup(now);
+    }
+
+    fn schedule_wakeup(&mut self, now: Micros) {
+        let measurement_at = self.warm_load.next_measurement();
+        let queue_waits = !self.queue.is_empty();
+        if let Some(delay) = self.expirations.schedule_wakeup(measurement_at, queue_waits, now) {
+            self.host.set_timer(delay, &TimerToken::Wakeup.to_string());
+        }
+    }
+
+    /// This process has this part of its gateway's ceilings and slow-start budgets from now on, from 0 to 1. What other
+    /// processes had before counts as used up.
+    pub fn set_process_share(&mut self, share: f64) {
+        let now = self.host.now();
+        for tenant in self.tenants.values_mut() {
+            tenant.refill(&self.settings.plans[tenant.plan()], self.process_share, now);
+        }
+        self.process_share = share;
+        self.share_since = now;
+    }
+
+    /// A health check has ended. It has no effect: hosts report every event of the protocol, but attempts tell enough
+    /// of a server.
+    pub fn health_check_completed(&mut self, _server: &Id, _outcome: Outcome, _load: LoadReport) {}
+
+    /// A message of another gateway has come. It has no effect: hosts report every event of the protocol, but gateways
+    /// share what they know by the counter alone.
+    pub fn message_received(&mut self, _gateway: u32, _data: &[u8]) {}
+
+    fn slow_start_rules(&self, now: Micros) -> SlowStartRules<'_> {
+        SlowStartRules {
+            settings: &self.settings,
+            warm_load: &self.warm_load,
+            process_share: self.process_share,
+            gateways_per_server: self.fleet_limit.gateways_per_server(),
+            now,
+        }
+    }
+
+    fn utilization(&self) -> Utilization {
+        let servers = self.servers.in_use().map(|server| (server.in_flight, server.limit.get()));
+        self.fleet_limit.utilization(servers)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/requests.rs
@@ -0,0 +1,213 @@
+//! The engine's part for one request: admission, forwarding, retries, and its final answer.
+
+use super::Engine;
+use crate::admission::AdmissionCheck;
+use crate::deadline::{attempt_expiry, attempt_time_limit};
+use crate::event::{AttemptCompleted, Id, Micros, Outcome};
+use crate::host::Host;
+use crate::in_flight::Attempt;
+use crate::outlier;
+use crate::queue::{max_wait, QueueRank};
+use crate::rejection::RejectReason;
+use crate::retry;
+use crate::selection::{KeyBinding, Selection};
+use crate::slow_start::{SlowStartBudget, SlowStartRules};
+
+impl<H: Host> Engine<H> {
+    /// Lets a request wait for a server, or rejects it.
+    pub(super) fn admit(&mut self, id: &Id, within_quota: bool, now: Micros) {
+        let utilization = self.utilization();
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let request = &in_flight.request;
+        let tenant = self.tenants.get_mut(&request.tenant).expect("a request in flight keeps its tenant");
+        let plan = &self.settings.plans[request.plan];
+        let class = &self.settings.classes[request.class];
+        let usual_latency = self.latencies.usual(request.class);
+        let check = AdmissionCheck {
+            plan,
+            within_quota,
+            within_ceiling: tenant.within_ceiling(plan, request.units),
+            utilization,
+            queue_waits: !self.queue.is_empty(),
+            usual_latency,
+            deadline: in_flight.deadline,
+            now,
+        };
+        if let Err(reason) = check.decide() {
+            return self.give_up(id, reason);
+        }
+        let rank = QueueRank::new(id, plan, class, usual_latency, now);
+        in_flight.rank = Some(rank.clone());
+        in_flight.within_quota = Some(within_quota);
+        self.queue.insert(rank);
+        let expires_at = in_flight.expires_at.min(now + max_wait(class));
+        self.expirations.reschedule(&mut in_flight.expires_at, expires_at, id);
+        tenant.reserve(request.units, within_quota);
+        self.forward_queued(now);
+        if let Some(excess) = self.queue.pop_excess(utilization.limit) {
+            self.give_up(&excess, RejectReason::QueueFull);
+        }
+    }
+
+    /// Forwards what waits, the highest priority first, as far as servers have capacity.
+    pub(super) fn forward_queued(&mut self, now: Micros) {
+        while let Some(id) = self.queue.first().cloned() {
+            let class = self.in_flight[&id].request.class;
+            let Some(server) = self.select_server(class, &[], now) else { return };
+            self.queue.pop_first();
+            self.forward(&id, server, now);
+        }
+    }
+
+    fn select_server(&mut self, class: usize, attempts: &[Attempt], now: Micros) -> Option<Id> {
+        let class = &self.settings.classes[class];
+        let binding = KeyBinding::of(class, attempts, &self.servers);
+        let utilization = self.utilization();
+        // Danger: many gateways with a slot for each server would together overload all servers.
+        if utilization.in_flight >= utilization.limit.max(1.0) {
+            return None;
+        }
+        if binding.is_none() && self.fleet_limit.is_paused(now) {
+            return None;
+        }
+        let slow_start = SlowStartRules {
+            settings: &self.settings,
+            warm_load: &self.warm_load,
+            process_share: self.process_share,
+            gateways_per_server: self.fleet_limit.gateways_per_server(),
+            now,
+        };
+        Selection { class, attempts, binding, slow_start }.choose(&mut self.servers)
+    }
+
+    fn forward(&mut self, id: &Id, to: Id, now: Micros) {
+        let budget_left = self.slow_start_budget_after_attempt(&to, now);
+        let in_flight = self.in_flight.get_mut(id).expect("only a request in flight is forwarded");
+        let class = in_flight.request.class;
+        let server = self.servers.get_mut(&to).expect("a selected server is in the table");
+        server.in_flight += 1;
+        server.credit -= 1.0;
+        match budget_left {
+            Some(attempts) => server.slow_start = SlowStartBudget::new(attempts, now),
+            None => self.warm_load.count_attempt(),
+        }
+        let mut time_limit = attempt_time_limit(in_flight.deadline, now);
+        let lossy_limit =
+            server.failures.time_limit(&self.settings.classes[class], self.latencies.usual(class));
+        if let Some(limit) = lossy_limit.filter(|_| self.retry_budget.is_available()) {
+            time_limit = time_limit.min(limit);
+        }
+        let is_first = in_flight.attempts.is_empty();
+        if is_first {
+            self.retry_budget.earn();
+            let expires_at = attempt_expiry(in_flight.deadline);
+            self.expirations.reschedule(&mut in_flight.expires_at, expires_at, id);
+        }
+        in_flight.attempts.push(Attempt::start(to.clone(), now));
+        self.host.forward(id, &to, time_limit);
+        if let Some(tenant) = self.tenants.get_mut(&in_flight.request.tenant) {
+            tenant.refill(&self.settings.plans[tenant.plan()], self.process_share, now);
+            if is_first {
+                tenant.settle(in_flight.request.units);
+            }
+        }
+    }
+
+    /// What one more attempt leaves of a server's slow-start budget; none for a warm server.
+    fn slow_start_budget_after_attempt(&self, server: &Id, now: Micros) -> Option<f64> {
+        let server = self.servers.get(server).expect("a selected server is in the table");
+        let rules = self.slow_start_rules(now);
+        let started_at = server.effective_start();
+        (!rules.is_warm(started_at)).then(|| rules.budget(started_at, &server.slow_start) - 1.0)
+    }
+
+    /// Takes in what the end of an attempt tells of its server and of the fleet.
+    pub(super) fn learn_from_attempt(&mut self, end: &AttemptCompleted, class: usize, now: Micros) {
+        let elapsed = end.elapsed as f64;
+        let limit = self.utilization().limit;
+        self.fleet_limit.pause(elapsed, limit, now);
+        let Some(server) = self.servers.get_mut(&end.server) else { return };
+        server.in_flight = server.in_flight.saturating_sub(1);
+        let succeeded = end.outcome == Outcome::Ok;
+        if outlier::is_conclusive(end.outcome, elapsed, self.latencies.usual(class)) {
+            self.servers.record_outcome(&end.server, !succeeded, now);
+        }
+        if !succeeded {
+            return;
+        }
+        let objective = self.settings.classes[class].latency_objective;
+        let latency = self.latencies.record(class, objective, elapsed);
+        self.fleet_limit.record(elapsed, latency);
+        if let Some(server) = self.servers.get_mut(&end.server) {
+            server.limit.record(elapsed, latency, server.in_flight, self.fleet_limit.min_limit());
+        }
+    }
+
+    /// After an attempt that failed: another one where the rules allow it, else the final answer.
+    pub(super) fn retry_or_give_up(&mut self, id: &Id, now: Micros) {
+        let Some(in_flight) = self.in_flight.get(id) else { return };
+        let class = in_flight.request.class;
+        let allowed = retry::check(
+            in_flight,
+            &self.settings.classes[class],
+            self.latencies.usual(class),
+            self.settings.max_attempts,
+            &self.retry_budget,
+            now,
+        );
+        if let Err(reason) = allowed {
+            return self.give_up(id, reason);
+        }
+        let attempts = in_flight.attempts.clone();
+        match self.select_server(class, &attempts, now) {
+            Some(server) => {
+                self.retry_budget.spend();
+                self.forward(id, server, now);
+            }
+            None => self.give_up(id, RejectReason::NoServer),
+        }
+    }
+
+    /// Gives the final answer: a rejection where the client may safely send the request again, else a failure.
+    pub(super) fn give_up(&mut self, id: &Id, reason: RejectReason) {
+        let Some(in_flight) = self.in_flight.get(id).filter(|in_flight| !in_flight.answered) else { return };
+        let class = &self.settings.classes[in_flight.request.class];
+        if retry::client_may_repeat(in_flight, class) {
+            self.host.reject(id, self.settings.max_retry_after, reason);
+        } else {
+            self.host.fail(id, reason);
+        }
+        self.complete(id, None);
+    }
+
+    /// Marks a request as answered, cancels its attempt unless the answer comes from it, and forgets the request once
+    /// no attempt is running.
+    pub(super) fn complete(&mut self, id: &Id, answering_attempt: Option<usize>) {
+        let Some(in_flight) = self.in_flight.get_mut(id) else { return };
+        let running = in_flight.running_attempt();
+        let may_cancel = self.settings.can_cancel && !in_flight.answered;
+        if let Some(attempt) = running.filter(|attempt| may_cancel && Some(*attempt) != answering_attempt) {
+            self.host.cancel(id, attempt);
+        }
+        in_flight.answered = true;
+        self.expirations.remove(in_flight.expires_at, id);
+        if let Some(rank) = &in_flight.rank {
+            self.queue.remove(rank);
+        }
+        if running.is_none() {
+            self.forget(id);
+        }
+    }
+
+    fn forget(&mut self, id: &Id) {
+        let Some(in_flight) = self.in_flight.remove(id) else { return };
+        let request = in_flight.request;
+        if let Some(tenant) = self.tenants.get_mut(&request.tenant) {
+            if let Some(within_quota) = in_flight.within_quota.filter(|_| in_flight.attempts.is_empty()) {
+                tenant.release(request.units, within_quota);
+            }
+            tenant.concurrency.end();
+        }
+        self.update_concurrency_counter(&request.tenant, self.host.now());
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,36 @@
-//! fernscale meters many tenants' use of one shared service through several gateways.
+//! The decision module of a fernscale gateway: admission by quota, server selection, retries and deadlines.
+//!
+//! [`Engine`] is a state machine without I/O. Its caller reports each event by the method named after it, and the
+//! engine acts through the [`Host`] that it was given before the method returns. It holds no clock, socket or thread;
+//! its random numbers come from a generator seeded by [`Settings::seed`], so equal events give equal actions.
+#![warn(missing_docs)]
 
-mod interface;
-mod policy;
+mod admission;
+mod concurrency_limit;
+mod counter;
+mod deadline;
+mod endpoints;
+mod engine;
+mod event;
+mod hash;
+mod host;
+mod in_flight;
+mod latency;
+mod numeric;
+mod outlier;
+mod queue;
+mod quota;
 mod rejection;
+mod retry;
+mod selection;
 pub mod settings;
-mod state;
+mod slow_start;
+mod subset;
 
-pub use interface::*;
-pub use policy::Engine;
+pub use engine::Engine;
+pub use event::{
+    AttemptCompleted, Endpoint, EndpointState, Id, LoadReport, Micros, Outcome, Request, Subset,
+};
+pub use host::Host;
 pub use rejection::RejectReason;
+pub use settings::{Ceiling, Idempotency, KeyScope, Plan, RequestClass, Settings};
--- /dev/null
+++ b/crates/policy/src/quota.rs
@@ -0,0 +1,277 @@
+//! What this gateway knows of each tenant, and whether a request is within the tenant's quota.
+//!
+//! A tenant's requests come through several gateways. Each part of the quota has a file: the token bucket, the
+//! admission fraction, the windows of sparse tenants, requests in flight, and the hard ceiling; `judgement` asks them in
+//! order. Nothing here calls the counter: updates are prepared here and sent by the engine.
+
+mod bucket;
+mod ceiling;
+mod concurrency;
+mod fraction;
+mod judgement;
+mod window;
+
+use rand::Rng;
+
+use crate::admission::AwaitingReply;
+use crate::counter::{
+    update_probability, CounterKey, CounterReply, Decay, KeyedCounter, UnitsCounter, UnitsUpdate,
+    MAX_TOTAL_AGE, MAX_WINDOW, MIN_UPDATE_INTERVAL,
+};
+use crate::event::{Id, Micros, Outcome, Request};
+use crate::numeric::SECOND;
+use crate::settings::Plan;
+
+use bucket::TokenBucket;
+use ceiling::CeilingShare;
+pub use concurrency::ConcurrencyQuota;
+use fraction::AdmissionFraction;
+pub use judgement::{JudgeContext, QuotaHistory};
+use window::{SparseWindow, WindowAllowance};
+
+/// A tenant without requests for this long is forgotten: any burst has refilled by then.
+const TENANT_IDLE_TIMEOUT: Micros = 30 * SECOND;
+
+/// An update of the shared counter.
+pub struct CounterUpdate {
+    /// The counter's key.
+    pub key: String,
+    /// What is added.
+    pub amount: f64,
+    /// For how long a new counter is kept.
+    pub lifetime: Micros,
+}
+
+/// One tenant.
+pub struct TenantState {
+    plan: usize,
+    /// How many gateways its requests come through.
+    gateway_spread: f64,
+    bucket: TokenBucket,
+    ceiling: CeilingShare,
+    fraction: AdmissionFraction,
+    allowance: WindowAllowance,
+    /// Its requests in flight.
+    pub concurrency: ConcurrencyQuota,
+    units: UnitsCounter,
+    /// What is known is too little to decide the last request by.
+    in_doubt: bool,
+    /// Its requests that wait for a reply.
+    pub awaiting: AwaitingReply,
+}
+
+impl TenantState {
+    /// A tenant that is new here: it has its even share of the quota until a total is known.
+    ///
+    /// `process_share` is this process's part of the gateway's ceilings and `age` the time that it has had it for.
+    pub fn new(
+        request: &Request,
+        plan: &Plan,
+        gateway_count: u32,
+        process_share: f64,
+        age: Micros,
+        rng: &mut impl Rng,
+        now: Micros,
+    ) -> Self {
+        let gateway_spread = f64::from(request.gateway_spread.clamp(1, gateway_count.max(1)));
+        TenantState {
+            plan: request.plan,
+            gateway_spread,
+            bucket: TokenBucket::new(plan.burst / gateway_spread, now),
+            ceiling: CeilingShare::new(plan.ceiling, process_share, gateway_spread, age, now),
+            fraction: AdmissionFraction::new(rng.gen(), now),
+            allowance: WindowAllowance::default(),
+            concurrency: ConcurrencyQuota::default(),
+            units: UnitsCounter::default(),
+            in_doubt: false,
+            awaiting: AwaitingReply::default(),
+        }
+    }
+
+    /// Index of the plan that its first request named.
+    pub fn plan(&self) -> usize {
+        self.plan
+    }
+
+    /// Its requests come through other gateways too.
+    pub fn is_shared(&self) -> bool {
+        self.gateway_spread > 1.0
+    }
+
+    /// Whether it may be forgotten.
+    pub fn is_stale(&self, now: Micros) -> bool {
+        self.concurrency.is_idle() && self.bucket.refilled_at() + TENANT_IDLE_TIMEOUT <= now
+    }
+
+    /// Refills the bucket and the part of the ceiling up to now.
+    pub fn refill(&mut self, plan: &Plan, process_share: f64, now: Micros) {
+        let is_known = self.units.last_total_at().is_some();
+        let share = if is_known { 1.0 } else { 1.0 / self.gateway_spread };
+        self.bucket.refill(plan, share, now);
+        self.ceiling.refill(plan.ceiling, process_share, self.gateway_spread, now);
+    }
+
+    /// Counts a request that has arrived, and notes whether what is known is enough to decide it by.
+    pub fn begin(&mut self, request: &Request, plan: &Plan, process_share: f64, now: Micros) {
+        self.refill(plan, process_share, now);
+        self.concurrency.begin();
+        self.units.add(request.units);
+        self.in_doubt = if self.sparse_window(plan).is_some() {
+            true
+        } else {
+            match self.units.last_total_at() {
+                Some(at) => now - at >= MAX_TOTAL_AGE,
+                None => self.bucket.tokens() < request.units,
+            }
+        };
+        self.awaiting.push(request.id.clone());
+    }
+
+    /// Whether the last request has to wait for a reply.
+    pub fn needs_reply(&self) -> bool {
+        self.concurrency.is_update_pending() || self.in_doubt && self.units.is_update_pending()
+    }
+
+    /// Whether requests wait though no update of units is under way.
+    pub fn awaits_no_update(&self) -> bool {
+        !self.awaiting.is_empty() && !self.units.is_update_pending()
+    }
+
+    /// Whether the part of the ceiling holds so many units.
+    pub fn within_ceiling(&self, plan: &Plan, units: f64) -> bool {
+        plan.ceiling.is_none() || self.ceiling.has(units)
+    }
+
+    /// Takes the units of a request that waits for a server from now on.
+    pub fn reserve(&mut self, units: f64, within_quota: bool) {
+        self.ceiling.reserve(units);
+        if within_quota {
+            self.bucket.take(units);
+            self.fraction.count_admitted(units);
+        }
+    }
+
+    /// Gives back the units of a request that was never forwarded.
+    pub fn release(&mut self, units: f64, within_quota: bool) {
+        self.ceiling.release(units);
+        if within_quota {
+            self.bucket.take(-units);
+            self.fraction.count_admitted(-units);
+        }
+    }
+
+    /// Notes that a request has been forwarded for the first time.
+    pub fn settle(&mut self, units: f64) {
+        self.ceiling.settle(units);
+    }
+
+    /// Corrects the units of a request by this difference.
+    pub fn correct(&mut self, units: f64, within_quota: bool) {
+        self.units.add(units);
+        if within_quota {
+            self.bucket.take(units);
+        }
+    }
+
+    fn sparse_window(&self, plan: &Plan) -> Option<SparseWindow> {
+        SparseWindow::of(plan, self.gateway_spread)
+    }
+
+    /// Prepares the update of this tenant's offered units, if one is due.
+    pub fn prepare_units_update(
+        &mut self,
+        id: &Id,
+        plan: &Plan,
+        call_probability: f64,
+        has_shared_counter: bool,
+        rng: &mut impl Rng,
+        now: Micros,
+    ) -> Option<CounterUpdate> {
+        if self.units.is_update_pending() {
+            return None;
+        }
+        self.awaiting.cover_all();
+        if let Some(window) = self.sparse_window(plan) {
+            let number = window.number(id, now);
+            self.units.enter_window(number);
+            if !has_shared_counter || self.units.has_reached(window.limit) {
+                return None;
+            }
+            if call_probability < 1.0 && rng.gen::<f64>() >= call_probability {
+                return None;
+            }
+            return Some(self.begin_sparse_update(id, number, window.period));
+        }
+        let is_due = now >= self.units.updated_at() + MIN_UPDATE_INTERVAL && plan.rate > 0.0;
+        if !is_due || !has_shared_counter || !self.is_shared() {
+            return None;
+        }
+        let decay = Decay::of(plan);
+        let window = decay.window_start(now);
+        self.units.enter_window(window);
+        self.units.note_update(now);
+        self.fraction.age_recent();
+        let pending = self.units.take_pending();
+        let demand = self.fraction.demand();
+        let probability = update_probability(call_probability, pending, demand, decay, self.in_doubt);
+        if probability < 1.0 && rng.gen::<f64>() >= probability {
+            self.extrapolate(pending, plan, now);
+            return None;
+        }
+        let update = self.units.begin_update(pending, probability, decay, now);
+        let key = CounterKey { counter: KeyedCounter::Units, window, tenant: id };
+        Some(CounterUpdate { key: key.to_string(), amount: update.amount, lifetime: MAX_WINDOW })
+    }
+
+    fn begin_sparse_update(&mut self, id: &Id, window: u64, period: Micros) -> CounterUpdate {
+        let pending = self.units.take_pending();
+        let update = self.units.begin_sparse_update(pending);
+        let key = CounterKey { counter: KeyedCounter::SparseUnits, window, tenant: id };
+        CounterUpdate { key: key.to_string(), amount: update.amount, lifetime: period }
+    }
+
+    /// Ends the update of units under way.
+    pub fn take_units_update(&mut self) -> Option<UnitsUpdate> {
+        self.units.take_update()
+    }
+
+    /// Takes in the reply to an update of units; the bucket has to be refilled up to now.
+    pub fn apply_units_reply(
+        &mut self,
+        update: UnitsUpdate,
+        reply: &CounterReply,
+        plan: &Plan,
+        rng: &mut impl Rng,
+        now: Micros,
+    ) {
+        let succeeded = reply.outcome == Outcome::Ok;
+        if let Some(window) = self.sparse_window(plan) {
+            if succeeded {
+                self.allowance.apply_total(window, reply.total, update.pending, rng);
+                self.units.record_total(reply.total, now);
+            } else {
+                self.units.add(update.pending);
+            }
+            return;
+        }
+        let decay = Decay::of(plan);
+        let remaining = decay.remaining(now - self.fraction.computed_at());
+        self.units.settle_update(reply.may_have_counted(), update.pending, remaining);
+        if succeeded {
+            let reading = self.units.read_total(reply.total, update.amount, decay, now);
+            self.fraction.apply_reading(&reading, update.pending, &mut self.bucket, plan, now);
+            return;
+        }
+        if reply.may_have_counted() {
+            self.units.assume_counted(update.amount);
+        }
+        self.extrapolate(update.pending, plan, now);
+    }
+
+    /// Goes on without a total, where one was known before.
+    fn extrapolate(&mut self, pending: f64, plan: &Plan, now: Micros) {
+        if self.units.last_total_at().is_some() {
+            self.fraction.extrapolate(pending, self.gateway_spread, &mut self.bucket, plan, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/selection.rs
@@ -0,0 +1,102 @@
+//! Weighted round robin among the servers that may have a request; whether it is sent at all is decided elsewhere.
+
+use crate::endpoints::{EndpointTable, Server};
+use crate::event::{Id, Micros};
+use crate::in_flight::Attempt;
+use crate::numeric::NEGLIGIBLE;
+use crate::settings::{Idempotency, KeyScope, RequestClass};
+use crate::slow_start::SlowStartRules;
+
+/// The servers that a request with an idempotency key is bound to, once an attempt may have run.
+pub struct KeyBinding {
+    /// The zone or cell, where the scope is one.
+    group: Option<u32>,
+    /// When the servers forget the key.
+    until: Micros,
+}
+
+impl KeyBinding {
+    /// The binding of a request by its attempts; none where the class has no key or nothing may have run.
+    ///
+    /// A server that has left the table takes the knowledge of its group with it: then no server fits.
+    pub fn of(class: &RequestClass, attempts: &[Attempt], servers: &EndpointTable) -> Option<Self> {
+        let Idempotency::Keyed { retention, .. } = class.idempotency else { return None };
+        let first = attempts.iter().find(|attempt| attempt.may_have_run)?;
+        let Some(server) = servers.get(&first.server) else {
+            return Some(KeyBinding { group: None, until: 0 });
+        };
+        Some(KeyBinding { group: scope_group(class, server), until: first.sent_at + retention })
+    }
+
+    fn admits(&self, class: &RequestClass, server: &Server, now: Micros) -> bool {
+        now < self.until && self.group == scope_group(class, server)
+    }
+}
+
+/// The zone or cell whose servers share their memory of keys; none where all do.
+fn scope_group(class: &RequestClass, server: &Server) -> Option<u32> {
+    match class.idempotency {
+        Idempotency::Keyed { scope: KeyScope::Zone, .. } => Some(server.zone),
+        Idempotency::Keyed { scope: KeyScope::Cell, .. } => Some(server.cell),
+        _ => None,
+    }
+}
+
+/// One choice of a server.
+pub struct Selection<'a> {
+    /// The request's class.
+    pub class: &'a RequestClass,
+    /// The attempts that it had.
+    pub attempts: &'a [Attempt],
+    /// The servers that it is bound to.
+    pub binding: Option<KeyBinding>,
+    /// The rules for servers that have just started.
+    pub slow_start: SlowStartRules<'a>,
+}
+
+impl Selection<'_> {
+    /// The server that is next, or none where no server has capacity for the request.
+    pub fn choose(&self, servers: &mut EndpointTable) -> Option<Id> {
+        let fits = |(id, server): &(&Id, &Server)| self.fits(id, server);
+        let weigh = |(id, server): (&Id, &Server)| (id.clone(), self.weight(server));
+        let candidates: Vec<(Id, f64)> = match self.binding {
+            None => servers.assigned().filter(fits).map(weigh).collect(),
+            Some(_) => servers.iter().filter(fits).map(weigh).collect(),
+        };
+        let sum = candidates.iter().map(|(_, weight)| weight).sum::<f64>().max(f64::MIN_POSITIVE);
+        for (id, weight) in &candidates {
+            servers.get_mut(id).expect("a candidate is in the table").credit += weight / sum;
+        }
+        let credit = |id: &Id| servers.get(id).map_or(0.0, |server| server.credit);
+        // In reverse, as `max_by` returns the last of equal maxima.
+        let ids = candidates.into_iter().map(|(id, _)| id).rev();
+        ids.max_by(|id, other| credit(id).total_cmp(&credit(other)))
+    }
+
+    fn fits(&self, id: &Id, server: &Server) -> bool {
+        let now = self.slow_start.now;
+        let usable = match &self.binding {
+            None => server.assigned,
+            Some(binding) => binding.admits(self.class, server, now),
+        };
+        usable
+            && server.ready
+            && !server.cordoned
+            && f64::from(server.in_flight) < server.limit.get().max(1.0)
+            && !server.failures.is_ejected(now)
+            && self.has_slow_start_budget(server)
+            && !self.attempts.iter().any(|attempt| attempt.server == *id)
+    }
+
+    fn has_slow_start_budget(&self, server: &Server) -> bool {
+        let started_at = server.effective_start();
+        self.slow_start.is_warm(started_at) || self.slow_start.budget(started_at, &server.slow_start) >= 1.0
+    }
+
+    fn weight(&self, server: &Server) -> f64 {
+        let capacity = self.slow_start.capacity_share(server.effective_start());
+        let speed = server.weight.max(NEGLIGIBLE) * capacity / server.limit.relative_latency();
+        // A limit below one can't keep a server from its turn: it has to count here.
+        speed * server.limit.get().min(1.0) * (1.0 - server.failures.share())
+    }
+}
--- /dev/null
+++ b/crates/policy/src/settings/error.rs
@@ -0,0 +1,113 @@
+//! What can be wrong with the platform's settings; texts name the setting as the platform does.
+
+use thiserror::Error;
+
+/// A setting that can't be used, by its name and the value that was found.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum SettingsError {
+    /// A setting without a default is absent.
+    #[error("'{key}' is missing")]
+    Missing {
+        /// The setting's name.
+        key: String,
+    },
+    /// A finite number was expected.
+    #[error("'{key}={found}' is no number")]
+    NotANumber {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// A whole number from 0 on was expected.
+    #[error("'{key}={found}' is no whole number")]
+    NotAWholeNumber {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// A number from 0 on was expected.
+    #[error("'{key}={found}' is below 0")]
+    Negative {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: f64,
+    },
+    /// A time of more than half a microsecond was expected.
+    #[error("'{key}={found}' leaves no time")]
+    NoTime {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// One of 0, 1, false and true was expected.
+    #[error("'{key}={found}' is neither yes nor no")]
+    NotAFlag {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// At least one attempt was expected.
+    #[error("'{key}=0': nothing could be sent")]
+    NoAttempts {
+        /// The setting's name.
+        key: String,
+    },
+    /// A way to get the endpoint list was expected.
+    #[error("'{key}={found}' is neither 'pushed' nor 'on_request'")]
+    UnknownDiscovery {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// A share from 0 to 1 was expected.
+    #[error("'{key}={found}' is more than all")]
+    ShareAboveOne {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: f64,
+    },
+    /// The scope of an idempotency key was expected.
+    #[error("'{key}={found}' is no group")]
+    UnknownKeyScope {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// A kind of idempotency was expected.
+    #[error("'{key}={found}' is no effect")]
+    UnknownIdempotency {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// Two classes or two plans have one name: which of them a client means can't be known.
+    #[error("'{key}={found}' comes twice")]
+    DuplicateName {
+        /// The setting's name.
+        key: String,
+        /// Its value.
+        found: String,
+    },
+    /// A number was expected in a server's load report.
+    #[error("'{found}' in a load report is no number")]
+    LoadNotANumber {
+        /// The value.
+        found: String,
+    },
+}
+
+impl From<SettingsError> for String {
+    /// The error's text, for callers whose errors are texts.
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
+}
--- /dev/null
+++ b/crates/policy/src/settings/platform.rs
@@ -0,0 +1,218 @@
+//! Reads the platform's settings into the module's types: the one place that knows the platform's names and units.
+
+use super::{Ceiling, Fields, Idempotency, KeyScope, Plan, RequestClass, Settings, SettingsError};
+use crate::event::{LoadReport, Micros};
+
+/// The most units that a request may take where the settings don't say: a shared counter could not hold more.
+const DEFAULT_MAX_UNITS: f64 = 1e6;
+
+/// The settings of the decision module.
+///
+/// # Errors
+///
+/// The first setting that is missing or can't be used.
+pub fn policy_settings(from: &impl Fields) -> Result<Settings, SettingsError> {
+    Ok(Settings {
+        seed: from.whole("prng")?,
+        gateway_index: from.whole_or("me", 0)? as u32,
+        gateway_count: from.whole_or("balancers", 1)? as u32,
+        classes: indices(from, "lanes")?.map(|index| request_class(from, index)).collect::<Result<_, _>>()?,
+        plans: indices(from, "tiersOfService")?.map(|index| plan(from, index)).collect::<Result<_, _>>()?,
+        max_attempts: max_attempts(from)?,
+        can_cancel: from.flag("ceilings.cancel")?,
+        max_retry_after: max_retry_after(from)?,
+        has_shared_counter: from.flag("specifics.sharedCounter")?,
+        list_poll_interval: list_poll_interval(from)?,
+        slow_start_share: slow_start_share(from)?,
+        slow_start_duration: from.time_or("rules.warmUpMs", 0)?,
+        overload_factor: from.amount_or("rules.fallMultiple", 1.0)?,
+        overload_window: from.time_or("rules.fallMs", 0)?,
+    })
+}
+
+fn indices(from: &impl Fields, list: &str) -> Result<std::ops::Range<u64>, SettingsError> {
+    Ok(0..from.whole_or(&format!("{list}.count"), 0)?)
+}
+
+fn max_attempts(from: &impl Fields) -> Result<u32, SettingsError> {
+    let key = "ceilings.sendCap";
+    match from.whole_or(key, 1)? {
+        0 => Err(SettingsError::NoAttempts { key: key.into() }),
+        attempts => Ok(attempts.min(u32::MAX.into()) as u32),
+    }
+}
+
+fn max_retry_after(from: &impl Fields) -> Result<Micros, SettingsError> {
+    if from.flag("ceilings.retryAfter")? {
+        from.time_or("ceilings.maxRetryAfterMs", 0)
+    } else {
+        Ok(0)
+    }
+}
+
+fn list_poll_interval(from: &impl Fields) -> Result<Option<Micros>, SettingsError> {
+    let key = "discovery";
+    match from.field(key) {
+        Some("on_request") => Ok(Some(from.time_or("rules.askWithinMs", 0)?)),
+        Some("pushed") | None => Ok(None),
+        Some(other) => Err(SettingsError::UnknownDiscovery { key: key.into(), found: other.into() }),
+    }
+}
+
+fn slow_start_share(from: &impl Fields) -> Result<f64, SettingsError> {
+    let key = "rules.coldFrom";
+    let share = from.amount_or(key, 1.0)?;
+    if share > 1.0 {
+        return Err(SettingsError::ShareAboveOne { key: key.into(), found: share });
+    }
+    Ok(share)
+}
+
+fn request_class(from: &impl Fields, index: u64) -> Result<RequestClass, SettingsError> {
+    let key = |name: &str| format!("lanes.{index}.{name}");
+    Ok(RequestClass {
+        idempotency: idempotency(from, &key)?,
+        latency_objective: from.some_time(&key("onTimeMs"))?,
+        priority_weight: from.number_or(&key("value"), 1.0)?,
+    })
+}
+
+fn idempotency(from: &impl Fields, key: &impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
+    match from.text(&key("effect"))? {
+        "read_like" => Ok(Idempotency::Idempotent),
+        "idempotency_key" => Ok(Idempotency::Keyed {
+            scope: key_scope(from, key("group"))?,
+            retention: from.time_or(&key("memorySpanMs"), 0)?,
+        }),
+        "non_idempotent" => Ok(Idempotency::NonIdempotent),
+        other => Err(SettingsError::UnknownIdempotency { key: key("effect"), found: other.into() }),
+    }
+}
+
+fn key_scope(from: &impl Fields, key: String) -> Result<KeyScope, SettingsError> {
+    match from.text(&key)? {
+        "all" => Ok(KeyScope::All),
+        "zone" => Ok(KeyScope::Zone),
+        "cell" => Ok(KeyScope::Cell),
+        other => Err(SettingsError::UnknownKeyScope { found: other.into(), key }),
+    }
+}
+
+fn plan(from: &impl Fields, index: u64) -> Result<Plan, SettingsError> {
+    let key = |name: &str| format!("tiersOfService.{index}.{name}");
+    let number = |name: &str| from.amount_or(&key(name), 0.0);
+    let max_concurrency = number("maxOut")?;
+    if max_concurrency.fract() != 0.0 {
+        return Err(SettingsError::NotAWholeNumber {
+            key: key("maxOut"),
+            found: max_concurrency.to_string(),
+        });
+    }
+    let ceiling = Ceiling { rate: number("capRate")?, burst: number("ceilingBurst")? };
+    Ok(Plan {
+        rate: number("unitsPerS")?,
+        burst: number("burst")?,
+        max_concurrency: max_concurrency as u32,
+        priority_factor: from.number_or(&key("valueFactor"), 1.0)?,
+        excess_value: number("excessWorth")?,
+        excess_cost: number("excessCost")?,
+        ceiling: Some(ceiling).filter(|ceiling| ceiling.rate > 0.0),
+    })
+}
+
+/// What a gateway needs of the platform's settings beside [`Settings`]: names in use outside, and the site's limits.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct PlatformSettings {
+    /// Names of the request classes, by index.
+    pub class_names: Vec<String>,
+    /// Names of the plans, by index.
+    pub plan_names: Vec<String>,
+    /// Names of the zones, by index.
+    pub zones: Vec<String>,
+    /// Names of the hardware types, by index.
+    pub hardware_types: Vec<String>,
+    /// Names of the values of a server's load report, in their order.
+    pub load_fields: Vec<String>,
+    /// A connection that is not up by then never comes up.
+    pub connect_timeout: Micros,
+    /// A connection that is idle for so long ends.
+    pub idle_timeout: Micros,
+    /// The longest wait for a reply of the shared counter.
+    pub counter_timeout: Micros,
+    /// The longest that a client of any class waits.
+    pub max_client_wait: Micros,
+    /// The longest Retry-After that a rejection may carry.
+    pub max_retry_after: Micros,
+    /// The endpoint list comes from an agent of this gateway's own, which pushes it; else from a service that all
+    /// gateways poll.
+    pub list_is_pushed: bool,
+    /// How many gateways there are.
+    pub gateway_count: u32,
+    /// The most units that a request may take.
+    pub max_units: f64,
+}
+
+/// The settings of a gateway beside those of the decision module.
+///
+/// # Errors
+///
+/// The first setting that is missing or can't be used.
+pub fn platform_settings(from: &impl Fields) -> Result<PlatformSettings, SettingsError> {
+    // Read first: of several wrong settings this one is reported.
+    let max_client_wait = max_client_wait(from)?;
+    Ok(PlatformSettings {
+        class_names: unique_names(from, "lanes")?,
+        plan_names: unique_names(from, "tiersOfService")?,
+        zones: from.names("zones"),
+        hardware_types: from.names("kinds"),
+        load_fields: from.names("telemetry.names"),
+        connect_timeout: from.some_time("ceilings.dialTimeoutMs")?,
+        idle_timeout: from.time("ceilings.connIdleMs")?,
+        counter_timeout: from.time_or("specifics.countWaitMs", 0)?,
+        max_client_wait,
+        max_retry_after: max_retry_after(from)?,
+        list_is_pushed: from.field("discovery") != Some("on_request"),
+        gateway_count: from.whole_or("balancers", 1)?.max(1) as u32,
+        max_units: from.number_or("specifics.mostUnits", DEFAULT_MAX_UNITS)?,
+    })
+}
+
+fn unique_names(from: &impl Fields, list: &str) -> Result<Vec<String>, SettingsError> {
+    let mut names: Vec<String> = Vec::new();
+    for index in indices(from, list)? {
+        let key = format!("{list}.{index}.name");
+        let name = from.text(&key)?;
+        if names.iter().any(|known| known == name) {
+            return Err(SettingsError::DuplicateName { found: name.into(), key });
+        }
+        names.push(name.into());
+    }
+    Ok(names)
+}
+
+fn max_client_wait(from: &impl Fields) -> Result<Micros, SettingsError> {
+    let mut longest = 0;
+    for index in indices(from, "lanes")? {
+        longest = longest.max(from.some_time(&format!("lanes.{index}.giveUpMs"))?);
+    }
+    Ok(longest)
+}
+
+/// Sets one value of a load report; names that are not known are passed over.
+///
+/// # Errors
+///
+/// The value is no number.
+pub fn parse_load_field(load: &mut LoadReport, name: &str, value: &str) -> Result<(), SettingsError> {
+    let Ok(number) = value.parse::<f64>() else {
+        return Err(SettingsError::LoadNotANumber { found: value.into() });
+    };
+    match name {
+        "busy_reqs" => load.in_flight = Some(number),
+        "pending" => load.queued = Some(number),
+        "cpu_share" => load.utilization = Some(number),
+        "svc_ms" => load.service_time = Some((number * 1000.0).max(0.0) as Micros),
+        _ => {}
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/policy/src/subset.rs
@@ -0,0 +1,43 @@
+//! Which servers this gateway uses, where others have not assigned them: a stretch of a ring; it learns nothing of them.
+
+use crate::endpoints::Server;
+use crate::event::{Id, Subset};
+
+/// Gateways to a server, beyond which each gateway uses only some servers. Danger: one attempt from each of many
+/// gateways overloads a server.
+const MAX_GATEWAYS_PER_SERVER: usize = 2;
+
+/// The fewest servers that a gateway uses.
+const MIN_SUBSET_SIZE: usize = 8;
+
+/// This gateway among all of them.
+#[derive(Clone, Copy)]
+pub struct GatewayPosition {
+    /// Its number, from 0.
+    pub index: u32,
+    /// How many gateways there are.
+    pub count: u32,
+}
+
+/// Marks the servers that this gateway uses, with their weights, and returns how many gateways use a server.
+///
+/// `ring` holds all servers that fit, in the order of their positions. Without a subset the gateway takes a stretch of
+/// the ring that starts at its own position, which a new list moves little.
+pub fn assign(ring: &mut [(&Id, &mut Server)], gateway: GatewayPosition, subset: Option<&Subset>) -> f64 {
+    if let Some(subset) = subset {
+        for (id, server) in ring.iter_mut() {
+            server.assign(subset.weights.get(*id).copied());
+        }
+        return subset.gateways_per_server;
+    }
+    let servers = ring.len().max(1);
+    let gateways = gateway.count.max(1) as usize;
+    let size = (servers / (gateways / MAX_GATEWAYS_PER_SERVER).max(1)).max(MIN_SUBSET_SIZE).min(servers);
+    let first = gateway.index as usize % gateways * servers / gateways;
+    for (position, (_, server)) in ring.iter_mut().enumerate() {
+        let in_stretch = (position + servers - first) % servers < size;
+        let weight = server.listed_weight;
+        server.assign(in_stretch.then_some(weight));
+    }
+    ((gateways * size) as f64 / servers as f64).max(1.0)
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -10,12 +10,12 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use fernscale_policy::settings::{self, Fields, Parsed};
+use fernscale_policy::settings::{self, Fields};
 use fernscale_policy::Engine;
 use fernscale_policy::{Endpoint, EndpointState, Micros};
 
 use host::{Desk, WireHost};
-use wire::{from_base64, Line};
+use wire::{from_base64, Line, Parsed};
 
 struct Instance {
     gateway: Engine<WireHost>,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,9 +2,12 @@
 
 use std::collections::HashMap;
 
-use fernscale_policy::settings::{self, Fields, Parsed};
+use fernscale_policy::settings::{self, Fields};
 use fernscale_policy::{AttemptCompleted, Id, LoadReport, Micros, Outcome, Request};
 
+/// A parsed value, or what is wrong with it.
+pub type Parsed<T> = Result<T, String>;
+
 /// One line: its name and its `name=value` parts.
 pub struct Line<'a> {
     pub name: &'a str,
@@ -30,7 +33,7 @@
     }
 
     pub fn id(&self, key: &str) -> Parsed<Id> {
-        self.text(key).map(Id::from)
+        Ok(Id::from(self.text(key)?))
     }
 
     pub fn outcome(&self) -> Parsed<Outcome> {
