--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Reads batches of events, hands each to its instance, writes the instances' actions.
 
 mod host;
-mod wire;
+mod protocol;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,55 +14,55 @@
 use fernscale_policy::Engine;
 use fernscale_policy::{Endpoint, EndpointState, Micros};
 
-use host::{Desk, WireHost};
-use wire::{from_base64, Line, Parsed};
+use host::{ActionQueue, ProtocolHost};
+use protocol::{base64_decode, Line, Parsed};
 
 struct Instance {
-    gateway: Engine<WireHost>,
-    desk: Rc<RefCell<Desk>>,
-    load_names: Vec<String>,
+    engine: Engine<ProtocolHost>,
+    queue: Rc<RefCell<ActionQueue>>,
+    load_fields: Vec<String>,
 }
 
 #[derive(Default)]
-struct Process {
+struct Session {
     instances: HashMap<String, Instance>,
     /// The numbered lists as they stand at this point of the batch.
     lists: HashMap<u64, Vec<Endpoint>>,
     /// The list whose entries are being read, and how many are still to come.
-    filling: Option<(u64, u64)>,
+    open_list: Option<(u64, u64)>,
     now: Micros,
-    turn: String,
+    batch: String,
     reply: String,
 }
 
-impl Process {
+impl Session {
     /// Takes one line; true when it closed the batch and the reply is complete.
     fn line(&mut self, text: &str) -> Parsed<bool> {
         let line = Line::parse(text)?;
-        if let Some((list, left)) = self.filling {
+        if let Some((list, left)) = self.open_list {
             if line.name != "row" {
                 return Err(format!("'{}' where {left} more rows of a list belong", line.name));
             }
-            self.lists.entry(list).or_default().push(listed(&line)?);
-            self.filling = Some((list, left - 1)).filter(|(_, left)| *left > 0);
+            self.lists.entry(list).or_default().push(parse_endpoint(&line)?);
+            self.open_list = Some((list, left - 1)).filter(|(_, left)| *left > 0);
             return Ok(false);
         }
         match line.name {
             "" => {}
             "begin_batch" => {
                 self.now = line.time("atTimeMs")?;
-                self.turn = line.text("turn")?.to_string();
+                self.batch = line.text("turn")?.to_string();
             }
             "your_turn" => {
-                self.reply.push_str(&format!("done turn={}\n", self.turn));
+                self.reply.push_str(&format!("done turn={}\n", self.batch));
                 return Ok(true);
             }
             "directory" => {
                 let (list, entries) = (line.whole("list")?, line.whole_or("membersList", 0)?);
                 self.lists.insert(list, Vec::new());
-                self.filling = Some((list, entries)).filter(|(_, left)| *left > 0);
+                self.open_list = Some((list, entries)).filter(|(_, left)| *left > 0);
             }
-            "born" => self.born(&line)?,
+            "born" => self.start_instance(&line)?,
             "stop" => {
                 self.instances.remove(line.text("who")?);
             }
@@ -71,18 +71,18 @@
         Ok(false)
     }
 
-    fn born(&mut self, line: &Line) -> Parsed<()> {
+    fn start_instance(&mut self, line: &Line) -> Parsed<()> {
         let name = line.text("who")?.to_string();
         let settings = settings::policy_settings(line)?;
-        let load_names = line.names("telemetry.names");
-        let desk = Rc::new(RefCell::new(Desk { now: self.now, ..Desk::default() }));
-        let host = WireHost { name: name.clone(), desk: Rc::clone(&desk) };
+        let load_fields = line.names("telemetry.names");
+        let queue = Rc::new(RefCell::new(ActionQueue { now: self.now, ..ActionQueue::default() }));
+        let host = ProtocolHost { name: name.clone(), queue: Rc::clone(&queue) };
         match catch_unwind(AssertUnwindSafe(|| Engine::new(settings, host))) {
-            Ok(gateway) => {
-                self.reply.push_str(&std::mem::take(&mut desk.borrow_mut().actions));
-                self.instances.insert(name, Instance { gateway, desk, load_names });
+            Ok(engine) => {
+                self.reply.push_str(&std::mem::take(&mut queue.borrow_mut().actions));
+                self.instances.insert(name, Instance { engine, queue, load_fields });
             }
-            Err(panic) => self.fault(&name, panic),
+            Err(panic) => self.report_panic(&name, panic),
         }
         Ok(())
     }
@@ -92,20 +92,20 @@
         let Some(instance) = self.instances.get_mut(name) else {
             return Err(format!("no instance '{name}' here"));
         };
-        instance.desk.borrow_mut().now = self.now;
+        instance.queue.borrow_mut().now = self.now;
         let lists = &self.lists;
         let done = catch_unwind(AssertUnwindSafe(|| deliver(instance, line, lists)));
-        self.reply.push_str(&std::mem::take(&mut instance.desk.borrow_mut().actions));
+        self.reply.push_str(&std::mem::take(&mut instance.queue.borrow_mut().actions));
         match done {
             Ok(parsed) => parsed,
             Err(panic) => {
-                self.fault(name, panic);
+                self.report_panic(name, panic);
                 Ok(())
             }
         }
     }
 
-    fn fault(&mut self, name: &str, panic: Box<dyn std::any::Any + Send>) {
+    fn report_panic(&mut self, name: &str, panic: Box<dyn std::any::Any + Send>) {
         let text = match (panic.downcast_ref::<String>(), panic.downcast_ref::<&str>()) {
             (Some(text), _) => text,
             (_, Some(text)) => *text,
@@ -116,19 +116,19 @@
 }
 
 fn deliver(instance: &mut Instance, line: &Line, lists: &HashMap<u64, Vec<Endpoint>>) -> Parsed<()> {
-    let gateway = &mut instance.gateway;
+    let engine = &mut instance.engine;
     match line.name {
-        "ask" => gateway.request_received(line.transaction()?),
-        "flowing" => gateway.response_started(&line.id("tid")?, line.whole("go")? as usize),
-        "returned" => gateway.attempt_completed(line.returned(&instance.load_names)?),
-        "dropped" => gateway.client_disconnected(&line.id("tid")?),
-        "reminder" => gateway.timer_fired(line.text("ctx")?),
+        "ask" => engine.request_received(line.request()?),
+        "flowing" => engine.response_started(&line.id("tid")?, line.whole("go")? as usize),
+        "returned" => engine.attempt_completed(line.attempt_completed(&instance.load_fields)?),
+        "dropped" => engine.client_disconnected(&line.id("tid")?),
+        "reminder" => engine.timer_fired(line.text("ctx")?),
         "probe_done" => {
-            let load = line.load(&instance.load_names)?;
-            gateway.health_check_completed(&line.id("server")?, line.outcome()?, load);
+            let load = line.load(&instance.load_fields)?;
+            engine.health_check_completed(&line.id("server")?, line.outcome()?, load);
         }
-        "mail" => gateway.message_received(line.whole("sender")? as u32, &from_base64(line.text("data")?)?),
-        "tally_back" => gateway.counter_replied(
+        "mail" => engine.message_received(line.whole("sender")? as u32, &base64_decode(line.text("data")?)?),
+        "tally_back" => engine.counter_replied(
             line.text("name")?,
             line.outcome()?,
             line.number_or("total", 0.0)?,
@@ -137,14 +137,14 @@
         "membership" => {
             let form = line.text("form")?;
             if form == "X" {
-                gateway.endpoints_unavailable();
+                engine.endpoints_unavailable();
                 return Ok(());
             }
             let list = line.whole("list")?;
             let entries = lists.get(&list).ok_or_else(|| format!("list {list} was never given"))?;
             match form {
-                "D" => gateway.endpoints_updated(false, entries),
-                "F" | "C" => gateway.endpoints_updated(true, entries),
+                "D" => engine.endpoints_updated(false, entries),
+                "F" | "C" => engine.endpoints_updated(true, entries),
                 other => return Err(format!("'form={other}' is no form of a list")),
             }
         }
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-fn listed(line: &Line) -> Parsed<Endpoint> {
+fn parse_endpoint(line: &Line) -> Parsed<Endpoint> {
     let started = Some(line.time_or("launchedMs", 0)?).filter(|at| *at > 0);
     Ok(Endpoint {
         server: line.id("server")?,
@@ -175,7 +175,7 @@
 fn main() -> ExitCode {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
-    let mut process = Process::default();
+    let mut session = Session::default();
     let mut text = String::new();
     for number in 1u64.. {
         text.clear();
@@ -187,14 +187,14 @@
                 return ExitCode::from(2);
             }
         }
-        match process.line(text.trim_end_matches(['\n', '\r'])) {
+        match session.line(text.trim_end_matches(['\n', '\r'])) {
             Ok(false) => {}
             Ok(true) => {
-                let written = output.write_all(process.reply.as_bytes()).and_then(|()| output.flush());
+                let written = output.write_all(session.reply.as_bytes()).and_then(|()| output.flush());
                 if written.is_err() {
                     return ExitCode::from(1);
                 }
-                process.reply.clear();
+                session.reply.clear();
             }
             Err(why) => {
                 eprintln!("line {number}: {why}: {}", text.trim_end());
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -59,7 +59,7 @@
         Ok(load)
     }
 
-    pub fn transaction(&self) -> Parsed<Request> {
+    pub fn request(&self) -> Parsed<Request> {
         Ok(Request {
             id: self.id("tid")?,
             class: self.whole("service")? as usize,
@@ -72,7 +72,7 @@
         })
     }
 
-    pub fn returned(&self, names: &[String]) -> Parsed<AttemptCompleted> {
+    pub fn attempt_completed(&self, names: &[String]) -> Parsed<AttemptCompleted> {
         Ok(AttemptCompleted {
             request: self.id("tid")?,
             attempt: self.whole("go")? as usize,
@@ -87,11 +87,11 @@
 }
 
 /// Microseconds as the wire writes them: milliseconds with their fraction.
-pub fn millis(time: Micros) -> String {
+pub fn milliseconds(time: Micros) -> String {
     format!("{}.{:03}", time / 1000, time % 1000)
 }
 
-pub fn base64(data: &[u8]) -> String {
+pub fn base64_encode(data: &[u8]) -> String {
     const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     if data.is_empty() {
         return "-".into();
@@ -100,17 +100,17 @@
     for chunk in data.chunks(3) {
         let bits =
             chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * (3 - chunk.len()));
-        for place in 0..4 {
-            let digit = DIGITS[(bits >> (18 - 6 * place)) as usize & 63];
-            text.push(if place <= chunk.len() { char::from(digit) } else { '=' });
+        for position in 0..4 {
+            let digit = DIGITS[(bits >> (18 - 6 * position)) as usize & 63];
+            text.push(if position <= chunk.len() { char::from(digit) } else { '=' });
         }
     }
     text
 }
 
-pub fn from_base64(text: &str) -> Parsed<Vec<u8>> {
+pub fn base64_decode(text: &str) -> Parsed<Vec<u8>> {
     let mut data = Vec::new();
-    let (mut bits, mut held) = (0u32, 0);
+    let (mut bits, mut bit_count) = (0u32, 0);
     for byte in text.trim_end_matches('=').bytes().filter(|_| text != "-") {
         let digit = match byte {
             b'A'..=b'Z' => byte - b'A',
@@ -121,10 +121,10 @@
             _ => return Err(format!("'{text}' is not base64")),
         };
         bits = bits << 6 | u32::from(digit);
-        held += 6;
-        if held >= 8 {
-            held -= 8;
-            data.push((bits >> held) as u8);
+        bit_count += 6;
+        if bit_count >= 8 {
+            bit_count -= 8;
+            data.push((bits >> bit_count) as u8);
         }
     }
     Ok(data)
