--- a/crates/gateway/src/dispatcher/action_queue.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -17,69 +17,70 @@
 
 /// What the module wants done, in its order.
 pub enum Action {
-    Send { transaction: Id, server: Id, limit: Micros },
-    Cancel { transaction: Id, trip: usize },
-    Refuse { transaction: Id, answer: FinalAnswer, why: RejectReason },
-    Alarm(Micros, Box<str>),
-    Server(Id, upstream::Order),
-    Add(Add),
-    List(discovery::Order),
+    Forward { request: Id, server: Id, limit: Micros },
+    Cancel { request: Id, attempt: usize },
+    Answer { request: Id, answer: FinalAnswer, reason: RejectReason },
+    SetTimer(Micros, Box<str>),
+    Upstream(Id, upstream::Order),
+    UpdateCounter(Add),
+    Discovery(discovery::Order),
 }
 
 /// The time that the module is told, and what it has asked for.
-pub struct Desk {
+pub struct ActionQueue {
     pub now: Micros,
     pub actions: VecDeque<Action>,
     pub log: Logger,
 }
 
 /// The decision module's [`Host`]: it writes down what is to be done.
-pub struct Hands(pub Rc<RefCell<Desk>>);
+pub struct ActionRecorder(pub Rc<RefCell<ActionQueue>>);
 
-impl Hands {
-    fn note(&self, action: Action) {
+impl ActionRecorder {
+    fn record(&self, action: Action) {
         self.0.borrow_mut().actions.push_back(action);
     }
 }
 
-impl Host for Hands {
+impl Host for ActionRecorder {
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
-    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
-        self.note(Action::Send { transaction: transaction.clone(), server: server.clone(), limit });
+    fn forward(&mut self, request: &Id, server: &Id, limit: Micros) {
+        self.record(Action::Forward { request: request.clone(), server: server.clone(), limit });
     }
-    fn cancel(&mut self, transaction: &Id, trip: usize) {
-        self.note(Action::Cancel { transaction: transaction.clone(), trip });
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        self.record(Action::Cancel { request: request.clone(), attempt });
     }
-    fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
-        self.note(Action::Refuse {
-            transaction: transaction.clone(),
-            answer: FinalAnswer::Rejected(wait),
-            why,
-        });
+    fn reject(&mut self, request: &Id, wait: Micros, reason: RejectReason) {
+        self.record(Action::Answer { request: request.clone(), answer: FinalAnswer::Rejected(wait), reason });
     }
-    fn fail(&mut self, transaction: &Id, why: RejectReason) {
-        self.note(Action::Refuse { transaction: transaction.clone(), answer: FinalAnswer::Failed, why });
+    fn fail(&mut self, request: &Id, reason: RejectReason) {
+        self.record(Action::Answer { request: request.clone(), answer: FinalAnswer::Failed, reason });
     }
     fn set_timer(&mut self, delay: Micros, token: &str) {
         let at = self.now() + delay;
-        self.note(Action::Alarm(at, token.into()));
+        self.record(Action::SetTimer(at, token.into()));
     }
     fn check_health(&mut self, server: &Id) {
-        self.note(Action::Server(server.clone(), upstream::Order::Probe));
+        self.record(Action::Upstream(server.clone(), upstream::Order::CheckHealth));
     }
     fn close_idle_connections(&mut self, server: &Id) {
-        self.note(Action::Server(server.clone(), upstream::Order::CloseIdle));
+        self.record(Action::Upstream(server.clone(), upstream::Order::CloseIdle));
     }
-    fn update_counter(&mut self, count: &str, amount: f64, life: Micros) {
-        self.note(Action::Add(Add { count: count.into(), amount, life, made: Instant::now() }));
+    fn update_counter(&mut self, key: &str, amount: f64, window: Micros) {
+        self.record(Action::UpdateCounter(Add {
+            count: key.into(),
+            amount,
+            life: window,
+            made: Instant::now(),
+        }));
     }
-    fn watch_endpoints(&mut self, on: bool) {
-        self.note(Action::List(discovery::Order::Follow(on)));
+    fn watch_endpoints(&mut self, enabled: bool) {
+        self.record(Action::Discovery(discovery::Order::Follow(enabled)));
     }
     fn poll_endpoints(&mut self) {
-        self.note(Action::List(discovery::Order::Fetch));
+        self.record(Action::Discovery(discovery::Order::Fetch));
     }
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
         // Gateways have no way to each other here, as where a message is lost.
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -15,7 +15,7 @@
 use crate::operator::metrics::Result as Figure;
 use crate::protocol::call::{self, Command, FinalAnswer};
 use crate::protocol::resp;
-use crate::rejection::NotTaken;
+use crate::rejection::EarlyRejection;
 use crate::shared::{
     Event, FinalReply, Piece, ReceivedRequest, ReplyHandle, Reservations, ResponseStream, Shared,
 };
@@ -331,7 +331,7 @@
                 }
                 Step::Read(Err(ConnectionEnd::NoMemory)) => {
                     // Nothing has been done with it, and it may well come again.
-                    NotTaken::NoMemory.record(&self.shared.log, None);
+                    EarlyRejection::NoMemory.record(&self.shared.log, None);
                     let wait = self.shared.platform.max_retry_after;
                     self.say(FinalAnswer::Rejected(wait).write(), None);
                     self.last = true;
@@ -431,9 +431,9 @@
                 let stays =
                     self.shared.shutting_down_since.get().is_none_or(|since| since.elapsed() < STILL_COMING);
                 let place = match (self.served, stays, places) {
-                    (false, ..) => Err(NotTaken::NoConnectionPlace),
-                    (true, false, _) => Err(NotTaken::Ending),
-                    (true, true, places) => places.ok_or(NotTaken::NoRequestPlace),
+                    (false, ..) => Err(EarlyRejection::NoConnectionSlot),
+                    (true, false, _) => Err(EarlyRejection::ShuttingDown),
+                    (true, true, places) => places.ok_or(EarlyRejection::NoRequestSlot),
                 };
                 let Ok((open, bytes)) = place.inspect_err(|why| {
                     why.record(&self.shared.log, Some(&call.request.id));
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -57,21 +57,24 @@
     }
 }
 
-pub fn of_trip<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
+pub fn of_attempt<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
     match end {
         Ok((ServerReply::Completed { .. } | ServerReply::Streamed { .. }, _)) => Outcome::Ok,
         Ok((ServerReply::Failed, _)) => Outcome::Error,
         Ok((ServerReply::Overloaded, _)) => Outcome::Overloaded,
-        Err(lost) => lost.outcome(),
+        Err(failure) => failure.outcome(),
     }
 }
 
-/// What a trip that took so long says of its server to other gateways; nothing where it is not the server's doing, or all may have
+/// What a trip that elapsed so long says of its server to other gateways; nothing where it is not the server's doing, or all may have
 /// too much to do.
-pub fn met<T>(took: Micros, end: &Result<(ServerReply, T), AttemptFailure>) -> Option<AttemptResult> {
-    match (of_trip(end), end) {
+pub fn observed_result<T>(
+    elapsed: Micros,
+    end: &Result<(ServerReply, T), AttemptFailure>,
+) -> Option<AttemptResult> {
+    match (of_attempt(end), end) {
         (Outcome::Ok, Ok((ServerReply::Streamed { .. }, _))) => Some(AttemptResult::Forwarded),
-        (Outcome::Ok, _) => Some(AttemptResult::Answered(took)),
+        (Outcome::Ok, _) => Some(AttemptResult::Answered(elapsed)),
         (Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::NotConnected, _) => {
             Some(AttemptResult::Failed)
         }
@@ -79,18 +82,18 @@
     }
 }
 
-pub fn of_probe<T>(end: &Result<T, AttemptFailure>) -> Outcome {
-    end.as_ref().map_or_else(|lost| lost.outcome(), |_| Outcome::Ok)
+pub fn of_health_check<T>(end: &Result<T, AttemptFailure>) -> Outcome {
+    end.as_ref().map_or_else(|failure| failure.outcome(), |_| Outcome::Ok)
 }
 
 /// Of a call to the counter four things matter: its total, that nothing was added, that some may be, and then whether
-/// the counter had no time for an answer, or spoilt it or lost it with its connection.
-pub fn of_call(end: &Result<CounterTotal, AttemptFailure>) -> (Outcome, f64) {
+/// the counter had no time for an answer, or spoilt it or failure it with its connection.
+pub fn of_counter_call(end: &Result<CounterTotal, AttemptFailure>) -> (Outcome, f64) {
     match end {
         Ok(CounterTotal::Total(total)) => (Outcome::Ok, *total),
         Ok(CounterTotal::Full | CounterTotal::Error) => (Outcome::Overloaded, 0.0),
         Err(AttemptFailure { how: ConnectionEnd::Silent, written: true }) => (Outcome::TimedOut, 0.0),
-        Err(lost) if lost.written => (Outcome::Error, 0.0),
-        Err(lost) => (lost.outcome(), 0.0),
+        Err(failure) if failure.written => (Outcome::Error, 0.0),
+        Err(failure) => (failure.outcome(), 0.0),
     }
 }
--- a/crates/gateway/src/rejection.rs
+++ b/crates/gateway/src/rejection.rs
@@ -4,28 +4,28 @@
 
 /// The reason of a refusal at the client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum EarlyRejection {
     /// The connection came when all places for connections were taken: there was only room to turn it away.
-    NoConnectionPlace,
+    NoConnectionSlot,
     /// As many requests, or as many bytes of requests, are held as the memory allows.
-    NoRequestPlace,
+    NoRequestSlot,
     /// The memory for what clients send is used up.
     NoMemory,
     /// The gateway ends, and has read new requests long enough.
-    Ending,
+    ShuttingDown,
     /// Another request that goes by this id has no answer yet.
     IdInUse,
 }
 
-impl NotTaken {
+impl EarlyRejection {
     /// The name by which records tell it.
     pub fn name(self) -> &'static str {
         match self {
-            NotTaken::NoConnectionPlace => "no-connection-place",
-            NotTaken::NoRequestPlace => "no-request-place",
-            NotTaken::NoMemory => "no-memory",
-            NotTaken::Ending => "ending",
-            NotTaken::IdInUse => "id-in-use",
+            EarlyRejection::NoConnectionSlot => "no-connection-place",
+            EarlyRejection::NoRequestSlot => "no-request-place",
+            EarlyRejection::NoMemory => "no-memory",
+            EarlyRejection::ShuttingDown => "ending",
+            EarlyRejection::IdInUse => "id-in-use",
         }
     }
 
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -24,42 +24,42 @@
 use crate::transport::ending::ConnectionEnd;
 
 /// How often idle connections are looked at: those that have ended or stood too long give their sockets back.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Rest of a connection after each answer: a second copy that follows it would be taken for the next one's answer,
 /// and comes some thousandths of a second later at most.
-const COPY: Duration = Duration::from_millis(20);
+const REST_AFTER_REPLY: Duration = Duration::from_millis(20);
 /// Part of the site's idle time after which a connection is closed from here: later the server may do so while a
 /// trip is on its way.
-const KEPT: f64 = 0.75;
-/// Where a connection that was kept breaks under its next trip, others that were kept as long would too, as something
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
+/// Where a connection that was kept breaks under its next attempt, others that were kept as long would too, as something
 /// on the way forgets them sooner than the site says: from then on they are kept for this part of that time at most,
 /// and for so much longer with each answer. Then new ones are dialled more often, which costs the server a little.
-const CUT: u32 = 2;
+const EARLY_CLOSE_DIVISOR: u32 = 2;
 /// How long a server that gives a long value may give no byte of it: it has its client with it, and is not cut off while
 /// anything comes.
-const STALLED: Duration = Duration::from_secs(10);
-const REGAINED: Duration = Duration::from_millis(2);
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+const IDLE_LIMIT_RECOVERY: Duration = Duration::from_millis(2);
 
 pub enum Order {
-    Trip { call: Rc<Call>, trip: usize, limit: Micros, made: Instant },
-    Cancel { transaction: Id, trip: usize },
-    Probe,
+    Attempt { call: Rc<Call>, attempt: usize, limit: Micros, created_at: Instant },
+    Cancel { request: Id, attempt: usize },
+    CheckHealth,
     CloseIdle,
-    Move(SocketAddr),
+    ChangeAddress(SocketAddr),
 }
 
 /// A transaction, and the number of the trip.
-type Trip = (Id, usize);
+type AttemptKey = (Id, usize);
 
-struct Peer {
+struct Upstream {
     server: Id,
     address: Cell<SocketAddr>,
     idle: RefCell<Vec<Connection>>,
-    swept: Cell<Instant>,
+    last_sweep: Cell<Instant>,
     /// How long a connection may be kept idle.
-    kept: Cell<Duration>,
+    idle_limit: Cell<Duration>,
     /// The trips that are out, and when each was made.
-    trips: RefCell<HashMap<Trip, (Task<()>, Instant)>>,
+    attempts: RefCell<HashMap<AttemptKey, (Task<()>, Instant)>>,
     shared: Rc<Shared>,
     events: Sender<Event>,
 }
@@ -67,90 +67,85 @@
 /// Starts the actor; it ends, and its trips with their answers, once nobody can order anything any more.
 pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, server: &Id, address: SocketAddr) -> Sender<Order> {
     let (orders, mailbox) = async_channel::bounded(MAX_QUEUED_ORDERS);
-    let peer = Rc::new(Peer {
+    let upstream = Rc::new(Upstream {
         server: server.clone(),
         address: Cell::new(address),
         idle: RefCell::default(),
-        swept: Cell::new(Instant::now()),
-        kept: Cell::new(longest(shared)),
-        trips: RefCell::default(),
+        last_sweep: Cell::new(Instant::now()),
+        idle_limit: Cell::new(max_idle(shared)),
+        attempts: RefCell::default(),
         shared: shared.clone(),
         events: events.clone(),
     });
-    shared.executor.spawn(peer.run(mailbox)).detach();
+    shared.executor.spawn(upstream.run(mailbox)).detach();
     orders
 }
 
 /// How long a connection is kept idle where nothing speaks against it.
-fn longest(shared: &Shared) -> Duration {
-    Duration::from_micros((KEPT * shared.platform.idle_timeout as f64) as Micros)
+fn max_idle(shared: &Shared) -> Duration {
+    Duration::from_micros((IDLE_TIMEOUT_FRACTION * shared.platform.idle_timeout as f64) as Micros)
 }
 
-impl Peer {
+impl Upstream {
     async fn run(self: Rc<Self>, mailbox: Receiver<Order>) {
         let mut mailbox = std::pin::pin!(mailbox);
         let mut alarm = DeadlineTimer::new();
         loop {
-            let next = self.swept.get() + SWEEP;
+            let next = self.last_sweep.get() + SWEEP_INTERVAL;
             let any = !self.idle.borrow().is_empty();
             let sweep = async {
                 alarm.wait(any.then_some(next)).await;
                 Some(None)
             };
             match future::or(async { mailbox.next().await.map(Some) }, sweep).await {
-                Some(Some(order)) => self.obey(order).await,
+                Some(Some(order)) => self.handle_order(order).await,
                 Some(None) => {}
                 None => break,
             }
             if Instant::now() >= next {
-                self.swept.set(Instant::now());
-                self.idle.borrow_mut().retain(|connection| self.good(connection));
+                self.last_sweep.set(Instant::now());
+                self.idle.borrow_mut().retain(|connection| self.is_reusable(connection));
             }
         }
-        for (task, _) in self.trips.take().into_values() {
+        for (task, _) in self.attempts.take().into_values() {
             task.detach();
         }
     }
 
-    async fn obey(self: &Rc<Self>, order: Order) {
+    async fn handle_order(self: &Rc<Self>, order: Order) {
         match order {
-            Order::Trip { call, trip, limit, made } => {
-                let key = (call.request.id.clone(), trip);
-                let peer = self.clone();
-                let task = self.shared.executor.spawn(peer.trip(call, trip, limit, made));
-                self.trips.borrow_mut().insert(key, (task, made));
+            Order::Attempt { call, attempt, limit, created_at } => {
+                let key = (call.request.id.clone(), attempt);
+                let upstream = self.clone();
+                let task = self.shared.executor.spawn(upstream.attempt(call, attempt, limit, created_at));
+                self.attempts.borrow_mut().insert(key, (task, created_at));
             }
-            Order::Cancel { transaction, trip } => {
-                let task = self.trips.borrow_mut().remove(&(transaction.clone(), trip));
-                if let Some((task, made)) = task {
+            Order::Cancel { request, attempt } => {
+                let task = self.attempts.borrow_mut().remove(&(request.clone(), attempt));
+                if let Some((task, created_at)) = task {
                     // Its connection is closed before its end is told.
                     task.cancel().await;
                     let end = Err(AttemptFailure::unsent(ConnectionEnd::GivenUp));
-                    let (server, took) = (self.server.clone(), micros(made.elapsed()));
-                    let returned = Event::AttemptCompleted(CompletedAttempt {
-                        request: transaction,
-                        attempt: trip,
-                        server,
-                        end,
-                        elapsed: took,
-                    });
+                    let (server, elapsed) = (self.server.clone(), micros(created_at.elapsed()));
+                    let returned =
+                        Event::AttemptCompleted(CompletedAttempt { request, attempt, server, end, elapsed });
                     // The module waits for this mailbox at times, so this actor never waits for the module's.
                     let events = self.events.clone();
                     let tell = async move { drop(events.send(returned).await) };
                     self.shared.executor.spawn(tell).detach();
                 }
             }
-            Order::Probe => {
-                let peer = self.clone();
-                let probe = async move {
-                    let end = peer.probe().await;
-                    let probed = Event::HealthCheckCompleted { server: peer.server.clone(), end };
-                    drop(peer.events.send(probed).await);
+            Order::CheckHealth => {
+                let upstream = self.clone();
+                let health_check = async move {
+                    let end = upstream.check_health().await;
+                    let probed = Event::HealthCheckCompleted { server: upstream.server.clone(), end };
+                    drop(upstream.events.send(probed).await);
                 };
-                self.shared.executor.spawn(probe).detach();
+                self.shared.executor.spawn(health_check).detach();
             }
             Order::CloseIdle => self.idle.borrow_mut().clear(),
-            Order::Move(address) => {
+            Order::ChangeAddress(address) => {
                 self.address.set(address);
                 self.idle.borrow_mut().clear();
             }
@@ -158,58 +153,60 @@
     }
 
     /// Whether an idle connection may be used: it is open, and the server won't close it under a trip.
-    fn good(&self, connection: &Connection) -> bool {
-        connection.used.elapsed() < self.kept.get() && connection.has_no_input()
+    fn is_reusable(&self, connection: &Connection) -> bool {
+        connection.used.elapsed() < self.idle_limit.get() && connection.has_no_input()
     }
 
     /// Learns from what became of a connection that had been idle for so long.
-    fn learn<T>(&self, idle: Option<Duration>, end: &Result<T, AttemptFailure>) {
+    fn adjust_idle_limit<T>(&self, idle: Option<Duration>, end: &Result<T, AttemptFailure>) {
         match (idle, end) {
-            (_, Ok(_)) => self.kept.set((self.kept.get() + REGAINED).min(longest(&self.shared))),
+            (_, Ok(_)) => {
+                self.idle_limit.set((self.idle_limit.get() + IDLE_LIMIT_RECOVERY).min(max_idle(&self.shared)))
+            }
             (Some(idle), Err(AttemptFailure { how: ConnectionEnd::Broken | ConnectionEnd::Closed, .. })) => {
-                self.kept.set(idle / CUT)
+                self.idle_limit.set(idle / EARLY_CLOSE_DIVISOR)
             }
             _ => {}
         }
     }
 
-    async fn trip(self: Rc<Self>, call: Rc<Call>, trip: usize, limit: Micros, made: Instant) {
-        let until = made + Duration::from_micros(limit);
+    async fn attempt(self: Rc<Self>, call: Rc<Call>, attempt: usize, limit: Micros, created_at: Instant) {
+        let until = created_at + Duration::from_micros(limit);
         let command = call.command(limit);
-        let transaction = call.request.id.clone();
+        let request = call.request.id.clone();
         // Danger: a client that leaves while its trip waits here or dials. To begin nothing is no cancelling, and always allowed.
-        let wanted = || !call.client_gone.get();
-        let sent = || self.shared.metrics.tried();
+        let is_wanted = || !call.client_gone.get();
+        let on_written = || self.shared.metrics.tried();
         let scan = |bytes: &[u8], ended: bool| call::came(bytes, ended, self.load());
-        let came = self.exchange(&command, until, wanted, sent, scan);
+        let came = self.exchange(&command, until, is_wanted, on_written, scan);
         let end = match came.await {
-            Ok((Came::Whole(said), connection)) => {
-                self.keep(connection);
-                Ok(said)
+            Ok((Came::Whole(reply), connection)) => {
+                self.release(connection);
+                Ok(reply)
             }
-            Ok((Came::Opens(opening), connection)) => {
-                self.pass_on(opening, connection, transaction.clone(), trip).await
+            Ok((Came::Opens(value_head), connection)) => {
+                self.stream_value(value_head, connection, request.clone(), attempt).await
             }
-            Err(lost) => Err(lost),
+            Err(failure) => Err(failure),
         };
-        if let Some((task, _)) = self.trips.borrow_mut().remove(&(transaction.clone(), trip)) {
+        if let Some((task, _)) = self.attempts.borrow_mut().remove(&(request.clone(), attempt)) {
             task.detach();
         }
-        let (server, took) = (self.server.clone(), micros(made.elapsed()));
-        let returned = CompletedAttempt { request: transaction, attempt: trip, server, end, elapsed: took };
+        let (server, elapsed) = (self.server.clone(), micros(created_at.elapsed()));
+        let returned = CompletedAttempt { request, attempt, server, end, elapsed };
         drop(self.events.send(Event::AttemptCompleted(returned)).await);
     }
 
-    async fn probe(&self) -> Result<LoadReport, AttemptFailure> {
+    async fn check_health(&self) -> Result<LoadReport, AttemptFailure> {
         let until = Instant::now() + Duration::from_micros(self.shared.platform.connect_timeout);
         let command = resp::write_command(&[b"PING"]);
-        let said = |bytes: &[u8], _: bool| match resp::reply(bytes)? {
+        let reply = |bytes: &[u8], _: bool| match resp::reply(bytes)? {
             Some((Reply::Simple(_), length)) => Ok(Some((LoadReport::default(), length))),
             Some(_) => Err("no good word"),
             None => Ok(None),
         };
-        let (load, connection) = self.exchange(&command, until, || true, || {}, said).await?;
-        self.keep(connection);
+        let (load, connection) = self.exchange(&command, until, || true, || {}, reply).await?;
+        self.release(connection);
         Ok(load)
     }
 
@@ -218,20 +215,20 @@
     }
 
     /// Passes a long value on as it comes, and reads what stands behind it.
-    async fn pass_on(
+    async fn stream_value(
         &self,
-        opening: Opening,
+        value_head: Opening,
         mut connection: Connection,
-        transaction: Id,
-        trip: usize,
+        request: Id,
+        attempt: usize,
     ) -> Result<(ServerReply, LoadReport), AttemptFailure> {
         let (pass, pieces) = async_channel::bounded(1);
-        let flow = ResponseStream { length: opening.length, pieces };
-        drop(self.events.send(Event::ResponseStarted { request: transaction, attempt: trip, flow }).await);
+        let flow = ResponseStream { length: value_head.length, pieces };
+        drop(self.events.send(Event::ResponseStarted { request, attempt, flow }).await);
         let given_up = |_| AttemptFailure::unanswered(ConnectionEnd::GivenUp);
-        let mut left = opening.length;
+        let mut left = value_head.length;
         while left > 0 {
-            let until = Instant::now() + STALLED;
+            let until = Instant::now() + STREAM_STALL_TIMEOUT;
             let piece = within(until, ConnectionEnd::Stalled, connection.read_chunk(left))
                 .await
                 .map_err(AttemptFailure::unanswered)?;
@@ -239,41 +236,44 @@
             // The client's task takes it when it has written the last: so a slow client holds the server back.
             pass.send(Piece::Bytes(piece)).await.map_err(given_up)?;
         }
-        let (rest, until) = (opening.items - 1, Instant::now() + STALLED);
-        let piece = Duration::from_micros(self.shared.platform.connect_timeout);
+        let (rest, until) = (value_head.items - 1, Instant::now() + STREAM_STALL_TIMEOUT);
+        let message_timeout = Duration::from_micros(self.shared.platform.connect_timeout);
         // The value is whole as soon as its line end is there, and its client does not wait for what is behind that.
         let line_end = |bytes: &[u8]| match bytes {
             [b'\r', b'\n', ..] => Ok(Some(((), 0))),
             [] | [b'\r'] => Ok(None),
             _ => Err("a value does not end where it should"),
         };
-        connection.message(line_end, until, STALLED).await.map_err(AttemptFailure::unanswered)?;
+        connection
+            .message(line_end, until, STREAM_STALL_TIMEOUT)
+            .await
+            .map_err(AttemptFailure::unanswered)?;
         pass.send(Piece::End).await.map_err(given_up)?;
         drop(pass);
         let scan = |bytes: &[u8]| call::behind(bytes, rest, false, self.load());
-        match connection.message(scan, Instant::now() + piece, piece).await {
-            Ok(said) => {
-                self.keep(connection);
-                Ok(said)
+        match connection.message(scan, Instant::now() + message_timeout, message_timeout).await {
+            Ok(reply) => {
+                self.release(connection);
+                Ok(reply)
             }
             Err(how) => match call::behind(connection.buffer.filled(), rest, true, self.load()) {
-                Ok(Some((said, _))) => Ok(said),
+                Ok(Some((reply, _))) => Ok(reply),
                 _ => Err(AttemptFailure::unanswered(how)),
             },
         }
     }
 
-    /// Has a command answered on a connection of its own, which is handed back. `wanted` is asked before its first byte is
-    /// written, `sent` is called once its last one is; `scan` is told whether no more will come.
+    /// Has a command answered on a connection of its own, which is handed back. `is_wanted` is asked before its first byte is
+    /// written, `on_written` is called once its last one is; `scan` is told whether no more will come.
     async fn exchange<T>(
         &self,
         command: &[u8],
         until: Instant,
-        wanted: impl Fn() -> bool,
-        sent: impl Fn(),
+        is_wanted: impl Fn() -> bool,
+        on_written: impl Fn(),
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
     ) -> Result<(T, Connection), AttemptFailure> {
-        let (connection, idle) = match self.quiet_one() {
+        let (connection, idle) = match self.take_rested() {
             Some(connection) => {
                 let idle = connection.used.elapsed();
                 (connection, Some(idle))
@@ -284,21 +284,21 @@
             ),
         };
         // Nothing is waited for between this look and the first byte.
-        if let Err(how) = self.may_begin(&connection, wanted()) {
+        if let Err(how) = self.check_still_allowed(&connection, is_wanted()) {
             if how == ConnectionEnd::Unwanted {
-                self.keep(connection);
+                self.release(connection);
             }
             return Err(AttemptFailure::unsent(how));
         }
-        let end = self.exchange_on(connection, command, until, sent, scan).await;
-        self.learn(idle, &end);
+        let end = self.exchange_on(connection, command, until, on_written, scan).await;
+        self.adjust_idle_limit(idle, &end);
         end
     }
 
-    /// What was right when a trip was made may not be once it has waited for this actor, or dialled: whether its first byte
+    /// What was right when an attempt was created may not be once it has waited for this actor, or dialled: whether its first byte
     /// may still go out on this connection.
-    fn may_begin(&self, connection: &Connection, wanted: bool) -> Result<(), ConnectionEnd> {
-        if !wanted {
+    fn check_still_allowed(&self, connection: &Connection, is_wanted: bool) -> Result<(), ConnectionEnd> {
+        if !is_wanted {
             return Err(ConnectionEnd::Unwanted);
         }
         // Danger: the server was taken out of use meanwhile, drains, has left, or has another address.
@@ -324,51 +324,52 @@
         mut connection: Connection,
         command: &[u8],
         until: Instant,
-        sent: impl Fn(),
+        on_written: impl Fn(),
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
     ) -> Result<(T, Connection), AttemptFailure> {
         within(until, ConnectionEnd::Silent, connection.write(command))
             .await
             .map_err(AttemptFailure::unsent)?;
-        sent();
+        on_written();
         // An answer that has begun comes in one piece: its end is not longer in coming than a connection is.
-        let piece = Duration::from_micros(self.shared.platform.connect_timeout);
-        let said = match connection.message(|bytes| scan(bytes, false), until, piece).await {
-            Ok(said) => said,
+        let message_timeout = Duration::from_micros(self.shared.platform.connect_timeout);
+        let reply = match connection.message(|bytes| scan(bytes, false), until, message_timeout).await {
+            Ok(reply) => reply,
             Err(how) => match scan(connection.buffer.filled(), true) {
                 // All that matters has come, and the rest of the connection is of no use.
-                Ok(Some((said, _))) => {
+                Ok(Some((reply, _))) => {
                     connection.spoilt = true;
-                    said
+                    reply
                 }
                 _ => return Err(AttemptFailure::unanswered(how)),
             },
         };
-        Ok((said, connection))
+        Ok((reply, connection))
     }
 
-    /// Keeps a connection for the next trip, if it is good for one.
-    fn keep(&self, mut connection: Connection) {
+    /// Keeps a connection for the next attempt, if it is good for one.
+    fn release(&self, mut connection: Connection) {
         // Idle connections must leave sockets for those to other servers.
-        let good = connection.buffer.is_empty()
+        let reusable = connection.buffer.is_empty()
             && !connection.spoilt
             && connection.is_connected_to(self.address.get());
-        if good && self.shared.limits.servers.is_mostly_free() {
+        if reusable && self.shared.limits.servers.is_mostly_free() {
             connection.used = Instant::now();
             self.idle.borrow_mut().push(connection);
         }
     }
 
     /// The good idle connection used last, so that those not needed any more grow old.
-    fn quiet_one(&self) -> Option<Connection> {
+    fn take_rested(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         // They stand in the order of their last use; a look at the clock for each that rests would cost more than all.
         let now = Instant::now();
-        let mut rested = idle.partition_point(|connection| now.duration_since(connection.used) >= COPY);
+        let mut rested =
+            idle.partition_point(|connection| now.duration_since(connection.used) >= REST_AFTER_REPLY);
         while rested > 0 {
             rested -= 1;
             let connection = idle.remove(rested);
-            if self.good(&connection) {
+            if self.is_reusable(&connection) {
                 return Some(connection);
             }
         }
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -14,7 +14,7 @@
 use fernscale_gateway::discovery::draining::DrainingEndpoints;
 use fernscale_gateway::discovery::{self, List};
 use fernscale_gateway::operator::metrics::Metrics;
-use fernscale_gateway::outcome::{of_call, of_trip};
+use fernscale_gateway::outcome::{of_attempt, of_counter_call};
 use fernscale_gateway::protocol::call::{self, Command};
 use fernscale_gateway::protocol::catalog::{self, EndpointUpdate};
 use fernscale_gateway::shared::{Event, Shared};
@@ -115,7 +115,7 @@
         while all.len() < calls.len() {
             if let Event::CounterReplied { key: count, end, .. } = told.recv().await.expect("the actor runs")
             {
-                let (outcome, total) = of_call(&end);
+                let (outcome, total) = of_counter_call(&end);
                 all.push((count.to_string(), outcome, total));
             }
         }
@@ -561,14 +561,15 @@
     let (events, told) = async_channel::bounded(4);
     let name: fernscale_policy::Id = "s0".into();
     let orders = upstream::start(&shared, &events, &name, address);
-    let order = Order::Trip { call: Rc::new(call), trip: 0, limit: 900_000, made: Instant::now() };
+    let order =
+        Order::Attempt { call: Rc::new(call), attempt: 0, limit: 900_000, created_at: Instant::now() };
     let outcome = async {
         orders.send(order).await.expect("the actor runs");
         if cordoned {
             shared.cordoned.borrow_mut().insert(name);
         }
         match told.recv().await.expect("the actor runs") {
-            Event::AttemptCompleted(returned) => of_trip(&returned.end),
+            Event::AttemptCompleted(returned) => of_attempt(&returned.end),
             _ => panic!("another event"),
         }
     };
@@ -613,7 +614,8 @@
     let (events, told) = async_channel::bounded(4);
     let orders = upstream::start(&shared, &events, &"s0".into(), address);
     let call = one_call(&shared);
-    let order = Order::Trip { call: call.clone(), trip: 0, limit: 8_000_000, made: Instant::now() };
+    let order =
+        Order::Attempt { call: call.clone(), attempt: 0, limit: 8_000_000, created_at: Instant::now() };
     let outcome = async {
         orders.send(order).await.expect("the actor runs");
         // The actor takes it, and its trip dials.
@@ -633,7 +635,7 @@
             panic!("another")
         };
         drop(returned.request);
-        let outcome = of_trip(&returned.end);
+        let outcome = of_attempt(&returned.end);
         // An idle connection is not closed at once.
         orders.send(Order::CloseIdle).await.expect("the actor runs");
         for _ in 0..20 {
@@ -666,7 +668,7 @@
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "it is not in the list any more");
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let (outcome, bytes) = crossed_while_dialling(|_, _, orders| {
-        orders.try_send(Order::Move(elsewhere)).expect("there is room");
+        orders.try_send(Order::ChangeAddress(elsewhere)).expect("there is room");
     });
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "another may be at that address by now");
     let (outcome, bytes) = crossed_while_dialling(|_, call, _| call.client_gone.set(true));
@@ -697,8 +699,12 @@
     let shared = shared();
     let (events, told) = async_channel::bounded(8);
     let orders = upstream::start(&shared, &events, &"s0".into(), address);
-    let trip =
-        |number, limit| Order::Trip { call: one_call(&shared), trip: number, limit, made: Instant::now() };
+    let trip = |number, limit| Order::Attempt {
+        call: one_call(&shared),
+        attempt: number,
+        limit,
+        created_at: Instant::now(),
+    };
     let all = async {
         orders.send(trip(0, limit)).await.expect("the actor runs");
         // Its last byte has come to the server.
@@ -716,7 +722,7 @@
                     call::ServerReply::Completed { value, .. } => String::from_utf8_lossy(value).into_owned(),
                     _ => "another".into(),
                 });
-                ends[end.attempt].push((of_trip(&end.end), value));
+                ends[end.attempt].push((of_attempt(&end.end), value));
             }
             _ => panic!("another event"),
         };
@@ -746,7 +752,7 @@
 fn a_trip_whose_cancel_or_limit_crosses_its_answer_ends_once_and_its_answer_is_nobody_elses() {
     assert_eq!(crossed_by_the_answer(5_000_000, |_| {}), [[Outcome::Ok], [Outcome::Ok]]);
     let cancel = |orders: &Sender<Order>| {
-        let order = Order::Cancel { transaction: "t1".into(), trip: 0 };
+        let order = Order::Cancel { request: "t1".into(), attempt: 0 };
         orders.try_send(order).expect("there is room");
     };
     for _ in 0..5 {
@@ -777,7 +783,8 @@
     let orders = upstream::start(&shared, &events, &"s0".into(), address);
     // The dial is over and the process stands still until the limit is: the write and the clock are due in one turn.
     for still in [0, 30, 60] {
-        let order = Order::Trip { call: one_call(&shared), trip: 0, limit: 30_000, made: Instant::now() };
+        let order =
+            Order::Attempt { call: one_call(&shared), attempt: 0, limit: 30_000, created_at: Instant::now() };
         let end = async {
             orders.send(order).await.expect("the actor runs");
             for _ in 0..20 {
@@ -787,7 +794,7 @@
             let Event::AttemptCompleted(returned) = told.recv().await.expect("the actor runs") else {
                 panic!("another")
             };
-            of_trip(&returned.end)
+            of_attempt(&returned.end)
         };
         let outcome = async_io::block_on(shared.executor.run(end));
         let came = calls.recv_timeout(Duration::from_secs(5)).expect("a connection and its end");
