--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -62,7 +62,9 @@
     Timer,
 }
 
-pub struct Module {
+pub use self::Dispatcher as Module;
+
+pub struct Dispatcher {
     shared: Rc<Shared>,
     engine: Engine<ActionRecorder>,
     queue: Rc<RefCell<ActionQueue>>,
@@ -81,7 +83,7 @@
     pending_changes: VecDeque<Endpoint>,
 }
 
-impl Module {
+impl Dispatcher {
     pub fn new(
         shared: &Rc<Shared>,
         settings: Settings,
@@ -92,7 +94,7 @@
         let queue =
             ActionQueue { now: shared.clock.now(), actions: VecDeque::new(), log: shared.log.clone() };
         let queue = Rc::new(RefCell::new(queue));
-        Module {
+        Dispatcher {
             engine: Engine::new(settings, ActionRecorder(queue.clone())),
             shared: shared.clone(),
             queue,
