--- a/crates/gateway/src/dispatcher/action_queue.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -1,13 +1,14 @@
-//! The host that the decision module calls: it carries nothing out, but writes the actions down in their order for the
-//! module's actor.
+//! The queue of actions between the engine and the dispatcher.
+//!
+//! The engine calls its [`Host`] in the middle of a decision. Nothing may be carried out there, so this host only
+//! records each call, and the dispatcher performs the actions in their order once the engine has returned.
 
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Instant;
 
-use fernscale_policy::RejectReason;
-use fernscale_policy::{Host, Id, Micros};
+use fernscale_policy::{Host, Id, Micros, RejectReason};
 use slog::{info, Logger};
 
 use crate::counter::Add;
@@ -15,77 +16,107 @@
 use crate::protocol::call::FinalAnswer;
 use crate::upstream;
 
-/// What the module wants done, in its order.
-pub enum Action {
+/// One call of the engine on its host, to be performed by the dispatcher.
+pub(super) enum Action {
+    /// Forward a request to a server; a `limit` of 0 means as long as the request's deadline allows.
     Forward { request: Id, server: Id, limit: Micros },
+    /// Cancel an attempt, numbered from 0 within its request.
     Cancel { request: Id, attempt: usize },
+    /// Answer a request without a server's reply.
     Answer { request: Id, answer: FinalAnswer, reason: RejectReason },
-    SetTimer(Micros, Box<str>),
-    Upstream(Id, upstream::Order),
+    /// Call the engine back at a time of the gateway's clock, with this token.
+    SetTimer { at: Micros, token: Box<str> },
+    /// Give an order to the connections of a server.
+    Upstream { server: Id, order: upstream::Order },
+    /// Add an amount to a shared counter.
     UpdateCounter(Add),
+    /// Give an order to discovery.
     Discovery(discovery::Order),
 }
 
-/// The time that the module is told, and what it has asked for.
-pub struct ActionQueue {
-    pub now: Micros,
-    pub actions: VecDeque<Action>,
-    pub log: Logger,
+/// The actions that wait, and the time that the engine reads. Clones are handles to the same queue: the engine holds one as its
+/// host, the dispatcher another.
+#[derive(Clone)]
+pub(super) struct ActionQueue(Rc<State>);
+
+struct State {
+    now: Cell<Micros>,
+    actions: RefCell<VecDeque<Action>>,
+    log: Logger,
 }
 
-/// The decision module's [`Host`]: it writes down what is to be done.
-pub struct ActionRecorder(pub Rc<RefCell<ActionQueue>>);
+impl ActionQueue {
+    pub(super) fn new(now: Micros, log: Logger) -> Self {
+        ActionQueue(Rc::new(State { now: Cell::new(now), actions: RefCell::default(), log }))
+    }
 
-impl ActionRecorder {
-    fn record(&self, action: Action) {
-        self.0.borrow_mut().actions.push_back(action);
+    /// Sets the time that the engine reads from now on. It stands still during one decision.
+    pub(super) fn set_now(&self, now: Micros) {
+        self.0.now.set(now);
+    }
+
+    pub(super) fn push(&self, action: Action) {
+        self.0.actions.borrow_mut().push_back(action);
+    }
+
+    pub(super) fn pop(&self) -> Option<Action> {
+        self.0.actions.borrow_mut().pop_front()
     }
 }
 
-impl Host for ActionRecorder {
+impl Host for ActionQueue {
     fn now(&self) -> Micros {
-        self.0.borrow().now
+        self.0.now.get()
     }
+
     fn forward(&mut self, request: &Id, server: &Id, limit: Micros) {
-        self.record(Action::Forward { request: request.clone(), server: server.clone(), limit });
+        self.push(Action::Forward { request: request.clone(), server: server.clone(), limit });
     }
+
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        self.record(Action::Cancel { request: request.clone(), attempt });
+        self.push(Action::Cancel { request: request.clone(), attempt });
     }
-    fn reject(&mut self, request: &Id, wait: Micros, reason: RejectReason) {
-        self.record(Action::Answer { request: request.clone(), answer: FinalAnswer::Rejected(wait), reason });
+
+    fn reject(&mut self, request: &Id, retry_after: Micros, reason: RejectReason) {
+        let answer = FinalAnswer::Rejected(retry_after);
+        self.push(Action::Answer { request: request.clone(), answer, reason });
     }
+
     fn fail(&mut self, request: &Id, reason: RejectReason) {
-        self.record(Action::Answer { request: request.clone(), answer: FinalAnswer::Failed, reason });
+        self.push(Action::Answer { request: request.clone(), answer: FinalAnswer::Failed, reason });
     }
+
     fn set_timer(&mut self, delay: Micros, token: &str) {
         let at = self.now() + delay;
-        self.record(Action::SetTimer(at, token.into()));
+        self.push(Action::SetTimer { at, token: token.into() });
     }
+
     fn check_health(&mut self, server: &Id) {
-        self.record(Action::Upstream(server.clone(), upstream::Order::CheckHealth));
+        self.push(Action::Upstream { server: server.clone(), order: upstream::Order::CheckHealth });
     }
+
     fn close_idle_connections(&mut self, server: &Id) {
-        self.record(Action::Upstream(server.clone(), upstream::Order::CloseIdle));
+        self.push(Action::Upstream { server: server.clone(), order: upstream::Order::CloseIdle });
     }
-    fn update_counter(&mut self, key: &str, amount: f64, window: Micros) {
-        self.record(Action::UpdateCounter(Add {
-            count: key.into(),
-            amount,
-            life: window,
-            made: Instant::now(),
-        }));
+
+    fn update_counter(&mut self, key: &str, amount: f64, lifetime: Micros) {
+        let made = Instant::now();
+        self.push(Action::UpdateCounter(Add { count: key.into(), amount, life: lifetime, made }));
     }
-    fn watch_endpoints(&mut self, enabled: bool) {
-        self.record(Action::Discovery(discovery::Order::Follow(enabled)));
+
+    fn watch_endpoints(&mut self, on: bool) {
+        self.push(Action::Discovery(discovery::Order::Follow(on)));
     }
+
     fn poll_endpoints(&mut self) {
-        self.record(Action::Discovery(discovery::Order::Fetch));
+        self.push(Action::Discovery(discovery::Order::Fetch));
     }
+
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
-        // Gateways have no way to each other here, as where a message is lost.
+        // The engine's messages between gateways have no transport here, and the engine stands their loss.
     }
+
     fn log(&mut self, text: &str) {
-        info!(self.0.borrow().log, #"module.says", "module"; "text" => text);
+        info!(self.0.log, #"module.says", "module"; "text" => text);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -0,0 +1,106 @@
+//! How the dispatcher performs the actions that the engine has queued.
+
+use std::time::Instant;
+
+use fernscale_policy::{Host, Id, Micros, RejectReason};
+use slog::{debug, warn};
+
+use super::action_queue::Action;
+use super::requests::send_answer;
+use super::Dispatcher;
+use crate::outcome::AttemptFailure;
+use crate::protocol::call::FinalAnswer;
+use crate::shared::{CompletedAttempt, Event};
+use crate::transport::ending::ConnectionEnd;
+use crate::upstream;
+
+impl Dispatcher {
+    /// Performs the queued actions, and notifies the engine of what follows from them at once, until neither is left.
+    pub(super) async fn perform_actions(&mut self) {
+        loop {
+            if let Some(action) = self.actions.pop() {
+                self.perform(action).await;
+            } else if let Some(event) = self.follow_ups.pop_front() {
+                self.handle_event(event);
+            } else {
+                return;
+            }
+        }
+    }
+
+    async fn perform(&mut self, action: Action) {
+        match action {
+            Action::Forward { request, server, limit } => self.forward(request, server, limit).await,
+            Action::Cancel { request, attempt } => {
+                if let Some(mailbox) = self.requests.mailbox(&request, attempt) {
+                    drop(mailbox.send(upstream::Order::Cancel { request, attempt }).await);
+                }
+            }
+            Action::Answer { request, answer, reason } => self.answer(&request, answer, reason),
+            Action::SetTimer { at, token } => self.timers.set(at, token),
+            Action::Upstream { server, order } => self.order_upstream(&server, order).await,
+            Action::UpdateCounter(add) => {
+                self.follow_ups.extend(self.counter.update(self.actions.now(), add));
+            }
+            Action::Discovery(order) => {
+                if self.discovery.try_send(order).is_err() {
+                    self.follow_ups.push_back(Event::EndpointsUnavailable);
+                }
+            }
+        }
+    }
+
+    fn answer(&mut self, id: &Id, answer: FinalAnswer, reason: RejectReason) {
+        if let Some(reply) = self.requests.take_reply(id) {
+            debug!(self.shared.log, #"request.answered", "given up"; "id" => &**id, "as" => ?answer,
+                "why" => reason.name());
+            send_answer(reply, answer);
+        }
+        self.requests.remove_if_completed(id);
+    }
+
+    /// Passes an order on to a server's upstream actor. Only a health check starts that actor: where it does not run, there are
+    /// no idle connections to close.
+    async fn order_upstream(&mut self, server: &Id, order: upstream::Order) {
+        if !self.servers.is_started(server) && !matches!(order, upstream::Order::CheckHealth) {
+            return;
+        }
+        if let Some(mailbox) = self.servers.mailbox(server) {
+            drop(mailbox.send(order).await);
+        }
+    }
+
+    async fn forward(&mut self, id: Id, server: Id, limit: Micros) {
+        let now = self.shared.clock.now();
+        let mailbox = self.servers.mailbox(&server);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return warn!(self.shared.log, #"trip.not-open", "a trip of what is not open"; "id" => &*id);
+        };
+        if let Some(subsetting) = self.shared.subsetting.get() {
+            subsetting.attempt_forwarded();
+        }
+        if self.shared.outlier_detection.get().is_some_and(|detection| detection.may_forward(&server)) {
+            self.engine.set_ejected(&server, true);
+        }
+        let attempt = request.begin_attempt(mailbox.clone());
+        let time_left = request.deadline.saturating_sub(now);
+        let limit = if limit == 0 { time_left } else { limit.min(time_left) };
+        debug!(self.shared.log, #"attempt.begun", "an attempt"; "id" => &*id, "attempt" => attempt,
+            "server" => &*server, "limit_us" => limit);
+        if let Some(mailbox) = mailbox.filter(|_| time_left > 0) {
+            let call = request.call.clone();
+            let order = upstream::Order::Attempt { call, attempt, limit, created_at: Instant::now() };
+            if mailbox.send(order).await.is_ok() {
+                return;
+            }
+        }
+        let end = Err(AttemptFailure::unsent(ConnectionEnd::NoSocket));
+        self.follow_ups.push_back(Event::AttemptCompleted(CompletedAttempt {
+            request: id,
+            attempt,
+            server,
+            end,
+            elapsed: 0,
+        }));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -0,0 +1,32 @@
+//! The timers that the engine has set, in the order in which they expire.
+
+use std::collections::BTreeMap;
+
+use fernscale_policy::Micros;
+
+/// Timers by deadline; of those with the same deadline, the one set first expires first.
+#[derive(Default)]
+pub(super) struct Timers {
+    by_deadline: BTreeMap<(Micros, u64), Box<str>>,
+    /// How many have been set, as the second part of the key.
+    count: u64,
+}
+
+impl Timers {
+    /// Sets a timer for a time of the gateway's clock.
+    pub(super) fn set(&mut self, at: Micros, token: Box<str>) {
+        self.count += 1;
+        self.by_deadline.insert((at, self.count), token);
+    }
+
+    /// When the next timer expires.
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
+        self.by_deadline.first_key_value().map(|((at, _), _)| *at)
+    }
+
+    /// Removes the next timer that has expired by `now`, and gives its token.
+    pub(super) fn pop_expired(&mut self, now: Micros) -> Option<Box<str>> {
+        let next = self.by_deadline.first_entry().filter(|timer| timer.key().0 <= now)?;
+        Some(next.remove())
+    }
+}
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -86,14 +86,23 @@
     end.as_ref().map_or_else(|failure| failure.outcome(), |_| Outcome::Ok)
 }
 
-/// Of a call to the counter four things matter: its total, that nothing was added, that some may be, and then whether
-/// the counter had no time for an answer, or spoilt it or failure it with its connection.
-pub fn of_counter_call(end: &Result<CounterTotal, AttemptFailure>) -> (Outcome, f64) {
+/// The end of a call to the counter, as the engine distinguishes ends.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CounterCallEnd {
+    pub outcome: Outcome,
+    /// The counter's total where the outcome is [`Outcome::Ok`], else 0.
+    pub total: f64,
+}
+
+/// Four cases of a call to the counter matter: it has a total, nothing was added, something may have been added and the
+/// counter was too slow, or something may have been added and the answer was malformed or lost with its connection.
+pub fn of_counter_call(end: &Result<CounterTotal, AttemptFailure>) -> CounterCallEnd {
+    let failed = |outcome| CounterCallEnd { outcome, total: 0.0 };
     match end {
-        Ok(CounterTotal::Total(total)) => (Outcome::Ok, *total),
-        Ok(CounterTotal::Full | CounterTotal::Error) => (Outcome::Overloaded, 0.0),
-        Err(AttemptFailure { how: ConnectionEnd::Silent, written: true }) => (Outcome::TimedOut, 0.0),
-        Err(failure) if failure.written => (Outcome::Error, 0.0),
-        Err(failure) => (failure.outcome(), 0.0),
+        Ok(CounterTotal::Total(total)) => CounterCallEnd { outcome: Outcome::Ok, total: *total },
+        Ok(CounterTotal::Full | CounterTotal::Error) => failed(Outcome::Overloaded),
+        Err(AttemptFailure { how: ConnectionEnd::Silent, written: true }) => failed(Outcome::TimedOut),
+        Err(failure) if failure.written => failed(Outcome::Error),
+        Err(failure) => failed(failure.outcome()),
     }
 }
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -115,8 +115,8 @@
         while all.len() < calls.len() {
             if let Event::CounterReplied { key: count, end, .. } = told.recv().await.expect("the actor runs")
             {
-                let (outcome, total) = of_counter_call(&end);
-                all.push((count.to_string(), outcome, total));
+                let call = of_counter_call(&end);
+                all.push((count.to_string(), call.outcome, call.total));
             }
         }
         all
