--- /dev/null
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -0,0 +1,209 @@
+//! One exchange with a server: a command is written on a connection of its own, and its reply read.
+//!
+//! It owns the last look at whether an attempt may still begin, and the passing on of values too long to be kept complete.
+
+use std::time::{Duration, Instant};
+
+use async_channel::Sender;
+use fernscale_policy::{Id, LoadReport, Micros};
+
+use super::pool::Checkout;
+use super::Upstream;
+use crate::outcome::AttemptFailure;
+use crate::protocol::call::{self, Call, Came, ServerReply};
+use crate::protocol::resp::{self, Opening, Reply};
+use crate::protocol::Scanned;
+use crate::shared::{Event, Piece, ResponseStream};
+use crate::transport::clock::boottime;
+use crate::transport::connection::{within, Connection};
+use crate::transport::ending::ConnectionEnd;
+
+/// How long a server may send no byte of a long value. As long as some come it is not cut off, since its client has begun
+/// to get the value and can't be given another server's.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A reply that has been read, and the connection it came on.
+struct Exchanged<T> {
+    reply: T,
+    connection: Connection,
+}
+
+impl Upstream {
+    /// Forwards a call, and gives the server's reply once it is complete. A long value has been passed on by then.
+    pub(super) async fn forward(
+        &self,
+        call: &Call,
+        attempt: usize,
+        limit: Micros,
+        created_at: Instant,
+    ) -> Result<(ServerReply, LoadReport), AttemptFailure> {
+        let until = created_at + Duration::from_micros(limit);
+        let command = call.command(limit);
+        let scan = |bytes: &[u8], ended: bool| call::came(bytes, ended, self.load_fields());
+        let Exchanged { reply, connection } = self.exchange(&command, until, Some(call), scan).await?;
+        match reply {
+            Came::Whole(reply) => {
+                self.pool.release(connection);
+                Ok(reply)
+            }
+            Came::Opens(head) => self.stream_value(head, connection, call.request.id.clone(), attempt).await,
+        }
+    }
+
+    /// Asks the server whether it is there.
+    pub(super) async fn check_health(&self) -> Result<LoadReport, AttemptFailure> {
+        let until = Instant::now() + self.message_timeout();
+        let command = resp::write_command(&[b"PING"]);
+        let scan = |bytes: &[u8], _ended: bool| match resp::reply(bytes)? {
+            Some((Reply::Simple(_), length)) => Ok(Some((LoadReport::default(), length))),
+            Some(_) => Err("no good word"),
+            None => Ok(None),
+        };
+        let Exchanged { reply, connection } = self.exchange(&command, until, None, scan).await?;
+        self.pool.release(connection);
+        Ok(reply)
+    }
+
+    fn load_fields(&self) -> &[String] {
+        &self.shared.platform.load_fields
+    }
+
+    /// How long a message may take from its first byte to its end: a reply that has begun comes in one piece, and needs no
+    /// longer than a connection does.
+    fn message_timeout(&self) -> Duration {
+        Duration::from_micros(self.shared.platform.connect_timeout)
+    }
+
+    /// Has a command answered on a connection of its own. `call` is the client's call that the command is for, if it is for one;
+    /// `scan` is given what has come, and whether no more will.
+    async fn exchange<T>(
+        &self,
+        command: &[u8],
+        until: Instant,
+        call: Option<&Call>,
+        scan: impl Fn(&[u8], bool) -> Scanned<T>,
+    ) -> Result<Exchanged<T>, AttemptFailure> {
+        let checkout = within(until, ConnectionEnd::NeverUp, self.pool.acquire());
+        let Checkout { connection, idle_for } = checkout.await.map_err(AttemptFailure::unsent)?;
+        // There must be no await between this check and the first byte.
+        if let Err(how) = self.check_may_begin(&connection, call) {
+            if how == ConnectionEnd::Unwanted {
+                self.pool.release(connection);
+            }
+            return Err(AttemptFailure::unsent(how));
+        }
+        let end = self.exchange_on(connection, command, until, call, scan).await;
+        self.pool.adjust_idle_limit(idle_for, &end);
+        end
+    }
+
+    /// Whether the first byte may still be written on this connection. What held when an attempt was created may not hold once
+    /// it has waited for this actor, or for its connection.
+    fn check_may_begin(&self, connection: &Connection, call: Option<&Call>) -> Result<(), ConnectionEnd> {
+        // Danger: the client has disconnected meanwhile. To begin nothing is not a cancellation, and always allowed.
+        if call.is_some_and(|call| call.client_gone.get()) {
+            return Err(ConnectionEnd::Unwanted);
+        }
+        // Danger: the server has been cordoned meanwhile, drains, was removed, or has another address.
+        if self.shared.cordoned.borrow().contains(&self.server) {
+            return Err(ConnectionEnd::Cordoned);
+        }
+        if self.shared.draining.borrow().contains(&self.server) || !self.pool.is_connected(connection) {
+            return Err(ConnectionEnd::Left);
+        }
+        // Danger: this process was suspended, and resumes with an endpoint list that has expired.
+        let fresh_until = self.shared.endpoints_fresh_until.get();
+        if fresh_until < Micros::MAX && boottime() >= fresh_until {
+            return Err(ConnectionEnd::OldList);
+        }
+        Ok(())
+    }
+
+    /// Writes the command and reads the reply.
+    async fn exchange_on<T>(
+        &self,
+        mut connection: Connection,
+        command: &[u8],
+        until: Instant,
+        call: Option<&Call>,
+        scan: impl Fn(&[u8], bool) -> Scanned<T>,
+    ) -> Result<Exchanged<T>, AttemptFailure> {
+        within(until, ConnectionEnd::Silent, connection.write(command))
+            .await
+            .map_err(AttemptFailure::unsent)?;
+        if call.is_some() {
+            self.shared.metrics.tried();
+        }
+        let received = connection.message(|bytes| scan(bytes, false), until, self.message_timeout()).await;
+        match received {
+            Ok(reply) => Ok(Exchanged { reply, connection }),
+            Err(how) => match scan(connection.buffer.filled(), true) {
+                // All that matters has come, and the connection can't be used again.
+                Ok(Some((reply, _))) => {
+                    connection.spoilt = true;
+                    Ok(Exchanged { reply, connection })
+                }
+                _ => Err(AttemptFailure::unanswered(how)),
+            },
+        }
+    }
+
+    /// Passes a long value on as it comes, and reads what follows it.
+    async fn stream_value(
+        &self,
+        head: Opening,
+        mut connection: Connection,
+        request: Id,
+        attempt: usize,
+    ) -> Result<(ServerReply, LoadReport), AttemptFailure> {
+        let (sender, pieces) = async_channel::bounded(1);
+        let flow = ResponseStream { length: head.length, pieces };
+        drop(self.events.send(Event::ResponseStarted { request, attempt, flow }).await);
+        pass_on(&mut connection, head.length, &sender).await?;
+        drop(sender);
+        let following_items = head.items - 1;
+        let timeout = self.message_timeout();
+        let scan = |bytes: &[u8]| call::behind(bytes, following_items, false, self.load_fields());
+        match connection.message(scan, Instant::now() + timeout, timeout).await {
+            Ok(reply) => {
+                self.pool.release(connection);
+                Ok(reply)
+            }
+            Err(how) => {
+                let received = connection.buffer.filled();
+                match call::behind(received, following_items, true, self.load_fields()) {
+                    Ok(Some((reply, _))) => Ok(reply),
+                    _ => Err(AttemptFailure::unanswered(how)),
+                }
+            }
+        }
+    }
+}
+
+/// Passes a value of so many bytes on to the client's connection task, up to the line end behind it, which stays unread.
+async fn pass_on(
+    connection: &mut Connection,
+    length: usize,
+    pieces: &Sender<Piece>,
+) -> Result<(), AttemptFailure> {
+    let client_gone = |_| AttemptFailure::unanswered(ConnectionEnd::GivenUp);
+    let mut remaining = length;
+    while remaining > 0 {
+        let until = Instant::now() + STREAM_STALL_TIMEOUT;
+        let piece = within(until, ConnectionEnd::Stalled, connection.read_chunk(remaining))
+            .await
+            .map_err(AttemptFailure::unanswered)?;
+        remaining -= piece.len();
+        // The client's task takes a piece once it has written the one before: a slow client slows the server down.
+        pieces.send(Piece::Bytes(piece)).await.map_err(client_gone)?;
+    }
+    // The value is complete as soon as its line end has come; its client does not wait for what follows.
+    let line_end = |bytes: &[u8]| match bytes {
+        [b'\r', b'\n', ..] => Ok(Some(((), 0))),
+        [] | [b'\r'] => Ok(None),
+        _ => Err("a value does not end where it should"),
+    };
+    let until = Instant::now() + STREAM_STALL_TIMEOUT;
+    connection.message(line_end, until, STREAM_STALL_TIMEOUT).await.map_err(AttemptFailure::unanswered)?;
+    pieces.send(Piece::End).await.map_err(client_gone)
+}
