--- a/crates/gateway/src/fleet/endpoint_list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -16,11 +16,10 @@
 use serde_json::{json, Value};
 use slog::{info, warn};
 
+use super::host::{DiscoveryRequest, EndpointTable, FleetEvent};
 use super::leases::Leases;
 use super::membership::Membership;
-use crate::discovery::Order;
 use crate::protocol::catalog::{self, ListError};
-use crate::shared::{Event, Shared};
 use crate::transport::clock::{boottime, real_duration};
 
 /// The job's name.
@@ -31,35 +30,40 @@
 const LOOK: Micros = 50_000;
 
 /// What it works with.
-pub struct EndpointListConfig {
+pub struct EndpointListConfig<E, R> {
     /// How soon each gateway must know of a change.
     pub poll_interval: Micros,
     /// The version that was known before the start.
     pub known_index: Option<u64>,
-    pub orders: Sender<Order>,
-    pub events: Sender<Event>,
+    pub orders: Sender<R>,
+    pub events: Sender<E>,
 }
 
-struct List {
-    shared: Rc<Shared>,
+struct List<E, R> {
+    host: Rc<dyn EndpointTable>,
     mesh: Rc<Membership>,
     owners: Rc<Leases>,
     job: Name,
-    needs: EndpointListConfig,
+    needs: EndpointListConfig<E, R>,
     told: RefCell<ReplicatedList>,
     /// One carries out what is wanted, in its order; others leave it to that one.
     carrying: Cell<bool>,
     wake: Wake,
 }
 
-pub fn start(shared: &Rc<Shared>, mesh: &Rc<Membership>, owners: &Rc<Leases>, needs: EndpointListConfig) {
+pub fn start<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static>(
+    host: Rc<dyn EndpointTable>,
+    mesh: &Rc<Membership>,
+    owners: &Rc<Leases>,
+    needs: EndpointListConfig<E, R>,
+) {
     let job = Name::from(JOB);
     if !owners.register(&job) {
         return;
     }
     let told = ReplicatedList::new(&job, needs.poll_interval, needs.known_index, boottime(), rand::random());
     let list = Rc::new(List {
-        shared: shared.clone(),
+        host,
         mesh: mesh.clone(),
         owners: owners.clone(),
         job,
@@ -72,9 +76,9 @@
     mesh.spawn_until_left(list.keep_time());
 }
 
-impl List {
+impl<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static> List<E, R> {
     async fn keep_time(self: Rc<Self>) {
-        drop(self.needs.orders.send(Order::ByFleet).await);
+        drop(self.needs.orders.send(DiscoveryRequest::DelegateToFleet.into()).await);
         loop {
             let woken = self.wake.listen();
             let (now, owns, place) = (boottime(), self.term().is_some(), self.owners.rank(&self.job));
@@ -100,7 +104,7 @@
                 Ok(note) => self.told.borrow_mut().handle_message(boottime(), &from.name.into(), note),
                 Err(_) => {
                     let why = "a note about the list that can't be read";
-                    warn!(self.shared.log, #"list.unread", "{}", why; "peer" => from.name);
+                    warn!(self.host.log(), #"list.unread", "{}", why; "peer" => from.name);
                 }
             }
             self.carry().await;
@@ -114,7 +118,7 @@
             return;
         }
         loop {
-            self.shared.endpoints_fresh_until.set(self.told.borrow().fresh_until());
+            self.host.set_fresh_until(self.told.borrow().fresh_until());
             let output = self.told.borrow_mut().poll_output();
             let Some(output) = output else { break };
             match output {
@@ -132,7 +136,7 @@
                 Output::Updated(answer) => self.learn(answer).await,
                 Output::HandOver => {
                     if self.owners.hand_over(&self.job) {
-                        info!(self.shared.log, #"list.handed-over", "discovery can't be asked here: another had better");
+                        info!(self.host.log(), #"list.handed-over", "discovery can't be asked here: another had better");
                     }
                 }
                 Output::Rejected(highest) => self.owners.effect_rejected(&self.job, highest),
@@ -156,7 +160,7 @@
 
     async fn call(self: Rc<Self>, since: Option<u64>) {
         let (to, answers) = async_channel::bounded(1);
-        drop(self.needs.orders.send(Order::Ask(since, to)).await);
+        drop(self.needs.orders.send(DiscoveryRequest::Poll { since, reply: to }.into()).await);
         let answer = async { answers.recv().await.ok().flatten() };
         let late = async {
             Timer::after(CALL).await;
@@ -173,18 +177,18 @@
         let SourceReply { index, is_complete: full, entries } = answer;
         let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
         let body = json!({ "index": index, "snapshot": full, "endpoints": endpoints.collect::<Vec<_>>() });
-        match catalog::endpoint_update(&body, &self.shared.platform) {
+        match catalog::endpoint_update(&body, self.host.platform()) {
             Ok(mut members) => {
-                self.shared.apply_list(&mut members);
-                info!(self.shared.log, #"discovery.list", "list"; "index" => index, "full" => full,
+                self.host.apply_list(&mut members);
+                info!(self.host.log(), #"discovery.list", "list"; "index" => index, "full" => full,
                     "servers" => members.servers.len(), "by" => "fleet");
-                drop(self.needs.events.send(Event::EndpointsUpdated(members)).await);
+                drop(self.needs.events.send(FleetEvent::EndpointsUpdated(members).into()).await);
             }
             Err(ListError { reason: why, draining: leaving, .. }) => {
-                warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => why);
-                self.shared.draining.borrow_mut().leave(&leaving);
-                drop(self.needs.events.send(Event::EndpointsDraining(leaving)).await);
-                drop(self.needs.events.send(Event::EndpointsUnavailable).await);
+                warn!(self.host.log(), #"discovery.failed", "discovery failed"; "why" => why);
+                self.host.start_draining(&leaving);
+                drop(self.needs.events.send(FleetEvent::EndpointsDraining(leaving).into()).await);
+                drop(self.needs.events.send(FleetEvent::EndpointsUnavailable.into()).await);
             }
         }
     }
--- a/crates/gateway/src/fleet/leases.rs
+++ b/crates/gateway/src/fleet/leases.rs
@@ -27,8 +27,8 @@
 use slog::{info, warn};
 
 use super::durable_store::{DurableStore, Entries, StoreFaults};
+use super::host::HostHandle;
 use super::membership::Membership;
-use crate::shared::Shared;
 use crate::transport::clock::{boottime, micros, real_duration};
 
 /// How often is looked at who is there.
@@ -82,7 +82,7 @@
 pub struct Leases {
     me: Name,
     mesh: Rc<Membership>,
-    shared: Rc<Shared>,
+    host: HostHandle,
     settings: Settings,
     core: RefCell<Core>,
     durable: RefCell<Option<DurableStore>>,
@@ -98,7 +98,7 @@
 
 impl Leases {
     /// Takes part from now on.
-    pub fn start(shared: &Rc<Shared>, mesh: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
+    pub fn start(host: &HostHandle, mesh: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
         let peer = mesh.local();
         let (me, run) = (Name::from(peer.name), ProcessId(peer.instance.0));
         let claimer = Candidate::new(run, &settings.acceptors, settings.terms, rand::random());
@@ -108,7 +108,7 @@
         let owners = Rc::new(Leases {
             me,
             mesh: mesh.clone(),
-            shared: shared.clone(),
+            host: host.clone(),
             core: RefCell::new(core),
             durable: RefCell::default(),
             synced,
@@ -120,7 +120,7 @@
             settings,
         });
         let votes = owners.settings.acceptors.names.contains(&owners.me);
-        info!(shared.log, #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => votes,
+        info!(host.log(), #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => votes,
             "voters" => owners.settings.acceptors.names.len(), "lease_ms" => owners.settings.terms.duration / 1_000,
             "run" => format!("{:016x}", run.0));
         let answers = owners.clone();
@@ -140,7 +140,7 @@
     pub fn register(&self, job: &Name) -> bool {
         let fresh = self.core.borrow_mut().roster.add(job);
         if !fresh {
-            warn!(self.shared.log, #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**job);
+            warn!(self.host.log(), #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**job);
         }
         self.wake.notify(1);
         fresh
@@ -209,7 +209,7 @@
     }
 
     fn votes_by(&self, durable: DurableStore, promises: Promises) {
-        info!(self.shared.log, #"owner.folder", "the folder of promises is open"; "promises" => promises.promises.len(),
+        info!(self.host.log(), #"owner.folder", "the folder of promises is open"; "promises" => promises.promises.len(),
             "writes" => promises.write_count);
         self.durable.replace(Some(durable));
         let (me, voters, terms) = (&self.me, &self.settings.acceptors, self.settings.terms);
@@ -219,7 +219,7 @@
     }
 
     fn no_folder(&self, why: &str) -> Duration {
-        warn!(self.shared.log, #"owner.no-folder", "promises can't be kept, and none are made"; "why" => why);
+        warn!(self.host.log(), #"owner.no-folder", "promises can't be kept, and none are made"; "why" => why);
         REOPENED
     }
 
@@ -266,7 +266,7 @@
         while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
             let Ok(letter) = postcard::from_bytes::<Message>(&body) else {
                 let why = "a letter about jobs that can't be read";
-                warn!(self.shared.log, #"owner.unread", "{}", why; "peer" => &from.name);
+                warn!(self.host.log(), #"owner.unread", "{}", why; "peer" => &from.name);
                 continue;
             };
             let (now, name, run) = (boottime(), Name::from(from.name), ProcessId(from.instance.0));
@@ -345,7 +345,7 @@
     }
 
     fn tell_voted(&self, event: &Voted) {
-        let log = &self.shared.log;
+        let log = self.host.log();
         match event {
             Voted::StartedVoting { recovered: anew } => {
                 info!(log, #"owner.votes", "promises jobs from now on"; "anew" => anew)
@@ -363,7 +363,7 @@
     }
 
     fn tell_owned(&self, event: &Owned) {
-        let log = &self.shared.log;
+        let log = self.host.log();
         let run = |fence: &FencingToken| format!("{:016x}", fence.process.0);
         match event {
             Owned::Acquired { lease: job, token: fence } => {
@@ -419,11 +419,10 @@
         let doubled = live.iter().any(|peer| peer.name == own.name && peer.address != own.address);
         if doubled && !core.doubled {
             let why = "another gateway goes by this one's name, and neither may vote by it";
-            warn!(self.shared.log, #"owner.name-twice", "{}", why; "name" => own.name);
+            warn!(self.host.log(), #"owner.name-twice", "{}", why; "name" => own.name);
         }
         core.doubled = doubled;
-        let unwilling =
-            core.cordoned || now < core.slow_until || self.shared.shutting_down_since.get().is_some();
+        let unwilling = core.cordoned || now < core.slow_until || self.host.is_shutting_down();
         let mut all: Vec<Participant> = live
             .into_iter()
             .filter(|peer| *peer.name != *self.me)
@@ -443,7 +442,7 @@
             StatusQuery::Release(job) => StatusReply::Released(self.hand_over(&job)),
             StatusQuery::Cordon(on) => {
                 self.core.borrow_mut().cordoned = on;
-                info!(self.shared.log, #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => on);
+                info!(self.host.log(), #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => on);
                 StatusReply::Cordoned(on)
             }
         };
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream, UdpSocket};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
@@ -27,7 +27,7 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use slog::{info, warn, Logger};
 
-use crate::shared::Shared;
+use super::host::HostHandle;
 use crate::transport::clock::unix;
 use crate::transport::stream::{read_exact, write_all};
 use crate::transport::syscall::{dialled, uninterrupted};
@@ -73,6 +73,8 @@
 }
 
 pub struct Membership {
+    /// Itself, for the tasks that it spawns.
+    this: Weak<Membership>,
     node: RefCell<Node>,
     sealer: RefCell<Sealer>,
     /// None once this gateway has left: another process of it may listen there.
@@ -92,7 +94,7 @@
     /// Who takes in what is carried for others, and who answers operators' questions about it.
     takers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
     answerers: RefCell<BTreeMap<Channel, Answerer>>,
-    shared: Rc<Shared>,
+    host: HostHandle,
 }
 
 /// Answers an operator's question; nothing where it makes no sense.
@@ -106,7 +108,7 @@
 impl Membership {
     /// Listens, and speaks from now on.
     pub fn start(
-        shared: &Rc<Shared>,
+        host: &HostHandle,
         name: &str,
         gateways: u32,
         settings: &Settings,
@@ -120,8 +122,9 @@
         let sealer = Sealer::new(settings.keys.clone(), me.instance);
         let sealer = sealer.ok_or_else(|| io::Error::other("the mesh has no key"))?;
         let config = Config { local: me, seeds: settings.seeds.clone() };
-        let mesh = Rc::new(Membership {
-            node: RefCell::new(Node::new(config, rand::random(), shared.clock.now())),
+        let mesh = Rc::new_cyclic(|this| Membership {
+            this: this.clone(),
+            node: RefCell::new(Node::new(config, rand::random(), host.clock().now())),
             sealer: RefCell::new(sealer),
             socket: RefCell::new(Some(Rc::new(socket))),
             wake: Wake::new(),
@@ -134,9 +137,9 @@
             takers: RefCell::default(),
             answerers: RefCell::default(),
             streams: Cell::new(0),
-            shared: shared.clone(),
+            host: host.clone(),
         });
-        info!(shared.log, #"mesh.starts", "speaks with other gateways"; "listen" => address.to_string(),
+        info!(host.log(), #"mesh.starts", "speaks with other gateways"; "listen" => address.to_string(),
             "advertise" => told.to_string(), "run" => run, "seeds" => settings.seeds.len());
         mesh.spawn_until_left(mesh.clone().keep_time());
         mesh.spawn_until_left(mesh.clone().hear());
@@ -151,13 +154,13 @@
 
     /// This gateway has added an amount to a count: what all know of it with that.
     pub fn add_to_counter(&self, count: &str, amount: f64, life: Micros) -> Option<monitor::GossipTotal> {
-        self.node.borrow_mut().add_to_counter(self.shared.clock.now(), count, amount, life);
+        self.node.borrow_mut().add_to_counter(self.host.clock().now(), count, amount, life);
         self.gossip_total(count)
     }
 
     /// This gateway has added all this before it could speak.
     pub fn deliver(&self, untold: UndeliveredUpdates) {
-        let now = self.shared.clock.now();
+        let now = self.host.clock().now();
         for (count, (amount, ends)) in untold.0 {
             self.node.borrow_mut().add_to_counter(now, &count, amount, ends.saturating_sub(now));
         }
@@ -165,13 +168,13 @@
 
     pub fn gossip_total(&self, count: &str) -> Option<monitor::GossipTotal> {
         let node = self.node.borrow();
-        let total = node.counter_total(self.shared.clock.now(), count)?;
+        let total = node.counter_total(self.host.clock().now(), count)?;
         Some(monitor::GossipTotal { total, is_complete: node.live_members().count() + 1 >= self.gateways })
     }
 
     /// Tells some that this gateway goes, and listens no more.
     pub fn leave(&self) {
-        self.node.borrow_mut().leave(self.shared.clock.now());
+        self.node.borrow_mut().leave(self.host.clock().now());
         self.carry();
         self.left.0.close();
         self.socket.take();
@@ -233,7 +236,7 @@
         let left = async move {
             let _ = left.recv().await;
         };
-        self.shared.executor.spawn(future::or(left, work)).detach();
+        self.host.executor().spawn(future::or(left, work)).detach();
     }
 
     async fn keep_time(self: Rc<Self>) {
@@ -244,10 +247,10 @@
                 if due == Micros::MAX {
                     future::pending::<()>().await;
                 }
-                Timer::at(self.shared.clock.instant(due)).await;
+                Timer::at(self.host.clock().instant(due)).await;
             };
             future::or(wait, woken).await;
-            let now = self.shared.clock.now();
+            let now = self.host.clock().now();
             if now >= self.node.borrow().next_deadline() {
                 self.node.borrow_mut().handle_timeout(now);
             }
@@ -270,10 +273,10 @@
                 Output::ExchangeState { to } => {
                     let seal = self.sealed_full();
                     let work = dial_and_exchange(Some(self.from), to, seal);
-                    let Some(mesh) = self.shared.membership.get().cloned() else { continue };
+                    let Some(mesh) = self.this.upgrade() else { continue };
                     self.begun.set(self.begun.get() + 1);
-                    self.shared
-                        .executor
+                    self.host
+                        .executor()
                         .spawn(async move {
                             if let Ok(answer) = work.await {
                                 mesh.full_came(&answer);
@@ -292,15 +295,14 @@
                         let _ = taker.try_send(came);
                     }
                 }
-                Output::Event(event) => tell(&self.shared.log, &event),
+                Output::Event(event) => tell(self.host.log(), &event),
             }
         }
     }
 
     /// Sends sealed bytes that nobody answers.
     fn stream(&self, to: SocketAddr, sealed: Vec<u8>) {
-        let Some(mesh) = self.shared.membership.get().filter(|_| self.streams.get() < STREAMS).cloned()
-        else {
+        let Some(mesh) = self.this.upgrade().filter(|_| self.streams.get() < STREAMS) else {
             return;
         };
         self.streams.set(self.streams.get() + 1);
@@ -319,11 +321,11 @@
             let _ = future::or(send, late).await;
             mesh.streams.set(mesh.streams.get() - 1);
         };
-        self.shared.executor.spawn(work).detach();
+        self.host.executor().spawn(work).detach();
     }
 
     fn sealed_full(&self) -> Vec<u8> {
-        let full = self.node.borrow().full_state(self.shared.clock.now());
+        let full = self.node.borrow().full_state(self.host.clock().now());
         self.sealer.borrow_mut().seal(unix(), &StreamMessage::FullState(full))
     }
 
@@ -336,7 +338,7 @@
                 let opened = self.sealer.borrow_mut().open::<Packet>(unix(), &bytes[..length]);
                 match opened {
                     Ok((sealed_by, packet)) if sealed_by == packet.sender.instance => {
-                        let now = self.shared.clock.now();
+                        let now = self.host.clock().now();
                         self.node.borrow_mut().handle_packet(now, from, packet);
                         self.carry();
                         self.wake.notify(1);
@@ -350,7 +352,7 @@
     }
 
     fn refused(&self, from: SocketAddr, why: &str) {
-        warn!(self.shared.log, #"mesh.refused", "a packet was not believed"; "from" => from.to_string(), "why" => why);
+        warn!(self.host.log(), #"mesh.refused", "a packet was not believed"; "from" => from.to_string(), "why" => why);
     }
 
     async fn exchanges(self: Rc<Self>, listener: Async<TcpListener>) {
@@ -365,8 +367,8 @@
             }
             self.exchanges.set(self.exchanges.get() + 1);
             let mesh = self.clone();
-            self.shared
-                .executor
+            self.host
+                .executor()
                 .spawn(async move {
                     let work = mesh.exchange(stream);
                     let late = async {
@@ -386,7 +388,7 @@
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), &bytes);
         let answer = match opened {
             Ok((sealed_by, StreamMessage::FullState(full))) if sealed_by == full.sender.instance => {
-                self.node.borrow_mut().handle_full_state(self.shared.clock.now(), full);
+                self.node.borrow_mut().handle_full_state(self.host.clock().now(), full);
                 self.carry();
                 self.wake.notify(1);
                 self.sealed_full()
@@ -397,11 +399,11 @@
             }
             Ok((_, StreamMessage::ListCounters)) => {
                 let sums =
-                    StreamMessage::CounterTotals(self.node.borrow().counter_totals(self.shared.clock.now()));
+                    StreamMessage::CounterTotals(self.node.borrow().counter_totals(self.host.clock().now()));
                 self.sealer.borrow_mut().seal(unix(), &sums)
             }
             Ok((sealed_by, StreamMessage::Payload(from, carried))) if sealed_by == from.instance => {
-                self.node.borrow_mut().handle_payload(self.shared.clock.now(), from, carried);
+                self.node.borrow_mut().handle_payload(self.host.clock().now(), from, carried);
                 self.carry();
                 return Ok(());
             }
@@ -423,7 +425,7 @@
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), bytes);
         if let Ok((sealed_by, StreamMessage::FullState(full))) = opened {
             if sealed_by == full.sender.instance {
-                self.node.borrow_mut().handle_full_state(self.shared.clock.now(), full);
+                self.node.borrow_mut().handle_full_state(self.host.clock().now(), full);
                 self.carry();
                 self.wake.notify(1);
             }
@@ -431,7 +433,7 @@
     }
 
     fn view(&self) -> MembershipView {
-        let (node, now) = (self.node.borrow(), self.shared.clock.now());
+        let (node, now) = (self.node.borrow(), self.host.clock().now());
         let member = |member: &fernscale_membership::node::Member| MemberView {
             peer: member.peer.clone(),
             state: member.state,
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -6,6 +6,7 @@
 
 pub mod durable_store;
 pub mod endpoint_list;
+pub mod host;
 pub mod leases;
 pub mod membership;
 pub mod outlier_detection;
--- a/crates/gateway/src/fleet/outlier_detection.rs
+++ b/crates/gateway/src/fleet/outlier_detection.rs
@@ -17,8 +17,9 @@
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
+use super::host::{FleetEvent, HostHandle};
 use super::membership::Membership;
-use crate::shared::{Event, Shared};
+use super::subsetting::Subsetting;
 use crate::transport::clock::{boottime, real_duration};
 
 /// The shortest sleep between two looks.
@@ -32,25 +33,27 @@
 }
 
 pub struct OutlierDetection {
-    shared: Rc<Shared>,
+    host: HostHandle,
     mesh: Rc<Membership>,
+    subsetting: Option<Rc<Subsetting>>,
     core: RefCell<Core>,
 }
 
 impl OutlierDetection {
     /// Takes part from now on. `events`: the module's, who is told which servers to leave.
-    pub fn start(
-        shared: &Rc<Shared>,
+    pub fn start<E: From<FleetEvent> + 'static>(
+        host: &HostHandle,
         mesh: &Rc<Membership>,
+        subsetting: Option<Rc<Subsetting>>,
         settings: Settings,
-        events: Sender<Event>,
+        events: Sender<E>,
     ) -> Rc<OutlierDetection> {
         let peer = mesh.local();
         let zone = settings.zone.unwrap_or_default();
-        info!(shared.log, #"signals.starts", "tells other gateways what servers are like, and goes by what they tell"; "zone" => &zone);
+        info!(host.log(), #"signals.starts", "tells other gateways what servers are like, and goes by what they tell"; "zone" => &zone);
         let me = LocalGateway { name: peer.name, instance: peer.instance.0, zone };
         let core = RefCell::new(Core::new(me, rand::random(), boottime()));
-        let signals = Rc::new(OutlierDetection { shared: shared.clone(), mesh: mesh.clone(), core });
+        let signals = Rc::new(OutlierDetection { host: host.clone(), mesh: mesh.clone(), subsetting, core });
         let answers = signals.clone();
         let answer = move |_: &[u8]| postcard::to_stdvec(&answers.shown()).ok();
         mesh.set_responder(Channel::OutlierDetection, Box::new(answer));
@@ -66,12 +69,12 @@
 
     /// A trip goes there. True: that was this gateway's turn to try it, and no other may follow.
     pub fn may_forward(&self, server: &str) -> bool {
-        self.core.borrow_mut().may_forward(self.shared.clock.now(), server)
+        self.core.borrow_mut().may_forward(self.host.clock().now(), server)
     }
 
     /// Looks at the list and at what was said: which servers are to be left from now on, and which are not any more.
     pub fn update<'l>(&self, listed: impl Iterator<Item = &'l Endpoint>) -> Vec<EjectionChange> {
-        let zone = |zone: u32| self.shared.platform.zones.get(zone as usize).cloned().unwrap_or_default();
+        let zone = |zone: u32| self.host.zones().get(zone as usize).cloned().unwrap_or_default();
         let server = |listed: &Endpoint| Server {
             name: listed.server.to_string(),
             weight: listed.weight,
@@ -79,21 +82,21 @@
             started: listed.listed_start.unwrap_or(0),
         };
         let servers = listed.filter(|listed| listed.state == EndpointState::Ready).map(server).collect();
-        let (now, shared) = (boottime(), self.shared.clock.now());
+        let (now, shared) = (boottime(), self.host.clock().now());
         let changes =
             self.core.borrow_mut().handle_timeout(now, shared, &self.mesh.live_instances(), servers);
         self.carry();
         changes
     }
 
-    async fn keep_time(self: Rc<Self>, events: Sender<Event>) {
+    async fn keep_time<E: From<FleetEvent>>(self: Rc<Self>, events: Sender<E>) {
         let mut out = BTreeSet::new();
-        while events.send(Event::OutlierDetectionDue).await.is_ok() {
+        while events.send(FleetEvent::OutlierDetectionDue.into()).await.is_ok() {
             let now: BTreeSet<String> = self.core.borrow().ejected().map(String::from).collect();
             // Those that are used again first: at no moment does the log have more of them out than there are.
             let back = out.difference(&now).map(|server| (server, false));
             for (server, left) in back.chain(now.difference(&out).map(|server| (server, true))) {
-                info!(self.shared.log, #"signals.server", "a server is left out of use, or used again, by the gateways' word";
+                info!(self.host.log(), #"signals.server", "a server is left out of use, or used again, by the gateways' word";
                     "server" => server, "out" => left);
             }
             out = now;
@@ -109,12 +112,12 @@
                 Ok(note) => {
                     let all = self.mesh.live_peers().len() as f64 + 1.0;
                     let observers =
-                        self.shared.subsetting.get().map_or(all, |subsets| subsets.gateways_per_server());
+                        self.subsetting.as_ref().map_or(all, |subsets| subsets.gateways_per_server());
                     self.core.borrow_mut().handle_message(boottime(), &from.name, note, observers);
                 }
                 Err(_) => {
                     let why = "a note about servers that can't be read";
-                    warn!(self.shared.log, #"signals.unread", "{}", why; "peer" => from.name);
+                    warn!(self.host.log(), #"signals.unread", "{}", why; "peer" => from.name);
                 }
             }
             self.carry();
@@ -135,7 +138,7 @@
     }
 
     fn shown(&self) -> OutlierView {
-        self.core.borrow().status(boottime(), self.shared.clock.now())
+        self.core.borrow().status(boottime(), self.host.clock().now())
     }
 }
 
--- a/crates/gateway/src/fleet/subsetting.rs
+++ b/crates/gateway/src/fleet/subsetting.rs
@@ -16,8 +16,8 @@
 use futures_lite::StreamExt;
 use slog::{info, warn};
 
+use super::host::{FleetEvent, HostHandle};
 use super::membership::Membership;
-use crate::shared::{Event, Shared};
 use crate::transport::clock::{boottime, real_duration};
 
 /// What an installation says of its subsets.
@@ -48,7 +48,7 @@
 }
 
 pub struct Subsetting {
-    shared: Rc<Shared>,
+    host: HostHandle,
     mesh: Option<Rc<Membership>>,
     settings: Settings,
     me: LocalGateway,
@@ -70,12 +70,12 @@
 
 impl Subsetting {
     /// Takes part from now on. `events`: the module's, who is asked to look at its servers now and then.
-    pub fn start(
-        shared: &Rc<Shared>,
+    pub fn start<E: From<FleetEvent> + 'static>(
+        host: &HostHandle,
         mesh: Option<&Rc<Membership>>,
         settings: Settings,
         me: LocalGateway,
-        events: Sender<Event>,
+        events: Sender<E>,
     ) -> Rc<Subsetting> {
         let now = boottime();
         let zone = settings.zone.clone().unwrap_or_default();
@@ -92,12 +92,12 @@
             used: BTreeSet::new(),
             avoided: BTreeSet::new(),
         };
-        info!(shared.log, #"subset.starts", "uses servers as they are dealt out among all gateways"; "least" => settings.min_servers,
+        info!(host.log(), #"subset.starts", "uses servers as they are dealt out among all gateways"; "least" => settings.min_servers,
             "zone" => zone, "by" => if mesh.is_some() { "mesh" } else { "number" });
         let core = RefCell::new(core);
         let mesh = mesh.cloned();
         let subsets =
-            Rc::new(Subsetting { shared: shared.clone(), mesh, settings, me, core, trips: Cell::new(0) });
+            Rc::new(Subsetting { host: host.clone(), mesh, settings, me, core, trips: Cell::new(0) });
         match &subsets.mesh {
             Some(mesh) => {
                 let answers = subsets.clone();
@@ -106,7 +106,7 @@
                 mesh.spawn_until_left(subsets.clone().hear(mesh.subscribe(Channel::Subsetting)));
                 mesh.spawn_until_left(subsets.clone().keep_time(events));
             }
-            None => shared.executor.spawn(subsets.clone().keep_time(events)).detach(),
+            None => host.executor().spawn(subsets.clone().keep_time(events)).detach(),
         }
         subsets
     }
@@ -130,7 +130,7 @@
         self.carry();
     }
 
-    async fn keep_time(self: Rc<Self>, events: Sender<Event>) {
+    async fn keep_time<E: From<FleetEvent>>(self: Rc<Self>, events: Sender<E>) {
         loop {
             let now = boottime();
             let live = self.live();
@@ -139,7 +139,7 @@
                 loads.handle_timeout(now, &live);
             }
             self.carry();
-            if events.send(Event::SubsettingDue).await.is_err() {
+            if events.send(FleetEvent::SubsettingDue.into()).await.is_err() {
                 return;
             }
             let due = {
@@ -164,7 +164,7 @@
                 }
                 Err(_) => {
                     let why = "a note about loads that can't be read";
-                    warn!(self.shared.log, #"subset.unread", "{}", why; "peer" => from.name);
+                    warn!(self.host.log(), #"subset.unread", "{}", why; "peer" => from.name);
                 }
             }
             self.carry();
@@ -188,7 +188,7 @@
 
     /// Looks at the list of servers and at the fleet: what is to change.
     pub fn update<'l>(&self, places: impl Iterator<Item = ServerSlot<'l>>) -> SubsetChange {
-        let (now, shared_now) = (boottime(), self.shared.clock.now());
+        let (now, shared_now) = (boottime(), self.host.clock().now());
         let (mut servers, mut avoided, mut cold) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         for (listed, avoids) in places.filter(|(listed, _)| listed.state == EndpointState::Ready) {
             let name = listed.server.to_string();
@@ -226,7 +226,7 @@
         let names: BTreeSet<String> = used.weights.keys().cloned().collect();
         change.leaves = core.used.difference(&names).map(|name| Id::from(&**name)).collect();
         if core.used != names {
-            info!(self.shared.log, #"subset.changes", "uses other servers"; "servers" => names.len(),
+            info!(self.host.log(), #"subset.changes", "uses other servers"; "servers" => names.len(),
                 "more" => names.difference(&core.used).count(), "fewer" => change.leaves.len(),
                 "gateways" => core.own.settled_view().gateways.len());
         }
@@ -240,7 +240,7 @@
     }
 
     fn zone(&self, name: &str) -> u32 {
-        let known = self.shared.platform.zones.iter().position(|zone| zone == name);
+        let known = self.host.zones().iter().position(|zone| zone == name);
         known.map_or(u32::MAX, |at| at as u32)
     }
 
--- a/crates/gateway/src/fleet/trial_leases.rs
+++ b/crates/gateway/src/fleet/trial_leases.rs
@@ -17,8 +17,8 @@
 use serde_json::{json, Value};
 use slog::warn;
 
+use super::host::HostHandle;
 use super::leases::Leases;
-use crate::shared::Shared;
 
 /// What a trial says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,16 +36,16 @@
 /// Bytes of an answer at the most.
 const LONGEST: usize = 1_024;
 
-pub fn start(shared: &Rc<Shared>, owners: &Rc<Leases>, settings: &Settings) {
+pub fn start(shared: &HostHandle, owners: &Rc<Leases>, settings: &Settings) {
     for job in &settings.jobs {
         if owners.register(job) {
             let work = work(shared.clone(), owners.clone(), job.clone(), settings.clone());
-            shared.executor.spawn(work).detach();
+            shared.executor().spawn(work).detach();
         }
     }
 }
 
-async fn work(shared: Rc<Shared>, owners: Rc<Leases>, job: Name, settings: Settings) {
+async fn work(shared: HostHandle, owners: Rc<Leases>, job: Name, settings: Settings) {
     let (mut connection, mut number) = (None, 0u64);
     loop {
         Timer::after(Duration::from_micros(settings.every)).await;
@@ -63,7 +63,7 @@
         match future::or(said, late).await {
             Some(Ok(None)) => {}
             Some(Ok(Some(highest))) => {
-                warn!(shared.log, #"owner.refused", "an effect was refused, as another owns the job";
+                warn!(shared.log(), #"owner.refused", "an effect was refused, as another owns the job";
                     "job" => &*job, "term" => effect.token().term, "highest" => highest.term);
                 owners.effect_rejected(&job, highest);
             }
--- a/crates/gateway/src/program/mod.rs
+++ b/crates/gateway/src/program/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod config;
 pub mod file;
+mod fleet;
 pub mod log;
 pub mod reader;
 pub mod run;
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -19,16 +19,15 @@
 use slog::{info, warn, Logger};
 
 use super::config::{Config, Source, PASSED};
+use super::fleet::Fleet;
 use crate::counter::Counter;
 use crate::discovery::{self, List};
 use crate::dispatcher::Module;
 use crate::downstream::{Door, STILL_COMING};
 use crate::fleet::endpoint_list as fleet_list;
-use crate::fleet::leases::{self, Leases};
-use crate::fleet::membership::{self, Membership};
-use crate::fleet::outlier_detection;
-use crate::fleet::subsetting::{self, Subsetting};
-use crate::fleet::trial_leases;
+use crate::fleet::host::HostHandle;
+use crate::fleet::membership::Membership;
+use crate::fleet::subsetting;
 use crate::hot_restart::Link;
 use crate::operator::metrics::Metrics;
 use crate::operator::{self, Desk};
@@ -113,10 +112,10 @@
     let (list, orders) = async_channel::bounded(MAX_QUEUED_ORDERS);
     let index = config.known.as_ref().filter(|known| !known.servers.is_empty()).map(|known| known.index);
     let fleet = Fleet {
-        owner: config.owner,
-        trial: config.trial,
-        signals: config.signals,
-        subsets: config.subsets.map(|settings| {
+        leases: config.owner,
+        trial_leases: config.trial,
+        outlier_detection: config.signals,
+        subsetting: config.subsets.map(|settings| {
             let (number, gateways) = (config.settings.gateway_index, config.settings.gateway_count);
             let me = subsetting::LocalGateway {
                 name: config.name.clone(),
@@ -127,7 +126,7 @@
             (settings, me)
         }),
         events: events.clone(),
-        list: fleet_list::EndpointListConfig {
+        endpoint_list: fleet_list::EndpointListConfig {
             poll_interval: config.settings.list_poll_interval.unwrap_or(0),
             known_index: index,
             orders: list.clone(),
@@ -135,20 +134,24 @@
         },
     };
     if config.mesh.is_none() {
-        fleet.starts_alone(&shared);
+        fleet.start_without_membership(&shared);
     } else if let Some(settings) = &config.mesh {
-        match Membership::start(&shared, &config.name, config.settings.gateway_count, settings) {
-            Ok(mesh) => fleet.starts(&shared, mesh),
+        match Membership::start(
+            &(shared.clone() as HostHandle),
+            &config.name,
+            config.settings.gateway_count,
+            settings,
+        ) {
+            Ok(mesh) => fleet.start(&shared, mesh),
             // The other process of this gateway speaks for it until it ends.
             Err(error) if error.kind() == ErrorKind::AddrInUse && config.passed.is_some() => {
                 info!(log, #"mesh.waits", "another process of this gateway speaks with the others";
                     "listen" => settings.listen.to_string());
-                let later = speaks_later(
+                let later = fleet.start_when_address_is_free(
                     shared.clone(),
                     config.name.clone(),
                     config.settings.gateway_count,
                     settings.clone(),
-                    fleet,
                 );
                 executor.spawn(later).detach();
             }
@@ -206,76 +209,6 @@
     Ok(())
 }
 
-/// What this gateway does together with the others, once it speaks with them.
-struct Fleet {
-    owner: Option<leases::Settings>,
-    trial: Option<trial_leases::Settings>,
-    signals: Option<outlier_detection::Settings>,
-    subsets: Option<(subsetting::Settings, subsetting::LocalGateway)>,
-    events: Sender<Event>,
-    list: fleet_list::EndpointListConfig,
-}
-
-impl Fleet {
-    fn starts(self, shared: &Rc<Shared>, mesh: Rc<Membership>) {
-        let _ = shared.membership.set(mesh.clone());
-        if let Some((settings, me)) = self.subsets {
-            let subsets = Subsetting::start(shared, Some(&mesh), settings, me, self.events.clone());
-            let _ = shared.subsetting.set(subsets);
-        }
-        if let Some(settings) = self.signals {
-            let _ = shared.outlier_detection.set(outlier_detection::OutlierDetection::start(
-                shared,
-                &mesh,
-                settings,
-                self.events,
-            ));
-        }
-        let Some(settings) = self.owner else { return };
-        let by_owner = settings.leases_endpoint_list;
-        let owners = Leases::start(shared, &mesh, settings);
-        let _ = shared.leases.set(owners.clone());
-        if by_owner {
-            fleet_list::start(shared, &mesh, &owners, self.list);
-        }
-        if let Some(settings) = &self.trial {
-            trial_leases::start(shared, &owners, settings);
-        }
-    }
-
-    /// The same where gateways have no way to each other.
-    fn starts_alone(self, shared: &Rc<Shared>) {
-        if let Some((settings, me)) = self.subsets {
-            let _ = shared.subsetting.set(Subsetting::start(shared, None, settings, me, self.events));
-        }
-    }
-}
-
-/// Speaks with other gateways once the process before this one has let the address go.
-async fn speaks_later(
-    shared: Rc<Shared>,
-    name: String,
-    gateways: u32,
-    settings: membership::Settings,
-    fleet: Fleet,
-) {
-    loop {
-        Timer::after(LOOK).await;
-        match Membership::start(&shared, &name, gateways, &settings) {
-            Ok(mesh) => {
-                mesh.deliver(shared.undelivered_updates.take());
-                return fleet.starts(&shared, mesh);
-            }
-            Err(error) if error.kind() == ErrorKind::AddrInUse => {}
-            Err(error) => {
-                let why = error.to_string();
-                warn!(shared.log, #"mesh.none", "goes on without the other gateways"; "why" => why);
-                return;
-            }
-        }
-    }
-}
-
 fn listen(address: SocketAddr) -> Result<Async<TcpListener>, String> {
     let failed = |error: &dyn Display| format!("can't listen on {address}: {error}");
     let listener = Async::<TcpListener>::bind(address).map_err(|error| failed(&error))?;
