--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -4,19 +4,19 @@
 
 use crate::message::{AcceptorReply, AcceptorRequest, Rejection};
 use crate::{
-    drawn, majority, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId,
+    majority, seeded_hash, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId,
     MILLISECOND,
 };
 
 /// How often those who have not answered are asked again.
-const AGAIN: Micros = 100 * MILLISECOND;
+const RESEND_INTERVAL: Micros = 100 * MILLISECOND;
 /// How long a claim is tried, as a part of the lease; then it waits and begins anew.
-const TRIES: u64 = 3;
+const CLAIM_TIMEOUT_DIVISOR: u64 = 3;
 /// The first pause after a claim in vain, and the longest; each is drawn between one and two times that, and doubles.
-const PAUSE: Micros = 40 * MILLISECOND;
-const LONGEST_PAUSE: Micros = 320 * MILLISECOND;
+const MIN_BACKOFF: Micros = 40 * MILLISECOND;
+const MAX_BACKOFF: Micros = 320 * MILLISECOND;
 /// A renewal begins after this part of the lease.
-const RENEWS: u64 = 3;
+const RENEWAL_DIVISOR: u64 = 3;
 
 /// The right to act for the fleet at this moment. What acts for the fleet takes one, and passes its fence on with the effect;
 /// only a [`Claimer`] that owns the job can make one.
@@ -37,8 +37,8 @@
     }
 
     /// Something that is done for the fleet, by this right.
-    pub fn authorize<T>(self, what: T) -> AuthorizedEffect<T> {
-        AuthorizedEffect { lease: self.lease.clone(), token: self.token, content: what }
+    pub fn authorize<T>(self, content: T) -> AuthorizedEffect<T> {
+        AuthorizedEffect { lease: self.lease.clone(), token: self.token, content }
     }
 }
 
@@ -97,18 +97,18 @@
 
 /// A claim or a renewal under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Try {
-    fence: FencingToken,
+struct Claim {
+    token: FencingToken,
     /// Answers that name another say nothing of this one's time.
-    number: u64,
+    round: u64,
     /// The owner counts from before it asked.
-    asked: Micros,
-    next: Micros,
+    requested_at: Micros,
+    next_send: Micros,
     until: Micros,
     /// Who has granted it, in which life, and what they say of each other's.
     grants: BTreeMap<Name, u64>,
-    lives: BTreeMap<Name, u64>,
-    refused: BTreeMap<Name, Rejection>,
+    incarnations: BTreeMap<Name, u64>,
+    rejections: BTreeMap<Name, Rejection>,
     /// Who had the job by what was heard before.
     holder: Option<FencingToken>,
 }
@@ -116,47 +116,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
     /// From then on it may be claimed.
-    Waits(Micros),
-    Claims(Try),
-    Owns {
-        fence: FencingToken,
+    Waiting(Micros),
+    Claiming(Claim),
+    Holding {
+        token: FencingToken,
         since: Micros,
         until: Micros,
-        renews: Micros,
-        renewal: Option<Try>,
+        renew_at: Micros,
+        renewal: Option<Claim>,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Job {
+struct Pursuit {
     state: State,
     /// Claims in vain in a row.
-    vain: u32,
+    failed_claims: u32,
     /// The highest term that was heard of.
-    seen: u64,
+    highest_term: u64,
     /// How long it waits before it claims what nobody has: others come before it.
-    place: Micros,
+    start_delay: Micros,
     /// Who had it when a voter last said so, and who has given it back since, by its own word.
     holder: Option<FencingToken>,
-    freed: Option<FencingToken>,
+    released: Option<FencingToken>,
     /// The term that an owner asks for in place of its own, as some voter has promised a higher one than that.
-    lifts: Option<u64>,
+    raised_term: Option<u64>,
     /// Refusals since it was wanted, and why the last.
-    refusals: u64,
-    last: Option<Rejection>,
+    rejections: u64,
+    last_rejection: Option<Rejection>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     process: ProcessId,
-    voters: Vec<Name>,
-    set: AcceptorSetId,
+    acceptors: Vec<Name>,
+    acceptor_set: AcceptorSetId,
     terms: LeaseTerms,
     seed: u64,
-    draws: u64,
-    numbers: u64,
-    jobs: BTreeMap<Name, Job>,
-    out: VecDeque<Output>,
+    backoff_draws: u64,
+    last_round: u64,
+    pursuits: BTreeMap<Name, Pursuit>,
+    outputs: VecDeque<Output>,
 }
 
 /// How a job stands, for people.
@@ -173,10 +173,20 @@
 }
 
 impl Candidate {
-    pub fn new(run: ProcessId, voters: &AcceptorSet, terms: LeaseTerms, seed: u64) -> Self {
-        let (set, jobs, out) = (voters.id(), BTreeMap::new(), VecDeque::new());
-        let voters = voters.names.clone();
-        Candidate { process: run, voters, set, terms, seed, draws: 0, numbers: 0, jobs, out }
+    pub fn new(process: ProcessId, acceptors: &AcceptorSet, terms: LeaseTerms, seed: u64) -> Self {
+        let (acceptor_set, pursuits, outputs) = (acceptors.id(), BTreeMap::new(), VecDeque::new());
+        let acceptors = acceptors.names.clone();
+        Candidate {
+            process,
+            acceptors,
+            acceptor_set,
+            terms,
+            seed,
+            backoff_draws: 0,
+            last_round: 0,
+            pursuits,
+            outputs,
+        }
     }
 
     pub fn process(&self) -> ProcessId {
@@ -184,191 +194,193 @@
     }
 
     pub fn poll_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     /// From now on this job is wanted, after so long in which others come before this gateway.
-    pub fn pursue(&mut self, now: Micros, job: &Name, place: Micros) {
-        let state = State::Waits(now + place);
-        let fresh = Job {
+    pub fn pursue(&mut self, now: Micros, lease: &Name, start_delay: Micros) {
+        let state = State::Waiting(now + start_delay);
+        let fresh = Pursuit {
             state,
-            vain: 0,
-            seen: 0,
-            place,
+            failed_claims: 0,
+            highest_term: 0,
+            start_delay,
             holder: None,
-            freed: None,
-            lifts: None,
-            refusals: 0,
-            last: None,
+            released: None,
+            raised_term: None,
+            rejections: 0,
+            last_rejection: None,
         };
-        self.jobs.entry(job.clone()).or_insert(fresh).place = place;
+        self.pursuits.entry(lease.clone()).or_insert(fresh).start_delay = start_delay;
     }
 
     /// It is given back if it is owned, and not claimed any more.
-    pub fn release(&mut self, job: &Name) {
-        let Some(Job { state, .. }) = self.jobs.remove(job) else { return };
-        let fence = match state {
-            State::Waits(_) => return,
+    pub fn release(&mut self, lease: &Name) {
+        let Some(Pursuit { state, .. }) = self.pursuits.remove(lease) else { return };
+        let token = match state {
+            State::Waiting(_) => return,
             // Some voters may have promised it.
-            State::Claims(claim) => claim.fence,
-            State::Owns { fence, .. } => {
-                self.out.push_back(Output::Event(Event::Released { lease: job.clone(), token: fence }));
-                fence
+            State::Claiming(claim) => claim.token,
+            State::Holding { token, .. } => {
+                self.outputs.push_back(Output::Event(Event::Released { lease: lease.clone(), token }));
+                token
             }
         };
-        for to in &self.voters {
-            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
-            self.out.push_back(Output::Request { to: to.clone(), request: ask });
+        for to in &self.acceptors {
+            let request = AcceptorRequest::Release { lease: lease.clone(), token };
+            self.outputs.push_back(Output::Request { to: to.clone(), request });
         }
     }
 
     /// All is given back, as this gateway ends.
     pub fn release_all(&mut self) {
-        let jobs: Vec<Name> = self.jobs.keys().cloned().collect();
-        jobs.iter().for_each(|job| self.release(job));
+        let pursuits: Vec<Name> = self.pursuits.keys().cloned().collect();
+        pursuits.iter().for_each(|lease| self.release(lease));
     }
 
     /// The job is given back for those who come next for it, who are told so. This one wants it still, after them.
-    pub fn hand_over(&mut self, now: Micros, job: &Name, to: &[Name]) {
+    pub fn hand_over(&mut self, now: Micros, lease: &Name, to: &[Name]) {
         let terms = self.terms;
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        let State::Owns { fence, .. } = own.state else { return };
-        own.state = State::Waits(now + terms.duration + own.place);
-        for voter in &self.voters {
-            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
-            self.out.push_back(Output::Request { to: voter.clone(), request: ask });
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        let State::Holding { token, .. } = pursuit.state else { return };
+        pursuit.state = State::Waiting(now + terms.duration + pursuit.start_delay);
+        for acceptor in &self.acceptors {
+            let request = AcceptorRequest::Release { lease: lease.clone(), token };
+            self.outputs.push_back(Output::Request { to: acceptor.clone(), request });
         }
-        for next in to {
-            self.out.push_back(Output::Released { to: next.clone(), lease: job.clone(), token: fence });
+        for successor in to {
+            self.outputs.push_back(Output::Released { to: successor.clone(), lease: lease.clone(), token });
         }
-        self.out.push_back(Output::Event(Event::Released { lease: job.clone(), token: fence }));
+        self.outputs.push_back(Output::Event(Event::Released { lease: lease.clone(), token }));
     }
 
     /// Its owner has given it back, as it says itself: whoever waits for the end of its lease need not.
-    pub fn lease_released(&mut self, now: Micros, job: &Name, fence: FencingToken) {
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        own.seen = own.seen.max(fence.term);
-        own.freed = own.freed.max(Some(fence));
-        if matches!(own.state, State::Waits(_)) {
-            (own.state, own.vain) = (State::Waits(now + own.place), 0);
+    pub fn lease_released(&mut self, now: Micros, lease: &Name, token: FencingToken) {
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        pursuit.highest_term = pursuit.highest_term.max(token.term);
+        pursuit.released = pursuit.released.max(Some(token));
+        if matches!(pursuit.state, State::Waiting(_)) {
+            (pursuit.state, pursuit.failed_claims) = (State::Waiting(now + pursuit.start_delay), 0);
             // Its own word to a voter may have been lost.
-            for to in &self.voters {
-                let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
-                self.out.push_back(Output::Request { to: to.clone(), request: ask });
+            for to in &self.acceptors {
+                let request = AcceptorRequest::Release { lease: lease.clone(), token };
+                self.outputs.push_back(Output::Request { to: to.clone(), request });
             }
         }
     }
 
     /// This gateway comes first for a job that another has: that one is told so.
-    pub fn offer(&mut self, job: &Name) {
-        let Some(own) = self.jobs.get(job) else { return };
-        let other = own.holder.filter(|fence| fence.process != self.process);
-        if let (State::Waits(_), Some(fence)) = (&own.state, other) {
-            self.out.push_back(Output::Offer { to: fence.process, lease: job.clone() });
+    pub fn offer(&mut self, lease: &Name) {
+        let Some(pursuit) = self.pursuits.get(lease) else { return };
+        let other = pursuit.holder.filter(|token| token.process != self.process);
+        if let (State::Waiting(_), Some(token)) = (&pursuit.state, other) {
+            self.outputs.push_back(Output::Offer { to: token.process, lease: lease.clone() });
         }
     }
 
     /// Since when it owns a job, if it does.
-    pub fn held_since(&self, now: Micros, job: &str) -> Option<Micros> {
-        match self.jobs.get(job)?.state {
-            State::Owns { since, until, .. } if now < until => Some(since),
+    pub fn held_since(&self, now: Micros, lease: &str) -> Option<Micros> {
+        match self.pursuits.get(lease)?.state {
+            State::Holding { since, until, .. } if now < until => Some(since),
             _ => None,
         }
     }
 
     /// The right to act for the fleet now; none where this gateway does not own the job, or its lease is over.
-    pub fn authorization(&self, now: Micros, job: &str) -> Option<Authorization<'_>> {
-        let (job, own) = self.jobs.get_key_value(job)?;
-        match own.state {
-            State::Owns { fence, until, .. } if now < until => {
-                Some(Authorization { lease: job, token: fence })
-            }
+    pub fn authorization(&self, now: Micros, lease: &str) -> Option<Authorization<'_>> {
+        let (lease, pursuit) = self.pursuits.get_key_value(lease)?;
+        match pursuit.state {
+            State::Holding { token, until, .. } if now < until => Some(Authorization { lease, token }),
             _ => None,
         }
     }
 
     pub fn lease_status(&self, now: Micros) -> impl Iterator<Item = LeaseStatus> + '_ {
-        self.jobs.iter().map(move |(job, own)| LeaseStatus {
-            lease: job.clone(),
-            held: match own.state {
-                State::Owns { fence, since, until, .. } if now < until => Some((fence, since, until - now)),
+        self.pursuits.iter().map(move |(lease, pursuit)| LeaseStatus {
+            lease: lease.clone(),
+            held: match pursuit.state {
+                State::Holding { token, since, until, .. } if now < until => {
+                    Some((token, since, until - now))
+                }
                 _ => None,
             },
-            holder: own.holder,
-            highest_term: own.seen,
-            rejections: own.refusals,
-            last_rejection: own.last.clone(),
+            holder: pursuit.holder,
+            highest_term: pursuit.highest_term,
+            rejections: pursuit.rejections,
+            last_rejection: pursuit.last_rejection.clone(),
         })
     }
 
     pub fn next_deadline(&self) -> Option<Micros> {
-        let due = |job: &Job| match &job.state {
-            State::Waits(at) => *at,
-            State::Claims(claim) => claim.next.min(claim.until),
-            State::Owns { until, renews, renewal, .. } => match renewal {
-                Some(renewal) => renewal.next.min(*until),
-                None => (*renews).min(*until),
+        let deadline = |pursuit: &Pursuit| match &pursuit.state {
+            State::Waiting(at) => *at,
+            State::Claiming(claim) => claim.next_send.min(claim.until),
+            State::Holding { until, renew_at, renewal, .. } => match renewal {
+                Some(renewal) => renewal.next_send.min(*until),
+                None => (*renew_at).min(*until),
             },
         };
-        self.jobs.values().map(due).min()
+        self.pursuits.values().map(deadline).min()
     }
 
     /// An effect by this fence was refused, as another owns the job by the one given.
-    pub fn effect_rejected(&mut self, now: Micros, job: &Name, highest: FencingToken) {
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        own.seen = own.seen.max(highest.term);
-        own.refusals += 1;
-        own.last = Some(Rejection::HigherPromise(highest));
-        if let State::Owns { fence, .. } = own.state {
-            if fence < highest {
-                own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
+    pub fn effect_rejected(&mut self, now: Micros, lease: &Name, highest: FencingToken) {
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        pursuit.highest_term = pursuit.highest_term.max(highest.term);
+        pursuit.rejections += 1;
+        pursuit.last_rejection = Some(Rejection::HigherPromise(highest));
+        if let State::Holding { token, .. } = pursuit.state {
+            if token < highest {
+                pursuit.state = State::Waiting(now + pursuit.start_delay);
+                self.outputs.push_back(Output::Event(Event::Lost { lease: lease.clone(), token }));
             }
         }
     }
 
     pub fn handle_timeout(&mut self, now: Micros) {
-        let jobs: Vec<Name> = self.jobs.keys().cloned().collect();
-        for job in jobs {
-            self.tick_one(now, &job);
+        let pursuits: Vec<Name> = self.pursuits.keys().cloned().collect();
+        for lease in pursuits {
+            self.handle_lease_timeout(now, &lease);
         }
     }
 
-    fn tick_one(&mut self, now: Micros, job: &Name) {
-        let (run, terms) = (self.process, self.terms);
-        let number = self.numbers + 1;
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        match &mut own.state {
-            State::Waits(at) if now >= *at => {
+    fn handle_lease_timeout(&mut self, now: Micros, lease: &Name) {
+        let (process, terms) = (self.process, self.terms);
+        let round = self.last_round + 1;
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        match &mut pursuit.state {
+            State::Waiting(at) if now >= *at => {
                 // A term that was never heard of, and no other run has.
-                own.seen += 1;
-                let fence = FencingToken { term: own.seen, process: run };
-                own.state = State::Claims(Try { holder: own.holder, ..Try::new(now, fence, number, terms) });
-                self.numbers = number;
-                self.ask(now, job);
+                pursuit.highest_term += 1;
+                let token = FencingToken { term: pursuit.highest_term, process };
+                pursuit.state =
+                    State::Claiming(Claim { holder: pursuit.holder, ..Claim::new(now, token, round, terms) });
+                self.last_round = round;
+                self.send_claims(now, lease);
             }
-            State::Claims(claim) if now >= claim.until => self.in_vain(now, job, 0),
-            State::Claims(claim) if now >= claim.next => self.ask(now, job),
-            State::Owns { fence, until, .. } if now >= *until => {
-                let fence = *fence;
-                own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
+            State::Claiming(claim) if now >= claim.until => self.back_off(now, lease, 0),
+            State::Claiming(claim) if now >= claim.next_send => self.send_claims(now, lease),
+            State::Holding { token, until, .. } if now >= *until => {
+                let token = *token;
+                pursuit.state = State::Waiting(now + pursuit.start_delay);
+                self.outputs.push_back(Output::Event(Event::Lost { lease: lease.clone(), token }));
             }
-            State::Owns { fence, renews, renewal, .. } => match renewal {
-                Some(own) if now < own.until && now >= own.next => self.ask(now, job),
-                Some(own) if now < own.until => {}
+            State::Holding { token, renew_at, renewal, .. } => match renewal {
+                Some(claim) if now < claim.until && now >= claim.next_send => self.send_claims(now, lease),
+                Some(claim) if now < claim.until => {}
                 // Asked anew, it counts from anew: an answer to the first may have been lost on its way.
-                Some(_) | None if now >= *renews => {
+                Some(_) | None if now >= *renew_at => {
                     // Danger: a voter that has promised a loser more than the owner's term renews nothing, and one more that is
                     // lost ends a lease that nobody wants. So the owner goes above it, by a claim like any other.
-                    if own.seen > fence.term && own.lifts != Some(own.seen) {
-                        own.seen += 1;
-                        own.lifts = Some(own.seen);
+                    if pursuit.highest_term > token.term && pursuit.raised_term != Some(pursuit.highest_term)
+                    {
+                        pursuit.highest_term += 1;
+                        pursuit.raised_term = Some(pursuit.highest_term);
                     }
-                    let asked = FencingToken { term: fence.term.max(own.seen), process: run };
-                    *renewal = Some(Try::new(now, asked, number, terms));
-                    self.numbers = number;
-                    self.ask(now, job);
+                    let token = FencingToken { term: token.term.max(pursuit.highest_term), process };
+                    *renewal = Some(Claim::new(now, token, round, terms));
+                    self.last_round = round;
+                    self.send_claims(now, lease);
                 }
                 _ => {}
             },
@@ -377,197 +389,204 @@
     }
 
     /// Asks those who have not granted it yet.
-    fn ask(&mut self, now: Micros, job: &Name) {
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        let (State::Claims(claim) | State::Owns { renewal: Some(claim), .. }) = &mut own.state else {
+    fn send_claims(&mut self, now: Micros, lease: &Name) {
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        let (State::Claiming(claim) | State::Holding { renewal: Some(claim), .. }) = &mut pursuit.state
+        else {
             return;
         };
-        claim.next = now + AGAIN;
-        let (fence, number) = (claim.fence, claim.number);
-        for to in self.voters.iter().filter(|name| !claim.grants.contains_key(*name)) {
-            let ask = AcceptorRequest::Claim {
-                lease: job.clone(),
-                token: fence,
-                round: number,
-                acceptors: self.set,
-            };
-            self.out.push_back(Output::Request { to: to.clone(), request: ask });
+        claim.next_send = now + RESEND_INTERVAL;
+        let (token, round) = (claim.token, claim.round);
+        for to in self.acceptors.iter().filter(|name| !claim.grants.contains_key(*name)) {
+            let request =
+                AcceptorRequest::Claim { lease: lease.clone(), token, round, acceptors: self.acceptor_set };
+            self.outputs.push_back(Output::Request { to: to.clone(), request });
         }
     }
 
     /// What was claimed is given up: whoever has granted it need not hold it for a lease. Danger: some who claim at once hold
     /// parts of a job each, and nobody has it until all those leases are over, again and again.
-    fn gives_up(&mut self, job: &Name) {
-        let Some(Job { state: State::Claims(claim), .. }) = self.jobs.get(job) else { return };
-        let fence = claim.fence;
-        for to in &self.voters {
-            let ask = AcceptorRequest::Release { lease: job.clone(), token: fence };
-            self.out.push_back(Output::Request { to: to.clone(), request: ask });
+    fn withdraw_claim(&mut self, lease: &Name) {
+        let Some(Pursuit { state: State::Claiming(claim), .. }) = self.pursuits.get(lease) else { return };
+        let token = claim.token;
+        for to in &self.acceptors {
+            let request = AcceptorRequest::Release { lease: lease.clone(), token };
+            self.outputs.push_back(Output::Request { to: to.clone(), request });
         }
     }
 
     /// A pause, longer each time, and at least as long as the job is held.
-    fn in_vain(&mut self, now: Micros, job: &Name, held: Micros) {
-        self.gives_up(job);
-        self.draws += 1;
-        let (seed, draws) = (self.seed ^ self.process.0, self.draws);
-        let Some(own) = self.jobs.get_mut(job) else { return };
+    fn back_off(&mut self, now: Micros, lease: &Name, remaining: Micros) {
+        self.withdraw_claim(lease);
+        self.backoff_draws += 1;
+        let (seed, backoff_draws) = (self.seed ^ self.process.0, self.backoff_draws);
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         // Whoever waits for an owner has not been in vain: once that is gone it must not begin with the longest pause.
-        own.vain = if held > 0 { 0 } else { own.vain + 1 };
-        let pause = (PAUSE << own.vain.saturating_sub(1).min(16)).min(LONGEST_PAUSE);
-        let pause = pause + drawn(seed, &[job], draws) % pause;
-        own.state = State::Waits(now + if held > 0 { held + own.place + pause } else { pause });
+        pursuit.failed_claims = if remaining > 0 { 0 } else { pursuit.failed_claims + 1 };
+        let backoff = (MIN_BACKOFF << pursuit.failed_claims.saturating_sub(1).min(16)).min(MAX_BACKOFF);
+        let backoff = backoff + seeded_hash(seed, &[lease], backoff_draws) % backoff;
+        pursuit.state = State::Waiting(
+            now + if remaining > 0 { remaining + pursuit.start_delay + backoff } else { backoff },
+        );
     }
 
     /// A voter has answered.
-    pub fn handle_reply(&mut self, now: Micros, from: &Name, say: AcceptorReply) {
-        if !self.voters.contains(from) {
+    pub fn handle_reply(&mut self, now: Micros, from: &Name, reply: AcceptorReply) {
+        if !self.acceptors.contains(from) {
             return;
         }
-        match say {
-            AcceptorReply::Granted {
-                lease: job,
-                token: fence,
-                round: number,
-                incarnation: life,
-                incarnations: lives,
-            } => {
-                self.granted(now, from, &job, (fence, number), life, lives);
+        match reply {
+            AcceptorReply::Granted { lease, token, round, incarnation, incarnations } => {
+                self.handle_grant(now, from, &lease, (token, round), incarnation, incarnations);
             }
-            AcceptorReply::Rejected { lease: job, token: fence, round: number, reason: why } => {
-                self.not_granted(now, from, &job, (fence, number), why);
+            AcceptorReply::Rejected { lease, token, round, reason } => {
+                self.handle_rejection(now, from, &lease, (token, round), reason);
             }
             AcceptorReply::Recovery(_) => {}
         }
     }
 
-    fn granted(
+    fn handle_grant(
         &mut self,
         now: Micros,
         from: &Name,
-        job: &Name,
-        of: (FencingToken, u64),
-        life: u64,
-        lives: BTreeMap<Name, u64>,
+        lease: &Name,
+        answered: (FencingToken, u64),
+        incarnation: u64,
+        incarnations: BTreeMap<Name, u64>,
     ) {
-        let (voters, terms) = (self.voters.len(), self.terms);
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        let (State::Claims(claim) | State::Owns { renewal: Some(claim), .. }) = &mut own.state else {
+        let (acceptors, terms) = (self.acceptors.len(), self.terms);
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        let (State::Claiming(claim) | State::Holding { renewal: Some(claim), .. }) = &mut pursuit.state
+        else {
             return;
         };
         // Danger: an answer to an earlier time of asking that comes late. The voter's lease counts from then.
-        if (claim.fence, claim.number) != of {
+        if (claim.token, claim.round) != answered {
             return;
         }
-        let (fence, _) = of;
-        claim.refused.remove(from);
-        claim.grants.insert(from.clone(), life);
-        for (name, least) in lives {
-            let own = claim.lives.entry(name).or_default();
-            *own = (*own).max(least);
+        let (token, _) = answered;
+        claim.rejections.remove(from);
+        claim.grants.insert(from.clone(), incarnation);
+        for (name, least) in incarnations {
+            let known = claim.incarnations.entry(name).or_default();
+            *known = (*known).max(least);
         }
-        let counts =
-            |(name, life): &(&Name, &u64)| claim.lives.get(*name).is_none_or(|least| **life >= *least);
-        if claim.grants.iter().filter(counts).count() < majority(voters) {
+        let counts = |(name, incarnation): &(&Name, &u64)| {
+            claim.incarnations.get(*name).is_none_or(|least| **incarnation >= *least)
+        };
+        if claim.grants.iter().filter(counts).count() < majority(acceptors) {
             return;
         }
-        let (asked, fresh) = (claim.asked, matches!(own.state, State::Claims(_)));
-        let until = asked + terms.holder_duration();
+        let (requested_at, fresh) = (claim.requested_at, matches!(pursuit.state, State::Claiming(_)));
+        let until = requested_at + terms.holder_duration();
         if fresh && now >= until {
             // It took so long that nothing is left of it.
-            return self.in_vain(now, job, 0);
+            return self.back_off(now, lease, 0);
         }
-        let (since, lifted) = match own.state {
-            State::Owns { since, fence: before, .. } => (since, before != fence),
+        let (since, raised) = match pursuit.state {
+            State::Holding { since, token: previous, .. } => (since, previous != token),
             _ => (now, false),
         };
-        own.vain = 0;
-        own.holder = Some(fence);
-        let renews = asked + terms.duration / RENEWS;
-        own.state = State::Owns { fence, since, until, renews, renewal: None };
-        if fresh || lifted {
-            self.out.push_back(Output::Event(Event::Acquired { lease: job.clone(), token: fence }));
+        pursuit.failed_claims = 0;
+        pursuit.holder = Some(token);
+        let renew_at = requested_at + terms.duration / RENEWAL_DIVISOR;
+        pursuit.state = State::Holding { token, since, until, renew_at, renewal: None };
+        if fresh || raised {
+            self.outputs.push_back(Output::Event(Event::Acquired { lease: lease.clone(), token }));
         }
     }
 
-    fn not_granted(&mut self, now: Micros, from: &Name, job: &Name, of: (FencingToken, u64), why: Rejection) {
-        let voters = self.voters.len();
-        let Some(own) = self.jobs.get_mut(job) else { return };
-        let (State::Claims(claim) | State::Owns { renewal: Some(claim), .. }) = &mut own.state else {
+    fn handle_rejection(
+        &mut self,
+        now: Micros,
+        from: &Name,
+        lease: &Name,
+        answered: (FencingToken, u64),
+        reason: Rejection,
+    ) {
+        let acceptors = self.acceptors.len();
+        let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
+        let (State::Claiming(claim) | State::Holding { renewal: Some(claim), .. }) = &mut pursuit.state
+        else {
             return;
         };
-        if (claim.fence, claim.number) != of || claim.grants.contains_key(from) {
+        if (claim.token, claim.round) != answered || claim.grants.contains_key(from) {
             return;
         }
-        if let Rejection::HigherPromise(higher) = &why {
-            own.seen = own.seen.max(higher.term);
+        if let Rejection::HigherPromise(higher) = &reason {
+            pursuit.highest_term = pursuit.highest_term.max(higher.term);
         }
-        if let Rejection::HeldByOther { holder: by, .. } = &why {
-            own.holder = own.holder.max(Some(*by));
+        if let Rejection::HeldByOther { holder, .. } = &reason {
+            pursuit.holder = pursuit.holder.max(Some(*holder));
         }
-        own.refusals += 1;
-        own.last = Some(why.clone());
-        claim.refused.insert(from.clone(), why);
+        pursuit.rejections += 1;
+        pursuit.last_rejection = Some(reason.clone());
+        claim.rejections.insert(from.clone(), reason);
         // So many have refused that no majority is left.
-        if voters - claim.refused.len() >= majority(voters) {
+        if acceptors - claim.rejections.len() >= majority(acceptors) {
             return;
         }
         // Danger: the word that a job is free comes while a claim is under way, whose refusals are from before it.
-        let freed = own.freed;
-        let mut held: BTreeMap<FencingToken, usize> = BTreeMap::new();
-        for why in claim.refused.values() {
-            if let Rejection::HeldByOther { holder: by, .. } = why {
-                *held.entry(*by).or_default() += 1;
+        let released = pursuit.released;
+        let mut votes_per_holder: BTreeMap<FencingToken, usize> = BTreeMap::new();
+        for reason in claim.rejections.values() {
+            if let Rejection::HeldByOther { holder, .. } = reason {
+                *votes_per_holder.entry(*holder).or_default() += 1;
             }
         }
         // Who is held for by fewer than a majority, and was not the last time, is perhaps no owner but one that claims as well,
         // and gives up as this one does: to wait for the end of its lease would leave the job to nobody for as long.
-        let known = claim.holder;
-        let owns = |by: &FencingToken| held[by] >= majority(voters) || Some(*by) == known;
-        let mut holds: Vec<Micros> = (claim.refused.values())
-            .filter_map(|why| match why {
-                Rejection::HeldByOther { remaining: left, holder: by } if Some(*by) != freed && owns(by) => {
-                    Some(*left)
+        let known_holder = claim.holder;
+        let is_holder = |holder: &FencingToken| {
+            votes_per_holder[holder] >= majority(acceptors) || Some(*holder) == known_holder
+        };
+        let mut remaining_times: Vec<Micros> = (claim.rejections.values())
+            .filter_map(|reason| match reason {
+                Rejection::HeldByOther { remaining, holder }
+                    if Some(*holder) != released && is_holder(holder) =>
+                {
+                    Some(*remaining)
                 }
                 _ => None,
             })
             .collect();
         // The first moment at which a majority can be free. Danger: one voter that has started lately, and holds for a lease what
         // it had promised to whoever is gone, would leave the job to nobody for a second lease.
-        holds.sort_unstable_by(|one, other| other.cmp(one));
-        let held = holds.get(voters - majority(voters)).copied().unwrap_or(0);
-        let higher = claim.refused.values().any(|why| matches!(why, Rejection::HigherPromise(_)));
-        match &own.state {
-            State::Claims(_) if held == 0 && higher && own.vain == 0 => {
+        remaining_times.sort_unstable_by(|one, other| other.cmp(one));
+        let remaining = remaining_times.get(acceptors - majority(acceptors)).copied().unwrap_or(0);
+        let higher = claim.rejections.values().any(|reason| matches!(reason, Rejection::HigherPromise(_)));
+        match &pursuit.state {
+            State::Claiming(_) if remaining == 0 && higher && pursuit.failed_claims == 0 => {
                 // The term was too low: the next one is known to be higher.
-                own.vain = 1;
-                self.gives_up(job);
-                if let Some(own) = self.jobs.get_mut(job) {
-                    own.state = State::Waits(now);
+                pursuit.failed_claims = 1;
+                self.withdraw_claim(lease);
+                if let Some(pursuit) = self.pursuits.get_mut(lease) {
+                    pursuit.state = State::Waiting(now);
                 }
             }
-            State::Claims(_) => self.in_vain(now, job, held),
-            State::Owns { fence, .. } if higher => {
-                let fence = *fence;
-                own.state = State::Waits(now + own.place);
-                self.out.push_back(Output::Event(Event::Lost { lease: job.clone(), token: fence }));
+            State::Claiming(_) => self.back_off(now, lease, remaining),
+            State::Holding { token, .. } if higher => {
+                let token = *token;
+                pursuit.state = State::Waiting(now + pursuit.start_delay);
+                self.outputs.push_back(Output::Event(Event::Lost { lease: lease.clone(), token }));
             }
             _ => {}
         }
     }
 }
 
-impl Try {
-    fn new(now: Micros, fence: FencingToken, number: u64, terms: LeaseTerms) -> Self {
-        Try {
-            fence,
-            number,
-            asked: now,
-            next: now,
-            until: now + terms.duration / TRIES,
+impl Claim {
+    fn new(now: Micros, token: FencingToken, round: u64, terms: LeaseTerms) -> Self {
+        Claim {
+            token,
+            round,
+            requested_at: now,
+            next_send: now,
+            until: now + terms.duration / CLAIM_TIMEOUT_DIVISOR,
             grants: BTreeMap::new(),
-            lives: BTreeMap::new(),
-            refused: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
+            rejections: BTreeMap::new(),
             holder: None,
         }
     }
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -31,18 +31,18 @@
         FencingGuard { highest }
     }
 
-    pub fn highest(&self, job: &str) -> Option<FencingToken> {
-        self.highest.get(job).copied()
+    pub fn highest(&self, lease: &str) -> Option<FencingToken> {
+        self.highest.get(lease).copied()
     }
 
     /// Somebody acts for the fleet by this fence.
-    pub fn check(&mut self, job: &Name, fence: FencingToken) -> FencingDecision {
-        match self.highest.get(job).copied() {
-            Some(highest) if highest > fence => FencingDecision::Stale(highest),
-            Some(highest) if highest == fence => FencingDecision::Current,
+    pub fn check(&mut self, lease: &Name, token: FencingToken) -> FencingDecision {
+        match self.highest.get(lease).copied() {
+            Some(highest) if highest > token => FencingDecision::Stale(highest),
+            Some(highest) if highest == token => FencingDecision::Current,
             None if self.highest.len() >= MAX_LEASES => FencingDecision::CapacityExceeded,
             _ => {
-                self.highest.insert(job.clone(), fence);
+                self.highest.insert(lease.clone(), token);
                 FencingDecision::Newer
             }
         }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -93,7 +93,7 @@
     pub fn id(&self) -> AcceptorSetId {
         let mut names: Vec<&str> = self.names.iter().map(|name| &**name).collect();
         names.sort_unstable();
-        AcceptorSetId { epoch: self.epoch, digest: drawn(0, &names, 0) }
+        AcceptorSetId { epoch: self.epoch, digest: seeded_hash(0, &names, 0) }
     }
 }
 
@@ -106,13 +106,13 @@
 }
 
 /// How many of so many voters are a majority.
-pub fn majority(voters: usize) -> usize {
-    voters / 2 + 1
+pub fn majority(acceptors: usize) -> usize {
+    acceptors / 2 + 1
 }
 
 /// A number from some names and numbers, the same on every machine: what is drawn by it can be played again.
-fn drawn(seed: u64, names: &[&str], number: u64) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(seed, number);
+fn seeded_hash(seed: u64, names: &[&str], counter: u64) -> u64 {
+    let mut hasher = SipHasher13::new_with_keys(seed, counter);
     for name in names {
         hasher.write_usize(name.len());
         hasher.write(name.as_bytes());
--- a/crates/lease/src/replicated_list.rs
+++ b/crates/lease/src/replicated_list.rs
@@ -17,19 +17,19 @@
 use crate::{FencingToken, Micros, Name};
 
 /// An owner asks so many times in the time within which all must know.
-const ASKS: u64 = 6;
+const POLLS_PER_MAX_AGE: u64 = 6;
 /// Whoever has heard nothing for this part of it asks by itself; and the step between the turns of those who do.
-const SILENT: u64 = 3;
-const TURN: u64 = 40;
+const SILENCE_DIVISOR: u64 = 3;
+const TURN_DIVISOR: u64 = 40;
 /// After the turns of so many all may ask: their order is no more than a guess then.
-const TURNS: u64 = 12;
+const MAX_TURNS: u64 = 12;
 /// Calls in vain in a row after which an owner hands the job over.
-const VAIN: u32 = 2;
+const MAX_FAILED_POLLS: u32 = 2;
 /// Bytes of entries in one piece, and pieces of one telling at the most.
-const MOST_PIECE: usize = 32 * 1024;
-const MOST_PIECES: usize = 256;
+const MAX_FRAGMENT_BYTES: usize = 32 * 1024;
+const MAX_FRAGMENTS: usize = 256;
 /// Gateways that are told the whole list between two calls, which is long.
-const WHOLE_AT_ONCE: usize = 8;
+const MAX_COMPLETE_SENDS: usize = 8;
 
 /// One thing on the list, in the source's own words.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -100,65 +100,66 @@
 }
 
 #[derive(Clone, Debug)]
-struct Gathered {
-    by: Option<FencingToken>,
+struct PartialList {
+    token: Option<FencingToken>,
     from: Name,
     version: Version,
     since: Option<u64>,
-    parts: BTreeMap<u16, Vec<Entry>>,
-    of: u16,
+    received: BTreeMap<u16, Vec<Entry>>,
+    count: u16,
 }
 
 #[derive(Clone, Debug)]
 pub struct ReplicatedList {
-    job: Name,
-    within: Micros,
+    lease: Name,
+    max_age: Micros,
     entries: BTreeMap<String, Entry>,
     /// Those are the whole list: what was known before the start is known to others than this.
-    whole: bool,
+    is_complete: bool,
     version: Option<Version>,
     guard: FencingGuard,
     /// When the source was asked for what is known here, at the latest.
-    asked: Micros,
+    polled_at: Micros,
     /// The source could not be asked since then.
-    failed: bool,
+    poll_failed: bool,
     /// Calls in vain in a row, while it owns the job.
-    vain: u32,
-    calling: Option<Micros>,
-    next_call: Micros,
-    gathered: Option<Gathered>,
+    failed_polls: u32,
+    polling_since: Option<Micros>,
+    next_poll: Micros,
+    partial: Option<PartialList>,
     /// Whom the whole list was told since the last call.
-    told_whole: usize,
-    out: VecDeque<Output>,
+    complete_sends: usize,
+    outputs: VecDeque<Output>,
 }
 
 impl ReplicatedList {
     /// With the version of the list that was known before the start, if there was one, though nobody can say how old it is.
     /// `drawn`, from 0 to 1, is how long it then waits for others to tell it, beside the longest: those that start together
     /// must not ask together.
-    pub fn new(job: &Name, within: Micros, known: Option<u64>, now: Micros, drawn: f64) -> Self {
-        let silent = within / SILENT;
-        let waits = if known.is_some() { (silent as f64 * drawn.clamp(0.0, 1.0)) as Micros } else { 0 };
+    pub fn new(lease: &Name, max_age: Micros, known_index: Option<u64>, now: Micros, jitter: f64) -> Self {
+        let silence = max_age / SILENCE_DIVISOR;
+        let delay =
+            if known_index.is_some() { (silence as f64 * jitter.clamp(0.0, 1.0)) as Micros } else { 0 };
         ReplicatedList {
-            job: job.clone(),
-            within,
+            lease: lease.clone(),
+            max_age,
             entries: BTreeMap::new(),
-            whole: false,
-            version: known.map(|index| Version { epoch: 0, index }),
+            is_complete: false,
+            version: known_index.map(|index| Version { epoch: 0, index }),
             guard: FencingGuard::default(),
-            asked: (now + waits).saturating_sub(silent),
-            failed: false,
-            vain: 0,
-            calling: None,
-            next_call: now,
-            gathered: None,
-            told_whole: 0,
-            out: VecDeque::new(),
+            polled_at: (now + delay).saturating_sub(silence),
+            poll_failed: false,
+            failed_polls: 0,
+            polling_since: None,
+            next_poll: now,
+            partial: None,
+            complete_sends: 0,
+            outputs: VecDeque::new(),
         }
     }
 
     pub fn poll_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     pub fn version(&self) -> Option<Version> {
@@ -168,99 +169,99 @@
     /// What is known here may be older than it must be: nothing is to be done by it until the source has answered, or could
     /// not. Danger: a process that was stopped goes on by a list of long ago, in its first moment.
     pub fn is_stale(&self, now: Micros) -> bool {
-        now >= self.asked + self.within && !self.failed
+        now >= self.polled_at + self.max_age && !self.poll_failed
     }
 
     /// How long what is known here may still be used.
     pub fn fresh_until(&self) -> Micros {
-        if self.failed {
+        if self.poll_failed {
             Micros::MAX
         } else {
-            self.asked + self.within
+            self.polled_at + self.max_age
         }
     }
 
     /// When `tick` is to be called; `place` is this gateway's in the job's order.
-    pub fn next_deadline(&self, owns: bool, place: usize) -> Micros {
-        match (self.calling, owns) {
+    pub fn next_deadline(&self, is_holder: bool, rank: usize) -> Micros {
+        match (self.polling_since, is_holder) {
             (Some(_), _) => Micros::MAX,
-            (None, true) => self.next_call,
+            (None, true) => self.next_poll,
             (None, false) => {
-                let turn = (place as u64).min(TURNS) * (self.within / TURN);
-                self.next_call.max(self.asked + self.within / SILENT + turn)
+                let turn_delay = (rank as u64).min(MAX_TURNS) * (self.max_age / TURN_DIVISOR);
+                self.next_poll.max(self.polled_at + self.max_age / SILENCE_DIVISOR + turn_delay)
             }
         }
     }
 
-    pub fn handle_timeout(&mut self, now: Micros, owns: bool, place: usize) {
-        if now < self.next_deadline(owns, place) {
+    pub fn handle_timeout(&mut self, now: Micros, is_holder: bool, rank: usize) {
+        if now < self.next_deadline(is_holder, rank) {
             return;
         }
-        self.calling = Some(now);
+        self.polling_since = Some(now);
         // Who tells others needs all of it.
-        let since = self.version.filter(|_| self.whole).map(|version| version.index);
-        self.out.push_back(Output::Poll { since });
+        let since = self.version.filter(|_| self.is_complete).map(|version| version.index);
+        self.outputs.push_back(Output::Poll { since });
     }
 
     /// The call that is under way has ended. `term`: this gateway's as the owner, if it is.
-    pub fn poll_completed(&mut self, now: Micros, answer: Option<SourceReply>, term: Option<u64>) {
-        let Some(began) = self.calling.take() else { return };
-        self.next_call = now.max(began + self.within / ASKS);
-        self.told_whole = 0;
-        let Some(answer) = answer else {
-            self.failed = true;
+    pub fn poll_completed(&mut self, now: Micros, reply: Option<SourceReply>, term: Option<u64>) {
+        let Some(started_at) = self.polling_since.take() else { return };
+        self.next_poll = now.max(started_at + self.max_age / POLLS_PER_MAX_AGE);
+        self.complete_sends = 0;
+        let Some(reply) = reply else {
+            self.poll_failed = true;
             match term {
-                None => self.next_call = now + self.within / SILENT,
+                None => self.next_poll = now + self.max_age / SILENCE_DIVISOR,
                 Some(_) => {
-                    self.vain += 1;
-                    if self.vain.is_multiple_of(VAIN) {
-                        self.out.push_back(Output::HandOver);
+                    self.failed_polls += 1;
+                    if self.failed_polls.is_multiple_of(MAX_FAILED_POLLS) {
+                        self.outputs.push_back(Output::HandOver);
                     }
                 }
             }
             return;
         };
-        self.vain = 0;
-        let back = self.version.is_some_and(|version| answer.index < version.index);
-        let numbering = match (self.version, term) {
+        self.failed_polls = 0;
+        let went_back = self.version.is_some_and(|version| reply.index < version.index);
+        let epoch = match (self.version, term) {
             (None, _) => 0,
-            (Some(version), _) if !back => version.epoch,
+            (Some(version), _) if !went_back => version.epoch,
             // The source counts anew: another has taken its place. An owner may say so; and whoever has heard nobody for long
             // goes by what it hears itself.
             (Some(version), Some(term)) if term > version.epoch => term,
-            (Some(version), None) if now >= self.asked + 4 * self.within => version.epoch,
+            (Some(version), None) if now >= self.polled_at + 4 * self.max_age => version.epoch,
             _ => {
-                self.failed = true;
+                self.poll_failed = true;
                 return;
             }
         };
-        if back && !answer.is_complete {
+        if went_back && !reply.is_complete {
             // What is new since a version that this source has never had is nothing to go by.
-            self.whole = false;
-            self.next_call = now;
+            self.is_complete = false;
+            self.next_poll = now;
             return;
         }
-        let version = Version { epoch: numbering, index: answer.index };
-        let since = self.version.filter(|_| !answer.is_complete && !back).map(|version| version.index);
-        self.learn(version, answer.is_complete, answer.entries.clone());
-        (self.asked, self.failed) = (self.asked.max(began), false);
-        let whole;
+        let version = Version { epoch, index: reply.index };
+        let since = self.version.filter(|_| !reply.is_complete && !went_back).map(|version| version.index);
+        self.apply(version, reply.is_complete, reply.entries.clone());
+        (self.polled_at, self.poll_failed) = (self.polled_at.max(started_at), false);
+        let complete: Vec<Entry>;
         let (since, entries) = match since {
-            Some(since) => (Some(since), answer.entries),
+            Some(since) => (Some(since), reply.entries),
             None => {
-                whole = self.entries.values().cloned().collect();
-                (None, whole)
+                complete = self.entries.values().cloned().collect();
+                (None, complete)
             }
         };
-        for piece in pieces(version, since, now - began, entries) {
-            self.out.push_back(Output::Broadcast(piece));
+        for fragment in fragments(version, since, now - started_at, entries) {
+            self.outputs.push_back(Output::Broadcast(fragment));
         }
     }
 
-    fn learn(&mut self, version: Version, full: bool, entries: Vec<Entry>) {
-        if full {
+    fn apply(&mut self, version: Version, is_complete: bool, entries: Vec<Entry>) {
+        if is_complete {
             self.entries.clear();
-            self.whole = true;
+            self.is_complete = true;
         }
         for entry in &entries {
             if entry.removed {
@@ -269,10 +270,10 @@
                 self.entries.insert(entry.name.clone(), entry.clone());
             }
         }
-        if full || !entries.is_empty() {
-            self.out.push_back(Output::Updated(SourceReply {
+        if is_complete || !entries.is_empty() {
+            self.outputs.push_back(Output::Updated(SourceReply {
                 index: version.index,
-                is_complete: full,
+                is_complete,
                 entries,
             }));
         }
@@ -280,89 +281,91 @@
     }
 
     /// Another gateway says something of the list.
-    pub fn handle_message(&mut self, now: Micros, from: &Name, note: ListMessage) {
-        match note {
-            ListMessage::Fragment(by, piece) => self.piece_came(now, from, by, piece),
-            ListMessage::RequestComplete if self.told_whole < WHOLE_AT_ONCE && self.whole => {
-                self.told_whole += 1;
+    pub fn handle_message(&mut self, now: Micros, from: &Name, message: ListMessage) {
+        match message {
+            ListMessage::Fragment(token, fragment) => self.handle_fragment(now, from, token, fragment),
+            ListMessage::RequestComplete if self.complete_sends < MAX_COMPLETE_SENDS && self.is_complete => {
+                self.complete_sends += 1;
                 let Some(version) = self.version else { return };
                 let entries = self.entries.values().cloned().collect();
-                for piece in pieces(version, None, now.saturating_sub(self.asked), entries) {
-                    self.out.push_back(Output::SendFragment(from.clone(), piece));
+                for fragment in fragments(version, None, now.saturating_sub(self.polled_at), entries) {
+                    self.outputs.push_back(Output::SendFragment(from.clone(), fragment));
                 }
             }
             ListMessage::RequestComplete => {}
-            ListMessage::Rejected(highest) => self.out.push_back(Output::Rejected(highest)),
+            ListMessage::Rejected(highest) => self.outputs.push_back(Output::Rejected(highest)),
         }
     }
 
-    fn piece_came(&mut self, now: Micros, from: &Name, by: Option<FencingToken>, piece: Fragment) {
-        if let Some(fence) = by {
-            if let FencingDecision::Stale(highest) = self.guard.check(&self.job, fence) {
-                self.out.push_back(Output::SendMessage(from.clone(), ListMessage::Rejected(highest)));
+    fn handle_fragment(&mut self, now: Micros, from: &Name, token: Option<FencingToken>, fragment: Fragment) {
+        if let Some(token) = token {
+            if let FencingDecision::Stale(highest) = self.guard.check(&self.lease, token) {
+                self.outputs.push_back(Output::SendMessage(from.clone(), ListMessage::Rejected(highest)));
                 return;
             }
         }
-        let Fragment { version, since, age_ms, number: part, count: parts, entries } = piece;
-        let newer = self.version.is_none_or(|own| version >= own);
+        let Fragment { version, since, age_ms, number, count, entries } = fragment;
+        let newer = self.version.is_none_or(|known| version >= known);
         // Only an owner begins another numbering.
-        let allowed = by.is_some() || self.version.is_none_or(|own| own.epoch == version.epoch);
-        if !newer || !allowed || part >= parts || usize::from(parts) > MOST_PIECES {
+        let may_start_epoch =
+            token.is_some() || self.version.is_none_or(|known| known.epoch == version.epoch);
+        if !newer || !may_start_epoch || number >= count || usize::from(count) > MAX_FRAGMENTS {
             return;
         }
-        let fits = since.is_none_or(|since| {
-            self.version.is_some_and(|own| own.epoch == version.epoch && own.index >= since)
+        let continues = since.is_none_or(|since| {
+            self.version.is_some_and(|known| known.epoch == version.epoch && known.index >= since)
         });
-        if !fits {
-            return self.out.push_back(Output::SendMessage(from.clone(), ListMessage::RequestComplete));
+        if !continues {
+            return self.outputs.push_back(Output::SendMessage(from.clone(), ListMessage::RequestComplete));
         }
-        let same = |own: &Gathered| {
-            own.version == version
-                && own.since == since
-                && own.by == by
-                && own.from == *from
-                && own.of == parts
+        let is_same_list = |partial: &PartialList| {
+            partial.version == version
+                && partial.since == since
+                && partial.token == token
+                && partial.from == *from
+                && partial.count == count
         };
-        if !self.gathered.as_ref().is_some_and(same) {
+        if !self.partial.as_ref().is_some_and(is_same_list) {
             let from = from.clone();
-            self.gathered = Some(Gathered { by, from, version, since, parts: BTreeMap::new(), of: parts });
+            self.partial =
+                Some(PartialList { token, from, version, since, received: BTreeMap::new(), count });
         }
-        let Some(gathered) = &mut self.gathered else { return };
-        gathered.parts.insert(part, entries);
-        if gathered.parts.len() < usize::from(parts) {
+        let Some(partial) = &mut self.partial else { return };
+        partial.received.insert(number, entries);
+        if partial.received.len() < usize::from(count) {
             return;
         }
-        let entries = gathered.parts.values().flatten().cloned().collect();
-        self.gathered = None;
+        let entries = partial.received.values().flatten().cloned().collect();
+        self.partial = None;
         // A whole list that is known already tells only that it is still so.
-        if since.is_some() || self.version != Some(version) || !self.whole {
-            self.learn(version, since.is_none(), entries);
+        if since.is_some() || self.version != Some(version) || !self.is_complete {
+            self.apply(version, since.is_none(), entries);
         }
-        let asked = now.saturating_sub(Micros::from(age_ms) * 1_000);
-        if asked > self.asked {
-            (self.asked, self.failed) = (asked, false);
+        let polled_at = now.saturating_sub(Micros::from(age_ms) * 1_000);
+        if polled_at > self.polled_at {
+            (self.polled_at, self.poll_failed) = (polled_at, false);
         }
     }
 }
 
 /// What is told, in pieces that are not too long; one at the least, which says that nothing is new.
-fn pieces(version: Version, since: Option<u64>, age: Micros, entries: Vec<Entry>) -> Vec<Fragment> {
+fn fragments(version: Version, since: Option<u64>, age: Micros, entries: Vec<Entry>) -> Vec<Fragment> {
     let mut all: Vec<Vec<Entry>> = vec![Vec::new()];
-    let mut room = MOST_PIECE;
+    let mut capacity = MAX_FRAGMENT_BYTES;
     for entry in entries {
         let size = entry.name.len() + entry.body.len() + 16;
-        if size > room {
+        if size > capacity {
             all.push(Vec::new());
-            room = MOST_PIECE;
+            capacity = MAX_FRAGMENT_BYTES;
         }
-        room = room.saturating_sub(size);
+        capacity = capacity.saturating_sub(size);
         if let Some(last) = all.last_mut() {
             last.push(entry);
         }
     }
-    let parts = all.len().min(MOST_PIECES) as u16;
+    let count = all.len().min(MAX_FRAGMENTS) as u16;
     let age_ms = (age / 1_000).min(u64::from(u32::MAX)) as u32;
-    let piece =
-        |(part, entries)| Fragment { version, since, age_ms, number: part as u16, count: parts, entries };
-    all.into_iter().enumerate().map(piece).collect()
+    let fragment =
+        |(number, entries)| Fragment { version, since, age_ms, number: number as u16, count, entries };
+    all.into_iter().enumerate().map(fragment).collect()
 }
