--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -1,211 +1,129 @@
-//! A voter: it promises terms, each once, and answers only when that is durable.
+//! The acceptor of the Paxos register behind each lease: it owns the promises of one gateway and decides which claims to
+//! grant. It never performs I/O: the caller makes [`Output::Persist`] durable and sends the other outputs, in their order.
 //!
-//! A voter whose folder lacks promises that it has made must not vote by it. How that is known: each promise it writes down is
-//! counted, the others remember the count that they were told, and at its start a voter asks them. One that has forgotten
-//! is let in anew by a majority of the others: it takes over the highest term of each job that they have promised, which
-//! is at least that of every owner it had a part in, and has another *life* from then on; whoever let it in says so with
-//! each of its own promises, so that a claimer counts no promise of the life before.
+//! An acceptor promises each term at most once, and answers only after the promise is durable. An acceptor whose store has
+//! lost promises must not vote by that store. To detect this, every durable write is counted, the peers remember the counts
+//! that they were sent, and an acceptor that starts asks them first (see the module `recovery`). An acceptor that has lost
+//! promises is readmitted by a majority of the others: it adopts the highest term of each lease that they have promised,
+//! which is at least the term of every holder that it helped to elect, and continues under a new *incarnation*. Those who
+//! readmitted it announce that incarnation with each of their own grants, so that a candidate does not count a promise of an
+//! earlier one.
+
+mod durable_state;
+mod output;
+mod recovery;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use serde::{Deserialize, Serialize};
+pub use durable_state::{DurableHead, DurableState, PeerRecord, StateChange};
+pub use output::{Event, Output};
 
-use crate::message::{AcceptorReply, AcceptorRequest, RecoveryReply, RecoveryRequest, Rejection};
+use crate::message::{AcceptorReply, AcceptorRequest, RecoveryReply, Rejection};
 use crate::{
-    majority, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MAX_LEASES,
-    MAX_NAME_BYTES, MILLISECOND,
+    AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MAX_LEASES, MAX_NAME_BYTES,
 };
 
-/// Writes that wait for the disk at the most: what is claimed beyond that would wait longer than a claim is tried.
+/// Promises that may wait for the disk at a time. A claim beyond that would time out before it is answered.
 const MAX_PENDING_WRITES: usize = 1_024;
-/// Stands for a run in a promise that is nobody's: of that term nothing is promised any more. Runs are drawn from 64 bits.
-const NO_PROCESS: ProcessId = ProcessId(0);
-/// How often a voter that starts asks the others.
-const RECOVERY_INTERVAL: Micros = 100 * MILLISECOND;
-
-/// What a voter keeps in its folder.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct DurableState {
-    /// It has voted, or been let in: an empty folder is not that.
-    pub is_initialized: bool,
-    pub incarnation: u64,
-    /// How often a promise was written down.
-    pub write_count: u64,
-    /// The highest promise of each job.
-    pub promises: BTreeMap<Name, FencingToken>,
-    /// What the other voters have told of themselves.
-    pub peers: BTreeMap<Name, PeerRecord>,
-    /// The voters that it counts by, and the highest number of them for which it promises nothing by earlier ones any more.
-    pub acceptors: AcceptorSetId,
-    pub frozen_epoch: u32,
-}
 
-/// What is to be written down: the head whole, and of the promises those that are new. So what a promise costs does not grow
-/// with how many there are.
+/// The voting rights of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct StateChange {
-    pub head: DurableHead,
-    pub promises: Vec<(Name, FencingToken)>,
+enum State {
+    /// It has started, and learns from its peers whether its store is complete.
+    Recovering { lost_promises: bool, replies: BTreeMap<Name, RecoveryReply> },
+    /// It answers claims.
+    Voting,
+    /// It is no member of the current acceptor set.
+    Retired,
+    /// A write could not be made durable, or the store belongs to another acceptor set.
+    Failed,
 }
 
-/// All that a voter keeps beside its promises.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct DurableHead {
-    pub is_initialized: bool,
-    pub incarnation: u64,
-    pub write_count: u64,
-    pub peers: BTreeMap<Name, PeerRecord>,
-    pub acceptors: AcceptorSetId,
-    pub frozen_epoch: u32,
+/// What an acceptor still owes to a change of the acceptor set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum PreviousEpoch {
+    /// The promises of the previous set, if there was one, are adopted.
+    Settled,
+    /// The note that it grants nothing under the previous set any more is not durable yet.
+    Stopping,
+    /// That note is durable; the promises of the previous set remain to be adopted.
+    Stopped,
 }
 
-impl DurableState {
-    /// What the folder holds once a change is in it.
-    pub fn apply(&mut self, StateChange { head, promises }: &StateChange) {
-        let DurableHead { is_initialized, incarnation, write_count, peers, acceptors, frozen_epoch } =
-            head.clone();
-        (self.acceptors, self.frozen_epoch) = (acceptors, frozen_epoch);
-        (self.is_initialized, self.incarnation, self.write_count, self.peers) =
-            (is_initialized, incarnation, write_count, peers);
-        self.promises.extend(promises.iter().cloned());
-    }
-
-    fn head(&self) -> DurableHead {
-        let DurableState { is_initialized, incarnation, write_count, peers, acceptors, frozen_epoch, .. } =
-            self;
-        let (is_initialized, incarnation, write_count, peers) =
-            (*is_initialized, *incarnation, *write_count, peers.clone());
-        DurableHead {
-            is_initialized,
-            incarnation,
-            write_count,
-            peers,
-            acceptors: *acceptors,
-            frozen_epoch: *frozen_epoch,
-        }
-    }
-}
-
-/// What is remembered of another voter.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct PeerRecord {
-    pub write_count: u64,
-    /// The least life of it that counts, and the start of it that was given that life here.
-    pub incarnation: u64,
-    pub start: Option<ProcessId>,
+/// A claim that may not be overridden before a time by the acceptor's clock. The order is that of the time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct GrantedLease {
+    expires_at: Micros,
+    token: FencingToken,
 }
 
-/// What the caller is to do.
+/// A claim of a candidate, as far as the answer needs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Output {
-    /// Make this durable, and call `synced` with the number once it is. Until then nothing that hangs on it is sent.
-    Persist {
-        number: u64,
-        change: StateChange,
-    },
-    /// Answer a claimer, at the place that it asked from.
-    Reply {
-        to: ProcessId,
-        reply: AcceptorReply,
-    },
-    /// Tell or ask another voter.
-    Request {
-        to: Name,
-        request: AcceptorRequest,
-    },
-    PeerReply {
-        to: Name,
-        reply: AcceptorReply,
-    },
-    Event(Event),
+struct Claim {
+    from: ProcessId,
+    lease: Name,
+    token: FencingToken,
+    round: u64,
 }
 
-/// What operators hear of.
+/// A write that is not known to be durable yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
-    /// It votes from now on; `anew` where it had forgotten promises and was let in.
-    StartedVoting { recovered: bool },
-    /// Its folder lacks promises that it has made: it waits to be let in.
-    LostPromises,
-    /// Nothing can be made durable: it votes no more until it is started again.
-    StorageFailed,
-    /// It is no voter any more; it has told those after it what it had promised.
-    Retired,
-    /// Its folder counts by other voters than its configuration: by a later change of them, or by others of that number.
-    DifferentAcceptors(AcceptorSetId),
+struct PendingWrite {
+    number: u64,
+    then: Option<DeferredAction>,
 }
 
+/// An action that is permitted only once a write is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum State {
-    /// It has started, and asks the others.
-    Recovering {
-        lost_promises: bool,
-        known: BTreeMap<Name, RecoveryReply>,
+enum DeferredAction {
+    Grant(Claim),
+    SendPeerReply {
+        to: Name,
+        reply: AcceptorReply,
     },
-    Voting,
-    /// It is among the voters no more.
-    Retired,
-    /// What it wrote could not be made durable.
-    Failed,
+    StartVoting {
+        recovered: bool,
+    },
+    /// The store is initialized for the first time; the acceptor asks its peers once more before it votes.
+    RestartRecovery,
+    StopPreviousEpoch,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct GrantedLease {
-    token: FencingToken,
-    expires_at: Micros,
+impl DeferredAction {
+    fn ends_recovery(&self) -> bool {
+        matches!(self, DeferredAction::StartVoting { .. } | DeferredAction::RestartRecovery)
+    }
 }
 
+/// The acceptor of one gateway. Times are of one even clock that nobody sets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     name: Name,
+    /// Distinguishes this start of the acceptor from all others.
     start: ProcessId,
-    others: Vec<Name>,
-    /// Voters before the last change, but this one; and whether this one was and is among them.
-    previous: Vec<Name>,
     acceptors: AcceptorSet,
     acceptor_set: AcceptorSetId,
-    /// It has yet to take over what was promised by the voters before, and has written down that it promises no more by them.
-    adopts_previous: bool,
-    previous_epoch_stopped: bool,
+    /// The other members of the current set, and of the previous one.
+    others: Vec<Name>,
+    previous: Vec<Name>,
     terms: LeaseTerms,
     durable: DurableState,
     state: State,
+    previous_epoch: PreviousEpoch,
     leases: BTreeMap<Name, GrantedLease>,
-    /// Until then it does not know who holds what it had promised before it started.
+    /// Until then the holders of leases that were promised before this start are not known.
     uncertain_until: Micros,
-    /// The jobs that is so of, where its folder lacks nothing; else all that were ever promised.
+    /// The leases that this concerns; all that were ever promised, if none.
     uncertain_leases: Option<BTreeSet<Name>>,
     next_recovery_request: Micros,
-    write_number: u64,
-    /// What is to be sent once a write is durable, in the order of the writes.
-    pending_writes: VecDeque<(u64, Vec<Deferred>)>,
+    last_write: u64,
+    pending_writes: VecDeque<PendingWrite>,
     outputs: VecDeque<Output>,
 }
 
-/// What waits for a write.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Deferred {
-    Grant {
-        to: ProcessId,
-        lease: Name,
-        token: FencingToken,
-        round: u64,
-    },
-    PeerReply {
-        to: Name,
-        reply: AcceptorReply,
-    },
-    StartVoting {
-        recovered: bool,
-    },
-    /// At the very first start.
-    Initialized,
-    StopPreviousEpoch,
-}
-
 impl Acceptor {
-    /// A process starts with what its folder holds. `voters` are all of them, this one too, unless it was one before their
-    /// last change; `start` tells this start from any other.
+    /// Starts an acceptor from its durable state. `acceptors` are all members of the current set, with this one unless it
+    /// was a member of the previous set only; `start` must differ between any two starts.
     pub fn new(
         name: &Name,
         start: ProcessId,
@@ -216,137 +134,96 @@
     ) -> Self {
         let without_self = |names: &[Name]| names.iter().filter(|other| *other != name).cloned().collect();
         let acceptor_set = acceptors.id();
-        let (known, is_initialized) = (durable.acceptors, durable.is_initialized);
-        // One that was away for a whole change was no part of what was promised then.
-        let lost_promises = !is_initialized || known.epoch + 1 < acceptor_set.epoch;
-        let adopts_previous = is_initialized && known.epoch + 1 == acceptor_set.epoch;
-        let peers: Vec<Name> = without_self(&acceptors.names);
-        // What its folder never had it has never promised, and can have no part in.
-        let uncertain_leases =
-            (!lost_promises && !adopts_previous).then(|| durable.promises.keys().cloned().collect());
+        let stored_epoch = durable.acceptors.epoch;
+        // A member that was absent during a whole epoch took no part in the promises of it.
+        let lost_promises = !durable.is_initialized || stored_epoch + 1 < acceptor_set.epoch;
+        let follows_previous = durable.is_initialized && stored_epoch + 1 == acceptor_set.epoch;
+        let previous_epoch = if follows_previous { PreviousEpoch::Stopping } else { PreviousEpoch::Settled };
+        // A complete store lists all leases that this acceptor can have granted.
+        let is_complete = !lost_promises && !follows_previous;
+        let uncertain_leases = is_complete.then(|| durable.promises.keys().cloned().collect());
         let mut acceptor = Acceptor {
-            previous: without_self(&acceptors.previous_names),
-            acceptors: acceptors.clone(),
-            acceptor_set,
-            adopts_previous,
-            previous_epoch_stopped: false,
             name: name.clone(),
             start,
-            others: peers,
+            acceptors: acceptors.clone(),
+            acceptor_set,
+            others: without_self(&acceptors.names),
+            previous: without_self(&acceptors.previous_names),
             terms,
             durable,
-            state: State::Recovering { lost_promises, known: BTreeMap::new() },
+            state: State::Recovering { lost_promises, replies: BTreeMap::new() },
+            previous_epoch,
             leases: BTreeMap::new(),
             uncertain_until: now + terms.duration,
             uncertain_leases,
             next_recovery_request: now,
-            write_number: 0,
+            last_write: 0,
             pending_writes: VecDeque::new(),
             outputs: VecDeque::new(),
         };
-        // A change that has begun is to be finished: by the voters before nothing may be promised any more.
-        let later = known.epoch.max(acceptor.durable.frozen_epoch) > acceptor_set.epoch;
-        if is_initialized && (later || known.epoch == acceptor_set.epoch && known != acceptor_set) {
+        if acceptor.durable.conflicts_with(acceptor_set) {
             acceptor.state = State::Failed;
-            acceptor.outputs.push_back(Output::Event(Event::DifferentAcceptors(known)));
-        } else if adopts_previous {
-            // From now on it promises nothing by the voters before, whatever becomes of the change.
-            acceptor.durable.frozen_epoch = acceptor_set.epoch;
-            acceptor.durable.write_count += 1;
-            acceptor.persist(Vec::new(), vec![Deferred::StopPreviousEpoch]);
+            let stored = acceptor.durable.acceptors;
+            acceptor.outputs.push_back(Output::Event(Event::DifferentAcceptors(stored)));
+        } else if follows_previous {
+            acceptor.stop_previous_epoch();
         }
         acceptor
     }
 
+    /// Whether it answers claims.
     pub fn is_voting(&self) -> bool {
         self.state == State::Voting
     }
 
-    /// It can't make promises durable, and makes none until it is started anew.
+    /// Whether it grants nothing until it is started again, as it can't make promises durable or its store belongs to other
+    /// acceptors.
     pub fn has_failed(&self) -> bool {
         self.state == State::Failed
     }
 
+    /// Its state with all writes applied, durable or not.
     pub fn durable_state(&self) -> &DurableState {
         &self.durable
     }
 
-    /// Who holds a job as far as this voter knows, and for how long.
+    /// The holder of a lease as far as this acceptor knows, and for how many microseconds more.
     pub fn holder(&self, now: Micros, lease: &str) -> Option<(FencingToken, Micros)> {
         let granted = self.leases.get(lease).filter(|granted| granted.expires_at > now)?;
         Some((granted.token, granted.expires_at - now))
     }
 
-    /// All jobs that this voter knows to be held, by whom and for how long.
+    /// All leases that this acceptor knows to be held, by whom, and for how many microseconds more.
     pub fn held_leases(&self, now: Micros) -> impl Iterator<Item = (&Name, FencingToken, Micros)> {
-        let leases = self.leases.iter().filter(move |(_, granted)| granted.expires_at > now);
-        leases.map(move |(lease, granted)| (lease, granted.token, granted.expires_at - now))
+        let held = self.leases.iter().filter(move |(_, granted)| granted.expires_at > now);
+        held.map(move |(lease, granted)| (lease, granted.token, granted.expires_at - now))
     }
 
+    /// The time at which `handle_timeout` is to be called.
     pub fn next_deadline(&self) -> Option<Micros> {
         matches!(self.state, State::Recovering { .. }).then_some(self.next_recovery_request)
     }
 
+    /// The next thing for the caller to do.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    pub fn handle_timeout(&mut self, now: Micros) {
-        let State::Recovering { lost_promises, .. } = &self.state else { return };
-        if now < self.next_recovery_request {
-            return;
-        }
-        self.next_recovery_request = now + RECOVERY_INTERVAL;
-        let request = RecoveryRequest {
-            acceptor: self.name.clone(),
-            start: self.start,
-            write_count: self.durable.write_count,
-            incarnation: self.durable.incarnation,
-            lost_promises: *lost_promises && !self.is_empty(),
-            is_empty: self.is_empty(),
-        };
-        for to in self.peers() {
-            self.outputs
-                .push_back(Output::Request { to, request: AcceptorRequest::Recover(request.clone()) });
-        }
-        // One that is alone asks nobody.
-        self.try_start_voting();
-    }
-
-    /// All others that vote, or did before the last change.
-    fn peers(&self) -> Vec<Name> {
-        let mut all: Vec<Name> = self.others.iter().chain(&self.previous).cloned().collect();
-        all.sort();
-        all.dedup();
-        all
-    }
-
-    fn is_peer(&self, name: &Name) -> bool {
-        self.others.contains(name) || self.previous.contains(name)
-    }
-
-    fn is_empty(&self) -> bool {
-        !self.durable.is_initialized
-    }
-
-    /// A claimer, or another voter, asks something.
+    /// Handles a request of a candidate, which is the process `from`, or of another acceptor.
     pub fn handle_request(&mut self, now: Micros, from: ProcessId, request: AcceptorRequest) {
         match request {
-            AcceptorRequest::Claim { lease, token, round, acceptors: acceptor_set } => {
-                if let Err(reason) = self.handle_claim(now, from, &lease, (token, round), acceptor_set) {
+            AcceptorRequest::Claim { lease, token, round, acceptors } => {
+                let claim = Claim { from, lease, token, round };
+                if let Err(reason) = self.handle_claim(now, &claim, acceptors) {
+                    let Claim { lease, token, round, .. } = claim;
                     let reply = AcceptorReply::Rejected { lease, token, round, reason };
                     self.outputs.push_back(Output::Reply { to: from, reply });
                 }
             }
-            AcceptorRequest::Release { lease, token } => {
-                // Whoever has a later term is not meant.
-                if self.leases.get(&lease).is_some_and(|granted| granted.token == token) {
-                    self.leases.remove(&lease);
-                }
-            }
+            AcceptorRequest::Release { lease, token } => self.handle_release(&lease, token),
             AcceptorRequest::Recover(request) => self.handle_recovery_request(request),
-            AcceptorRequest::WriteCount { acceptor: of, write_count, incarnation } => {
-                self.handle_write_count(&of, write_count, incarnation)
+            AcceptorRequest::WriteCount { acceptor, write_count, incarnation } => {
+                self.handle_write_count(&acceptor, write_count, incarnation)
             }
         }
     }
@@ -354,306 +231,152 @@
     fn handle_claim(
         &mut self,
         now: Micros,
-        from: ProcessId,
-        lease: &Name,
-        (token, round): (FencingToken, u64),
-        acceptor_set: AcceptorSetId,
+        claim: &Claim,
+        acceptors: AcceptorSetId,
     ) -> Result<(), Rejection> {
-        if !self.is_voting() || token.process != from {
+        if !self.is_voting() || claim.token.process != claim.from {
             return Err(Rejection::NotVoting);
         }
-        // Danger: two owners of one term, by majorities of two sets that have nobody in common.
-        if acceptor_set != self.acceptor_set {
+        // Danger: two holders of one term, by majorities of two acceptor sets without a common member.
+        if acceptors != self.acceptor_set {
             return Err(Rejection::DifferentAcceptors(self.acceptor_set));
         }
-        let promised = self.durable.promises.get(lease).copied();
+        let promised = self.durable.promises.get(&claim.lease).copied();
+        if promised == Some(claim.token) {
+            self.grant(now, claim);
+            return Ok(());
+        }
         match promised {
-            Some(promise) if promise == token => {
-                self.grant(now, from, lease, token, round);
-                return Ok(());
-            }
-            // Of one term there is one promise, whoever asks for it later.
-            Some(promise) if promise.term >= token.term => return Err(Rejection::HigherPromise(promise)),
-            None if self.durable.promises.len() >= MAX_LEASES
-                || lease.is_empty()
-                || lease.len() > MAX_NAME_BYTES =>
-            {
-                return Err(Rejection::CapacityExceeded)
+            // A term is promised once, whoever asks for it later.
+            Some(promise) if promise.term >= claim.token.term => {
+                return Err(Rejection::HigherPromise(promise))
             }
+            None if !self.accepts_new_lease(&claim.lease) => return Err(Rejection::CapacityExceeded),
             _ => {}
         }
-        let other_holder = self
-            .leases
-            .get(lease)
-            .filter(|granted| granted.token.process != token.process && granted.expires_at > now);
-        // Who held it when this voter started is not known: what it took over from others may be of one who never won.
-        let unsure = self.uncertain_until > now
-            && self.uncertain_leases.as_ref().is_none_or(|leases| leases.contains(lease));
-        let uncertain = promised.filter(|_| unsure).map(|promise| (self.uncertain_until, promise));
-        let other_holder = other_holder.map(|granted| (granted.expires_at, granted.token));
-        if let Some((until, by)) = other_holder.max(uncertain) {
-            return Err(Rejection::HeldByOther { remaining: until - now, holder: by });
+        if let Some(blocking) = self.blocking_lease(now, claim) {
+            let remaining = blocking.expires_at - now;
+            return Err(Rejection::HeldByOther { remaining, holder: blocking.token });
         }
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
             return Err(Rejection::Overloaded);
         }
-        self.durable.promises.insert(lease.clone(), token);
-        self.durable.write_count += 1;
-        let deferred = Deferred::Grant { to: from, lease: lease.clone(), token, round };
-        self.persist(vec![(lease.clone(), token)], vec![deferred]);
+        self.promise(claim);
         Ok(())
     }
 
-    /// Says yes, after what has to be durable for it; the lease counts from now.
-    fn grant(&mut self, now: Micros, to: ProcessId, lease: &Name, token: FencingToken, round: u64) {
-        // A write of this very promise may still be under way.
-        let under_way = self.pending_writes.iter_mut().find(|(_, deferred)| {
-            deferred.iter().any(|deferred| matches!(deferred, Deferred::Grant { lease: own, token: pending, .. } if own == lease && *pending == token))
-        });
-        if under_way.is_some() {
-            return;
-        }
-        self.leases.insert(lease.clone(), GrantedLease { token, expires_at: now + self.terms.duration });
-        let incarnations =
-            self.durable.peers.iter().map(|(name, other)| (name.clone(), other.incarnation)).collect();
-        let reply = AcceptorReply::Granted {
-            lease: lease.clone(),
-            token,
-            round,
-            incarnation: self.durable.incarnation,
-            incarnations,
-        };
-        self.outputs.push_back(Output::Reply { to, reply });
+    fn accepts_new_lease(&self, lease: &Name) -> bool {
+        self.durable.promises.len() < MAX_LEASES && !lease.is_empty() && lease.len() <= MAX_NAME_BYTES
     }
 
-    fn persist(&mut self, promises: Vec<(Name, FencingToken)>, deferred: Vec<Deferred>) {
-        self.write_number += 1;
-        self.pending_writes.push_back((self.write_number, deferred));
-        let change = StateChange { head: self.durable.head(), promises };
-        self.outputs.push_back(Output::Persist { number: self.write_number, change });
+    /// The lease of another process that a claim would have to wait for.
+    fn blocking_lease(&self, now: Micros, claim: &Claim) -> Option<GrantedLease> {
+        let granted = self.leases.get(&claim.lease).copied();
+        let granted = granted
+            .filter(|granted| granted.token.process != claim.token.process && granted.expires_at > now);
+        granted.max(self.uncertain_lease(now, &claim.lease))
     }
 
-    /// All writes up to this number are durable; or they can't be made so.
-    pub fn write_completed(&mut self, now: Micros, number: u64, durable: bool) {
-        if !durable {
-            // What was promised in memory was promised to nobody, but may be on the disk: only a start can tell.
-            self.state = State::Failed;
-            self.pending_writes.clear();
-            self.outputs.push_back(Output::Event(Event::StorageFailed));
-            return;
-        }
-        while self.pending_writes.front().is_some_and(|(own, _)| *own <= number) {
-            let Some((_, deferred)) = self.pending_writes.pop_front() else { return };
-            for deferred in deferred {
-                match deferred {
-                    // A later promise may have taken its place; then this one is said to nobody.
-                    Deferred::Grant { to, lease, token, round }
-                        if self.durable.promises.get(&lease) == Some(&token) =>
-                    {
-                        self.grant(now, to, &lease, token, round);
-                        self.announce_write_count();
-                    }
-                    Deferred::Grant { .. } => {}
-                    Deferred::PeerReply { to, reply } => {
-                        self.outputs.push_back(Output::PeerReply { to, reply })
-                    }
-                    Deferred::StopPreviousEpoch => self.previous_epoch_stopped = true,
-                    Deferred::Initialized => {
-                        self.uncertain_leases = Some(BTreeSet::new());
-                        self.state = State::Recovering { lost_promises: false, known: BTreeMap::new() };
-                        self.next_recovery_request = now;
-                    }
-                    Deferred::StartVoting { .. } if !self.acceptors.names.contains(&self.name) => {
-                        self.state = State::Retired;
-                        self.outputs.push_back(Output::Event(Event::Retired));
-                    }
-                    Deferred::StartVoting { recovered } => {
-                        self.state = State::Voting;
-                        self.uncertain_until = now + self.terms.duration;
-                        self.outputs.push_back(Output::Event(Event::StartedVoting { recovered }));
-                    }
-                }
-            }
-        }
+    /// After a start the holder of a promised lease is not known: the promise may have been adopted from a peer that made it
+    /// to a candidate that never won. The lease counts as held until the longest one of before the start has expired.
+    fn uncertain_lease(&self, now: Micros, lease: &Name) -> Option<GrantedLease> {
+        let is_uncertain = self.uncertain_until > now
+            && self.uncertain_leases.as_ref().is_none_or(|leases| leases.contains(lease));
+        let promised = self.durable.promises.get(lease).filter(|_| is_uncertain)?;
+        Some(GrantedLease { expires_at: self.uncertain_until, token: *promised })
     }
 
-    /// The others are to remember how much this voter has written: so a folder from before is found out.
-    fn announce_write_count(&mut self) {
-        for to in &self.others {
-            let (write_count, incarnation) = (self.durable.write_count, self.durable.incarnation);
-            let request =
-                AcceptorRequest::WriteCount { acceptor: self.name.clone(), write_count, incarnation };
-            self.outputs.push_back(Output::Request { to: to.clone(), request });
-        }
+    fn promise(&mut self, claim: &Claim) {
+        let promise = (claim.lease.clone(), claim.token);
+        self.durable.promises.insert(claim.lease.clone(), claim.token);
+        self.durable.write_count += 1;
+        self.persist(vec![promise], Some(DeferredAction::Grant(claim.clone())));
     }
 
-    // Starts.
-
-    /// Another voter starts, and asks what is known here.
-    fn handle_recovery_request(&mut self, request: RecoveryRequest) {
-        if !self.is_peer(&request.acceptor) || self.state == State::Failed {
-            return;
-        }
-        let known = self.durable.peers.get(&request.acceptor).cloned().unwrap_or_default();
-        // Whoever is let in has a life that nobody has counted yet; from now on none before it counts here. One start is given
-        // one life, however often it asks.
-        let lost = (request.lost_promises || request.is_empty || known.write_count > request.write_count)
-            && !self.is_empty();
-        let given = known.start == Some(request.start);
-        let mut next = known.clone();
-        next.incarnation = known.incarnation.max(request.incarnation);
-        if lost && !given {
-            next.incarnation += 1;
-            next.start = Some(request.start);
-        }
-        let reply = AcceptorReply::Recovery(RecoveryReply {
-            incarnation: next.incarnation,
-            ..self.recovery_reply(&request.acceptor)
+    /// Grants a promised claim, unless the promise is not durable yet; the lease counts from now.
+    fn grant(&mut self, now: Micros, claim: &Claim) {
+        let is_pending = self.pending_writes.iter().any(|write| {
+            matches!(&write.then, Some(DeferredAction::Grant(pending))
+                if pending.lease == claim.lease && pending.token == claim.token)
         });
-        next.write_count = known.write_count.max(request.write_count);
-        let told = self.pending_writes.iter().any(|(_, deferred)| {
-            deferred
-                .iter()
-                .any(|deferred| matches!(deferred, Deferred::PeerReply { to, .. } if *to == request.acceptor))
-        });
-        if lost && !given {
-            // What it is told of its life must outlast this process.
-            self.durable.peers.insert(request.acceptor.clone(), next);
-            self.persist(Vec::new(), vec![Deferred::PeerReply { to: request.acceptor, reply }]);
-        } else if !told {
-            self.outputs.push_back(Output::PeerReply { to: request.acceptor, reply });
-        }
-    }
-
-    /// Another voter has answered, or was heard to have written so often.
-    pub fn handle_peer_reply(&mut self, from: &Name, reply: AcceptorReply) {
-        let AcceptorReply::Recovery(known) = reply else { return };
-        if known.acceptor != self.name || !self.is_peer(from) {
+        if is_pending {
             return;
         }
-        let (write_count, is_initialized) = (self.durable.write_count, self.durable.is_initialized);
-        let State::Recovering { lost_promises, known: all } = &mut self.state else {
-            return self.raise_incarnation(known.incarnation);
+        let granted = GrantedLease { token: claim.token, expires_at: now + self.terms.duration };
+        self.leases.insert(claim.lease.clone(), granted);
+        let peers = self.durable.peers.iter();
+        let reply = AcceptorReply::Granted {
+            lease: claim.lease.clone(),
+            token: claim.token,
+            round: claim.round,
+            incarnation: self.durable.incarnation,
+            incarnations: peers.map(|(name, peer)| (name.clone(), peer.incarnation)).collect(),
         };
-        if is_initialized && known.write_count > write_count && !*lost_promises {
-            *lost_promises = true;
-            self.outputs.push_back(Output::Event(Event::LostPromises));
-        }
-        all.insert(from.clone(), known);
-        self.try_start_voting();
+        self.outputs.push_back(Output::Reply { to: claim.from, reply });
     }
 
-    /// It was given another life while it was let in by others, who counted it for empty still. Its folder lacks nothing, so
-    /// that it may be in any life; only what it promises in the latest counts.
-    fn raise_incarnation(&mut self, incarnation: u64) {
-        if self.is_voting() && incarnation > self.durable.incarnation {
-            self.durable.incarnation = incarnation;
-            self.durable.write_count += 1;
-            self.persist(Vec::new(), Vec::new());
+    /// A holder has released its lease. The release of an earlier term has no effect.
+    fn handle_release(&mut self, lease: &Name, token: FencingToken) {
+        if self.leases.get(lease).is_some_and(|granted| granted.token == token) {
+            self.leases.remove(lease);
         }
     }
 
-    /// A voter's own word of how often it has written. Where it does not know its latest life it is told.
-    fn handle_write_count(&mut self, of: &Name, write_count: u64, incarnation: u64) {
-        if !self.others.contains(of) {
+    fn persist(&mut self, promises: Vec<(Name, FencingToken)>, then: Option<DeferredAction>) {
+        self.last_write += 1;
+        self.pending_writes.push_back(PendingWrite { number: self.last_write, then });
+        let change = StateChange { head: self.durable.head(), promises };
+        self.outputs.push_back(Output::Persist { number: self.last_write, change });
+    }
+
+    /// All writes up to `number` are durable, or can't be made so.
+    pub fn write_completed(&mut self, now: Micros, number: u64, durable: bool) {
+        if !durable {
+            self.fail();
             return;
         }
-        let own = self.durable.peers.entry(of.clone()).or_default();
-        own.write_count = own.write_count.max(write_count);
-        if incarnation < own.incarnation {
-            let known = self.recovery_reply(of);
-            self.outputs
-                .push_back(Output::PeerReply { to: of.clone(), reply: AcceptorReply::Recovery(known) });
+        while let Some(write) = self.pending_writes.pop_front_if(|write| write.number <= number) {
+            if let Some(action) = write.then {
+                self.execute(now, action);
+            }
         }
     }
 
-    /// What is known here of another voter, and promised.
-    fn recovery_reply(&self, of: &Name) -> RecoveryReply {
-        let known = self.durable.peers.get(of).cloned().unwrap_or_default();
-        let lost_promises = matches!(self.state, State::Recovering { lost_promises: true, .. });
-        RecoveryReply {
-            acceptor: of.clone(),
-            write_count: known.write_count,
-            incarnation: known.incarnation,
-            is_initialized: self.durable.is_initialized
-                && !self.pending_writes.iter().any(|(_, deferred)| deferred.iter().any(is_votes)),
-            lost_promises,
-            never_promised: self.durable.promises.is_empty(),
-            acceptors: self.durable.acceptors,
-            frozen_epoch: if self.adopts_previous && !self.previous_epoch_stopped {
-                0
-            } else {
-                self.durable.frozen_epoch
-            },
-            promises: self.durable.promises.clone(),
-        }
+    /// What was promised since the last durable write was granted to nobody, but may be on the disk: only another start can
+    /// tell.
+    fn fail(&mut self) {
+        self.state = State::Failed;
+        self.pending_writes.clear();
+        self.outputs.push_back(Output::Event(Event::StorageFailed));
     }
 
-    fn try_start_voting(&mut self) {
-        let State::Recovering { lost_promises, known } = &self.state else { return };
-        let (all, others) = (self.others.len() + 1, self.others.len());
-        let sound = |own: &RecoveryReply| !own.lost_promises && own.is_initialized;
-        let count = |wanted: &dyn Fn(&Name, &RecoveryReply) -> bool| {
-            known.iter().filter(|(name, own)| wanted(name, own)).count()
-        };
-        let by_set = |name: &Name, own: &RecoveryReply| {
-            self.others.contains(name) && sound(own) && own.acceptors == self.acceptor_set
-        };
-        let sound_others = count(&by_set);
-        let pristine = count(&|name, own| self.others.contains(name) && own.never_promised);
-        // Nobody has ever promised anything: all must say so, as any who is not heard might have.
-        let first = self.is_empty() && self.acceptors.epoch == 0 && pristine == others;
-        // What it was part of, a majority of the others has a part in; or its folder lacks nothing that anybody knows of.
-        let taught = sound_others >= majority(others) && others > 0;
-        let intact = !*lost_promises && !self.adopts_previous && sound_others + 1 >= majority(all);
-        // A majority of the voters before promises nothing by them any more, and says what it had promised: whatever they made
-        // an owner of is among that.
-        let was = usize::from(self.acceptors.previous_names.contains(&self.name));
-        let previous_epoch_stopped = |name: &Name, own: &RecoveryReply| {
-            self.previous.contains(name) && sound(own) && own.frozen_epoch >= self.acceptor_set.epoch
-        };
-        let carried = self.adopts_previous
-            && self.previous_epoch_stopped
-            && !*lost_promises
-            && count(&previous_epoch_stopped) + was >= majority(self.acceptors.previous_names.len());
-        let intact = intact || carried;
-        if !(first || taught || intact)
-            || self.pending_writes.iter().any(|(_, deferred)| deferred.iter().any(is_votes))
-        {
-            return;
-        }
-        let recovered = *lost_promises;
-        if recovered {
-            self.uncertain_leases = None;
-        }
-        (self.durable.acceptors, self.durable.frozen_epoch, self.adopts_previous) =
-            (self.acceptor_set, self.acceptor_set.epoch, false);
-        for known in known.values() {
-            for (lease, token) in &known.promises {
-                let own = self.durable.promises.entry(lease.clone()).or_insert(*token);
-                if token.term > own.term {
-                    *own = *token;
-                } else if recovered && token.term == own.term && token.process != own.process {
-                    // Danger: it gave this term to one of the two, who owns the job by that, and can't know to whom. Where it
-                    // has forgotten nothing its own promise is the one that it gave.
-                    own.process = NO_PROCESS;
+    fn execute(&mut self, now: Micros, action: DeferredAction) {
+        match action {
+            DeferredAction::Grant(claim) => {
+                // A later promise may have replaced this one, which is then granted to nobody.
+                if self.durable.promises.get(&claim.lease) == Some(&claim.token) {
+                    self.grant(now, &claim);
+                    self.announce_write_count();
                 }
             }
-            self.durable.write_count = self.durable.write_count.max(known.write_count);
-            self.durable.incarnation = self.durable.incarnation.max(known.incarnation);
+            DeferredAction::SendPeerReply { to, reply } => {
+                self.outputs.push_back(Output::PeerReply { to, reply })
+            }
+            DeferredAction::StopPreviousEpoch => self.previous_epoch_stopped(),
+            DeferredAction::RestartRecovery => self.restart_recovery(now),
+            DeferredAction::StartVoting { recovered } => self.start_voting(now, recovered),
         }
-        self.durable.is_initialized = true;
-        self.durable.write_count += 1;
-        let promises = self.durable.promises.clone().into_iter().collect();
-        // Danger: one that promises while too few others are founded to let the rest in. It promises nothing before it has
-        // heard that a majority is.
-        self.persist(
-            promises,
-            vec![if first { Deferred::Initialized } else { Deferred::StartVoting { recovered } }],
-        );
     }
-}
 
-fn is_votes(deferred: &Deferred) -> bool {
-    matches!(deferred, Deferred::StartVoting { .. } | Deferred::Initialized)
+    /// Lets the peers remember how often this acceptor has written, so that an older copy of its store is detected.
+    fn announce_write_count(&mut self) {
+        for to in &self.others {
+            let request = AcceptorRequest::WriteCount {
+                acceptor: self.name.clone(),
+                write_count: self.durable.write_count,
+                incarnation: self.durable.incarnation,
+            };
+            self.outputs.push_back(Output::Request { to: to.clone(), request });
+        }
+    }
 }
