--- a/crates/lease/src/acceptor/recovery.rs
+++ b/crates/lease/src/acceptor/recovery.rs
@@ -173,9 +173,10 @@
         let promises = self.durable.promises.clone().into_iter().collect();
         // Danger: an acceptor that promises while too few others are initialized to admit the rest. At the first start it
         // promises nothing before it has heard that a majority is initialized.
-        let then = match is_first_start {
-            true => DeferredAction::RestartRecovery,
-            false => DeferredAction::StartVoting { recovered },
+        let then = if is_first_start {
+            DeferredAction::RestartRecovery
+        } else {
+            DeferredAction::StartVoting { recovered }
         };
         self.persist(promises, Some(then));
     }
