--- a/crates/lease/src/candidacy.rs
+++ b/crates/lease/src/candidacy.rs
@@ -1,9 +1,9 @@
-//! Which jobs a gateway wants, and when it hands one over: by each job's order of those who are there now.
+//! Which leases a gateway wants, and when it hands one over: by the rank of the gateways that are present, for each lease.
+//! It never decides who holds a lease: the acceptors do, so that views that differ cost one more change of the holder.
 //!
-//! Only the first few of a job's order want it, so that a large fleet does not ask voters for what it will not get. Whoever
-//! comes first by now offers itself to the owner, which hands over once it has had the job for its least stay: a gateway
-//! that had better not offers nothing, so that nobody need be told of that. Views that differ cost a move more; who owns
-//! is agreed by the voters.
+//! Only gateways of the best ranks for a lease claim it, so that a large fleet does not ask acceptors in vain. The gateway of
+//! the first rank offers itself to the holder, which hands the lease over once it has held it for its minimum tenure. An
+//! unwilling gateway offers nothing, so that nobody needs to be notified that it is unwilling.
 
 use std::collections::BTreeMap;
 
@@ -11,127 +11,156 @@
 use crate::ranking::{ranked, Participant};
 use crate::{LeaseTerms, Micros, Name, MILLISECOND, SECOND};
 
-/// So many of a job's order want it: when the owner and one more end at once, there is still one that has waited.
+/// Gateways that claim one lease: if the holder and the next one end together, one is left that has waited.
 const MAX_CLAIMANTS: usize = 3;
-/// Between the claims of those, so that the first has it before the next asks.
+/// Delay from the claim of one rank to that of the next, in which the first has its answers.
 const CLAIM_STAGGER: Micros = 100 * MILLISECOND;
-/// For how long a gateway must have come first before it offers itself: members come and go in crowds.
+/// A gateway offers itself once it has had the first rank for this long, as members join and leave in groups.
 const OFFER_DELAY: Micros = 2 * SECOND;
-/// An owner keeps a job for so many leases at the least: a change costs what it has learnt.
+/// A holder keeps a lease for at least so many times its duration: a change of the holder loses what it has learnt.
 const MIN_TENURE: u64 = 10;
 
-#[derive(Clone, Debug, Default)]
-struct LeaseRanking {
-    /// The gateways in this job's order, this one's place, and since when it comes first.
-    order: Vec<Name>,
-    rank: usize,
-    ranked_first_since: Option<Micros>,
-    next_offer: Micros,
-}
-
+/// The candidacy of one gateway for all leases that it can hold.
 #[derive(Clone, Debug)]
 pub struct Candidacy {
     name: Name,
     terms: LeaseTerms,
     participants: Vec<Participant>,
     rankings: BTreeMap<Name, LeaseRanking>,
-    willing: bool,
-    shut_down: bool,
+    is_willing: bool,
+    is_shut_down: bool,
+}
+
+/// The rank of this gateway for one lease.
+#[derive(Clone, Debug)]
+struct LeaseRanking {
+    /// Counted from 0; `usize::MAX` where this gateway is no participant.
+    rank: usize,
+    /// The other gateways of the best ranks, in their order.
+    successors: Vec<Name>,
+    first_since: Option<Micros>,
+    next_offer: Micros,
+}
+
+impl LeaseRanking {
+    fn new(name: &Name, lease: &Name, participants: &[Participant], first_since: Option<Micros>) -> Self {
+        let order = ranked(lease, participants);
+        let rank = order.iter().position(|other| other == name).unwrap_or(usize::MAX);
+        let others = order.into_iter().filter(|other| other != name);
+        LeaseRanking { rank, successors: others.take(MAX_CLAIMANTS).collect(), first_since, next_offer: 0 }
+    }
+
+    fn is_claimant(&self) -> bool {
+        self.rank < MAX_CLAIMANTS
+    }
+
+    fn start_delay(&self) -> Micros {
+        self.rank.min(MAX_CLAIMANTS) as Micros * CLAIM_STAGGER
+    }
+
+    fn observe_rank(&mut self, now: Micros, is_willing: bool) {
+        if self.rank > 0 || !is_willing {
+            self.first_since = None;
+        } else {
+            self.first_since = self.first_since.or(Some(now));
+        }
+    }
+
+    fn is_offer_due(&self, now: Micros) -> bool {
+        self.first_since.is_some_and(|since| now >= since + OFFER_DELAY) && now >= self.next_offer
+    }
 }
 
 impl Candidacy {
+    /// A gateway that can hold no lease yet.
     pub fn new(name: &Name, terms: LeaseTerms) -> Self {
-        let (name, rankings) = (name.clone(), BTreeMap::new());
-        Candidacy { name, terms, participants: Vec::new(), rankings, willing: true, shut_down: false }
+        Candidacy {
+            name: name.clone(),
+            terms,
+            participants: Vec::new(),
+            rankings: BTreeMap::new(),
+            is_willing: true,
+            is_shut_down: false,
+        }
     }
 
-    /// This gateway can do a job. False: something else here does one of that name already, and two must not.
+    /// Registers a lease that this gateway can hold. Returns false where another part of the gateway has registered one of
+    /// this name, as two must not act by one lease.
     pub fn add(&mut self, lease: &Name) -> bool {
-        let fresh = !self.rankings.contains_key(lease);
-        if fresh {
-            let ranking = self.rank_lease(lease, None);
-            self.rankings.insert(lease.clone(), ranking);
+        if self.rankings.contains_key(lease) {
+            return false;
         }
-        fresh
+        let ranking = LeaseRanking::new(&self.name, lease, &self.participants, None);
+        self.rankings.insert(lease.clone(), ranking);
+        true
     }
 
-    fn rank_lease(&self, lease: &Name, since: Option<Micros>) -> LeaseRanking {
-        let order = ranked(lease, &self.participants);
-        let rank = order.iter().position(|name| *name == self.name).unwrap_or(usize::MAX);
-        let successors = order.into_iter().filter(|name| *name != self.name).take(MAX_CLAIMANTS).collect();
-        LeaseRanking { order: successors, rank, ranked_first_since: since, next_offer: 0 }
-    }
-
-    /// Who is there now, this gateway too; to be called when that changes, and some times a second.
+    /// Takes the gateways that are present, with this one. To be called when they change, and several times a second.
     pub fn update(&mut self, now: Micros, participants: &[Participant], candidate: &mut Candidate) {
-        if self.shut_down {
+        if self.is_shut_down {
             return;
         }
         if self.participants != participants {
-            self.participants = participants.to_vec();
-            let leases: Vec<Name> = self.rankings.keys().cloned().collect();
-            for lease in leases {
-                let since = self.rankings.get(&lease).and_then(|ranking| ranking.ranked_first_since);
-                let ranking = self.rank_lease(&lease, since);
-                self.rankings.insert(lease, ranking);
-            }
+            self.rank_again(participants);
         }
-        let willing =
-            participants.iter().any(|participant| participant.name == self.name && !participant.unwilling);
-        let became_unwilling = std::mem::replace(&mut self.willing, willing) && !willing;
+        let is_self = |participant: &&Participant| participant.name == self.name;
+        let is_willing = participants.iter().filter(is_self).any(|participant| !participant.unwilling);
+        let became_unwilling = self.is_willing && !is_willing;
+        self.is_willing = is_willing;
         for (lease, ranking) in &mut self.rankings {
             if became_unwilling {
-                candidate.hand_over(now, lease, &ranking.order);
+                candidate.hand_over(now, lease, &ranking.successors);
             }
-            if ranking.rank < MAX_CLAIMANTS || candidate.held_since(now, lease).is_some() {
-                candidate.pursue(now, lease, ranking.rank.min(MAX_CLAIMANTS) as Micros * CLAIM_STAGGER);
+            if ranking.is_claimant() || candidate.held_since(now, lease).is_some() {
+                candidate.pursue(now, lease, ranking.start_delay());
             } else {
                 candidate.release(lease);
             }
-            ranking.ranked_first_since = match ranking.ranked_first_since {
-                _ if ranking.rank > 0 || !willing => None,
-                since => since.or(Some(now)),
-            };
-            if ranking.ranked_first_since.is_some_and(|since| now >= since + OFFER_DELAY)
-                && now >= ranking.next_offer
-            {
+            ranking.observe_rank(now, is_willing);
+            if ranking.is_offer_due(now) {
                 ranking.next_offer = now + self.terms.duration;
                 candidate.offer(lease);
             }
         }
     }
 
-    /// Another says that it comes first for a job that this gateway owns.
-    pub fn offer_received(&mut self, now: Micros, lease: &Name, by: &Name, candidate: &mut Candidate) {
+    fn rank_again(&mut self, participants: &[Participant]) {
+        self.participants = participants.to_vec();
+        for (lease, ranking) in &mut self.rankings {
+            *ranking = LeaseRanking::new(&self.name, lease, &self.participants, ranking.first_since);
+        }
+    }
+
+    /// The gateway `from` claims to have the first rank for a lease that is held here.
+    pub fn offer_received(&mut self, now: Micros, lease: &Name, from: &Name, candidate: &mut Candidate) {
         let Some(ranking) = self.rankings.get(lease) else { return };
-        let tenure_over = candidate
-            .held_since(now, lease)
-            .is_some_and(|since| now >= since + MIN_TENURE * self.terms.duration);
-        // Who is not first here as well would be asked to hand it over again at once.
-        if tenure_over && ranking.rank > 0 && ranking.order.first() == Some(by) {
-            candidate.hand_over(now, lease, std::slice::from_ref(by));
+        let min_tenure = MIN_TENURE * self.terms.duration;
+        let has_served = candidate.held_since(now, lease).is_some_and(|since| now >= since + min_tenure);
+        // A gateway without the first rank by this view would be asked to hand it over again at once.
+        if has_served && ranking.rank > 0 && ranking.successors.first() == Some(from) {
+            candidate.hand_over(now, lease, std::slice::from_ref(from));
         }
     }
 
-    /// Its operators want this job to be another's. False where it is not owned here.
+    /// Hands a lease over to the next ones, as operators want. Returns false where it is not held here.
     pub fn release(&mut self, now: Micros, lease: &Name, candidate: &mut Candidate) -> bool {
-        let held = candidate.held_since(now, lease).is_some();
-        if let Some(ranking) = self.rankings.get(lease).filter(|_| held) {
-            candidate.hand_over(now, lease, &ranking.order);
+        let is_held = candidate.held_since(now, lease).is_some();
+        if let Some(ranking) = self.rankings.get(lease).filter(|_| is_held) {
+            candidate.hand_over(now, lease, &ranking.successors);
         }
-        held
+        is_held
     }
 
-    /// This gateway ends: what it owns goes to the next ones, and it wants nothing more.
+    /// Hands all leases over to the next ones, and wants none any more.
     pub fn shut_down(&mut self, now: Micros, candidate: &mut Candidate) {
-        self.shut_down = true;
+        self.is_shut_down = true;
         for (lease, ranking) in &self.rankings {
-            candidate.hand_over(now, lease, &ranking.order);
+            candidate.hand_over(now, lease, &ranking.successors);
         }
         candidate.release_all();
     }
 
-    /// This gateway's place in a job's order, from 0; the last where it does not do it.
+    /// The rank of this gateway for a lease, from 0; `usize::MAX` where it can't hold it.
     pub fn rank(&self, lease: &str) -> usize {
         self.rankings.get(lease).map_or(usize::MAX, |ranking| ranking.rank)
     }
