--- a/crates/lease/src/replicated_list.rs
+++ b/crates/lease/src/replicated_list.rs
@@ -1,141 +1,91 @@
-//! A list that one gateway asks for and tells all others, where whoever has it bears few calls: the first job of the fleet.
+//! A list that one gateway polls from its source and replicates to all others, for sources that bear few polls. It owns one
+//! gateway's copy of the list and decides when to poll and what to send; it never performs I/O and does not decide who
+//! holds the lease for it.
 //!
-//! The owner of the job asks often and tells all what is new, or that nothing is. Whoever has heard nothing for a third of
-//! the time in which it must know asks by itself, by turns in the job's order, and tells the others likewise: so the list
-//! reaches all whatever happens to the owner, and the one that asks is one on each side of a parted fleet.
+//! The lease holder polls often and broadcasts what is new, or that nothing is. A gateway that has heard nothing for a third
+//! of the maximum age polls by itself, in the order of the ranks, and broadcasts likewise. So the list reaches all gateways
+//! whatever becomes of the holder, and in a partitioned fleet one gateway polls on each side.
 //!
-//! Nobody's list goes back. A version is that of the list's source; where the source counts anew from below (another one
-//! has taken its place), only an owner begins a new numbering, by its term. What an owner tells carries its fence, and is
-//! refused where a higher one has been seen. How old a word is its sender says, by its own even clock, so that one that was
-//! stopped between asking and telling flatters nobody.
+//! No copy goes back to an earlier version. Versions are the source's; where the source counts from below again, as another
+//! instance has replaced it, only a lease holder starts a new epoch, by its term. A holder's broadcast carries its fencing
+//! token and is rejected where a higher one is known. The sender states the age of what it sends, by its own even clock, so
+//! that a gateway that was suspended between a poll and a broadcast does not make the list look fresh.
+
+mod fragment;
+mod message;
 
 use std::collections::{BTreeMap, VecDeque};
 
-use serde::{Deserialize, Serialize};
+use fragment::{fragments, PartialList, Transmission, MAX_FRAGMENTS};
+pub use message::{Entry, Fragment, ListMessage, SourceReply, Version};
 
 use crate::fencing::{FencingDecision, FencingGuard};
 use crate::{FencingToken, Micros, Name};
 
-/// An owner asks so many times in the time within which all must know.
+/// Polls of a lease holder within the maximum age.
 const POLLS_PER_MAX_AGE: u64 = 6;
-/// Whoever has heard nothing for this part of it asks by itself; and the step between the turns of those who do.
+/// A gateway that has heard nothing for this fraction of the maximum age polls by itself: one in so many.
 const SILENCE_DIVISOR: u64 = 3;
+/// The delay from one rank to the next of gateways that poll by themselves, as a fraction of the maximum age: one in so many.
 const TURN_DIVISOR: u64 = 40;
-/// After the turns of so many all may ask: their order is no more than a guess then.
+/// Beyond this rank all gateways poll at the same time, as the ranking is only a guess then.
 const MAX_TURNS: u64 = 12;
-/// Calls in vain in a row after which an owner hands the job over.
+/// Failed polls in a row after which a holder hands the lease over.
 const MAX_FAILED_POLLS: u32 = 2;
-/// Bytes of entries in one piece, and pieces of one telling at the most.
-const MAX_FRAGMENT_BYTES: usize = 32 * 1024;
-const MAX_FRAGMENTS: usize = 256;
-/// Gateways that are told the whole list between two calls, which is long.
+/// Gateways that are sent the complete list between two polls.
 const MAX_COMPLETE_SENDS: usize = 8;
+/// A source that counts from below is accepted without a lease holder once the list is so many times the maximum age old.
+const REPLACED_SOURCE_AGES: u64 = 4;
 
-/// One thing on the list, in the source's own words.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    pub name: String,
-    /// It is on the list no more.
-    pub removed: bool,
-    pub body: String,
-}
-
-/// What the source has answered: the whole list, or what is newer than the version asked from.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SourceReply {
-    pub index: u64,
-    pub is_complete: bool,
-    pub entries: Vec<Entry>,
-}
-
-/// Which list, and how new. The order is that of the numberings, and within one that of the source's versions.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Version {
-    /// The term of the owner that began it; 0 at first.
-    pub epoch: u64,
-    pub index: u64,
-}
-
-/// A bounded part of what is told.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fragment {
-    pub version: Version,
-    /// What is newer than this, of the same numbering; the whole list, if none.
-    pub since: Option<u64>,
-    /// How long ago the source was asked, in milliseconds.
-    pub age_ms: u32,
-    pub number: u16,
-    pub count: u16,
-    pub entries: Vec<Entry>,
-}
-
-/// What gateways say to each other of the list.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListMessage {
-    /// With the fence of the owner that tells it; without, whoever tells it has asked in its turn.
-    Fragment(Option<FencingToken>, Fragment),
-    /// I lack what came before: tell me the whole.
-    RequestComplete,
-    /// Another owns the job.
-    Rejected(FencingToken),
-}
-
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Ask the source for what is newer than this, or for all, and say how that ended.
-    Poll { since: Option<u64> },
-    /// Tell all others, as the owner if this gateway is it.
+    /// Poll the source, and call `poll_completed` with its answer.
+    Poll {
+        /// Ask for what is newer than this index; for the complete list, if none.
+        since: Option<u64>,
+    },
+    /// Send a fragment to all others, with the fencing token if the lease is held here.
     Broadcast(Fragment),
-    /// Tell one, likewise.
+    /// Send a fragment to one gateway, likewise.
     SendFragment(Name, Fragment),
-    /// Say this to one.
+    /// Send a message to one gateway.
     SendMessage(Name, ListMessage),
-    /// The list has changed, or is there: all of it, or what is new.
+    /// The copy has changed, or is known for the first time: the complete list, or the changes.
     Updated(SourceReply),
-    /// This gateway can't ask the source, though it owns the job: another had better.
+    /// This gateway holds the lease but can't reach the source: another should take it over.
     HandOver,
-    /// An effect of this gateway was refused, as another owns the job by this fence.
+    /// A broadcast of this gateway was rejected, as another holds the lease by this token.
     Rejected(FencingToken),
 }
 
-#[derive(Clone, Debug)]
-struct PartialList {
-    token: Option<FencingToken>,
-    from: Name,
-    version: Version,
-    since: Option<u64>,
-    received: BTreeMap<u16, Vec<Entry>>,
-    count: u16,
-}
-
+/// One gateway's copy of the list. Times are of one even clock that nobody sets.
 #[derive(Clone, Debug)]
 pub struct ReplicatedList {
     lease: Name,
     max_age: Micros,
     entries: BTreeMap<String, Entry>,
-    /// Those are the whole list: what was known before the start is known to others than this.
+    /// The entries are the complete list. They are not where only the version was known before the start.
     is_complete: bool,
     version: Option<Version>,
     guard: FencingGuard,
-    /// When the source was asked for what is known here, at the latest.
+    /// The latest time at which the source was asked for what is known here.
     polled_at: Micros,
-    /// The source could not be asked since then.
+    /// A later poll than that has failed.
     poll_failed: bool,
-    /// Calls in vain in a row, while it owns the job.
+    /// Failed polls in a row, while the lease is held here.
     failed_polls: u32,
     polling_since: Option<Micros>,
     next_poll: Micros,
     partial: Option<PartialList>,
-    /// Whom the whole list was told since the last call.
+    /// Gateways that were sent the complete list since the last poll.
     complete_sends: usize,
     outputs: VecDeque<Output>,
 }
 
 impl ReplicatedList {
-    /// With the version of the list that was known before the start, if there was one, though nobody can say how old it is.
-    /// `drawn`, from 0 to 1, is how long it then waits for others to tell it, beside the longest: those that start together
-    /// must not ask together.
+    /// A copy that must not be older than `max_age`. `known_index` is the version that was known before the start, if one
+    /// was; its age is unknown then. `jitter`, from 0 to 1, spreads the first polls of gateways that start together.
     pub fn new(lease: &Name, max_age: Micros, known_index: Option<u64>, now: Micros, jitter: f64) -> Self {
         let silence = max_age / SILENCE_DIVISOR;
         let delay =
@@ -158,21 +108,24 @@
         }
     }
 
+    /// The next thing for the caller to do.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
+    /// The version of the copy, if there is one.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// What is known here may be older than it must be: nothing is to be done by it until the source has answered, or could
-    /// not. Danger: a process that was stopped goes on by a list of long ago, in its first moment.
+    /// Whether the copy may be older than the maximum age, so that it must not be used before a poll has succeeded or failed.
+    ///
+    /// Danger: a process that was suspended uses a list of long ago in its first moment.
     pub fn is_stale(&self, now: Micros) -> bool {
         now >= self.polled_at + self.max_age && !self.poll_failed
     }
 
-    /// How long what is known here may still be used.
+    /// The time until which the copy may be used.
     pub fn fresh_until(&self) -> Micros {
         if self.poll_failed {
             Micros::MAX
@@ -181,83 +134,99 @@
         }
     }
 
-    /// When `tick` is to be called; `place` is this gateway's in the job's order.
+    /// The time at which `handle_timeout` is to be called. `rank` is this gateway's for the lease.
     pub fn next_deadline(&self, is_holder: bool, rank: usize) -> Micros {
-        match (self.polling_since, is_holder) {
-            (Some(_), _) => Micros::MAX,
-            (None, true) => self.next_poll,
-            (None, false) => {
-                let turn_delay = (rank as u64).min(MAX_TURNS) * (self.max_age / TURN_DIVISOR);
-                self.next_poll.max(self.polled_at + self.max_age / SILENCE_DIVISOR + turn_delay)
-            }
+        if self.polling_since.is_some() {
+            return Micros::MAX;
         }
+        if is_holder {
+            return self.next_poll;
+        }
+        let turn_delay = (rank as u64).min(MAX_TURNS) * (self.max_age / TURN_DIVISOR);
+        self.next_poll.max(self.polled_at + self.max_age / SILENCE_DIVISOR + turn_delay)
     }
 
+    /// Starts a poll if one is due.
     pub fn handle_timeout(&mut self, now: Micros, is_holder: bool, rank: usize) {
         if now < self.next_deadline(is_holder, rank) {
             return;
         }
         self.polling_since = Some(now);
-        // Who tells others needs all of it.
+        // A gateway that sends the list to others needs all of it.
         let since = self.version.filter(|_| self.is_complete).map(|version| version.index);
         self.outputs.push_back(Output::Poll { since });
     }
 
-    /// The call that is under way has ended. `term`: this gateway's as the owner, if it is.
+    /// The poll under way has ended, without an answer if it failed. `term` is that of the lease, where it is held here.
     pub fn poll_completed(&mut self, now: Micros, reply: Option<SourceReply>, term: Option<u64>) {
         let Some(started_at) = self.polling_since.take() else { return };
         self.next_poll = now.max(started_at + self.max_age / POLLS_PER_MAX_AGE);
         self.complete_sends = 0;
-        let Some(reply) = reply else {
-            self.poll_failed = true;
-            match term {
-                None => self.next_poll = now + self.max_age / SILENCE_DIVISOR,
-                Some(_) => {
-                    self.failed_polls += 1;
-                    if self.failed_polls.is_multiple_of(MAX_FAILED_POLLS) {
-                        self.outputs.push_back(Output::HandOver);
-                    }
-                }
-            }
+        match reply {
+            Some(reply) => self.handle_source_reply(now, started_at, reply, term),
+            None => self.handle_failed_poll(now, term.is_some()),
+        }
+    }
+
+    fn handle_failed_poll(&mut self, now: Micros, is_holder: bool) {
+        self.poll_failed = true;
+        if !is_holder {
+            self.next_poll = now + self.max_age / SILENCE_DIVISOR;
             return;
-        };
+        }
+        self.failed_polls += 1;
+        if self.failed_polls.is_multiple_of(MAX_FAILED_POLLS) {
+            self.outputs.push_back(Output::HandOver);
+        }
+    }
+
+    fn handle_source_reply(
+        &mut self,
+        now: Micros,
+        started_at: Micros,
+        reply: SourceReply,
+        term: Option<u64>,
+    ) {
         self.failed_polls = 0;
         let went_back = self.version.is_some_and(|version| reply.index < version.index);
-        let epoch = match (self.version, term) {
-            (None, _) => 0,
-            (Some(version), _) if !went_back => version.epoch,
-            // The source counts anew: another has taken its place. An owner may say so; and whoever has heard nobody for long
-            // goes by what it hears itself.
-            (Some(version), Some(term)) if term > version.epoch => term,
-            (Some(version), None) if now >= self.polled_at + 4 * self.max_age => version.epoch,
-            _ => {
-                self.poll_failed = true;
-                return;
-            }
+        let Some(epoch) = self.epoch_of_reply(now, went_back, term) else {
+            self.poll_failed = true;
+            return;
         };
         if went_back && !reply.is_complete {
-            // What is new since a version that this source has never had is nothing to go by.
+            // Changes since a version that this source has never had are of no use.
             self.is_complete = false;
             self.next_poll = now;
             return;
         }
         let version = Version { epoch, index: reply.index };
-        let since = self.version.filter(|_| !reply.is_complete && !went_back).map(|version| version.index);
+        let is_change = !reply.is_complete && !went_back;
+        let since = self.version.filter(|_| is_change).map(|version| version.index);
         self.apply(version, reply.is_complete, reply.entries.clone());
-        (self.polled_at, self.poll_failed) = (self.polled_at.max(started_at), false);
-        let complete: Vec<Entry>;
-        let (since, entries) = match since {
-            Some(since) => (Some(since), reply.entries),
-            None => {
-                complete = self.entries.values().cloned().collect();
-                (None, complete)
-            }
+        self.polled_at = self.polled_at.max(started_at);
+        self.poll_failed = false;
+        let entries = match since {
+            Some(_) => reply.entries,
+            None => self.entries.values().cloned().collect(),
         };
         for fragment in fragments(version, since, now - started_at, entries) {
             self.outputs.push_back(Output::Broadcast(fragment));
         }
     }
 
+    /// The epoch of an answer; none where a source that counts from below can't be accepted yet. A lease holder starts a new
+    /// epoch for it; a gateway that has heard nobody for long continues the old one.
+    fn epoch_of_reply(&self, now: Micros, went_back: bool, term: Option<u64>) -> Option<u64> {
+        let Some(version) = self.version else { return Some(0) };
+        if !went_back {
+            return Some(version.epoch);
+        }
+        match term {
+            Some(term) => (term > version.epoch).then_some(term),
+            None => (now >= self.polled_at + REPLACED_SOURCE_AGES * self.max_age).then_some(version.epoch),
+        }
+    }
+
     fn apply(&mut self, version: Version, is_complete: bool, entries: Vec<Entry>) {
         if is_complete {
             self.entries.clear();
@@ -271,101 +240,99 @@
             }
         }
         if is_complete || !entries.is_empty() {
-            self.outputs.push_back(Output::Updated(SourceReply {
-                index: version.index,
-                is_complete,
-                entries,
-            }));
+            let update = SourceReply { index: version.index, is_complete, entries };
+            self.outputs.push_back(Output::Updated(update));
         }
         self.version = Some(version);
     }
 
-    /// Another gateway says something of the list.
+    /// Handles a message of another gateway.
     pub fn handle_message(&mut self, now: Micros, from: &Name, message: ListMessage) {
         match message {
             ListMessage::Fragment(token, fragment) => self.handle_fragment(now, from, token, fragment),
-            ListMessage::RequestComplete if self.complete_sends < MAX_COMPLETE_SENDS && self.is_complete => {
-                self.complete_sends += 1;
-                let Some(version) = self.version else { return };
-                let entries = self.entries.values().cloned().collect();
-                for fragment in fragments(version, None, now.saturating_sub(self.polled_at), entries) {
-                    self.outputs.push_back(Output::SendFragment(from.clone(), fragment));
-                }
-            }
-            ListMessage::RequestComplete => {}
+            ListMessage::RequestComplete => self.send_complete(now, from),
             ListMessage::Rejected(highest) => self.outputs.push_back(Output::Rejected(highest)),
         }
     }
 
-    fn handle_fragment(&mut self, now: Micros, from: &Name, token: Option<FencingToken>, fragment: Fragment) {
-        if let Some(token) = token {
-            if let FencingDecision::Stale(highest) = self.guard.check(&self.lease, token) {
-                self.outputs.push_back(Output::SendMessage(from.clone(), ListMessage::Rejected(highest)));
-                return;
-            }
-        }
-        let Fragment { version, since, age_ms, number, count, entries } = fragment;
-        let newer = self.version.is_none_or(|known| version >= known);
-        // Only an owner begins another numbering.
-        let may_start_epoch =
-            token.is_some() || self.version.is_none_or(|known| known.epoch == version.epoch);
-        if !newer || !may_start_epoch || number >= count || usize::from(count) > MAX_FRAGMENTS {
+    fn send_complete(&mut self, now: Micros, to: &Name) {
+        if self.complete_sends >= MAX_COMPLETE_SENDS || !self.is_complete {
             return;
         }
-        let continues = since.is_none_or(|since| {
-            self.version.is_some_and(|known| known.epoch == version.epoch && known.index >= since)
-        });
-        if !continues {
-            return self.outputs.push_back(Output::SendMessage(from.clone(), ListMessage::RequestComplete));
+        self.complete_sends += 1;
+        let Some(version) = self.version else { return };
+        let entries = self.entries.values().cloned().collect();
+        for fragment in fragments(version, None, now.saturating_sub(self.polled_at), entries) {
+            self.outputs.push_back(Output::SendFragment(to.clone(), fragment));
         }
-        let is_same_list = |partial: &PartialList| {
-            partial.version == version
-                && partial.since == since
-                && partial.token == token
-                && partial.from == *from
-                && partial.count == count
-        };
-        if !self.partial.as_ref().is_some_and(is_same_list) {
-            let from = from.clone();
-            self.partial =
-                Some(PartialList { token, from, version, since, received: BTreeMap::new(), count });
+    }
+
+    fn handle_fragment(&mut self, now: Micros, from: &Name, token: Option<FencingToken>, fragment: Fragment) {
+        if let Some(highest) = self.higher_token(token) {
+            let rejection = ListMessage::Rejected(highest);
+            self.outputs.push_back(Output::SendMessage(from.clone(), rejection));
+            return;
         }
-        let Some(partial) = &mut self.partial else { return };
-        partial.received.insert(number, entries);
-        if partial.received.len() < usize::from(count) {
+        if !self.is_acceptable(&fragment, token.is_some()) {
             return;
         }
-        let entries = partial.received.values().flatten().cloned().collect();
-        self.partial = None;
-        // A whole list that is known already tells only that it is still so.
+        if !self.has_base_of(&fragment) {
+            let request = ListMessage::RequestComplete;
+            self.outputs.push_back(Output::SendMessage(from.clone(), request));
+            return;
+        }
+        let Fragment { version, since, age_ms, number, count, entries } = fragment;
+        let transmission = Transmission { from: from.clone(), token, version, since, count };
+        let Some(entries) = self.collect(transmission, number, entries) else { return };
+        // The complete list of a version that is known already only confirms it.
         if since.is_some() || self.version != Some(version) || !self.is_complete {
             self.apply(version, since.is_none(), entries);
         }
         let polled_at = now.saturating_sub(Micros::from(age_ms) * 1_000);
         if polled_at > self.polled_at {
-            (self.polled_at, self.poll_failed) = (polled_at, false);
+            self.polled_at = polled_at;
+            self.poll_failed = false;
         }
     }
-}
 
-/// What is told, in pieces that are not too long; one at the least, which says that nothing is new.
-fn fragments(version: Version, since: Option<u64>, age: Micros, entries: Vec<Entry>) -> Vec<Fragment> {
-    let mut all: Vec<Vec<Entry>> = vec![Vec::new()];
-    let mut capacity = MAX_FRAGMENT_BYTES;
-    for entry in entries {
-        let size = entry.name.len() + entry.body.len() + 16;
-        if size > capacity {
-            all.push(Vec::new());
-            capacity = MAX_FRAGMENT_BYTES;
+    /// The highest token known, where the sender's is lower.
+    fn higher_token(&mut self, token: Option<FencingToken>) -> Option<FencingToken> {
+        match self.guard.check(&self.lease, token?) {
+            FencingDecision::Stale(highest) => Some(highest),
+            _ => None,
         }
-        capacity = capacity.saturating_sub(size);
-        if let Some(last) = all.last_mut() {
-            last.push(entry);
+    }
+
+    /// A fragment must not be of an earlier version, and only a lease holder starts an epoch.
+    fn is_acceptable(&self, fragment: &Fragment, is_from_holder: bool) -> bool {
+        let is_current = self.version.is_none_or(|version| fragment.version >= version);
+        let is_same_epoch = self.version.is_none_or(|version| version.epoch == fragment.version.epoch);
+        let is_well_formed = fragment.number < fragment.count && usize::from(fragment.count) <= MAX_FRAGMENTS;
+        is_current && (is_from_holder || is_same_epoch) && is_well_formed
+    }
+
+    /// Whether the copy has everything that precedes the changes in a fragment.
+    fn has_base_of(&self, fragment: &Fragment) -> bool {
+        let Some(since) = fragment.since else { return true };
+        self.version.is_some_and(|version| version.epoch == fragment.version.epoch && version.index >= since)
+    }
+
+    /// Adds a fragment to those that have arrived, and returns all entries once none is missing.
+    fn collect(
+        &mut self,
+        transmission: Transmission,
+        number: u16,
+        entries: Vec<Entry>,
+    ) -> Option<Vec<Entry>> {
+        let mut partial = match self.partial.take() {
+            Some(partial) if partial.is_of(&transmission) => partial,
+            _ => PartialList::new(transmission),
+        };
+        partial.insert(number, entries);
+        if !partial.is_complete() {
+            self.partial = Some(partial);
+            return None;
         }
+        Some(partial.into_entries())
     }
-    let count = all.len().min(MAX_FRAGMENTS) as u16;
-    let age_ms = (age / 1_000).min(u64::from(u32::MAX)) as u32;
-    let fragment =
-        |(number, entries)| Fragment { version, since, age_ms, number: number as u16, count, entries };
-    all.into_iter().enumerate().map(fragment).collect()
 }
