--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,43 +1,46 @@
-//! Where effects are taken in: the highest fence seen of each job holds, and less is refused.
+//! Where effects arrive: the highest fencing token of each lease that was seen, by which lower ones are rejected. It never
+//! knows who holds a lease now.
 //!
-//! Where the effect lasts, so must what is kept here: a caller writes a [`Admit::Higher`] down before it carries out the
-//! effect, and gives what it wrote to [`Guard::restore`] when it starts.
+//! Where an effect is durable the highest token must be, too: a caller writes the token of a [`FencingDecision::Newer`] down
+//! before it carries the effect out, and passes what it has written to [`FencingGuard::restore`] when it starts.
 
 use std::collections::BTreeMap;
 
 use crate::{FencingToken, Name, MAX_LEASES};
 
-/// What becomes of an effect.
+/// What is to be done with an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingDecision {
-    /// By the owner that was known.
+    /// Carry it out: the token is the highest one known.
     Current,
-    /// By an owner that was not known yet: its fence is to be written down first.
+    /// Carry it out: the token is higher than any known before, and is to be written down first.
     Newer,
-    /// Its sender is to be told: another owns the job, by this fence or a higher one.
+    /// Reject it, and tell the sender that the lease belongs to this token or a higher one.
     Stale(FencingToken),
-    /// There is no room for another job.
+    /// Reject it: there is no capacity for the token of another lease.
     CapacityExceeded,
 }
 
+/// The highest tokens seen, at most [`MAX_LEASES`] of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     highest: BTreeMap<Name, FencingToken>,
 }
 
 impl FencingGuard {
-    /// What was written down before.
+    /// A guard with the tokens that were written down before.
     pub fn restore(highest: BTreeMap<Name, FencingToken>) -> Self {
         FencingGuard { highest }
     }
 
+    /// The highest token seen of a lease.
     pub fn highest(&self, lease: &str) -> Option<FencingToken> {
         self.highest.get(lease).copied()
     }
 
-    /// Somebody acts for the fleet by this fence.
+    /// Decides on an effect with this token.
     pub fn check(&mut self, lease: &Name, token: FencingToken) -> FencingDecision {
-        match self.highest.get(lease).copied() {
+        match self.highest(lease) {
             Some(highest) if highest > token => FencingDecision::Stale(highest),
             Some(highest) if highest == token => FencingDecision::Current,
             None if self.highest.len() >= MAX_LEASES => FencingDecision::CapacityExceeded,
--- a/crates/lease/src/ranking.rs
+++ b/crates/lease/src/ranking.rs
@@ -1,39 +1,38 @@
-//! Who shall own what: for each job an order of the gateways, drawn by its name, so that jobs are spread evenly and few move
-//! when the fleet grows or shrinks. Views that differ only cost a move more: who owns is agreed by the voters.
+//! The rank of each gateway for each lease, by rendezvous hashing of their names: leases are spread evenly, and few of them
+//! move when the fleet grows or shrinks. A rank gives no right to a lease; views that differ cost one more change of the
+//! holder.
 
 use crate::{seeded_hash, Name};
 
-/// A gateway that may own jobs.
+/// A gateway that may hold leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Participant {
+    /// Its name.
     pub name: Name,
-    /// It had better not: it is slow, cordoned, about to end, or parted from what the job needs. It comes last.
+    /// It ranks after all willing ones: it is slow, cordoned, about to end, or cut off from what the lease needs.
     pub unwilling: bool,
 }
 
-/// A constant of the order, so that all gateways draw alike.
+/// Part of the hash. All gateways must use the same value.
 const RANKING_SEED: u64 = 0x6f77_6e65_7273;
 
-/// The gateways in a job's order.
+/// The names of the participants in the order of their ranks for a lease.
 pub fn ranked(lease: &str, participants: &[Participant]) -> Vec<Name> {
     let key = |participant: &Participant| {
-        (
-            participant.unwilling,
-            seeded_hash(RANKING_SEED, &[lease, &participant.name], 0),
-            participant.name.clone(),
-        )
+        let hash = seeded_hash(RANKING_SEED, &[lease, &participant.name], 0);
+        (participant.unwilling, hash, participant.name.clone())
     };
     let mut keys: Vec<_> = participants.iter().map(key).collect();
     keys.sort_unstable();
     keys.into_iter().map(|(_, _, name)| name).collect()
 }
 
-/// The place of a gateway in a job's order, from 0; none where it is no candidate.
-pub fn rank_of(lease: &str, participants: &[Participant], participant: &str) -> Option<usize> {
-    ranked(lease, participants).iter().position(|name| **name == *participant)
+/// The rank of a gateway for a lease, from 0; none where it is no participant.
+pub fn rank_of(lease: &str, participants: &[Participant], gateway: &str) -> Option<usize> {
+    ranked(lease, participants).iter().position(|name| **name == *gateway)
 }
 
-/// Who comes first.
+/// The name of the participant with the first rank for a lease.
 pub fn first_ranked(lease: &str, participants: &[Participant]) -> Option<Name> {
     ranked(lease, participants).into_iter().next()
 }
