--- a/crates/lease/tests/replicated_list.rs
+++ b/crates/lease/tests/replicated_list.rs
@@ -97,6 +97,11 @@
         (self.holder == Some(at)).then_some(FencingToken { term: self.term, process: ProcessId(at as u64) })
     }
 
+    fn elect(&mut self, gateway: usize) {
+        self.holder = Some(gateway);
+        self.term += 1;
+    }
+
     fn send(&mut self, from: usize, to: usize, message: ListMessage) {
         let side = |at: usize| self.partitioned.contains(&at);
         if from == to || side(from) != side(to) || self.random.below(100) < self.loss_percent {
@@ -202,11 +207,12 @@
     for seed in 1..60 {
         let mut simulation = Simulation::new(8, seed);
         simulation.run(SECOND);
-        (simulation.loss_percent, simulation.max_delay) = (20, 400 * MILLISECOND);
+        simulation.loss_percent = 20;
+        simulation.max_delay = 400 * MILLISECOND;
         for step in 0..40 {
             let at = simulation.random.below(8) as usize;
             match simulation.random.below(9) {
-                0 => (simulation.holder, simulation.term) = (Some(at), simulation.term + 1),
+                0 => simulation.elect(at),
                 1 => simulation.holder = None,
                 2 => simulation.paused = vec![at],
                 3 => simulation.paused.clear(),
@@ -214,7 +220,8 @@
                 5 => simulation.partitioned.clear(),
                 6 => simulation.source.down = !simulation.source.down,
                 _ => {
-                    let (name, removed) = (simulation.random.below(14), simulation.random.below(4) == 0);
+                    let name = simulation.random.below(14);
+                    let removed = simulation.random.below(4) == 0;
                     simulation.source.change(entry(name, if removed { u64::MAX } else { step }));
                 }
             }
@@ -224,10 +231,12 @@
         simulation.paused.clear();
         simulation.partitioned.clear();
         simulation.source.down = false;
-        (simulation.loss_percent, simulation.max_delay, simulation.holder) = (0, 2 * MILLISECOND, None);
+        simulation.loss_percent = 0;
+        simulation.max_delay = 2 * MILLISECOND;
+        simulation.holder = None;
         simulation.run(2 * MAX_AGE);
         assert!(simulation.have_converged(), "seed {seed}: without a holder");
-        (simulation.holder, simulation.term) = (Some(3), simulation.term + 1);
+        simulation.elect(3);
         simulation.source.change(entry(1, 77));
         simulation.run(MAX_AGE / 2);
         assert!(simulation.have_converged(), "seed {seed}: with a holder");
