--- a/crates/lease/src/acceptor/durable_state.rs
+++ b/crates/lease/src/acceptor/durable_state.rs
@@ -22,7 +22,7 @@
     pub write_count: u64,
     /// The highest promise for each lease.
     pub promises: BTreeMap<Name, FencingToken>,
-    /// What the other acceptors have told of themselves.
+    /// What the other acceptors have announced of themselves.
     pub peers: BTreeMap<Name, PeerRecord>,
     /// The acceptor set under which it promises.
     pub acceptors: AcceptorSetId,
--- a/crates/lease/src/candidate/claim.rs
+++ b/crates/lease/src/candidate/claim.rs
@@ -23,7 +23,7 @@
     pub until: Micros,
     /// Who has granted it, in which incarnation.
     grants: BTreeMap<Name, u64>,
-    /// The lowest incarnation of each acceptor that counts, by what others have told.
+    /// The lowest incarnation of each acceptor that counts, by what other acceptors have announced.
     incarnations: BTreeMap<Name, u64>,
     rejections: BTreeMap<Name, Rejection>,
     /// The holder that was known before the claim.
--- a/crates/lease/src/candidate/pursuit.rs
+++ b/crates/lease/src/candidate/pursuit.rs
@@ -173,7 +173,7 @@
         self.state = State::Claiming(claim);
     }
 
-    /// Starts a renewal, of which the lease counts anew.
+    /// Starts a renewal, from whose start the lease counts.
     ///
     /// Danger: an acceptor that has promised a higher term to another candidate renews nothing, and the loss of one more
     /// ends a lease that nobody wants. So the holder raises its term above that one, by a claim like any other.
