--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -20,60 +20,60 @@
 
 /// Each period one member is probed. A gateway that is gone is known so to its prober within two of these, and to all
 /// after the suspicion's time: half the time in which a front notices it, at the least.
-const PERIOD: Micros = 200 * MILLISECOND;
+const PROBE_PERIOD: Micros = 200 * MILLISECOND;
 /// How long an answer may take until others are asked to ask: some times what a pause of a busy machine is.
-const ANSWER: Micros = 80 * MILLISECOND;
+const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
 /// Members that are asked to ask. Three miss a live one only if all its links are bad.
-const ASKED: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// And in each period for one that is suspected.
-const ASKED_OF_SUSPECTS: usize = 2;
+const INDIRECT_PROBES_OF_SUSPECT: usize = 2;
 /// Periods that a suspicion stands, for each doubling of the members: its refutation travels as far as it did.
-const SUSPICION: u64 = 3;
-const LEAST_SUSPICION: u64 = 5;
+const SUSPICION_PERIODS_PER_DOUBLING: u64 = 3;
+const MIN_SUSPICION_PERIODS: u64 = 5;
 /// What a suspicion's refutation takes to get here, at the least: the suspected one hears of it with somebody's next words.
-const REFUTED: Micros = PERIOD * LEAST_SUSPICION;
+const MIN_REFUTATION_TIME: Micros = PROBE_PERIOD * MIN_SUSPICION_PERIODS;
 /// How often counts are told, while there is something to tell: fractions are judged within a period of a second.
-const SPREAD: Micros = 50 * MILLISECOND;
+const GOSSIP_INTERVAL: Micros = 50 * MILLISECOND;
 /// Members that each telling goes to, and datagrams to each. What is left waits for the next.
-const FANOUT: usize = 3;
-const MOST_DATAGRAMS: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
+const MAX_GOSSIP_DATAGRAMS: usize = 3;
 /// Datagrams to each who shares a count: a customer has few gateways, so that this does not grow with the fleet.
-const MOST_DIRECT: usize = 2;
+const MAX_DIRECT_DATAGRAMS: usize = 2;
 /// Parts that are looked at for one telling: some times what finds room in it.
-const CONSIDERED: usize = 512;
+const MAX_CONSIDERED_ENTRIES: usize = 512;
 /// Bytes that a part takes beside its name, at the most.
-const PART: usize = 36;
+const ENTRY_OVERHEAD_BYTES: usize = 36;
 /// How often each piece is told, for each doubling of the members. News must reach everybody with few exceptions, which
 /// the full exchange mends.
-const TELLINGS: u32 = 2;
+const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
 /// How often a part that was known is told: by its owner to those who share the count, and on by them to some.
-const CHANGED: u32 = 2;
-const RELAYED: u32 = 1;
+const OWN_CHANGE_TRANSMISSIONS: u32 = 2;
+const FORWARDED_CHANGE_TRANSMISSIONS: u32 = 1;
 /// And the part of somebody who can't tell it any more, by each who knows it to all who share the count: he may be the only one,
 /// and a telling may be lost.
-const LEFT_BEHIND: u32 = 3;
+const ORPHAN_TRANSMISSIONS: u32 = 3;
 /// How often a part that has been quiet for a while is told again.
-const REPEATED: u32 = 1;
+const QUIET_TRANSMISSIONS: u32 = 1;
 /// Members to whom a gateway that ends tells all that it knows, over streams: what it added last may be on datagrams that
 /// are lost, and nobody could tell it again.
-const HEIRS: usize = 2;
+const LEAVE_EXCHANGES: usize = 2;
 /// How often somebody who is gone, or a seed, is asked whether it is there: so partitions heal.
-const REACH: Micros = SECOND;
+const RECONNECT_INTERVAL: Micros = SECOND;
 /// How often all is compared with one member, over a stream: what datagrams lost for good is mended so.
-const COMPARE: Micros = 10 * SECOND;
+const ANTI_ENTROPY_INTERVAL: Micros = 10 * SECOND;
 /// How long the dead are kept: by then a partition has healed or the operators know of it.
-const REMEMBERED: Micros = 600 * SECOND;
+const DEAD_MEMBER_RETENTION: Micros = 600 * SECOND;
 /// Members, dead ones too: several times the largest fleet thought of. Beyond, no stranger is taken in.
 pub const MAX_MEMBERS: usize = 4_096;
 /// Names of counts that are kept, and parts that wait to be told.
-const MOST_COUNTS: usize = 65_536;
-const MOST_DIRTY: usize = 32_768;
+const MAX_COUNTERS: usize = 65_536;
+const MAX_PENDING_UPDATES: usize = 32_768;
 /// Pings for others that are under way.
-const MOST_RELAYED: usize = 256;
+const MAX_FORWARDED_PINGS: usize = 256;
 /// Sums that are told at once: each takes its name and less than twenty bytes.
-const MOST_SUMS: usize = MAX_STREAM_BYTES / (MAX_NAME_BYTES + 20);
+const MAX_TOTALS: usize = MAX_STREAM_BYTES / (MAX_NAME_BYTES + 20);
 /// Bytes of a datagram that its seal and head take; the rest is for what rides along.
-const HEAD: usize = 220;
+const DATAGRAM_OVERHEAD_BYTES: usize = 220;
 
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -129,12 +129,12 @@
 struct Probe {
     of: Instance,
     number: u64,
-    asked_others: bool,
-    began: Micros,
+    indirect: bool,
+    started_at: Micros,
 }
 
 /// A ping on another's behalf.
-struct Relayed {
+struct ForwardedPing {
     to: SocketAddr,
     number: u64,
     until: Micros,
@@ -142,7 +142,7 @@
 
 /// A part that is to be told: how often it still is, how often it changed since it was told last, and since when.
 #[derive(Clone, Copy)]
-struct Dirty {
+struct PendingUpdate {
     left: u32,
     changes: u32,
     order: u64,
@@ -154,21 +154,21 @@
 
 /// Parts for one address, in datagrams that are not too large.
 #[derive(Clone, Default)]
-struct Datagrams {
+struct DatagramBatch {
     all: Vec<Vec<CounterEntry>>,
     room: usize,
 }
 
-impl Datagrams {
+impl DatagramBatch {
     /// False where so many are full.
     fn push(&mut self, told: &CounterEntry, most: usize) -> bool {
-        let size = told.key.len() + PART;
+        let size = told.key.len() + ENTRY_OVERHEAD_BYTES;
         if size > self.room {
             if self.all.len() == most {
                 return false;
             }
             self.all.push(Vec::new());
-            self.room = MAX_DATAGRAM_BYTES - HEAD;
+            self.room = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES;
         }
         self.room -= size;
         if let Some(datagram) = self.all.last_mut() {
@@ -182,58 +182,59 @@
     local: Peer,
     incarnation: u32,
     seeds: Vec<SocketAddr>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     members: BTreeMap<Instance, Member>,
     /// Members in the order in which they are probed; shuffled anew with each round.
-    round: Vec<Instance>,
+    probe_order: Vec<Instance>,
     probe: Option<Probe>,
-    relayed: BTreeMap<u64, Relayed>,
-    next_number: u64,
+    forwarded_pings: BTreeMap<u64, ForwardedPing>,
+    sequence_number: u64,
     /// Members of whom there is news, and how often it is still to be told.
-    news: BTreeMap<Instance, u32>,
+    member_updates: BTreeMap<Instance, u32>,
     counters: PnCounters,
-    dirty: BTreeMap<PartKey, Dirty>,
-    orders: u64,
+    counter_updates: BTreeMap<PartKey, PendingUpdate>,
+    enqueued: u64,
     /// Changes whose tellings may have been lost.
-    recent: RecentChanges,
-    next_period: Micros,
-    next_spread: Micros,
-    next_reach: Micros,
-    next_compare: Micros,
-    leaving: bool,
-    out: VecDeque<Output>,
+    recent_changes: RecentChanges,
+    next_probe: Micros,
+    next_gossip: Micros,
+    next_reconnect: Micros,
+    next_anti_entropy: Micros,
+    has_left: bool,
+    outputs: VecDeque<Output>,
     /// Parts that could not be kept or told, as a bound was reached.
-    pub rejected_packets: u64,
+    pub dropped_updates: u64,
 }
 
 impl Node {
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Nodes that start together must not all speak in the same instants.
-        let mut soon = |within: Micros| now + chance.gen_range(1..=within);
-        let times = [soon(PERIOD), soon(SPREAD), soon(MILLISECOND), soon(COMPARE)];
+        let mut soon = |within: Micros| now + rng.gen_range(1..=within);
+        let times =
+            [soon(PROBE_PERIOD), soon(GOSSIP_INTERVAL), soon(MILLISECOND), soon(ANTI_ENTROPY_INTERVAL)];
         Node {
             local: config.local,
             incarnation: 1,
             seeds: config.seeds,
-            chance,
+            rng,
             members: BTreeMap::new(),
-            round: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            relayed: BTreeMap::new(),
-            next_number: 0,
-            news: BTreeMap::new(),
-            counters: PnCounters::new(MOST_COUNTS),
-            dirty: BTreeMap::new(),
-            orders: 0,
-            recent: RecentChanges::default(),
-            next_period: times[0],
-            next_spread: times[1],
-            next_reach: times[2],
-            next_compare: times[3],
-            leaving: false,
-            out: VecDeque::new(),
-            rejected_packets: 0,
+            forwarded_pings: BTreeMap::new(),
+            sequence_number: 0,
+            member_updates: BTreeMap::new(),
+            counters: PnCounters::new(MAX_COUNTERS),
+            counter_updates: BTreeMap::new(),
+            enqueued: 0,
+            recent_changes: RecentChanges::default(),
+            next_probe: times[0],
+            next_gossip: times[1],
+            next_reconnect: times[2],
+            next_anti_entropy: times[3],
+            has_left: false,
+            outputs: VecDeque::new(),
+            dropped_updates: 0,
         }
     }
 
@@ -253,13 +254,13 @@
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> Micros {
         let answer =
-            self.probe.as_ref().filter(|probe| !probe.asked_others).map(|probe| probe.began + ANSWER);
-        let all = [self.next_period, self.next_spread, self.next_reach, self.next_compare];
-        all.into_iter().chain(answer).min().unwrap_or(self.next_period)
+            self.probe.as_ref().filter(|probe| !probe.indirect).map(|probe| probe.started_at + ACK_TIMEOUT);
+        let all = [self.next_probe, self.next_gossip, self.next_reconnect, self.next_anti_entropy];
+        all.into_iter().chain(answer).min().unwrap_or(self.next_probe)
     }
 
     pub fn poll_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     // Counts.
@@ -268,10 +269,10 @@
     pub fn add_to_counter(&mut self, now: Micros, count: &str, amount: f64, life: Micros) {
         match self.counters.add(now, self.local.instance, count, amount, life) {
             Some(change) => {
-                self.recent.changed(now, (change.name.clone(), self.local.instance));
-                self.tell(change, self.local.instance);
+                self.recent_changes.changed(now, (change.name.clone(), self.local.instance));
+                self.queue_change(change, self.local.instance);
             }
-            None => self.rejected_packets += 1,
+            None => self.dropped_updates += 1,
         }
     }
 
@@ -288,7 +289,7 @@
     pub fn counter_totals(&self, now: Micros) -> Vec<CounterTotal> {
         let mut sums: Vec<CounterTotal> = Vec::new();
         for (name, left, _, part) in self.counters.entries(now) {
-            let room = sums.len() < MOST_SUMS;
+            let room = sums.len() < MAX_TOTALS;
             match sums.last_mut() {
                 Some(sum) if *sum.key == **name => sum.total += part.net(),
                 _ if room => {
@@ -305,36 +306,43 @@
         sums
     }
 
-    fn tell(&mut self, Change { name, is_new: fresh }: Change, of: Instance) {
+    fn queue_change(&mut self, Change { name, is_new: fresh }: Change, of: Instance) {
         // What changes all the time is told anew before it could be told often.
         let left = match (fresh, of == self.local.instance) {
-            (true, _) => self.tellings(),
-            (false, true) => CHANGED,
-            (false, false) => RELAYED,
+            (true, _) => self.transmission_limit(),
+            (false, true) => OWN_CHANGE_TRANSMISSIONS,
+            (false, false) => FORWARDED_CHANGE_TRANSMISSIONS,
         };
-        self.tell_times(Change { name, is_new: fresh }, of, left);
+        self.queue_update(Change { name, is_new: fresh }, of, left);
     }
 
     /// Tells a part so many times, and those that are still owed of it before.
-    fn tell_times(&mut self, Change { name, is_new: fresh }: Change, of: Instance, left: u32) {
-        self.orders += 1;
-        let order = self.orders;
-        if self.dirty.len() >= MOST_DIRTY && !self.dirty.contains_key(&(name.clone(), of)) {
-            self.rejected_packets += 1;
+    fn queue_update(&mut self, Change { name, is_new: fresh }: Change, of: Instance, left: u32) {
+        self.enqueued += 1;
+        let order = self.enqueued;
+        if self.counter_updates.len() >= MAX_PENDING_UPDATES
+            && !self.counter_updates.contains_key(&(name.clone(), of))
+        {
+            self.dropped_updates += 1;
             return;
         }
-        let dirty =
-            self.dirty.entry((name, of)).or_insert(Dirty { left, changes: 0, order, fresh, direct: false });
-        (dirty.left, dirty.changes) = (dirty.left.max(left), dirty.changes + 1);
+        let pending = self.counter_updates.entry((name, of)).or_insert(PendingUpdate {
+            left,
+            changes: 0,
+            order,
+            fresh,
+            direct: false,
+        });
+        (pending.left, pending.changes) = (pending.left.max(left), pending.changes + 1);
     }
 
     /// How often a piece is told so that it reaches everybody with few exceptions.
-    fn tellings(&self) -> u32 {
+    fn transmission_limit(&self) -> u32 {
         let all = self.members.len() as u32 + 2;
-        (TELLINGS * (u32::BITS - all.leading_zeros())).div_ceil(FANOUT as u32) + 1
+        (TRANSMISSIONS_PER_DOUBLING * (u32::BITS - all.leading_zeros())).div_ceil(GOSSIP_FANOUT as u32) + 1
     }
 
-    fn hear(&mut self, now: Micros, told: Vec<CounterEntry>) {
+    fn merge_entries(&mut self, now: Micros, told: Vec<CounterEntry>) {
         for CounterEntry { key: count, instance: of, contribution: part, expires_in_ms: left_ms } in told {
             let life = Micros::from(left_ms) * MILLISECOND;
             if of == self.local.instance {
@@ -343,16 +351,16 @@
             }
             if let Some(change) = self.counters.merge(now, &count, of, part, life) {
                 if change.is_new {
-                    self.tell_newcomer(now, &change.name);
+                    self.queue_orphans_for_newcomer(now, &change.name);
                 }
-                self.tell(change, of);
+                self.queue_change(change, of);
             }
         }
     }
 
     /// Somebody new adds to a count: it is to hear of the part of this gateway, which may not change any more, and of the
     /// parts of those who can't tell it themselves. Danger: whoever starts again would go by less than the total.
-    fn tell_newcomer(&mut self, now: Micros, count: &Arc<str>) {
+    fn queue_orphans_for_newcomer(&mut self, now: Micros, count: &Arc<str>) {
         let me = self.local.instance;
         if self.counters.contribution(count, me).is_none() {
             return;
@@ -361,118 +369,121 @@
             |of: &Instance| self.members.get(of).is_some_and(|member| member.state <= MemberState::Suspect);
         let silent: Vec<_> = self.counters.contributors(count).filter(|of| !live(of)).collect();
         for of in silent {
-            self.tell_holders(now, count.clone(), of);
+            self.queue_orphan(now, count.clone(), of);
         }
     }
 
     /// A part is told once to all who have one of that count, by whoever has one itself.
-    fn tell_holders(&mut self, now: Micros, name: Arc<str>, of: Instance) {
+    fn queue_orphan(&mut self, now: Micros, name: Arc<str>, of: Instance) {
         let part = (name, of);
-        self.tell_directly(&part, LEFT_BEHIND);
-        self.recent.changed(now, part);
+        self.queue_direct(&part, ORPHAN_TRANSMISSIONS);
+        self.recent_changes.changed(now, part);
     }
 
     /// A part is told so many times to all who have one of that count.
-    fn tell_directly(&mut self, part: &PartKey, times: u32) {
-        self.tell_times(Change { name: part.0.clone(), is_new: false }, part.1, times);
-        if let Some(dirty) = self.dirty.get_mut(part) {
-            dirty.direct = true;
+    fn queue_direct(&mut self, part: &PartKey, times: u32) {
+        self.queue_update(Change { name: part.0.clone(), is_new: false }, part.1, times);
+        if let Some(pending) = self.counter_updates.get_mut(part) {
+            pending.direct = true;
         }
     }
 
     /// What changed in a time in which a member may have heard nothing is told again to those who share a count with it.
     /// Danger: a part that does not change any more is else lost to it until all that is known is compared.
-    fn tell_returned(&mut self, returned: Instance, from: Micros) {
+    fn resend_to_returned(&mut self, returned: Instance, from: Micros) {
         let shared = |part: &&PartKey| self.counters.contribution(&part.0, returned).is_some();
-        let missed: Vec<PartKey> = self.recent.since(from).filter(shared).cloned().collect();
-        missed.iter().for_each(|part| self.tell_directly(part, CHANGED));
+        let missed: Vec<PartKey> = self.recent_changes.since(from).filter(shared).cloned().collect();
+        missed.iter().for_each(|part| self.queue_direct(part, OWN_CHANGE_TRANSMISSIONS));
     }
 
     /// The same where it is this one that others could not hear, whoever of them that was.
-    fn tell_all_recent(&mut self, from: Micros) {
-        let unheard: Vec<PartKey> = self.recent.since(from).cloned().collect();
-        unheard.iter().for_each(|part| self.tell_directly(part, CHANGED));
+    fn resend_all_recent(&mut self, from: Micros) {
+        let unheard: Vec<PartKey> = self.recent_changes.since(from).cloned().collect();
+        unheard.iter().for_each(|part| self.queue_direct(part, OWN_CHANGE_TRANSMISSIONS));
     }
 
     // Time.
 
     pub fn handle_timeout(&mut self, now: Micros) {
-        if self.leaving {
-            (self.next_period, self.next_spread) = (Micros::MAX, Micros::MAX);
-            (self.next_reach, self.next_compare, self.probe) = (Micros::MAX, Micros::MAX, None);
+        if self.has_left {
+            (self.next_probe, self.next_gossip) = (Micros::MAX, Micros::MAX);
+            (self.next_reconnect, self.next_anti_entropy, self.probe) = (Micros::MAX, Micros::MAX, None);
             return;
         }
-        self.unanswered(now);
-        if now >= self.next_period {
-            self.next_period = now + PERIOD;
-            self.age(now);
+        self.probe_indirectly(now);
+        if now >= self.next_probe {
+            self.next_probe = now + PROBE_PERIOD;
+            self.expire(now);
             self.probe_next(now);
-            self.ask_suspects(now);
+            self.probe_suspects(now);
         }
-        if now >= self.next_spread {
-            self.next_spread = now + SPREAD;
-            for part in self.recent.take_quiet(now) {
-                self.tell_directly(&part, REPEATED);
+        if now >= self.next_gossip {
+            self.next_gossip = now + GOSSIP_INTERVAL;
+            for part in self.recent_changes.take_quiet(now) {
+                self.queue_direct(&part, QUIET_TRANSMISSIONS);
             }
-            self.spread(now);
+            self.gossip_counters(now);
         }
-        if now >= self.next_reach {
-            self.next_reach = now + REACH;
-            self.reach(now);
+        if now >= self.next_reconnect {
+            self.next_reconnect = now + RECONNECT_INTERVAL;
+            self.reconnect(now);
         }
-        if now >= self.next_compare {
-            self.next_compare = now + COMPARE / 2 + self.chance.gen_range(0..COMPARE);
-            let live = self.some_live(1, None);
-            self.out.extend(live.into_iter().map(|to| Output::ExchangeState { to }));
+        if now >= self.next_anti_entropy {
+            self.next_anti_entropy =
+                now + ANTI_ENTROPY_INTERVAL / 2 + self.rng.gen_range(0..ANTI_ENTROPY_INTERVAL);
+            let live = self.random_live_addresses(1, None);
+            self.outputs.extend(live.into_iter().map(|to| Output::ExchangeState { to }));
         }
     }
 
-    fn unanswered(&mut self, now: Micros) {
+    fn probe_indirectly(&mut self, now: Micros) {
         let Some(probe) =
-            self.probe.as_mut().filter(|probe| !probe.asked_others && now >= probe.began + ANSWER)
+            self.probe.as_mut().filter(|probe| !probe.indirect && now >= probe.started_at + ACK_TIMEOUT)
         else {
             return;
         };
-        probe.asked_others = true;
+        probe.indirect = true;
         let (of, number) = (probe.of, probe.number);
         let Some(peer) = self.members.get(&of).map(|member| member.peer.clone()) else { return };
-        for to in self.some_live(ASKED, Some(of)) {
+        for to in self.random_live_addresses(INDIRECT_PROBES, Some(of)) {
             self.send(now, to, PacketBody::PingRequest(number, peer.clone()));
         }
     }
 
     /// Suspicions that nobody refuted, and members long gone.
-    fn age(&mut self, now: Micros) {
+    fn expire(&mut self, now: Micros) {
         if let Some(probe) = self.probe.take() {
             self.suspect(now, probe.of);
         }
-        self.relayed.retain(|_, relayed| relayed.until > now);
+        self.forwarded_pings.retain(|_, relayed| relayed.until > now);
         self.counters.remove_expired(now);
-        self.recent.sweep(now);
-        let patience = self.patience();
+        self.recent_changes.sweep(now);
+        let suspicion_timeout = self.suspicion_timeout();
         let gone: Vec<_> = self
             .members
             .values()
-            .filter(|member| member.state == MemberState::Suspect && now >= member.state_since + patience)
+            .filter(|member| {
+                member.state == MemberState::Suspect && now >= member.state_since + suspicion_timeout
+            })
             .map(|member| (member.peer.clone(), member.incarnation))
             .collect();
         for (of, incarnation) in gone {
-            self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
+            self.apply_update(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
         }
         self.members.retain(|_, member| {
-            member.state <= MemberState::Suspect || now < member.state_since + REMEMBERED
+            member.state <= MemberState::Suspect || now < member.state_since + DEAD_MEMBER_RETENTION
         });
     }
 
     /// How long a suspicion stands before its member is taken for gone.
-    fn patience(&self) -> Micros {
+    fn suspicion_timeout(&self) -> Micros {
         let doublings = u64::from(u64::BITS - (self.members.len() as u64 + 1).leading_zeros());
-        PERIOD * (SUSPICION * doublings).max(LEAST_SUSPICION)
+        PROBE_PERIOD * (SUSPICION_PERIODS_PER_DOUBLING * doublings).max(MIN_SUSPICION_PERIODS)
     }
 
     /// How long before a member came to its state it may have heard nothing, or nobody have heard it: nobody notices at once.
-    fn unnoticed(&self) -> Micros {
-        self.patience() + REFUTED
+    fn detection_delay(&self) -> Micros {
+        self.suspicion_timeout() + MIN_REFUTATION_TIME
     }
 
     fn suspect(&mut self, now: Micros, of: Instance) {
@@ -480,20 +491,20 @@
             return;
         };
         let (of, incarnation) = (member.peer.clone(), member.incarnation);
-        self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Suspect });
+        self.apply_update(now, MemberUpdate { peer: of, incarnation, state: MemberState::Suspect });
     }
 
     fn probe_next(&mut self, now: Micros) {
         for _ in 0..=self.members.len() {
-            if self.round.is_empty() {
-                self.round = self.live_members().map(|member| member.peer.instance).collect();
-                self.round.shuffle(&mut self.chance);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.live_members().map(|member| member.peer.instance).collect();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let Some(of) = self.round.pop() else { return };
+            let Some(of) = self.probe_order.pop() else { return };
             let live = self.members.get(&of).filter(|member| member.state <= MemberState::Suspect);
             let Some(to) = live.map(|member| member.peer.address) else { continue };
-            let number = self.number();
-            self.probe = Some(Probe { of, number, asked_others: false, began: now });
+            let number = self.next_sequence_number();
+            self.probe = Some(Probe { of, number, indirect: false, started_at: now });
             return self.send(now, to, PacketBody::Ping(number));
         }
     }
@@ -501,26 +512,26 @@
     /// Whoever is suspected is asked itself, and so told that it is. Danger: its refutation goes round by others' words, and
     /// where some of those are lost one may miss it, and take a live gateway for gone. Some others are asked to ask as well,
     /// each time others: of a parted fleet perhaps only one sees both sides.
-    fn ask_suspects(&mut self, now: Micros) {
+    fn probe_suspects(&mut self, now: Micros) {
         let suspects = self.members.values().filter(|member| member.state == MemberState::Suspect);
         let suspects: Vec<_> = suspects.map(|member| member.peer.clone()).collect();
-        let some: Vec<_> = suspects.choose_multiple(&mut self.chance, ASKED).cloned().collect();
+        let some: Vec<_> = suspects.choose_multiple(&mut self.rng, INDIRECT_PROBES).cloned().collect();
         for peer in some {
-            let number = self.number();
+            let number = self.next_sequence_number();
             self.send(now, peer.address, PacketBody::Ping(number));
-            for to in self.some_live(ASKED_OF_SUSPECTS, Some(peer.instance)) {
+            for to in self.random_live_addresses(INDIRECT_PROBES_OF_SUSPECT, Some(peer.instance)) {
                 self.send(now, to, PacketBody::PingRequest(number, peer.clone()));
             }
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_sequence_number(&mut self) -> u64 {
+        self.sequence_number += 1;
+        self.sequence_number
     }
 
     /// Asks somebody who is gone, or a seed that is no member, whether it is there.
-    fn reach(&mut self, now: Micros) {
+    fn reconnect(&mut self, now: Micros) {
         let known: Vec<SocketAddr> = self.live_members().map(|member| member.peer.address).collect();
         let gone = self
             .members
@@ -534,71 +545,72 @@
         if known.is_empty() {
             // Alone: every seed is asked, as the first may be down.
             for to in others {
-                let number = self.number();
+                let number = self.next_sequence_number();
                 self.send(now, to, PacketBody::Ping(number));
             }
-        } else if let Some(to) = others.choose(&mut self.chance).copied() {
-            let number = self.number();
+        } else if let Some(to) = others.choose(&mut self.rng).copied() {
+            let number = self.next_sequence_number();
             self.send(now, to, PacketBody::Ping(number));
         }
     }
 
-    fn some_live(&mut self, count: usize, but: Option<Instance>) -> Vec<SocketAddr> {
+    fn random_live_addresses(&mut self, count: usize, but: Option<Instance>) -> Vec<SocketAddr> {
         let others = self
             .members
             .values()
             .filter(|member| member.state <= MemberState::Suspect && Some(member.peer.instance) != but);
         let live: Vec<_> = others.map(|member| member.peer.address).collect();
-        live.choose_multiple(&mut self.chance, count).copied().collect()
+        live.choose_multiple(&mut self.rng, count).copied().collect()
     }
 
     /// Tells what changed: own parts to those who add to the same count, new ones to some whom it may concern, and
     /// with the room that is left what others told.
-    fn spread(&mut self, now: Micros) {
-        if self.dirty.is_empty() {
+    fn gossip_counters(&mut self, now: Micros) {
+        if self.counter_updates.is_empty() {
             return;
         }
         let me = self.local.instance;
-        let class = |dirty: &Dirty, of: Instance| if of == me { 0 } else { 2 - dirty.fresh as u32 };
-        let of_dirty = |(key, dirty): (&(Arc<str>, Instance), &Dirty)| {
-            (class(dirty, key.1), u32::MAX - dirty.changes, dirty.order, key.clone())
+        let priority =
+            |pending: &PendingUpdate, of: Instance| if of == me { 0 } else { 2 - pending.fresh as u32 };
+        let of_dirty = |(key, pending): (&(Arc<str>, Instance), &PendingUpdate)| {
+            (priority(pending, key.1), u32::MAX - pending.changes, pending.order, key.clone())
         };
-        let mut all: Vec<_> = self.dirty.iter().map(of_dirty).collect();
+        let mut all: Vec<_> = self.counter_updates.iter().map(of_dirty).collect();
         // What one customer asked once waits for what many ask all the time; among equals, the oldest first. Of very many
         // only so many are put in order as may find room.
-        if all.len() > CONSIDERED {
-            all.select_nth_unstable(CONSIDERED);
-            all.truncate(CONSIDERED);
+        if all.len() > MAX_CONSIDERED_ENTRIES {
+            all.select_nth_unstable(MAX_CONSIDERED_ENTRIES);
+            all.truncate(MAX_CONSIDERED_ENTRIES);
         }
         all.sort_unstable();
         let live: BTreeMap<Instance, SocketAddr> =
             self.live_members().map(|member| (member.peer.instance, member.peer.address)).collect();
-        let mut direct: BTreeMap<Instance, Datagrams> = BTreeMap::new();
-        let mut some = Datagrams::default();
+        let mut direct: BTreeMap<Instance, DatagramBatch> = BTreeMap::new();
+        let mut some = DatagramBatch::default();
         for (.., key) in all {
             let Some(told) = self.told(now, &key) else {
-                self.dirty.remove(&key);
+                self.counter_updates.remove(&key);
                 continue;
             };
-            let Some(dirty) = self.dirty.get(&key).copied() else { continue };
+            let Some(pending) = self.counter_updates.get(&key).copied() else { continue };
             let (mut out, mut full) = (false, false);
-            if key.1 == me || dirty.direct {
+            if key.1 == me || pending.direct {
                 let sharing: Vec<_> =
                     self.counters.contributors(&key.0).filter(|of| live.contains_key(of)).collect();
                 for of in sharing {
-                    let sent = direct.entry(of).or_default().push(&told, MOST_DIRECT);
+                    let sent = direct.entry(of).or_default().push(&told, MAX_DIRECT_DATAGRAMS);
                     (out, full) = (out | sent, full | !sent);
                 }
             }
-            if key.1 != me && !dirty.direct || dirty.fresh || !out && !full {
-                let sent = some.push(&told, MOST_DATAGRAMS);
+            if key.1 != me && !pending.direct || pending.fresh || !out && !full {
+                let sent = some.push(&told, MAX_GOSSIP_DATAGRAMS);
                 (out, full) = (out | sent, full | !sent);
             }
             // What had no room for all it is for stays as it was, and comes first the next time.
-            if let Some(dirty) = self.dirty.get_mut(&key).filter(|_| out && !full) {
-                (dirty.left, dirty.changes) = (dirty.left.saturating_sub(1), 0);
-                if dirty.left == 0 {
-                    self.dirty.remove(&key);
+            if let Some(pending) = self.counter_updates.get_mut(&key).filter(|_| out && !full) {
+                (pending.left, pending.changes) = (pending.left.saturating_sub(1), 0);
+                if pending.left == 0 {
+                    self.counter_updates.remove(&key);
                 }
             }
         }
@@ -606,15 +618,15 @@
             let Some(to) = live.get(&of).copied() else { continue };
             self.send_counts(to, datagrams);
         }
-        for to in self.some_live(FANOUT, None) {
+        for to in self.random_live_addresses(GOSSIP_FANOUT, None) {
             self.send_counts(to, some.clone());
         }
     }
 
-    fn send_counts(&mut self, to: SocketAddr, datagrams: Datagrams) {
+    fn send_counts(&mut self, to: SocketAddr, datagrams: DatagramBatch) {
         for counts in datagrams.all {
             let packet = self.packet(PacketBody::Empty, Vec::new(), counts);
-            self.out.push_back(Output::SendDatagram { to, packet });
+            self.outputs.push_back(Output::SendDatagram { to, packet });
         }
     }
 
@@ -641,13 +653,13 @@
 
     /// Sends a word, with the news that was told least.
     fn send(&mut self, now: Micros, to: SocketAddr, word: PacketBody) {
-        let mut room = MAX_DATAGRAM_BYTES - HEAD;
-        let mut least: Vec<_> = self.news.iter().map(|(of, left)| (*left, *of)).collect();
+        let mut room = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES;
+        let mut least: Vec<_> = self.member_updates.iter().map(|(of, left)| (*left, *of)).collect();
         least.sort_unstable_by(|one, other| other.cmp(one));
         let mut news = Vec::new();
         for (_, of) in least {
             let Some(member) = self.members.get(&of) else {
-                self.news.remove(&of);
+                self.member_updates.remove(&of);
                 continue;
             };
             let size = member.peer.name.len() + 48;
@@ -660,10 +672,10 @@
                 incarnation: member.incarnation,
                 state: member.state,
             });
-            if let Some(left) = self.news.get_mut(&of) {
+            if let Some(left) = self.member_updates.get_mut(&of) {
                 *left -= 1;
                 if *left == 0 {
-                    self.news.remove(&of);
+                    self.member_updates.remove(&of);
                 }
             }
         }
@@ -679,7 +691,7 @@
         }
         let _ = now;
         let packet = self.packet(word, news, Vec::new());
-        self.out.push_back(Output::SendDatagram { to, packet });
+        self.outputs.push_back(Output::SendDatagram { to, packet });
     }
 
     // What comes.
@@ -687,32 +699,33 @@
     /// A packet that was believed has come from an address.
     pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet) {
         let Packet { sender, incarnation, body: word, updates: news, counters: counts } = packet;
-        if sender.instance == self.local.instance || self.leaving {
+        if sender.instance == self.local.instance || self.has_left {
             return;
         }
         let stranger = !self.members.contains_key(&sender.instance);
-        self.learn(now, MemberUpdate { peer: sender.clone(), incarnation, state: MemberState::Alive });
+        self.apply_update(now, MemberUpdate { peer: sender.clone(), incarnation, state: MemberState::Alive });
         if let Some(member) = self.members.get_mut(&sender.instance) {
             member.last_heard = now;
         }
         if stranger && self.members.contains_key(&sender.instance) {
             // It may know much that was never told here.
-            self.out.push_back(Output::ExchangeState { to: sender.address });
+            self.outputs.push_back(Output::ExchangeState { to: sender.address });
         }
-        news.into_iter().for_each(|news| self.told_of(now, news));
-        self.hear(now, counts);
+        news.into_iter().for_each(|news| self.apply_gossip(now, news));
+        self.merge_entries(now, counts);
         match word {
             PacketBody::Ping(number) => self.send(now, from, PacketBody::Ack(number)),
-            PacketBody::Ack(number) => self.answered(now, &sender, number),
+            PacketBody::Ack(number) => self.handle_ack(now, &sender, number),
             PacketBody::PingRequest(number, peer) => {
-                if self.relayed.len() < MOST_RELAYED {
-                    let own = self.number();
-                    self.relayed.insert(own, Relayed { to: from, number, until: now + PERIOD });
+                if self.forwarded_pings.len() < MAX_FORWARDED_PINGS {
+                    let own = self.next_sequence_number();
+                    self.forwarded_pings
+                        .insert(own, ForwardedPing { to: from, number, until: now + PROBE_PERIOD });
                     self.send(now, peer.address, PacketBody::Ping(own));
                 }
             }
             PacketBody::Empty => {}
-            PacketBody::Payload(carried) => self.came(sender, carried),
+            PacketBody::Payload(carried) => self.receive_payload(sender, carried),
         }
     }
 
@@ -722,18 +735,23 @@
     pub fn send_to(&mut self, name: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let named = self.live_members().filter(|member| member.peer.name == name);
         let to = named.max_by_key(|member| member.last_heard).map(|member| member.peer.address);
-        self.carry(to, kind, body)
+        self.send_payload(to, kind, body)
     }
 
     /// A message for one run of a gateway and no other.
     pub fn send_to_instance(&mut self, run: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let member = self.members.get(&run).filter(|member| member.state <= MemberState::Suspect);
         let to = member.map(|member| member.peer.address);
-        self.carry(to, kind, body)
+        self.send_payload(to, kind, body)
     }
 
-    fn carry(&mut self, to: Option<SocketAddr>, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
-        if self.leaving {
+    fn send_payload(
+        &mut self,
+        to: Option<SocketAddr>,
+        kind: Channel,
+        body: Vec<u8>,
+    ) -> Result<(), SendError> {
+        if self.has_left {
             return Err(SendError::NodeLeft);
         }
         let to = to.ok_or(SendError::UnknownGateway)?;
@@ -741,7 +759,7 @@
             return Err(SendError::TooLong);
         }
         let carried = Payload { channel: kind, body };
-        self.out.push_back(if carried.body.len() <= MAX_DATAGRAM_PAYLOAD {
+        self.outputs.push_back(if carried.body.len() <= MAX_DATAGRAM_PAYLOAD {
             Output::SendDatagram {
                 to,
                 packet: self.packet(PacketBody::Payload(carried), Vec::new(), Vec::new()),
@@ -754,23 +772,23 @@
 
     /// A message that came over a stream, from a sender that was believed.
     pub fn handle_payload(&mut self, now: Micros, from: Peer, carried: Payload) {
-        if from.instance == self.local.instance || self.leaving {
+        if from.instance == self.local.instance || self.has_left {
             return;
         }
         if let Some(member) = self.members.get_mut(&from.instance) {
             member.last_heard = now;
         }
-        self.came(from, carried);
+        self.receive_payload(from, carried);
     }
 
-    fn came(&mut self, from: Peer, Payload { channel: kind, body }: Payload) {
+    fn receive_payload(&mut self, from: Peer, Payload { channel: kind, body }: Payload) {
         if body.len() <= kind.max_bytes() {
-            self.out.push_back(Output::Received(ReceivedPayload { sender: from, channel: kind, body }));
+            self.outputs.push_back(Output::Received(ReceivedPayload { sender: from, channel: kind, body }));
         }
     }
 
-    fn answered(&mut self, now: Micros, sender: &Peer, number: u64) {
-        if let Some(relayed) = self.relayed.remove(&number) {
+    fn handle_ack(&mut self, now: Micros, sender: &Peer, number: u64) {
+        if let Some(relayed) = self.forwarded_pings.remove(&number) {
             // Told on in its own name: whoever asked must know which instance it was that answered.
             let mut packet = self.packet(PacketBody::Ack(relayed.number), Vec::new(), Vec::new());
             packet.updates.push(MemberUpdate {
@@ -778,7 +796,7 @@
                 incarnation: self.incarnation_of(sender),
                 state: MemberState::Alive,
             });
-            self.out.push_back(Output::SendDatagram { to: relayed.to, packet });
+            self.outputs.push_back(Output::SendDatagram { to: relayed.to, packet });
             return;
         }
         let Some(probe) = self.probe.take_if(|probe| probe.number == number) else { return };
@@ -787,7 +805,7 @@
         if member.peer.instance != sender.instance {
             // Another run answers at its address: the one that was asked has ended.
             let (of, incarnation) = (member.peer.clone(), member.incarnation);
-            self.learn(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
+            self.apply_update(now, MemberUpdate { peer: of, incarnation, state: MemberState::Dead });
         }
     }
 
@@ -797,42 +815,42 @@
 
     /// What others say of a member: that it is gone is taken for a suspicion until that has stood here for a while. Danger:
     /// who can be heard by nobody takes all others for gone, and once it is heard again all would believe it.
-    fn told_of(&mut self, now: Micros, mut news: MemberUpdate) {
+    fn apply_gossip(&mut self, now: Micros, mut news: MemberUpdate) {
         let known = self.members.get(&news.peer.instance);
         let doubted = known.is_some_and(|known| match known.state {
             MemberState::Alive => true,
-            MemberState::Suspect => now < known.state_since + REFUTED,
+            MemberState::Suspect => now < known.state_since + MIN_REFUTATION_TIME,
             MemberState::Dead | MemberState::Left => false,
         });
         if news.state == MemberState::Dead && doubted && news.peer.instance != self.local.instance {
             news.state = MemberState::Suspect;
         }
-        self.learn(now, news);
+        self.apply_update(now, news);
     }
 
     /// Takes in what is so of a member, if it is newer than what is known.
-    fn learn(&mut self, now: Micros, news: MemberUpdate) {
+    fn apply_update(&mut self, now: Micros, news: MemberUpdate) {
         let MemberUpdate { peer: of, incarnation, state } = news;
         if of.instance == self.local.instance {
-            if state != MemberState::Alive && incarnation >= self.incarnation && !self.leaving {
+            if state != MemberState::Alive && incarnation >= self.incarnation && !self.has_left {
                 // I am here. Danger: a partition or a pause would else have it gone for good.
                 self.incarnation = incarnation.saturating_add(1);
-                self.tell_all_recent(now.saturating_sub(self.unnoticed()));
+                self.resend_all_recent(now.saturating_sub(self.detection_delay()));
                 let alive = MemberUpdate {
                     peer: self.local.clone(),
                     incarnation: self.incarnation,
                     state: MemberState::Alive,
                 };
-                for to in self.some_live(FANOUT, None) {
+                for to in self.random_live_addresses(GOSSIP_FANOUT, None) {
                     let packet = self.packet(PacketBody::Empty, vec![alive.clone()], Vec::new());
-                    self.out.push_back(Output::SendDatagram { to, packet });
+                    self.outputs.push_back(Output::SendDatagram { to, packet });
                 }
             }
             return;
         }
         let Some(known) = self.members.get(&of.instance) else {
             if state <= MemberState::Suspect && self.members.len() < MAX_MEMBERS {
-                self.take_in(now, of, incarnation, state);
+                self.add_member(now, of, incarnation, state);
             }
             return;
         };
@@ -844,21 +862,21 @@
         if !newer {
             return;
         }
-        let (was, unheard) = (known.state, known.state_since.saturating_sub(self.unnoticed()));
+        let (was, unheard) = (known.state, known.state_since.saturating_sub(self.detection_delay()));
         let member =
             Member { peer: of.clone(), incarnation, state, state_since: now, last_heard: known.last_heard };
         self.members.insert(of.instance, member);
-        let left = self.tellings();
-        self.news.insert(of.instance, left);
+        let left = self.transmission_limit();
+        self.member_updates.insert(of.instance, left);
         if was == MemberState::Dead {
             // It comes back, as when a partition heals: both sides know what the other was not told.
-            self.out.push_back(Output::ExchangeState { to: of.address });
+            self.outputs.push_back(Output::ExchangeState { to: of.address });
         }
         if was > MemberState::Alive && state == MemberState::Alive {
-            self.tell_returned(of.instance, unheard);
+            self.resend_to_returned(of.instance, unheard);
         }
         if state > MemberState::Suspect {
-            self.tell_for(now, of.instance);
+            self.queue_contributions_of(now, of.instance);
         }
         let event = match (was, state) {
             (MemberState::Dead, MemberState::Alive | MemberState::Suspect) => Some(Event::Joined(of)),
@@ -868,28 +886,28 @@
             (_, MemberState::Left) => Some(Event::Left(of)),
             _ => None,
         };
-        self.out.extend(event.map(Output::Event));
+        self.outputs.extend(event.map(Output::Event));
     }
 
     /// Whoever is gone can tell nothing any more: those who share a count with it tell each other what they know of its part.
-    fn tell_for(&mut self, now: Micros, gone: Instance) {
+    fn queue_contributions_of(&mut self, now: Micros, gone: Instance) {
         let me = self.local.instance;
         let names: Vec<_> = self.counters.names_of_instance(gone).collect();
         for name in names {
             if self.counters.contribution(&name, me).is_some() {
-                self.tell_holders(now, name, gone);
+                self.queue_orphan(now, name, gone);
             }
         }
     }
 
-    fn take_in(&mut self, now: Micros, of: Peer, incarnation: u32, state: MemberState) {
+    fn add_member(&mut self, now: Micros, of: Peer, incarnation: u32, state: MemberState) {
         let same_name = self
             .live_members()
             .find(|member| member.peer.name == of.name && member.peer.address != of.address);
         if let Some(other) = same_name.map(|member| member.peer.clone()).or_else(|| {
             (of.name == self.local.name && of.address != self.local.address).then(|| self.local.clone())
         }) {
-            self.out.push_back(Output::Event(Event::DuplicateName(other, of.clone())));
+            self.outputs.push_back(Output::Event(Event::DuplicateName(other, of.clone())));
         }
         // An earlier run at the same address has ended, or this one could not listen there.
         let earlier: Vec<_> =
@@ -898,11 +916,11 @@
             of.instance,
             Member { peer: of.clone(), incarnation, state, state_since: now, last_heard: now },
         );
-        let left = self.tellings();
-        self.news.insert(of.instance, left);
-        self.out.push_back(Output::Event(Event::Joined(of)));
+        let left = self.transmission_limit();
+        self.member_updates.insert(of.instance, left);
+        self.outputs.push_back(Output::Event(Event::Joined(of)));
         for Member { peer, incarnation, .. } in earlier {
-            self.learn(now, MemberUpdate { peer, incarnation, state: MemberState::Dead });
+            self.apply_update(now, MemberUpdate { peer, incarnation, state: MemberState::Dead });
         }
     }
 
@@ -933,28 +951,28 @@
     /// Another's all has come.
     pub fn handle_full_state(&mut self, now: Micros, full: FullState) {
         let FullState { sender: from, incarnation, updates: news, counters: counts } = full;
-        if from.instance == self.local.instance || self.leaving {
+        if from.instance == self.local.instance || self.has_left {
             return;
         }
-        self.learn(now, MemberUpdate { peer: from, incarnation, state: MemberState::Alive });
-        news.into_iter().for_each(|news| self.told_of(now, news));
-        self.hear(now, counts);
+        self.apply_update(now, MemberUpdate { peer: from, incarnation, state: MemberState::Alive });
+        news.into_iter().for_each(|news| self.apply_gossip(now, news));
+        self.merge_entries(now, counts);
     }
 
     /// This gateway ends: some are told, two of them all that it knows, and nothing more is said.
     pub fn leave(&mut self, now: Micros) {
-        self.spread(now);
+        self.gossip_counters(now);
         let left = MemberUpdate {
             peer: self.local.clone(),
             incarnation: self.incarnation,
             state: MemberState::Left,
         };
-        for to in self.some_live(2 * FANOUT, None) {
+        for to in self.random_live_addresses(2 * GOSSIP_FANOUT, None) {
             let packet = self.packet(PacketBody::Empty, vec![left.clone()], Vec::new());
-            self.out.push_back(Output::SendDatagram { to, packet });
+            self.outputs.push_back(Output::SendDatagram { to, packet });
         }
-        let heirs = self.some_live(HEIRS, None);
-        self.out.extend(heirs.into_iter().map(|to| Output::ExchangeState { to }));
-        self.leaving = true;
+        let heirs = self.random_live_addresses(LEAVE_EXCHANGES, None);
+        self.outputs.extend(heirs.into_iter().map(|to| Output::ExchangeState { to }));
+        self.has_left = true;
     }
 }
