--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,5 +12,6 @@
 pub mod node;
 pub mod packet;
 pub mod payload;
+pub mod peer;
 mod recent;
 pub mod seal;
--- /dev/null
+++ b/crates/membership/src/node/failure_detector.rs
@@ -0,0 +1,253 @@
+//! SWIM's failure detector: direct and indirect probes, and suspicions that run out. It says which members are suspect or
+//! dead; how others learn of that is dissemination.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use fernscale_shared_counter::pn_counter::Instance;
+use fernscale_shared_counter::{Micros, MILLISECOND};
+use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
+
+use super::members::{Member, MemberTable};
+use super::scaling::PROBE_PERIOD;
+use super::Node;
+use crate::packet::{MemberState, MemberUpdate, PacketBody};
+use crate::peer::Peer;
+
+/// How long an acknowledgement may take until other members are asked to ping.
+const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
+/// Members that are asked to ping one that did not acknowledge. All of their links must be bad to miss a live one.
+const INDIRECT_PROBES: usize = 3;
+/// Suspects that are pinged in each period, besides the probed member.
+const SUSPECTS_PER_PERIOD: usize = 3;
+/// Members that are asked to ping each of those suspects.
+const INDIRECT_PROBES_OF_SUSPECT: usize = 2;
+/// Pings on behalf of others that are under way. Beyond, a ping request is ignored.
+const MAX_FORWARDED_PINGS: usize = 256;
+
+struct Probe {
+    instance: Instance,
+    sequence_number: u64,
+    /// Whether others have been asked to ping it.
+    indirect: bool,
+    started_at: Micros,
+}
+
+/// A ping on behalf of another node, which is to get the acknowledgement.
+struct ForwardedPing {
+    requester: SocketAddr,
+    sequence_number: u64,
+    expires_at: Micros,
+}
+
+pub(super) struct FailureDetector {
+    /// Members that the present round still probes, the next one last. Each round has a random order.
+    probe_order: Vec<Instance>,
+    probe: Option<Probe>,
+    forwarded_pings: BTreeMap<u64, ForwardedPing>,
+    last_sequence_number: u64,
+    next_period: Micros,
+}
+
+impl FailureDetector {
+    pub fn new(first_period: Micros) -> Self {
+        FailureDetector {
+            probe_order: Vec::new(),
+            probe: None,
+            forwarded_pings: BTreeMap::new(),
+            last_sequence_number: 0,
+            next_period: first_period,
+        }
+    }
+
+    /// Ends all probing: no time-out follows.
+    pub fn stop(&mut self) {
+        self.probe = None;
+        self.next_period = Micros::MAX;
+    }
+
+    /// When the node is to look at it next.
+    pub fn next_deadline(&self) -> Micros {
+        let direct = self.probe.as_ref().filter(|probe| !probe.indirect);
+        direct.map_or(self.next_period, |probe| self.next_period.min(probe.started_at + ACK_TIMEOUT))
+    }
+
+    pub fn next_sequence_number(&mut self) -> u64 {
+        self.last_sequence_number += 1;
+        self.last_sequence_number
+    }
+
+    /// Whether a period begins, and from then on the time of the next.
+    fn start_period(&mut self, now: Micros) -> bool {
+        if now < self.next_period {
+            return false;
+        }
+        self.next_period = now + PROBE_PERIOD;
+        true
+    }
+
+    /// The probed member that has not acknowledged in time, once for a probe, with the probe's sequence number.
+    fn take_late(&mut self, now: Micros) -> Option<(Instance, u64)> {
+        let probe = self.probe.as_mut()?;
+        if probe.indirect || now < probe.started_at + ACK_TIMEOUT {
+            return None;
+        }
+        probe.indirect = true;
+        Some((probe.instance, probe.sequence_number))
+    }
+
+    /// The live member that comes next in the round; a new round begins where one has ended.
+    fn next_target<'a>(&mut self, members: &'a MemberTable, rng: &mut ChaCha8Rng) -> Option<&'a Member> {
+        for _ in 0..=members.iter().count() {
+            if self.probe_order.is_empty() {
+                self.probe_order = members.live().map(|member| member.peer.instance).collect();
+                self.probe_order.shuffle(rng);
+            }
+            let instance = self.probe_order.pop()?;
+            let target = members.get_live(instance);
+            if target.is_some() {
+                return target;
+            }
+        }
+        None
+    }
+
+    /// Notes that a member is being probed, and returns the sequence number of the ping.
+    fn start_probe(&mut self, now: Micros, instance: Instance) -> u64 {
+        let sequence_number = self.next_sequence_number();
+        self.probe = Some(Probe { instance, sequence_number, indirect: false, started_at: now });
+        sequence_number
+    }
+
+    /// Notes a ping on behalf of another node and returns its own sequence number, or nothing at the bound.
+    fn forward_ping(&mut self, now: Micros, requester: SocketAddr, sequence_number: u64) -> Option<u64> {
+        if self.forwarded_pings.len() >= MAX_FORWARDED_PINGS {
+            return None;
+        }
+        let forwarded = self.next_sequence_number();
+        let ping = ForwardedPing { requester, sequence_number, expires_at: now + PROBE_PERIOD };
+        self.forwarded_pings.insert(forwarded, ping);
+        Some(forwarded)
+    }
+
+    fn remove_expired_pings(&mut self, now: Micros) {
+        self.forwarded_pings.retain(|_, ping| ping.expires_at > now);
+    }
+}
+
+impl Node {
+    pub(super) fn handle_probe_timeouts(&mut self, now: Micros) {
+        self.probe_indirectly(now);
+        if self.failure_detector.start_period(now) {
+            self.end_period(now);
+            self.probe_next(now);
+            self.probe_suspects();
+        }
+    }
+
+    fn probe_indirectly(&mut self, now: Micros) {
+        let Some((instance, sequence_number)) = self.failure_detector.take_late(now) else { return };
+        let Some(peer) = self.members.get(instance).map(|member| member.peer.clone()) else { return };
+        self.request_pings(&peer, sequence_number, INDIRECT_PROBES);
+    }
+
+    fn request_pings(&mut self, peer: &Peer, sequence_number: u64, count: usize) {
+        for to in self.members.sample_live(&mut self.rng, count, Some(peer.instance)) {
+            self.send(to, PacketBody::PingRequest(sequence_number, peer.clone()));
+        }
+    }
+
+    pub(super) fn ping(&mut self, to: SocketAddr) -> u64 {
+        let sequence_number = self.failure_detector.next_sequence_number();
+        self.send(to, PacketBody::Ping(sequence_number));
+        sequence_number
+    }
+
+    /// Suspects the member whose probe had no answer, and removes what has expired.
+    fn end_period(&mut self, now: Micros) {
+        if let Some(probe) = self.failure_detector.probe.take() {
+            self.suspect(now, probe.instance);
+        }
+        self.failure_detector.remove_expired_pings(now);
+        self.counter_gossip.remove_expired(now);
+        self.declare_dead(now);
+        self.members.remove_expired(now);
+    }
+
+    fn suspect(&mut self, now: Micros, instance: Instance) {
+        let alive = self.members.get(instance).filter(|member| member.state == MemberState::Alive);
+        if let Some(update) = alive.map(|member| member.update_to(MemberState::Suspect)) {
+            self.apply_update(now, update);
+        }
+    }
+
+    /// Members whose suspicion nobody refuted in time are dead.
+    fn declare_dead(&mut self, now: Micros) {
+        let timeout = self.members.suspicion_timeout();
+        let suspects = self.members.in_state(MemberState::Suspect);
+        let dead: Vec<MemberUpdate> = suspects
+            .filter(|member| now >= member.state_since + timeout)
+            .map(|member| member.update_to(MemberState::Dead))
+            .collect();
+        for update in dead {
+            self.apply_update(now, update);
+        }
+    }
+
+    fn probe_next(&mut self, now: Micros) {
+        let Some(target) = self.failure_detector.next_target(&self.members, &mut self.rng) else { return };
+        let to = target.peer.address;
+        let sequence_number = self.failure_detector.start_probe(now, target.peer.instance);
+        self.send(to, PacketBody::Ping(sequence_number));
+    }
+
+    /// Pings some suspects, which thereby learn of the suspicion, and has others ping them.
+    ///
+    /// Danger: a refutation travels by gossip alone, and where some of it is lost a member may miss it and take a live gateway
+    /// for dead. Other members are sampled each time, as in a divided fleet perhaps only one reaches both sides.
+    fn probe_suspects(&mut self) {
+        let suspects: Vec<Peer> =
+            self.members.in_state(MemberState::Suspect).map(|member| member.peer.clone()).collect();
+        let sampled: Vec<Peer> =
+            suspects.choose_multiple(&mut self.rng, SUSPECTS_PER_PERIOD).cloned().collect();
+        for peer in sampled {
+            let sequence_number = self.ping(peer.address);
+            self.request_pings(&peer, sequence_number, INDIRECT_PROBES_OF_SUSPECT);
+        }
+    }
+
+    pub(super) fn handle_ping_request(
+        &mut self,
+        now: Micros,
+        requester: SocketAddr,
+        sequence_number: u64,
+        target: &Peer,
+    ) {
+        if let Some(forwarded) = self.failure_detector.forward_ping(now, requester, sequence_number) {
+            self.send(target.address, PacketBody::Ping(forwarded));
+        }
+    }
+
+    pub(super) fn handle_ack(&mut self, now: Micros, sender: &Peer, sequence_number: u64) {
+        if let Some(ping) = self.failure_detector.forwarded_pings.remove(&sequence_number) {
+            self.forward_ack(ping, sender);
+            return;
+        }
+        let acknowledged = |probe: &mut Probe| probe.sequence_number == sequence_number;
+        let Some(probe) = self.failure_detector.probe.take_if(acknowledged) else { return };
+        let Some(member) = self.members.get(probe.instance) else { return };
+        if member.peer.address == sender.address && member.peer.instance != sender.instance {
+            // Another process answers at its address, so the probed one has ended.
+            let update = member.update_to(MemberState::Dead);
+            self.apply_update(now, update);
+        }
+    }
+
+    /// Passes an acknowledgement on. It names the sender, for the requester must know which instance answered.
+    fn forward_ack(&mut self, ping: ForwardedPing, sender: &Peer) {
+        let incarnation = self.members.get(sender.instance).map_or(0, |member| member.incarnation);
+        let alive = MemberUpdate { peer: sender.clone(), incarnation, state: MemberState::Alive };
+        self.send_packet(ping.requester, PacketBody::Ack(ping.sequence_number), vec![alive], Vec::new());
+    }
+}
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,25 +1,16 @@
 //! What nodes say to each other. A packet is one datagram; a `Full` goes over a stream.
 
-use std::net::SocketAddr;
-
 use fernscale_shared_counter::pn_counter::{Contribution, Instance};
 use serde::{Deserialize, Serialize};
 
 use crate::payload::{Channel, Payload};
+pub use crate::peer::Peer;
 
 /// A datagram holds no more bytes, sealed: it must pass every usual link in one piece.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// What goes over a stream holds no more: some eighty thousand parts.
 pub const MAX_STREAM_BYTES: usize = 4 * 1024 * 1024;
 
-/// Who a node is: its configured name, this run of it, and where it listens.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Peer {
-    pub name: String,
-    pub instance: Instance,
-    pub address: SocketAddr,
-}
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     Alive,
@@ -30,6 +21,13 @@
     Left,
 }
 
+impl MemberState {
+    /// Whether the member is alive or only suspected.
+    pub fn is_live(self) -> bool {
+        self <= MemberState::Suspect
+    }
+}
+
 /// What is said of a member, by itself or by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
@@ -140,6 +138,6 @@
 impl MemberView {
     /// It is not taken for gone.
     pub fn is_alive(&self) -> bool {
-        self.state <= MemberState::Suspect
+        self.state.is_live()
     }
 }
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::packet::Peer;
+use crate::peer::Peer;
 
 /// What a message is about, and so who takes it in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/membership/src/recent.rs
+++ b/crates/membership/src/recent.rs
@@ -15,21 +15,25 @@
 /// Parts that are remembered. At the bound the oldest gives way.
 const MOST_PARTS: usize = 32_768;
 
-/// The part of a count that one instance has added.
-pub type PartKey = (Arc<str>, Instance);
+/// What one instance has added to one counter.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ContributionKey {
+    pub counter: Arc<str>,
+    pub instance: Instance,
+}
 
 /// Parts by the time of their last change.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
-    changed: BTreeMap<PartKey, Micros>,
-    by_time: BTreeSet<(Micros, PartKey)>,
+    changed: BTreeMap<ContributionKey, Micros>,
+    by_time: BTreeSet<(Micros, ContributionKey)>,
     /// Those among them that have not been told again since.
-    unrepeated: BTreeSet<(Micros, PartKey)>,
+    unrepeated: BTreeSet<(Micros, ContributionKey)>,
 }
 
 impl RecentChanges {
     /// A part is another one from now on, and is being told.
-    pub fn changed(&mut self, now: Micros, part: PartKey) {
+    pub fn changed(&mut self, now: Micros, part: ContributionKey) {
         self.forget(&part);
         self.changed.insert(part.clone(), now);
         self.by_time.insert((now, part.clone()));
@@ -40,7 +44,7 @@
     }
 
     /// The parts that have been quiet long enough to be told again, each once for a change.
-    pub fn take_quiet(&mut self, now: Micros) -> Vec<PartKey> {
+    pub fn take_quiet(&mut self, now: Micros) -> Vec<ContributionKey> {
         let mut quiet = Vec::new();
         while self.unrepeated.first().is_some_and(|(changed, _)| changed + QUIET <= now) {
             quiet.extend(self.unrepeated.pop_first().map(|(_, part)| part));
@@ -49,8 +53,9 @@
     }
 
     /// The parts that changed at this time or later.
-    pub fn since(&self, from: Micros) -> impl Iterator<Item = &PartKey> {
-        let earliest: (Micros, PartKey) = (from, ("".into(), Instance(0)));
+    pub fn since(&self, from: Micros) -> impl Iterator<Item = &ContributionKey> {
+        let earliest: (Micros, ContributionKey) =
+            (from, ContributionKey { counter: "".into(), instance: Instance(0) });
         self.by_time.range(earliest..).map(|(_, part)| part)
     }
 
@@ -67,7 +72,7 @@
         }
     }
 
-    fn forget(&mut self, part: &PartKey) {
+    fn forget(&mut self, part: &ContributionKey) {
         if let Some(changed) = self.changed.remove(part) {
             let entry = (changed, part.clone());
             self.by_time.remove(&entry);
