--- a/crates/membership/src/node/counter_gossip.rs
+++ b/crates/membership/src/node/counter_gossip.rs
@@ -11,7 +11,7 @@
 use super::datagram_batch::{BatchFull, DatagramBatch};
 use super::members::MemberTable;
 use crate::packet::{CounterEntry, CounterTotal, MAX_STREAM_BYTES};
-use crate::recent::{ContributionKey, RecentChanges};
+use crate::recent_changes::{ContributionKey, RecentChanges};
 
 /// Datagrams to each random member in one round of gossip. What finds no room waits for the next round.
 const MAX_GOSSIP_DATAGRAMS: usize = 3;
@@ -106,7 +106,7 @@
 
     pub fn remove_expired(&mut self, now: Micros) {
         self.counters.remove_expired(now);
-        self.recent_changes.sweep(now);
+        self.recent_changes.remove_expired(now);
     }
 
     /// The local node adds to a counter.
@@ -116,7 +116,7 @@
             return;
         };
         let contribution = ContributionKey { counter: change.name.clone(), instance: self.local };
-        self.recent_changes.changed(now, contribution);
+        self.recent_changes.record(now, contribution);
         self.enqueue_change(change, self.local, members);
     }
 
@@ -177,7 +177,7 @@
 
     fn enqueue_orphan(&mut self, now: Micros, key: ContributionKey) {
         self.enqueue_direct(key.clone(), ORPHAN_TRANSMISSIONS);
-        self.recent_changes.changed(now, key);
+        self.recent_changes.record(now, key);
     }
 
     /// A counter has a new contributor, which is to learn of the contributions whose nodes are gone.
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,4 +1,6 @@
-//! What nodes say to each other. A packet is one datagram; a `Full` goes over a stream.
+//! The messages between nodes, and between a node and an operator's tool. A `Packet` is one datagram, a `StreamMessage` goes
+//! over a stream. They are encoded by `postcard`, so the order and types of fields and variants are the wire format. Sealing
+//! and sending happen elsewhere.
 
 use fernscale_shared_counter::pn_counter::{Contribution, Instance};
 use serde::{Deserialize, Serialize};
@@ -6,18 +8,21 @@
 use crate::payload::{Channel, Payload};
 pub use crate::peer::Peer;
 
-/// A datagram holds no more bytes, sealed: it must pass every usual link in one piece.
+/// Bytes of a sealed datagram at the most, so that no usual link fragments it.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// What goes over a stream holds no more: some eighty thousand parts.
+/// Bytes of a sealed message over a stream at the most: some eighty thousand counter entries.
 pub const MAX_STREAM_BYTES: usize = 4 * 1024 * 1024;
 
+/// What a member is taken for. Within one incarnation the later variant overrides the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
+    /// It acknowledges probes.
     Alive,
+    /// It did not acknowledge a probe and may still refute the suspicion.
     Suspect,
-    /// Taken for gone.
+    /// It did not refute a suspicion in time. A higher incarnation brings it back.
     Dead,
-    /// It said itself that it goes.
+    /// It has shut down and announced that.
     Left,
 }
 
@@ -28,70 +33,91 @@
     }
 }
 
-/// What is said of a member, by itself or by others.
+/// A claim about a member, by itself or by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
+    /// The member.
     pub peer: Peer,
-    /// Raised by the member alone, to say that it is there after all.
+    /// Raised by the member alone, to refute that it is suspect or dead.
     pub incarnation: u32,
+    /// What it is taken for.
     pub state: MemberState,
 }
 
-/// What an instance has added to a count, all in all.
+/// All that an instance has added to a counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterEntry {
+    /// The counter's key.
     pub key: String,
+    /// Who added.
     pub instance: Instance,
+    /// What it has added since the counter began.
     pub contribution: Contribution,
-    /// Milliseconds that the count's name still lives: clocks differ, and spans don't.
+    /// Milliseconds until the counter expires. A duration, as the nodes' clocks differ.
     pub expires_in_ms: u32,
 }
 
+/// What a packet asks for or answers, in SWIM's terms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PacketBody {
-    /// Are you there? With a number that the answer names.
+    /// A probe, with the sequence number that the acknowledgement repeats.
     Ping(u64),
+    /// The acknowledgement of the ping with this sequence number.
     Ack(u64),
-    /// Ask another for me, and tell me if it answers.
+    /// Asks the receiver to ping another node, and to pass on its acknowledgement with this sequence number.
     PingRequest(u64, Peer),
-    /// Only what rides along.
+    /// Nothing but updates and counters.
     Empty,
-    /// A message for others than the mesh.
+    /// A message of another subsystem.
     Payload(Payload),
 }
 
+/// One datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
+    /// The node that sends it.
     pub sender: Peer,
+    /// The sender's incarnation.
     pub incarnation: u32,
+    /// What it asks for or answers.
     pub body: PacketBody,
+    /// Claims about members that are being disseminated.
     pub updates: Vec<MemberUpdate>,
+    /// Counter contributions that are being disseminated.
     pub counters: Vec<CounterEntry>,
 }
 
-/// All that a node knows.
+/// All that a node knows, for anti-entropy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FullState {
+    /// The node whose state it is.
     pub sender: Peer,
+    /// The sender's incarnation.
     pub incarnation: u32,
+    /// The members that it knows, without those that left.
     pub updates: Vec<MemberUpdate>,
+    /// All contributions to all counters that it knows.
     pub counters: Vec<CounterEntry>,
 }
 
-/// What is said over a stream, by either side.
+/// One message over a stream, from either side.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StreamMessage {
+    /// A node's state; the receiver replies with its own.
     FullState(FullState),
-    /// Who is there? By an operator's tool that has the key.
+    /// Request of an operator's tool for the node's view of the membership.
     ListMembers,
+    /// The reply to `ListMembers`.
     Members(MembershipView),
-    /// What is known of all counts? By an operator's tool, too.
+    /// Request of an operator's tool for the totals of all counters.
     ListCounters,
+    /// The reply to `ListCounters`.
     CounterTotals(Vec<CounterTotal>),
-    /// A message for others than the mesh, too long for a datagram; nothing is answered.
+    /// A message of another subsystem that is too long for a datagram, with its sender. It has no reply.
     Payload(Peer, Payload),
-    /// A question by an operator's tool to those whom a kind concerns, and their answer.
+    /// Request of an operator's tool to the subsystem of a channel.
     Query(Channel, Vec<u8>),
+    /// The reply to `Query`.
     QueryReply(Vec<u8>),
 }
 
@@ -100,43 +126,53 @@
 /// Operators are shown it as JSON, where the older names are the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterTotal {
+    /// The counter's key.
     #[serde(rename = "count")]
     pub key: String,
+    /// The sum of all contributions that the node knows.
     pub total: f64,
-    /// Milliseconds that the count's name still lives.
+    /// Milliseconds until the counter expires.
     #[serde(rename = "left_ms")]
     pub expires_in_ms: u32,
 }
 
-/// What a node sees, for people; as JSON too, where the older names are the encoding.
+/// A node's view of the membership.
+///
+/// Operators are shown it as JSON, where the older names are the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipView {
+    /// The node itself.
     #[serde(rename = "me")]
     pub local: Peer,
+    /// The other nodes.
     pub members: Vec<MemberView>,
-    /// Gateways that are configured.
+    /// Number of gateways that are configured.
     #[serde(rename = "gateways")]
     pub configured_gateways: u32,
-    /// Counts that are known.
+    /// Number of counters that are known.
     #[serde(rename = "counts")]
     pub counter_count: u32,
-    /// How the shared counter stands, in a word.
+    /// The state of the shared counter, in one word.
     #[serde(rename = "counter")]
     pub counter_health: String,
 }
 
+/// One member as a node knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
+    /// The member.
     pub peer: Peer,
+    /// What it is taken for.
     pub state: MemberState,
+    /// The highest incarnation that the node heard of.
     pub incarnation: u32,
-    /// Milliseconds since anything of its own came.
+    /// Milliseconds since a message of its own last arrived.
     #[serde(rename = "heard_ms")]
     pub last_heard_ms: u32,
 }
 
 impl MemberView {
-    /// It is not taken for gone.
+    /// Whether the member is alive or only suspected.
     pub fn is_alive(&self) -> bool {
         self.state.is_live()
     }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -14,15 +14,15 @@
 use siphasher::sip128::{Hasher128, SipHasher24};
 
 const VERSION: u8 = 1;
-const HEAD: usize = 1 + 4 + 8 + 8 + 8;
-const TAG: usize = 16;
+const HEADER_BYTES: usize = 1 + 4 + 8 + 8 + 8;
+const TAG_BYTES: usize = 16;
 /// A packet is believed if its time is no further off: gateways' clocks differ by some tenths of a second, and what was
 /// recorded earlier is not to be played again to a node that has started since.
-const OFF: Micros = 10 * SECOND;
+const MAX_TIME_DIFFERENCE: Micros = 10 * SECOND;
 /// Numbers behind the highest that are still told apart: packets overtake each other.
-const WINDOW: u64 = 64;
+const REPLAY_WINDOW: u64 = 64;
 /// Senders whose numbers are kept: as many instances as a large fleet starts in a while. Only holders of a key get in.
-const MOST_SENDERS: usize = 8_192;
+const MAX_SENDERS: usize = 8_192;
 
 /// A secret of 128 bits that all gateways of an installation share.
 #[derive(Clone, PartialEq, Eq)]
@@ -43,7 +43,7 @@
         Some(Key(number.to_be_bytes()))
     }
 
-    fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
+    fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let mut hasher = SipHasher24::new_with_key(&self.0);
         hasher.write(bytes);
         hasher.finish128().as_bytes()
@@ -79,26 +79,26 @@
 
 /// What has come of one sender: the highest number, and which of those just below it.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct SenderHistory {
     highest: u64,
     seen: u64,
-    at: Micros,
+    last_heard: Micros,
 }
 
-impl Heard {
+impl SenderHistory {
     /// Whether a number is new; from now on it is not.
-    fn fresh(&mut self, number: u64) -> bool {
+    fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
-            let by = number - self.highest;
-            self.seen = if by >= WINDOW { 0 } else { self.seen << by };
+            let shift = number - self.highest;
+            self.seen = if shift >= REPLAY_WINDOW { 0 } else { self.seen << shift };
             (self.highest, self.seen) = (number, self.seen | 1);
             return true;
         }
-        let behind = self.highest - number;
-        if behind >= WINDOW || self.seen >> behind & 1 == 1 {
+        let distance = self.highest - number;
+        if distance >= REPLAY_WINDOW || self.seen >> distance & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.seen |= 1 << distance;
         true
     }
 }
@@ -110,14 +110,14 @@
     /// the old one is taken away: at no time does one seal what another can't open.
     keys: Vec<Key>,
     instance: Instance,
-    next: u64,
-    senders: BTreeMap<Instance, Heard>,
+    last_number: u64,
+    senders: BTreeMap<Instance, SenderHistory>,
 }
 
 impl Sealer {
     /// Without a key there is nothing to believe by.
     pub fn new(keys: Vec<Key>, own: Instance) -> Option<Self> {
-        (!keys.is_empty()).then(|| Sealer { keys, instance: own, next: 0, senders: BTreeMap::new() })
+        (!keys.is_empty()).then(|| Sealer { keys, instance: own, last_number: 0, senders: BTreeMap::new() })
     }
 
     /// Another ring from now on; what was heard stays heard.
@@ -127,13 +127,13 @@
         }
     }
 
-    pub fn seal(&mut self, unix: Micros, content: &impl Serialize) -> Vec<u8> {
-        self.next += 1;
+    pub fn seal(&mut self, unix_time: Micros, content: &impl Serialize) -> Vec<u8> {
+        self.last_number += 1;
         let key = &self.keys[0];
         let mut bytes = Vec::with_capacity(256);
         bytes.push(VERSION);
         bytes.extend(key.id().to_be_bytes());
-        for number in [self.instance.0, self.next, unix] {
+        for number in [self.instance.0, self.last_number, unix_time] {
             bytes.extend(number.to_be_bytes());
         }
         // Plain data without maps or borrowed parts: there is nothing that could fail.
@@ -145,13 +145,13 @@
 
     pub fn open<T: DeserializeOwned>(
         &mut self,
-        unix: Micros,
+        unix_time: Micros,
         bytes: &[u8],
     ) -> Result<(Instance, T), OpenError> {
-        if bytes.len() < HEAD + TAG {
+        if bytes.len() < HEADER_BYTES + TAG_BYTES {
             return Err(OpenError::TooShort);
         }
-        let (sealed, tag) = bytes.split_at(bytes.len() - TAG);
+        let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         if sealed[0] != VERSION {
             return Err(OpenError::UnknownVersion);
         }
@@ -164,29 +164,34 @@
         }
         let number =
             |at: usize| sealed[at..at + 8].iter().fold(0u64, |number, byte| number << 8 | u64::from(*byte));
-        let (from, count, time) = (Instance(number(5)), number(13), number(21));
-        if time.abs_diff(unix) > OFF {
+        let (sender, number, time) = (Instance(number(5)), number(13), number(21));
+        if time.abs_diff(unix_time) > MAX_TIME_DIFFERENCE {
             return Err(OpenError::TimeOutOfRange);
         }
-        if !self.senders.contains_key(&from) {
-            self.make_room(unix)?;
+        if !self.senders.contains_key(&sender) {
+            self.remove_expired_senders(unix_time)?;
         }
-        let heard = self.senders.entry(from).or_insert(Heard { highest: 0, seen: 0, at: unix });
-        heard.at = unix;
-        if !heard.fresh(count) {
+        let history = self.senders.entry(sender).or_insert(SenderHistory {
+            highest: 0,
+            seen: 0,
+            last_heard: unix_time,
+        });
+        history.last_heard = unix_time;
+        if !history.accept(number) {
             return Err(OpenError::Replayed);
         }
-        let content = postcard::from_bytes(&sealed[HEAD..]).map_err(|_| OpenError::MalformedContent)?;
-        Ok((from, content))
+        let content =
+            postcard::from_bytes(&sealed[HEADER_BYTES..]).map_err(|_| OpenError::MalformedContent)?;
+        Ok((sender, content))
     }
 
     /// Whoever was not heard for longer than a packet is believed can be forgotten: nothing old of it would pass.
-    fn make_room(&mut self, unix: Micros) -> Result<(), OpenError> {
-        if self.senders.len() < MOST_SENDERS {
+    fn remove_expired_senders(&mut self, unix_time: Micros) -> Result<(), OpenError> {
+        if self.senders.len() < MAX_SENDERS {
             return Ok(());
         }
-        self.senders.retain(|_, heard| heard.at + 2 * OFF >= unix);
-        if self.senders.len() < MOST_SENDERS {
+        self.senders.retain(|_, history| history.last_heard + 2 * MAX_TIME_DIFFERENCE >= unix_time);
+        if self.senders.len() < MAX_SENDERS {
             Ok(())
         } else {
             Err(OpenError::TooManySenders)
