--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -251,7 +251,7 @@
         };
         self.heard.insert((server.into(), self.me.instance), now);
         self.rumour.publish(now, word);
-        self.rumour.hurry(now);
+        self.rumour.schedule_round(now);
     }
 
     /// When `tick` is to be called next.
--- a/crates/shared-counter/src/gossip.rs
+++ b/crates/shared-counter/src/gossip.rs
@@ -14,9 +14,9 @@
 /// Others that each turn's words go to.
 const FANOUT: usize = 3;
 /// How often each word is told, for each doubling of the gateways, by each who has heard it.
-const TELLINGS: u32 = 2;
+const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
 /// A newcomer asks for all words at its first so many turns.
-const ASKS: u32 = 3;
+const INITIAL_REQUESTS: u32 = 3;
 
 /// Something that one run of a gateway says.
 pub trait Report: Clone {
@@ -31,8 +31,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GossipMessage<W> {
-    Reports(Vec<W>),
+pub enum GossipMessage<R> {
+    Reports(Vec<R>),
     /// All words, please.
     RequestAll,
 }
@@ -60,150 +60,164 @@
     pub retention: Micros,
 }
 
-struct Heard<W> {
-    word: W,
+struct Entry<R> {
+    report: R,
     /// When its run was last among the live.
-    live: Micros,
+    last_live: Micros,
     /// How often it is still to be told.
-    left: u32,
+    remaining: u32,
 }
 
-pub struct Gossip<W: Report> {
+pub struct Gossip<R: Report> {
     instance: u64,
     config: GossipConfig,
-    reports: BTreeMap<W::Key, Heard<W>>,
-    chance: ChaCha8Rng,
-    next_turn: Micros,
-    next_all: Micros,
-    asks: u32,
-    out: VecDeque<(String, GossipMessage<W>)>,
+    reports: BTreeMap<R::Key, Entry<R>>,
+    rng: ChaCha8Rng,
+    next_round: Micros,
+    next_full_sync: Micros,
+    remaining_requests: u32,
+    outbox: VecDeque<(String, GossipMessage<R>)>,
 }
 
-impl<W: Report> Gossip<W> {
-    pub fn new(run: u64, manner: GossipConfig, seed: u64, now: Micros) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+impl<R: Report> Gossip<R> {
+    pub fn new(instance: u64, config: GossipConfig, seed: u64, now: Micros) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Those that start together must not all speak in the same instants.
-        let next_turn = now + chance.gen_range(1..=manner.interval);
-        let next_all = now + chance.gen_range(1..=manner.full_sync_interval);
-        let (words, out) = (BTreeMap::new(), VecDeque::new());
-        Gossip { instance: run, config: manner, reports: words, chance, next_turn, next_all, asks: ASKS, out }
+        let next_round = now + rng.gen_range(1..=config.interval);
+        let next_full_sync = now + rng.gen_range(1..=config.full_sync_interval);
+        let (reports, outbox) = (BTreeMap::new(), VecDeque::new());
+        Gossip {
+            instance,
+            config,
+            reports,
+            rng,
+            next_round,
+            next_full_sync,
+            remaining_requests: INITIAL_REQUESTS,
+            outbox,
+        }
     }
 
     /// This gateway says something.
-    pub fn publish(&mut self, now: Micros, word: W) {
-        self.reports.insert(word.key(), Heard { word, live: now, left: u32::MAX });
+    pub fn publish(&mut self, now: Micros, report: R) {
+        self.reports.insert(report.key(), Entry { report, last_live: now, remaining: u32::MAX });
     }
 
     /// A note has come from the gateway of a name. Gives the keys of what is new by it.
-    pub fn handle_message(&mut self, now: Micros, from: &str, note: GossipMessage<W>) -> Vec<W::Key> {
-        match note {
+    pub fn handle_message(&mut self, now: Micros, from: &str, message: GossipMessage<R>) -> Vec<R::Key> {
+        match message {
             GossipMessage::RequestAll => {
-                self.tell_all(from);
+                self.send_all(from);
                 Vec::new()
             }
-            GossipMessage::Reports(words) => {
-                words.into_iter().filter_map(|word| self.hears(now, word)).collect()
+            GossipMessage::Reports(reports) => {
+                reports.into_iter().filter_map(|report| self.accept(now, report)).collect()
             }
         }
     }
 
-    fn hears(&mut self, now: Micros, word: W) -> Option<W::Key> {
+    fn accept(&mut self, now: Micros, report: R) -> Option<R::Key> {
         // Nobody knows better what this gateway says.
-        if !word.is_plausible() || word.origin() == self.instance {
+        if !report.is_plausible() || report.origin() == self.instance {
             return None;
         }
-        let (key, full) = (word.key(), self.reports.len() >= self.config.max_reports);
+        let (key, full) = (report.key(), self.reports.len() >= self.config.max_reports);
         match self.reports.get_mut(&key) {
-            Some(heard) if heard.word.version() < word.version() => {
-                (heard.word, heard.left) = (word, u32::MAX);
+            Some(entry) if entry.report.version() < report.version() => {
+                (entry.report, entry.remaining) = (report, u32::MAX);
             }
             Some(_) => return None,
             None if full => return None,
-            None => drop(self.reports.insert(key.clone(), Heard { word, live: now, left: u32::MAX })),
+            None => {
+                drop(self.reports.insert(key.clone(), Entry { report, last_live: now, remaining: u32::MAX }))
+            }
         }
         Some(key)
     }
 
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> Micros {
-        self.next_turn.min(self.next_all)
+        self.next_round.min(self.next_full_sync)
     }
 
     /// What is new is told at the next call of `tick`.
-    pub fn hurry(&mut self, now: Micros) {
-        self.next_turn = now;
+    pub fn schedule_round(&mut self, now: Micros) {
+        self.next_round = now;
     }
 
     /// `live`: the others that the mesh takes for live.
     pub fn handle_timeout(&mut self, now: Micros, live: &[LivePeer]) {
-        let runs: std::collections::BTreeSet<u64> =
+        let live_instances: std::collections::BTreeSet<u64> =
             live.iter().map(|one| one.instance).chain([self.instance]).collect();
-        for heard in self.reports.values_mut().filter(|heard| runs.contains(&heard.word.origin())) {
-            heard.live = now;
+        for entry in self.reports.values_mut().filter(|entry| live_instances.contains(&entry.report.origin()))
+        {
+            entry.last_live = now;
         }
-        let kept = self.config.retention;
-        self.reports.retain(|_, heard| now < heard.live + kept);
-        if now >= self.next_turn {
-            self.next_turn = now + self.config.interval;
-            self.tell(live);
+        let retention = self.config.retention;
+        self.reports.retain(|_, entry| now < entry.last_live + retention);
+        if now >= self.next_round {
+            self.next_round = now + self.config.interval;
+            self.send_round(live);
         }
-        if now >= self.next_all {
-            self.next_all = now
+        if now >= self.next_full_sync {
+            self.next_full_sync = now
                 + self.config.full_sync_interval / 2
-                + self.chance.gen_range(0..self.config.full_sync_interval);
-            if let Some(to) = live.choose(&mut self.chance) {
-                self.tell_all(&to.name);
+                + self.rng.gen_range(0..self.config.full_sync_interval);
+            if let Some(to) = live.choose(&mut self.rng) {
+                self.send_all(&to.name);
             }
         }
     }
 
-    fn tell(&mut self, live: &[LivePeer]) {
-        if let Some(to) = live.choose(&mut self.chance).filter(|_| self.asks > 0) {
-            self.asks -= 1;
-            self.out.push_back((to.name.clone(), GossipMessage::RequestAll));
+    fn send_round(&mut self, live: &[LivePeer]) {
+        if let Some(to) = live.choose(&mut self.rng).filter(|_| self.remaining_requests > 0) {
+            self.remaining_requests -= 1;
+            self.outbox.push_back((to.name.clone(), GossipMessage::RequestAll));
         }
         let all = live.len() as u32 + 2;
-        let most = (TELLINGS * (u32::BITS - all.leading_zeros())).div_ceil(FANOUT as u32) + 1;
-        let left = self.reports.iter().map(|(key, heard)| (heard.left.min(most), key.clone()));
-        let mut told: Vec<(u32, W::Key)> = left.filter(|(left, _)| *left > 0).collect();
-        told.sort_unstable_by(|one, other| other.cmp(one));
-        told.truncate(self.config.messages_per_peer * self.config.reports_per_message);
-        if told.is_empty() || live.is_empty() {
+        let transmission_limit =
+            (TRANSMISSIONS_PER_DOUBLING * (u32::BITS - all.leading_zeros())).div_ceil(FANOUT as u32) + 1;
+        let remaining =
+            self.reports.iter().map(|(key, entry)| (entry.remaining.min(transmission_limit), key.clone()));
+        let mut selected: Vec<(u32, R::Key)> = remaining.filter(|(remaining, _)| *remaining > 0).collect();
+        selected.sort_unstable_by(|one, other| other.cmp(one));
+        selected.truncate(self.config.messages_per_peer * self.config.reports_per_message);
+        if selected.is_empty() || live.is_empty() {
             return;
         }
-        let mut words = Vec::new();
-        for (left, key) in told {
-            if let Some(heard) = self.reports.get_mut(&key) {
-                heard.left = left - 1;
-                words.push(heard.word.clone());
+        let mut reports = Vec::new();
+        for (remaining, key) in selected {
+            if let Some(entry) = self.reports.get_mut(&key) {
+                entry.remaining = remaining - 1;
+                reports.push(entry.report.clone());
             }
         }
-        for to in live.choose_multiple(&mut self.chance, FANOUT) {
-            let notes = words
+        for to in live.choose_multiple(&mut self.rng, FANOUT) {
+            let messages = reports
                 .chunks(self.config.reports_per_message)
                 .map(|some| (to.name.clone(), GossipMessage::Reports(some.to_vec())));
-            self.out.extend(notes);
+            self.outbox.extend(messages);
         }
     }
 
-    fn tell_all(&mut self, to: &str) {
-        let all: Vec<W> = self.reports.values().map(|heard| heard.word.clone()).collect();
-        let notes = all
+    fn send_all(&mut self, to: &str) {
+        let all: Vec<R> = self.reports.values().map(|entry| entry.report.clone()).collect();
+        let messages = all
             .chunks(self.config.reports_per_message)
             .map(|some| (to.to_string(), GossipMessage::Reports(some.to_vec())));
-        self.out.extend(notes);
+        self.outbox.extend(messages);
     }
 
     /// The next note that is to be sent, and to whom.
-    pub fn poll_message(&mut self) -> Option<(String, GossipMessage<W>)> {
-        self.out.pop_front()
+    pub fn poll_message(&mut self) -> Option<(String, GossipMessage<R>)> {
+        self.outbox.pop_front()
     }
 
-    pub fn report(&self, key: &W::Key) -> Option<&W> {
-        self.reports.get(key).map(|heard| &heard.word)
+    pub fn report(&self, key: &R::Key) -> Option<&R> {
+        self.reports.get(key).map(|entry| &entry.report)
     }
 
-    pub fn reports(&self) -> impl Iterator<Item = &W> {
-        self.reports.values().map(|heard| &heard.word)
+    pub fn reports(&self) -> impl Iterator<Item = &R> {
+        self.reports.values().map(|entry| &entry.report)
     }
 }
--- a/crates/shared-counter/src/monitor.rs
+++ b/crates/shared-counter/src/monitor.rs
@@ -15,29 +15,29 @@
 
 /// Calls in vain in a row, and the time without an answer, after which the counter is taken for lost: one bad connection
 /// loses some calls at once and is replaced within a tenth of a second.
-const VAIN: u32 = 3;
-const WITHOUT: Micros = 200 * MILLISECOND;
+const MAX_FAILED_CALLS: u32 = 3;
+const MAX_SILENCE: Micros = 200 * MILLISECOND;
 /// How often a lost counter is asked all the same: its return is noticed within this.
-const ASK: Micros = 200 * MILLISECOND;
+const LOST_QUERY_INTERVAL: Micros = 200 * MILLISECOND;
 /// Totals are exact to seven digits; parts of a sum that is off by less are there.
-const EXACT: f64 = 1e-6;
+const RELATIVE_TOLERANCE: f64 = 1e-6;
 /// What one count seems to lack, settled units of others may have taken off: they are some of what was offered. Only a
 /// total below this part of what was told before is taken for a loss.
-const LOST_PART: f64 = 0.5;
+const RESET_FRACTION: f64 = 0.5;
 /// And only if another answer within this time says the same: what one answer says may be an old one overtaken.
-const CONFIRMED: Micros = 2 * SECOND;
+const CONFIRMATION_TIME: Micros = 2 * SECOND;
 /// A counter that knows less than this part of what the mesh knows, for so long, is another than the others'.
-const APART_PART: f64 = 0.7;
-const APART: Micros = 2 * SECOND;
+const PARTITION_FRACTION: f64 = 0.7;
+const PARTITION_TIME: Micros = 2 * SECOND;
 /// An answer that takes so many times what the quickest took, and so long at the least, is slow; a mean over some answers
 /// says so, as one may be late by chance.
-const SLOW: f64 = 5.0;
-const LEAST_SLOW: Micros = 10 * MILLISECOND;
-const NEWEST: f64 = 0.125;
+const SLOW_FACTOR: f64 = 5.0;
+const MIN_SLOW_LATENCY: Micros = 10 * MILLISECOND;
+const LATENCY_SMOOTHING: f64 = 0.125;
 /// Answers in a row that lack their own amount, after which totals are taken for old.
-const OLD: u32 = 3;
+const STALE_REPLIES: u32 = 3;
 /// Counts that are followed. Beyond it a new one goes to the counter and back as though there were no tally.
-const MOST_COUNTS: usize = 65_536;
+const MAX_COUNTERS: usize = 65_536;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -106,28 +106,28 @@
 }
 
 #[derive(Debug)]
-struct Count {
-    ends: Micros,
+struct TrackedCounter {
+    expires_at: Micros,
     /// What this gateway has added and the module takes for added.
-    kept: f64,
+    added: f64,
     /// Of it, what is surely in the counter that answers now, and what is perhaps.
-    inside: f64,
-    perhaps: f64,
+    confirmed: f64,
+    possible: f64,
     /// Amounts of the calls that are out, in their order, and of each the part that the module knows of.
-    out: VecDeque<(f64, f64)>,
+    in_flight: VecDeque<(f64, f64)>,
     /// The largest total that was told.
     highest: f64,
     /// What was surely in it, and perhaps, by the last answer that lacked nothing.
-    sound: (f64, f64),
-    doubt: Option<Doubt>,
+    last_complete: (f64, f64),
+    suspicion: Option<Suspicion>,
 }
 
-impl Count {
+impl TrackedCounter {
     /// What is surely not in the counter, and not on its way either.
     fn lacking(&self) -> f64 {
-        let out: f64 = self.out.iter().map(|(amount, _)| amount).sum();
-        let lacking = self.kept - self.inside - self.perhaps - out;
-        if lacking.abs() <= EXACT * (self.kept.abs() + self.inside.abs()) {
+        let in_flight: f64 = self.in_flight.iter().map(|(amount, _)| amount).sum();
+        let lacking = self.added - self.confirmed - self.possible - in_flight;
+        if lacking.abs() <= RELATIVE_TOLERANCE * (self.added.abs() + self.confirmed.abs()) {
             0.0
         } else {
             lacking
@@ -137,47 +137,47 @@
 
 /// Answers lack some of what must be in the counter.
 #[derive(Debug)]
-struct Doubt {
-    began: Micros,
+struct Suspicion {
+    started_at: Micros,
     /// What was missing at first, and what was perhaps in the counter then.
     missing: f64,
-    perhaps: f64,
+    possible: f64,
     /// It was much less than was told before.
-    much: bool,
+    is_large: bool,
 }
 
 pub struct CounterMonitor {
-    counts: BTreeMap<Arc<str>, Count>,
-    ends: BTreeMap<(Micros, Arc<str>), ()>,
+    counters: BTreeMap<Arc<str>, TrackedCounter>,
+    expirations: BTreeMap<(Micros, Arc<str>), ()>,
     health: CounterHealth,
     /// Calls in vain since the last answer, when that came, and when the counter was last asked while lost.
-    vain: u32,
-    answered: Micros,
-    asked: Micros,
+    failed_calls: u32,
+    last_reply: Micros,
+    last_query: Micros,
     /// The quickest answer, and a mean of the last ones, in microseconds; and answers in a row that were old.
-    quickest: Micros,
-    mean: f64,
-    old: u32,
+    min_latency: Micros,
+    mean_latency: f64,
+    stale_replies: u32,
     /// Since when it knows much less than the mesh.
-    less: Option<Micros>,
+    behind_since: Option<Micros>,
     /// Answers that lacked something, lately: by when, and in which count.
-    doubts: VecDeque<(Micros, Arc<str>)>,
+    recent_suspicions: VecDeque<(Micros, Arc<str>)>,
 }
 
 impl CounterMonitor {
     pub fn new(now: Micros) -> Self {
         CounterMonitor {
-            counts: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            counters: BTreeMap::new(),
+            expirations: BTreeMap::new(),
             health: CounterHealth::Healthy,
-            vain: 0,
-            answered: now,
-            asked: 0,
-            quickest: Micros::MAX,
-            mean: 0.0,
-            old: 0,
-            less: None,
-            doubts: VecDeque::new(),
+            failed_calls: 0,
+            last_reply: now,
+            last_query: 0,
+            min_latency: Micros::MAX,
+            mean_latency: 0.0,
+            stale_replies: 0,
+            behind_since: None,
+            recent_suspicions: VecDeque::new(),
         }
     }
 
@@ -186,17 +186,17 @@
     }
 
     pub fn len(&self) -> usize {
-        self.counts.len()
+        self.counters.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.counts.is_empty()
+        self.counters.is_empty()
     }
 
-    fn sweep(&mut self, now: Micros) {
-        while self.ends.first_key_value().is_some_and(|((ends, _), ())| *ends <= now) {
-            if let Some(((_, name), ())) = self.ends.pop_first() {
-                self.counts.remove(&name);
+    fn remove_expired(&mut self, now: Micros) {
+        while self.expirations.first_key_value().is_some_and(|((expires_at, _), ())| *expires_at <= now) {
+            if let Some(((_, name), ())) = self.expirations.pop_first() {
+                self.counters.remove(&name);
             }
         }
     }
@@ -207,48 +207,48 @@
         now: Micros,
         name: &str,
         amount: f64,
-        life: Micros,
-        mesh: Option<GossipTotal>,
+        lifetime: Micros,
+        gossip: Option<GossipTotal>,
     ) -> AddStep {
-        self.sweep(now);
-        let (standing, asked) = (self.health, self.asked);
-        let Some(count) = self.count(now, name, life) else { return AddStep::Forward(amount) };
-        if let Some(mesh) = mesh.filter(|mesh| mesh.is_complete && standing == CounterHealth::Lost) {
-            if now < asked + ASK {
+        self.remove_expired(now);
+        let (health, last_query) = (self.health, self.last_query);
+        let Some(counter) = self.counter(now, name, lifetime) else { return AddStep::Forward(amount) };
+        if let Some(gossip) = gossip.filter(|gossip| gossip.is_complete && health == CounterHealth::Lost) {
+            if now < last_query + LOST_QUERY_INTERVAL {
                 // It is kept here and told to the others; the counter hears of it when it is back.
-                count.kept += amount;
-                return AddStep::Reply(mesh.total);
+                counter.added += amount;
+                return AddStep::Reply(gossip.total);
             }
-            self.asked = now;
+            self.last_query = now;
         }
-        let Some(count) = self.counts.get_mut(name) else { return AddStep::Forward(amount) };
+        let Some(counter) = self.counters.get_mut(name) else { return AddStep::Forward(amount) };
         // While a doubt stands nothing is told anew on the strength of it.
-        let anew = if count.doubt.is_none() { count.lacking() } else { 0.0 };
-        count.kept += amount;
-        count.out.push_back((amount + anew, amount));
-        AddStep::Forward(amount + anew)
+        let lacking = if counter.suspicion.is_none() { counter.lacking() } else { 0.0 };
+        counter.added += amount;
+        counter.in_flight.push_back((amount + lacking, amount));
+        AddStep::Forward(amount + lacking)
     }
 
-    fn count(&mut self, now: Micros, name: &str, life: Micros) -> Option<&mut Count> {
-        if !self.counts.contains_key(name) {
-            if self.counts.len() >= MOST_COUNTS {
+    fn counter(&mut self, now: Micros, name: &str, lifetime: Micros) -> Option<&mut TrackedCounter> {
+        if !self.counters.contains_key(name) {
+            if self.counters.len() >= MAX_COUNTERS {
                 return None;
             }
-            let (name, ends): (Arc<str>, _) = (name.into(), now.saturating_add(life));
-            self.ends.insert((ends, name.clone()), ());
-            let count = Count {
-                ends,
-                kept: 0.0,
-                inside: 0.0,
-                perhaps: 0.0,
-                out: VecDeque::new(),
+            let (name, expires_at): (Arc<str>, _) = (name.into(), now.saturating_add(lifetime));
+            self.expirations.insert((expires_at, name.clone()), ());
+            let counter = TrackedCounter {
+                expires_at,
+                added: 0.0,
+                confirmed: 0.0,
+                possible: 0.0,
+                in_flight: VecDeque::new(),
                 highest: 0.0,
-                sound: (0.0, 0.0),
-                doubt: None,
+                last_complete: (0.0, 0.0),
+                suspicion: None,
             };
-            self.counts.insert(name, count);
+            self.counters.insert(name, counter);
         }
-        self.counts.get_mut(name).filter(|count| count.ends > now)
+        self.counters.get_mut(name).filter(|counter| counter.expires_at > now)
     }
 
     /// A call has ended, so long after it was made. Calls of one count end in their order.
@@ -256,134 +256,156 @@
         &mut self,
         now: Micros,
         name: &str,
-        end: CallOutcome,
-        took: Micros,
-        mesh: Option<GossipTotal>,
+        outcome: CallOutcome,
+        latency: Micros,
+        gossip: Option<GossipTotal>,
     ) -> CounterReply {
-        let amount =
-            self.counts.get(name).and_then(|count| count.out.front()).map_or(0.0, |(amount, _)| *amount);
-        self.heard(now, end, took, amount, mesh);
-        let whole = mesh.filter(|mesh| mesh.is_complete);
-        let known = self.counts.get_mut(name).and_then(|count| count.out.pop_front().map(|out| (count, out)));
-        let Some((count, (amount, own))) = known else {
-            return match (end, whole) {
+        let amount = self
+            .counters
+            .get(name)
+            .and_then(|counter| counter.in_flight.front())
+            .map_or(0.0, |(amount, _)| *amount);
+        self.record_outcome(now, outcome, latency, amount, gossip);
+        let complete = gossip.filter(|gossip| gossip.is_complete);
+        let known = self
+            .counters
+            .get_mut(name)
+            .and_then(|counter| counter.in_flight.pop_front().map(|in_flight| (counter, in_flight)));
+        let Some((counter, (amount, own))) = known else {
+            return match (outcome, complete) {
                 (CallOutcome::Total(total), _) => {
-                    CounterReply::Total(total.max(mesh.map_or(total, |mesh| mesh.total)))
+                    CounterReply::Total(total.max(gossip.map_or(total, |gossip| gossip.total)))
                 }
-                (_, Some(mesh)) => CounterReply::Total(mesh.total),
+                (_, Some(gossip)) => CounterReply::Total(gossip.total),
                 (CallOutcome::NotApplied, None) => CounterReply::NotApplied(0.0),
                 (CallOutcome::Unknown, None) => CounterReply::Unknown,
             };
         };
-        match (end, whole) {
+        match (outcome, complete) {
             (CallOutcome::Total(total), _) => {
-                count.inside += amount;
-                let total = self.lost_some(now, name, total, amount);
-                CounterReply::Total(mesh.map_or(total, |mesh| total.max(mesh.total)))
+                counter.confirmed += amount;
+                let total = self.detect_reset(now, name, total, amount);
+                CounterReply::Total(gossip.map_or(total, |gossip| total.max(gossip.total)))
             }
-            (CallOutcome::NotApplied, Some(mesh)) => CounterReply::Total(mesh.total),
+            (CallOutcome::NotApplied, Some(gossip)) => CounterReply::Total(gossip.total),
             (CallOutcome::NotApplied, None) => {
                 // The module takes it for not added, and will add it again.
-                count.kept -= own;
+                counter.added -= own;
                 CounterReply::NotApplied(own)
             }
-            (CallOutcome::Unknown, whole) => {
-                count.perhaps += amount;
-                whole.map_or(CounterReply::Unknown, |mesh| CounterReply::Total(mesh.total))
+            (CallOutcome::Unknown, complete) => {
+                counter.possible += amount;
+                complete.map_or(CounterReply::Unknown, |gossip| CounterReply::Total(gossip.total))
             }
         }
     }
 
     /// What the end of a call says of the counter.
-    fn heard(&mut self, now: Micros, end: CallOutcome, took: Micros, amount: f64, mesh: Option<GossipTotal>) {
-        let CallOutcome::Total(total) = end else {
-            self.vain += 1;
-            if self.vain >= VAIN && now >= self.answered + WITHOUT && self.health != CounterHealth::Lost {
-                (self.health, self.asked) = (CounterHealth::Lost, now);
+    fn record_outcome(
+        &mut self,
+        now: Micros,
+        outcome: CallOutcome,
+        latency: Micros,
+        amount: f64,
+        gossip: Option<GossipTotal>,
+    ) {
+        let CallOutcome::Total(total) = outcome else {
+            self.failed_calls += 1;
+            if self.failed_calls >= MAX_FAILED_CALLS
+                && now >= self.last_reply + MAX_SILENCE
+                && self.health != CounterHealth::Lost
+            {
+                (self.health, self.last_query) = (CounterHealth::Lost, now);
             }
             return;
         };
         if self.health == CounterHealth::Lost {
             self.health = CounterHealth::Healthy;
         }
-        (self.vain, self.answered) = (0, now);
-        self.quickest = self.quickest.min(took.max(1));
-        self.mean += NEWEST * (took as f64 - self.mean);
-        self.old = if total + EXACT * amount.abs() < amount { self.old + 1 } else { 0 };
-        let slow = self.mean > SLOW * self.quickest as f64 && self.mean > LEAST_SLOW as f64;
+        (self.failed_calls, self.last_reply) = (0, now);
+        self.min_latency = self.min_latency.min(latency.max(1));
+        self.mean_latency += LATENCY_SMOOTHING * (latency as f64 - self.mean_latency);
+        self.stale_replies =
+            if total + RELATIVE_TOLERANCE * amount.abs() < amount { self.stale_replies + 1 } else { 0 };
+        let slow = self.mean_latency > SLOW_FACTOR * self.min_latency as f64
+            && self.mean_latency > MIN_SLOW_LATENCY as f64;
         match self.health {
-            CounterHealth::Healthy | CounterHealth::Slow if self.old >= OLD => {
+            CounterHealth::Healthy | CounterHealth::Slow if self.stale_replies >= STALE_REPLIES => {
                 self.health = CounterHealth::Stale
             }
-            CounterHealth::Stale if self.old == 0 => self.health = CounterHealth::Healthy,
+            CounterHealth::Stale if self.stale_replies == 0 => self.health = CounterHealth::Healthy,
             CounterHealth::Healthy if slow => self.health = CounterHealth::Slow,
             CounterHealth::Slow if !slow => self.health = CounterHealth::Healthy,
             // What came after it was emptied has been answered: it is as good as any.
-            CounterHealth::Reset if self.counts.values().all(|count| count.doubt.is_none()) => {
+            CounterHealth::Reset if self.counters.values().all(|counter| counter.suspicion.is_none()) => {
                 self.health = CounterHealth::Healthy
             }
             _ => {}
         }
-        let less =
-            mesh.is_some_and(|mesh| mesh.is_complete && mesh.total > 0.0 && total < APART_PART * mesh.total);
-        if !less {
-            self.less = None;
+        let behind_since = gossip.is_some_and(|gossip| {
+            gossip.is_complete && gossip.total > 0.0 && total < PARTITION_FRACTION * gossip.total
+        });
+        if !behind_since {
+            self.behind_since = None;
             if self.health == CounterHealth::Partitioned {
                 self.health = CounterHealth::Healthy;
             }
-        } else if now >= *self.less.get_or_insert(now) + APART {
+        } else if now >= *self.behind_since.get_or_insert(now) + PARTITION_TIME {
             self.health = CounterHealth::Partitioned;
         }
     }
 
     /// Looks whether a total lacks what must be in it. Gives the total with what is known to be missing.
-    fn lost_some(&mut self, now: Micros, name: &str, total: f64, amount: f64) -> f64 {
-        let Some((name, count)) =
-            self.counts.get_key_value(name).map(|(name, _)| name.clone()).and_then(|name| {
-                let count = self.counts.get_mut(&name)?;
-                Some((name, count))
+    fn detect_reset(&mut self, now: Micros, name: &str, total: f64, amount: f64) -> f64 {
+        let Some((name, counter)) =
+            self.counters.get_key_value(name).map(|(name, _)| name.clone()).and_then(|name| {
+                let counter = self.counters.get_mut(&name)?;
+                Some((name, counter))
             })
         else {
             return total;
         };
-        let exact = EXACT * (total.abs() + count.inside.abs());
-        let missing = count.inside - total;
-        if missing <= exact {
-            (count.doubt, count.sound) = (None, (count.inside, count.perhaps));
-            count.highest = count.highest.max(total);
-            return total + count.lacking().max(0.0);
+        let tolerance = RELATIVE_TOLERANCE * (total.abs() + counter.confirmed.abs());
+        let missing = counter.confirmed - total;
+        if missing <= tolerance {
+            (counter.suspicion, counter.last_complete) = (None, (counter.confirmed, counter.possible));
+            counter.highest = counter.highest.max(total);
+            return total + counter.lacking().max(0.0);
         }
         // A total without even what this call has added is an old one, whatever it lacks.
-        if total + exact < amount {
-            return count.inside.max(total);
+        if total + tolerance < amount {
+            return counter.confirmed.max(total);
         }
         // One that is no less than any before: nothing has gone since, whatever others have taken off.
-        if total >= count.highest {
-            (count.highest, count.sound) = (total, (count.inside, count.perhaps));
-            return count.inside.max(total);
+        if total >= counter.highest {
+            (counter.highest, counter.last_complete) = (total, (counter.confirmed, counter.possible));
+            return counter.confirmed.max(total);
         }
-        let (perhaps, much) = (count.perhaps, total < LOST_PART * count.highest);
-        let doubt = count.doubt.get_or_insert(Doubt { began: now, missing, perhaps, much });
-        doubt.much |= much;
-        while self.doubts.front().is_some_and(|(at, _)| at + CONFIRMED < now) {
-            self.doubts.pop_front();
+        let (possible, is_large) = (counter.possible, total < RESET_FRACTION * counter.highest);
+        let suspicion =
+            counter.suspicion.get_or_insert(Suspicion { started_at: now, missing, possible, is_large });
+        suspicion.is_large |= is_large;
+        while self.recent_suspicions.front().is_some_and(|(at, _)| at + CONFIRMATION_TIME < now) {
+            self.recent_suspicions.pop_front();
         }
         // What may have come in since explains that less is missing.
-        let still = missing + (perhaps - doubt.perhaps) + exact >= doubt.missing;
-        let again = doubt.began < now || self.doubts.iter().any(|(_, other)| *other != name);
-        let much = doubt.much;
-        if much {
-            self.doubts.push_back((now, name));
+        let persists = missing + (possible - suspicion.possible) + tolerance >= suspicion.missing;
+        let is_confirmed =
+            suspicion.started_at < now || self.recent_suspicions.iter().any(|(_, other)| *other != name);
+        let is_large = suspicion.is_large;
+        if is_large {
+            self.recent_suspicions.push_back((now, name));
         }
-        if !(much && still && again) {
-            return count.inside.max(total);
+        if !(is_large && persists && is_confirmed) {
+            return counter.confirmed.max(total);
         }
         // All that was in it is gone but what was added, or perhaps was, since the last answer that had it; calls still
         // out have yet to be.
-        let (inside, perhaps) = count.sound;
-        (count.inside, count.perhaps) = (count.inside - inside, count.perhaps - perhaps);
-        (count.sound, count.doubt, count.highest) = ((count.inside, count.perhaps), None, total);
+        let (confirmed, possible) = counter.last_complete;
+        (counter.confirmed, counter.possible) = (counter.confirmed - confirmed, counter.possible - possible);
+        (counter.last_complete, counter.suspicion, counter.highest) =
+            ((counter.confirmed, counter.possible), None, total);
         self.health = CounterHealth::Reset;
-        total + count.lacking().max(0.0)
+        total + counter.lacking().max(0.0)
     }
 }
--- a/crates/shared-counter/src/pn_counter.rs
+++ b/crates/shared-counter/src/pn_counter.rs
@@ -40,22 +40,22 @@
         *self != before
     }
 
-    fn sound(&self) -> bool {
-        [self.increments, self.decrements].iter().all(|sum| (0.0..=LARGEST).contains(sum))
+    fn is_valid(&self) -> bool {
+        [self.increments, self.decrements].iter().all(|sum| (0.0..=MAX_SUM).contains(sum))
     }
 }
 
 /// Sums beyond this are nobody's: a counter takes no amount over a billion, and a name lives a minute.
-const LARGEST: f64 = 1e15;
+const MAX_SUM: f64 = 1e15;
 /// Instances that may have parts in one count. Each start of a gateway is one; more in a minute than this are no fleet.
-const MOST_PARTS: usize = 4_096;
+const MAX_CONTRIBUTORS: usize = 4_096;
 /// Bytes of a name, as of the counter.
 pub const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, Debug)]
-struct Count {
-    ends: Micros,
-    parts: BTreeMap<Instance, Contribution>,
+struct Counter {
+    expires_at: Micros,
+    contributions: BTreeMap<Instance, Contribution>,
 }
 
 /// A part that is another one now, by the name as it is kept.
@@ -69,67 +69,71 @@
 /// The counts that are known, up to a bound: at it, a new one is not taken, and nothing is known of it here.
 #[derive(Clone, Debug)]
 pub struct PnCounters {
-    counts: BTreeMap<Arc<str>, Count>,
+    counters: BTreeMap<Arc<str>, Counter>,
     /// Names by when they end.
-    ends: BTreeMap<(Micros, Arc<str>), ()>,
-    most: usize,
+    expirations: BTreeMap<(Micros, Arc<str>), ()>,
+    max_counters: usize,
 }
 
 impl PnCounters {
-    pub fn new(most: usize) -> Self {
-        PnCounters { counts: BTreeMap::new(), ends: BTreeMap::new(), most }
+    pub fn new(max_counters: usize) -> Self {
+        PnCounters { counters: BTreeMap::new(), expirations: BTreeMap::new(), max_counters }
     }
 
     pub fn len(&self) -> usize {
-        self.counts.len()
+        self.counters.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.counts.is_empty()
+        self.counters.is_empty()
     }
 
     /// Forgets what has ended.
     pub fn remove_expired(&mut self, now: Micros) {
-        while let Some(((ends, _), ())) = self.ends.first_key_value() {
-            if *ends > now {
+        while let Some(((expires_at, _), ())) = self.expirations.first_key_value() {
+            if *expires_at > now {
                 return;
             }
-            if let Some(((_, name), ())) = self.ends.pop_first() {
-                self.counts.remove(&name);
+            if let Some(((_, name), ())) = self.expirations.pop_first() {
+                self.counters.remove(&name);
             }
         }
     }
 
-    fn count(&mut self, now: Micros, name: &str, life: Micros) -> Option<(Arc<str>, &mut Count)> {
+    fn counter(&mut self, now: Micros, name: &str, lifetime: Micros) -> Option<(Arc<str>, &mut Counter)> {
         self.remove_expired(now);
-        if !self.counts.contains_key(name) {
-            if self.counts.len() >= self.most || name.len() > MAX_NAME_BYTES || name.is_empty() || life == 0 {
+        if !self.counters.contains_key(name) {
+            if self.counters.len() >= self.max_counters
+                || name.len() > MAX_NAME_BYTES
+                || name.is_empty()
+                || lifetime == 0
+            {
                 return None;
             }
-            let (name, ends): (Arc<str>, _) = (name.into(), now.saturating_add(life));
-            self.ends.insert((ends, name.clone()), ());
-            self.counts.insert(name, Count { ends, parts: BTreeMap::new() });
+            let (name, expires_at): (Arc<str>, _) = (name.into(), now.saturating_add(lifetime));
+            self.expirations.insert((expires_at, name.clone()), ());
+            self.counters.insert(name, Counter { expires_at, contributions: BTreeMap::new() });
         }
-        let known = self.counts.get_key_value(name).map(|(known, _)| known.clone())?;
-        self.counts.get_mut(name).map(|count| (known, count))
+        let known = self.counters.get_key_value(name).map(|(known, _)| known.clone())?;
+        self.counters.get_mut(name).map(|counter| (known, counter))
     }
 
     /// An instance adds an amount of its own; nothing happens at the bound.
     pub fn add(
         &mut self,
         now: Micros,
-        own: Instance,
+        instance: Instance,
         name: &str,
         amount: f64,
-        life: Micros,
+        lifetime: Micros,
     ) -> Option<Change> {
         if !amount.is_finite() {
             return None;
         }
-        let (name, count) = self.count(now, name, life)?;
-        let fresh = !count.parts.contains_key(&own);
-        count.parts.entry(own).or_default().add(amount);
-        Some(Change { name, is_new: fresh })
+        let (name, counter) = self.counter(now, name, lifetime)?;
+        let is_new = !counter.contributions.contains_key(&instance);
+        counter.contributions.entry(instance).or_default().add(amount);
+        Some(Change { name, is_new })
     }
 
     /// Merges what was told of an instance's part, and says what that changed, if anything.
@@ -137,52 +141,60 @@
         &mut self,
         now: Micros,
         name: &str,
-        of: Instance,
-        part: Contribution,
-        life: Micros,
+        instance: Instance,
+        contribution: Contribution,
+        lifetime: Micros,
     ) -> Option<Change> {
-        if !part.sound() {
+        if !contribution.is_valid() {
             return None;
         }
-        let (name, count) = self.count(now, name, life)?;
-        let fresh = !count.parts.contains_key(&of);
-        if count.parts.len() >= MOST_PARTS && fresh {
+        let (name, counter) = self.counter(now, name, lifetime)?;
+        let is_new = !counter.contributions.contains_key(&instance);
+        if counter.contributions.len() >= MAX_CONTRIBUTORS && is_new {
             return None;
         }
-        count.parts.entry(of).or_default().join(part).then_some(Change { name, is_new: fresh })
+        counter
+            .contributions
+            .entry(instance)
+            .or_default()
+            .join(contribution)
+            .then_some(Change { name, is_new })
     }
 
-    pub fn contribution(&self, name: &str, of: Instance) -> Option<Contribution> {
-        self.counts.get(name)?.parts.get(&of).copied()
+    pub fn contribution(&self, name: &str, instance: Instance) -> Option<Contribution> {
+        self.counters.get(name)?.contributions.get(&instance).copied()
     }
 
     /// The instances that have a part in a count.
     pub fn contributors(&self, name: &str) -> impl Iterator<Item = Instance> + '_ {
-        self.counts.get(name).into_iter().flat_map(|count| count.parts.keys().copied())
+        self.counters.get(name).into_iter().flat_map(|counter| counter.contributions.keys().copied())
     }
 
     /// The counts that an instance has a part in.
-    pub fn names_of_instance(&self, of: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
-        let its = self.counts.iter().filter(move |(_, count)| count.parts.contains_key(&of));
+    pub fn names_of_instance(&self, instance: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
+        let its =
+            self.counters.iter().filter(move |(_, counter)| counter.contributions.contains_key(&instance));
         its.map(|(name, _)| name.clone())
     }
 
     /// What all together have added, as far as is known here.
     pub fn total(&self, now: Micros, name: &str) -> Option<f64> {
-        let count = self.counts.get(name).filter(|count| count.ends > now)?;
-        Some(count.parts.values().map(Contribution::net).sum())
+        let counter = self.counters.get(name).filter(|counter| counter.expires_at > now)?;
+        Some(counter.contributions.values().map(Contribution::net).sum())
     }
 
     /// How long a name still lives.
     pub fn expires_in(&self, now: Micros, name: &str) -> Option<Micros> {
-        self.counts.get(name).map(|count| count.ends.saturating_sub(now))
+        self.counters.get(name).map(|counter| counter.expires_at.saturating_sub(now))
     }
 
     /// All parts of all counts, with the life that is left.
     pub fn entries(&self, now: Micros) -> impl Iterator<Item = (&Arc<str>, Micros, Instance, Contribution)> {
-        let live = self.counts.iter().filter(move |(_, count)| count.ends > now);
-        live.flat_map(move |(name, count)| {
-            count.parts.iter().map(move |(of, part)| (name, count.ends - now, *of, *part))
+        let live = self.counters.iter().filter(move |(_, counter)| counter.expires_at > now);
+        live.flat_map(move |(name, counter)| {
+            counter.contributions.iter().map(move |(instance, contribution)| {
+                (name, counter.expires_at - now, *instance, *contribution)
+            })
         })
     }
 }
--- a/crates/shared-counter/tests/recorded_run.rs
+++ b/crates/shared-counter/tests/recorded_run.rs
@@ -193,7 +193,7 @@
             let key = rng.gen_range(0..8);
             gateways[writer].publish(now, Observation { key, version: step, origin: writer as u64 });
             if rng.gen_bool(0.2) {
-                gateways[writer].hurry(now);
+                gateways[writer].schedule_round(now);
             }
         }
         for origin in 0..6u64 {
--- a/crates/subsetting/src/load_reports.rs
+++ b/crates/subsetting/src/load_reports.rs
@@ -130,7 +130,7 @@
         if !self.me.is_leaving {
             self.me.is_leaving = true;
             self.says(now);
-            self.words.hurry(now);
+            self.words.schedule_round(now);
             self.words.handle_timeout(now, live);
         }
     }
