--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,30 +1,46 @@
-//! One gateway's side of the wire: the settings read for it, and the actions it writes.
+//! The actions of one gateway, written as lines of the protocol; it performs and decides nothing.
 
 use std::cell::RefCell;
-use std::fmt::Write;
+use std::fmt::{Display, Write};
 use std::rc::Rc;
 
-use fernscale_policy::RejectReason;
-use fernscale_policy::{Host, Id, Micros};
+use fernscale_policy::{Host, Id, Micros, RejectReason};
 
-use crate::protocol::{base64_encode, milliseconds};
+use crate::base64;
+use crate::names::{action, field};
+use crate::protocol::milliseconds;
 
-/// What one instance and its host share: the time of the batch and the actions written so far.
+/// The receiver of a message to all gateways.
+const ALL_GATEWAYS: &str = "-1";
+
+/// What an instance shares with its host: the time of the batch, and the actions written so far.
 #[derive(Default)]
 pub struct ActionQueue {
+    /// The time of the batch.
     pub now: Micros,
+    /// Lines, each with its end.
     pub actions: String,
 }
 
+/// The host of one instance.
 pub struct ProtocolHost {
-    pub name: String,
-    pub queue: Rc<RefCell<ActionQueue>>,
+    name: String,
+    queue: Rc<RefCell<ActionQueue>>,
 }
 
 impl ProtocolHost {
-    fn write(&mut self, action: &str, rest: std::fmt::Arguments) {
+    /// A host for the gateway of this name.
+    pub fn new(name: &str, queue: &Rc<RefCell<ActionQueue>>) -> Self {
+        ProtocolHost { name: name.into(), queue: Rc::clone(queue) }
+    }
+
+    fn write(&mut self, action: &str, fields: &[(&str, &dyn Display)]) {
         let actions = &mut self.queue.borrow_mut().actions;
-        writeln!(actions, "{action} who={}{rest}", self.name).expect("a string takes all");
+        write!(actions, "{action} {}={}", field::GATEWAY, self.name).expect("a string takes all");
+        for (name, value) in fields {
+            write!(actions, " {name}={value}").expect("a string takes all");
+        }
+        actions.push('\n');
     }
 }
 
@@ -34,57 +50,61 @@
     }
 
     fn forward(&mut self, request: &Id, server: &Id, time_limit: Micros) {
-        self.write(
-            "issue",
-            format_args!(" tid={request} limitMs={} server={server}", milliseconds(time_limit)),
-        );
+        let time_limit = milliseconds(time_limit);
+        let fields: [(&str, &dyn Display); 3] =
+            [(field::REQUEST, request), (field::TIME_LIMIT, &time_limit), (field::SERVER, server)];
+        self.write(action::FORWARD, &fields);
     }
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        self.write("retract", format_args!(" tid={request} go={attempt}"));
+        self.write(action::CANCEL, &[(field::REQUEST, request), (field::ATTEMPT, &attempt)]);
     }
 
     fn reject(&mut self, request: &Id, retry_after: Micros, _reason: RejectReason) {
-        self.write("decline", format_args!(" tid={request} holdOffMs={}", milliseconds(retry_after)));
+        let retry_after = milliseconds(retry_after);
+        self.write(action::REJECT, &[(field::REQUEST, request), (field::RETRY_AFTER, &retry_after)]);
     }
 
     fn fail(&mut self, request: &Id, _reason: RejectReason) {
-        self.write("fail", format_args!(" tid={request}"));
+        self.write(action::FAIL, &[(field::REQUEST, request)]);
     }
 
     fn set_timer(&mut self, delay: Micros, token: &str) {
-        self.write("set_alarm", format_args!(" waitMs={} ctx={token}", milliseconds(delay)));
+        let delay = milliseconds(delay);
+        self.write(action::SET_TIMER, &[(field::DELAY, &delay), (field::TIMER_TOKEN, &token)]);
     }
 
     fn check_health(&mut self, server: &Id) {
-        self.write("health_check", format_args!(" server={server}"));
+        self.write(action::CHECK_HEALTH, &[(field::SERVER, server)]);
     }
 
     fn close_idle_connections(&mut self, server: &Id) {
-        self.write("drop_conns", format_args!(" server={server}"));
+        self.write(action::CLOSE_IDLE_CONNECTIONS, &[(field::SERVER, server)]);
     }
 
     fn update_counter(&mut self, key: &str, amount: f64, lifetime: Micros) {
-        self.write(
-            "post_amount",
-            format_args!(" name={key} amount={amount} livesMs={}", milliseconds(lifetime)),
-        );
+        let lifetime = milliseconds(lifetime);
+        let fields: [(&str, &dyn Display); 3] =
+            [(field::COUNTER_KEY, &key), (field::AMOUNT, &amount), (field::LIFETIME, &lifetime)];
+        self.write(action::UPDATE_COUNTER, &fields);
     }
 
     fn watch_endpoints(&mut self, on: bool) {
-        self.write("keep_informed", format_args!(" active={}", u8::from(on)));
+        self.write(action::WATCH_ENDPOINTS, &[(field::WATCHING, &u8::from(on))]);
     }
 
     fn poll_endpoints(&mut self) {
-        self.write("lookup", format_args!(""));
+        self.write(action::POLL_ENDPOINTS, &[]);
     }
 
     fn send_message(&mut self, gateway: Option<u32>, data: &[u8]) {
-        let to = gateway.map_or("-1".into(), |gateway| gateway.to_string());
-        self.write("signal", format_args!(" addressee={to} data={}", base64_encode(data)));
+        let receiver = gateway.map_or(ALL_GATEWAYS.into(), |gateway| gateway.to_string());
+        let data = base64::encode(data);
+        self.write(action::SEND_MESSAGE, &[(field::RECEIVER, &receiver), (field::DATA, &data)]);
     }
 
     fn log(&mut self, text: &str) {
-        self.write("emit", format_args!(" message={}", text.replace('\n', " ")));
+        let text = text.replace('\n', " ");
+        self.write(action::LOG, &[(field::MESSAGE, &text)]);
     }
 }
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,17 +1,18 @@
-//! The lines of the wire: splitting, numbers, names.
+//! Lines of the protocol: splitting, and the records that they carry. It keeps nothing from one line to the next.
 
 use std::collections::HashMap;
 
 use fernscale_policy::settings::{self, Fields};
-use fernscale_policy::{AttemptCompleted, Id, LoadReport, Micros, Outcome, Request};
+use fernscale_policy::{AttemptCompleted, Endpoint, EndpointState, Id, LoadReport, Micros, Outcome, Request};
 
-/// A parsed value, or what is wrong with it.
-pub type Parsed<T> = Result<T, String>;
+use crate::error::ProtocolError;
+use crate::names::field;
 
-/// One line: its name and its `name=value` parts.
+/// One line: its name and its `name=value` fields.
 pub struct Line<'a> {
+    /// What the line is, see [`crate::names::line`]; empty for an empty line.
     pub name: &'a str,
-    pub fields: HashMap<&'a str, &'a str>,
+    fields: HashMap<&'a str, &'a str>,
 }
 
 impl Fields for Line<'_> {
@@ -21,111 +22,118 @@
 }
 
 impl<'a> Line<'a> {
-    pub fn parse(text: &'a str) -> Parsed<Self> {
+    /// Splits a line.
+    ///
+    /// # Errors
+    ///
+    /// [`ProtocolError::NoValue`] where a field has no `=`.
+    pub fn parse(text: &'a str) -> Result<Self, ProtocolError> {
         let mut parts = text.split(' ');
         let name = parts.next().unwrap_or_default();
         let mut fields = HashMap::new();
         for part in parts.filter(|part| !part.is_empty()) {
-            let (key, value) = part.split_once('=').ok_or_else(|| format!("no '=' in '{part}'"))?;
+            let Some((key, value)) = part.split_once('=') else {
+                return Err(ProtocolError::NoValue { found: part.into() });
+            };
             fields.insert(key, value);
         }
         Ok(Line { name, fields })
     }
 
-    pub fn id(&self, key: &str) -> Parsed<Id> {
+    /// The name of the gateway that the line is about.
+    pub fn gateway(&self) -> Result<&str, ProtocolError> {
+        Ok(self.text(field::GATEWAY)?)
+    }
+
+    /// An identifier that has to be there.
+    pub fn id(&self, key: &str) -> Result<Id, ProtocolError> {
         Ok(Id::from(self.text(key)?))
     }
 
-    pub fn outcome(&self) -> Parsed<Outcome> {
-        Ok(match self.text("rc")? {
-            "S" => Outcome::Ok,
-            "E" => Outcome::Error,
-            "F" => Outcome::Overloaded,
-            "T" => Outcome::TimedOut,
-            "C" => Outcome::NotConnected,
-            "R" => Outcome::Reset,
-            "X" => Outcome::Cancelled,
-            "N" => Outcome::NeverSent,
-            other => return Err(format!("'rc={other}' is no outcome")),
-        })
+    /// An index or a number, from 0.
+    pub fn index(&self, key: &str) -> Result<usize, ProtocolError> {
+        Ok(self.whole(key)? as usize)
     }
 
-    pub fn load(&self, names: &[String]) -> Parsed<LoadReport> {
+    /// How a call ended.
+    pub fn outcome(&self) -> Result<Outcome, ProtocolError> {
+        match self.text(field::OUTCOME)? {
+            "S" => Ok(Outcome::Ok),           // success
+            "E" => Ok(Outcome::Error),        // error
+            "F" => Ok(Outcome::Overloaded),   // full
+            "T" => Ok(Outcome::TimedOut),     // timed out
+            "C" => Ok(Outcome::NotConnected), // not connected
+            "R" => Ok(Outcome::Reset),        // reset
+            "X" => Ok(Outcome::Cancelled),    // cancelled
+            "N" => Ok(Outcome::NeverSent),    // never sent
+            other => Err(ProtocolError::UnknownOutcome { found: other.into() }),
+        }
+    }
+
+    /// A server's load report, whose values have these names; empty where the line has none.
+    pub fn load(&self, names: &[String]) -> Result<LoadReport, ProtocolError> {
         let mut load = LoadReport::default();
-        let Some(text) = self.fields.get("serverStats") else { return Ok(load) };
+        let Some(text) = self.field(field::LOAD) else { return Ok(load) };
         for (name, value) in names.iter().zip(text.split(',')) {
             settings::parse_load_field(&mut load, name, value)?;
         }
         Ok(load)
     }
 
-    pub fn request(&self) -> Parsed<Request> {
+    /// A client's request.
+    pub fn request(&self) -> Result<Request, ProtocolError> {
         Ok(Request {
-            id: self.id("tid")?,
-            class: self.whole("service")? as usize,
-            plan: self.whole_or("contract", 0)? as usize,
-            tenant: self.id("caller").unwrap_or_else(|_| Id::from("")),
-            units: self.number_or("weight", 1.0)?,
-            first_gateway: self.whole_or("fromNo", 0)? as u32,
-            gateway_spread: self.whole_or("doors", 1)? as u32,
-            time_left: self.time("ttlMs")?,
+            id: self.id(field::REQUEST)?,
+            class: self.index(field::CLASS)?,
+            plan: self.whole_or(field::PLAN, 0)? as usize,
+            tenant: Id::from(self.field(field::TENANT).unwrap_or_default()),
+            units: self.number_or(field::UNITS, 1.0)?,
+            first_gateway: self.whole_or(field::FIRST_GATEWAY, 0)? as u32,
+            gateway_spread: self.whole_or(field::GATEWAY_SPREAD, 1)? as u32,
+            time_left: self.time(field::TIME_LEFT)?,
         })
     }
 
-    pub fn attempt_completed(&self, names: &[String]) -> Parsed<AttemptCompleted> {
+    /// The end of an attempt; `load_fields` are the names of the load report's values.
+    pub fn attempt_completed(&self, load_fields: &[String]) -> Result<AttemptCompleted, ProtocolError> {
         Ok(AttemptCompleted {
-            request: self.id("tid")?,
-            attempt: self.whole("go")? as usize,
-            server: self.id("server")?,
+            request: self.id(field::REQUEST)?,
+            attempt: self.index(field::ATTEMPT)?,
+            server: self.id(field::SERVER)?,
             outcome: self.outcome()?,
-            elapsed: self.time_or("delaySeenMs", 0)?,
-            is_final: self.flag("doneFlag")?,
-            units: self.maybe("cost")?.filter(|units| *units > 0.0),
-            load: self.load(names)?,
+            elapsed: self.time_or(field::ELAPSED, 0)?,
+            is_final: self.flag(field::IS_FINAL)?,
+            units: self.maybe(field::ACTUAL_UNITS)?.filter(|units| *units > 0.0),
+            load: self.load(load_fields)?,
         })
     }
-}
 
-/// Microseconds as the wire writes them: milliseconds with their fraction.
-pub fn milliseconds(time: Micros) -> String {
-    format!("{}.{:03}", time / 1000, time % 1000)
-}
-
-pub fn base64_encode(data: &[u8]) -> String {
-    const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-    if data.is_empty() {
-        return "-".into();
+    /// An entry of an endpoint list.
+    pub fn endpoint(&self) -> Result<Endpoint, ProtocolError> {
+        let started_at = Some(self.time_or(field::STARTED_AT, 0)?).filter(|at| *at > 0);
+        Ok(Endpoint {
+            server: self.id(field::SERVER)?,
+            zone: self.whole_or(field::ZONE, 0)? as u32,
+            hardware_type: self.whole_or(field::HARDWARE_TYPE, 0)? as u32,
+            cell: self.whole_or(field::CELL, 0)? as u32,
+            state: self.endpoint_state()?,
+            weight: self.number_or(field::ENDPOINT_WEIGHT, 1.0)?,
+            started_at,
+            listed_start: started_at,
+        })
     }
-    let mut text = String::new();
-    for chunk in data.chunks(3) {
-        let bits =
-            chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * (3 - chunk.len()));
-        for position in 0..4 {
-            let digit = DIGITS[(bits >> (18 - 6 * position)) as usize & 63];
-            text.push(if position <= chunk.len() { char::from(digit) } else { '=' });
+
+    fn endpoint_state(&self) -> Result<EndpointState, ProtocolError> {
+        match self.text(field::ENDPOINT_STATE)? {
+            "in_service" => Ok(EndpointState::Ready),
+            "terminating" => Ok(EndpointState::Draining),
+            "terminated" => Ok(EndpointState::Removed),
+            other => Err(ProtocolError::UnknownEndpointState { found: other.into() }),
         }
     }
-    text
 }
 
-pub fn base64_decode(text: &str) -> Parsed<Vec<u8>> {
-    let mut data = Vec::new();
-    let (mut bits, mut bit_count) = (0u32, 0);
-    for byte in text.trim_end_matches('=').bytes().filter(|_| text != "-") {
-        let digit = match byte {
-            b'A'..=b'Z' => byte - b'A',
-            b'a'..=b'z' => byte - b'a' + 26,
-            b'0'..=b'9' => byte - b'0' + 52,
-            b'+' => 62,
-            b'/' => 63,
-            _ => return Err(format!("'{text}' is not base64")),
-        };
-        bits = bits << 6 | u32::from(digit);
-        bit_count += 6;
-        if bit_count >= 8 {
-            bit_count -= 8;
-            data.push((bits >> bit_count) as u8);
-        }
-    }
-    Ok(data)
+/// A time as the protocol writes it: milliseconds with three decimals.
+pub fn milliseconds(time: Micros) -> String {
+    format!("{}.{:03}", time / 1000, time % 1000)
 }
