--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host that writes down what the module does, and short ways to tell the module what happened.
+//! A host that records the actions of an engine, and a fixture that reports events to it.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -11,67 +11,67 @@
 pub const MS: Micros = 1_000;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
-    Send(Id, Id, Micros),
+pub enum Action {
+    Forward(Id, Id, Micros),
     Cancel(Id, usize),
-    Nack(Id, Micros),
-    Abandon(Id),
-    Alarm(Micros, String),
-    Add(String, f64),
-    Follow(bool),
+    Reject(Id, Micros),
+    Fail(Id),
+    SetTimer(Micros, String),
+    UpdateCounter(String, f64),
+    WatchEndpoints(bool),
 }
 
 #[derive(Default)]
-pub struct Desk {
+pub struct Recording {
     pub now: Micros,
-    pub did: Vec<Did>,
-    /// Why each transaction that was given up was.
+    pub actions: Vec<Action>,
+    /// The reason of each request that was rejected or failed.
     pub refused: Vec<(Id, RejectReason)>,
-    /// Alarms that have not rung yet, but for the look that a bed has every ten milliseconds.
-    pub alarms: Vec<(Micros, String)>,
+    /// Timers that have not fired yet, but for the wakeup that a fixture has every ten milliseconds.
+    pub timers: Vec<(Micros, String)>,
 }
 
 #[derive(Clone, Default)]
-pub struct Notes(pub Rc<RefCell<Desk>>);
+pub struct RecordingHost(pub Rc<RefCell<Recording>>);
 
-impl Notes {
-    fn note(&self, did: Did) {
-        self.0.borrow_mut().did.push(did);
+impl RecordingHost {
+    fn record(&self, action: Action) {
+        self.0.borrow_mut().actions.push(action);
     }
 }
 
-impl Host for Notes {
+impl Host for RecordingHost {
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
-    fn forward(&mut self, transaction: &Id, server: &Id, limit: Micros) {
-        self.note(Did::Send(transaction.clone(), server.clone(), limit));
+    fn forward(&mut self, request_id: &Id, server: &Id, limit: Micros) {
+        self.record(Action::Forward(request_id.clone(), server.clone(), limit));
     }
-    fn cancel(&mut self, transaction: &Id, trip: usize) {
-        self.note(Did::Cancel(transaction.clone(), trip));
+    fn cancel(&mut self, request_id: &Id, attempt: usize) {
+        self.record(Action::Cancel(request_id.clone(), attempt));
     }
-    fn reject(&mut self, transaction: &Id, wait: Micros, why: RejectReason) {
-        self.0.borrow_mut().refused.push((transaction.clone(), why));
-        self.note(Did::Nack(transaction.clone(), wait));
+    fn reject(&mut self, request_id: &Id, wait: Micros, why: RejectReason) {
+        self.0.borrow_mut().refused.push((request_id.clone(), why));
+        self.record(Action::Reject(request_id.clone(), wait));
     }
-    fn fail(&mut self, transaction: &Id, why: RejectReason) {
-        self.0.borrow_mut().refused.push((transaction.clone(), why));
-        self.note(Did::Abandon(transaction.clone()));
+    fn fail(&mut self, request_id: &Id, why: RejectReason) {
+        self.0.borrow_mut().refused.push((request_id.clone(), why));
+        self.record(Action::Fail(request_id.clone()));
     }
     fn set_timer(&mut self, delay: Micros, token: &str) {
-        self.note(Did::Alarm(delay, token.into()));
+        self.record(Action::SetTimer(delay, token.into()));
         if token != "look" {
             let at = self.now() + delay;
-            self.0.borrow_mut().alarms.push((at, token.into()));
+            self.0.borrow_mut().timers.push((at, token.into()));
         }
     }
     fn check_health(&mut self, _server: &Id) {}
     fn close_idle_connections(&mut self, _server: &Id) {}
     fn update_counter(&mut self, count: &str, amount: f64, _life: Micros) {
-        self.note(Did::Add(count.into(), amount));
+        self.record(Action::UpdateCounter(count.into(), amount));
     }
     fn watch_endpoints(&mut self, on: bool) {
-        self.note(Did::Follow(on));
+        self.record(Action::WatchEndpoints(on));
     }
     fn poll_endpoints(&mut self) {}
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {}
@@ -79,9 +79,9 @@
 }
 
 /// One gateway under test.
-pub struct Bed {
-    pub notes: Notes,
-    pub gateway: Engine<Notes>,
+pub struct Fixture {
+    pub host: RecordingHost,
+    pub gateway: Engine<RecordingHost>,
     pub asked: usize,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// A plan with room for all.
+/// A plan that admits all.
 pub fn wide() -> Plan {
     Plan { rate: 1e6, burst: 1e6, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() }
 }
@@ -130,59 +130,59 @@
     }
 }
 
-impl Bed {
+impl Fixture {
     /// A gateway, at a time of one hour, with so many warm servers: s0, s1, ...; even ones in zone 0.
     pub fn new(settings: Settings, servers: usize) -> Self {
-        let notes = Notes::default();
-        notes.0.borrow_mut().now = 3_600_000 * MS;
-        let gateway = Engine::new(settings, notes.clone());
-        let mut bed = Bed { notes, gateway, asked: 0 };
+        let host = RecordingHost::default();
+        host.0.borrow_mut().now = 3_600_000 * MS;
+        let gateway = Engine::new(settings, host.clone());
+        let mut fixture = Fixture { host, gateway, asked: 0 };
         let list: Vec<Endpoint> = (0..servers)
             .map(|at| listed(&format!("s{at}"), at as u32 % 2, EndpointState::Ready, None))
             .collect();
-        bed.gateway.endpoints_updated(true, &list);
-        bed.did();
-        bed
+        fixture.gateway.endpoints_updated(true, &list);
+        fixture.take_actions();
+        fixture
     }
 
     pub fn now(&self) -> Micros {
-        self.notes.now()
+        self.host.now()
     }
 
-    /// What was done since last asked, but for the alarms that were set.
-    pub fn did(&self) -> Vec<Did> {
-        let did = std::mem::take(&mut self.notes.0.borrow_mut().did);
-        did.into_iter().filter(|did| !matches!(did, Did::Alarm(..))).collect()
+    /// Takes the actions since they were last taken, but for timers.
+    pub fn take_actions(&self) -> Vec<Action> {
+        let actions = std::mem::take(&mut self.host.0.borrow_mut().actions);
+        actions.into_iter().filter(|actions| !matches!(actions, Action::SetTimer(..))).collect()
     }
 
-    /// Lets time pass, with the alarm once in a while, as the module asked for it.
+    /// Lets time pass, with a wakeup every ten milliseconds and timers when they are due.
     pub fn pass(&mut self, time: Micros) {
         let end = self.now() + time;
         while self.now() < end {
             let next = end.min(self.now() + 10 * MS);
-            self.notes.0.borrow_mut().now = next;
-            let mut alarms = std::mem::take(&mut self.notes.0.borrow_mut().alarms);
-            alarms.retain(|(at, token)| {
+            self.host.0.borrow_mut().now = next;
+            let mut timers = std::mem::take(&mut self.host.0.borrow_mut().timers);
+            timers.retain(|(at, token)| {
                 let due = *at <= next;
                 if due {
                     self.gateway.timer_fired(token);
                 }
                 !due
             });
-            self.notes.0.borrow_mut().alarms.extend(alarms);
+            self.host.0.borrow_mut().timers.extend(timers);
             self.gateway.timer_fired("look");
         }
     }
 
-    /// A new transaction of the customer through gateways 0 and 1; its id.
-    pub fn ask(&mut self, customer: &str, left: Micros) -> Id {
+    /// A new request of the tenant, whose requests come through gateways 0 and 1; its id.
+    pub fn request(&mut self, tenant: &str, left: Micros) -> Id {
         self.asked += 1;
         let asked = id(format!("t{}", self.asked));
         self.gateway.request_received(Request {
             id: asked.clone(),
             class: 0,
             plan: 0,
-            tenant: id(customer),
+            tenant: id(tenant),
             units: 1.0,
             first_gateway: 0,
             gateway_spread: 2,
@@ -191,10 +191,10 @@
         asked
     }
 
-    pub fn end(&mut self, transaction: &Id, trip: usize, server: &Id, outcome: Outcome, took: Micros) {
+    pub fn end(&mut self, request_id: &Id, attempt: usize, server: &Id, outcome: Outcome, took: Micros) {
         self.gateway.attempt_completed(AttemptCompleted {
-            request: transaction.clone(),
-            attempt: trip,
+            request: request_id.clone(),
+            attempt,
             server: server.clone(),
             outcome,
             elapsed: took,
@@ -205,11 +205,12 @@
     }
 }
 
-/// The sends among what was done: transaction and server.
-pub fn sends(did: &[Did]) -> Vec<(Id, Id)> {
-    did.iter()
-        .filter_map(|did| match did {
-            Did::Send(transaction, server, _) => Some((transaction.clone(), server.clone())),
+/// The forwards among some actions: request and server.
+pub fn sends(actions: &[Action]) -> Vec<(Id, Id)> {
+    actions
+        .iter()
+        .filter_map(|actions| match actions {
+            Action::Forward(request_id, server, _) => Some((request_id.clone(), server.clone())),
             _ => None,
         })
         .collect()
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { customer: u8, left: u16 },
+    Ask { tenant: u8, left: u16 },
     End { which: u8, outcome: u8, took: u16 },
     Drop(u8),
     Pass(u16),
@@ -24,7 +24,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let byte = u8::arbitrary(g);
         match byte % 32 {
-            0..=11 => Step::Ask { customer: u8::arbitrary(g) % 3, left: u16::arbitrary(g) % 3_000 },
+            0..=11 => Step::Ask { tenant: u8::arbitrary(g) % 3, left: u16::arbitrary(g) % 3_000 },
             12..=21 => {
                 Step::End { which: u8::arbitrary(g), outcome: u8::arbitrary(g), took: u16::arbitrary(g) }
             }
@@ -51,7 +51,7 @@
 
 #[derive(Default)]
 struct Asked {
-    customer: u8,
+    tenant: u8,
     stop: Micros,
     trips: Vec<Trip>,
     answers: u32,
@@ -72,19 +72,19 @@
 }
 
 impl Model {
-    fn check(&mut self, did: &[Did]) -> Result<(), String> {
-        for did in did {
-            match did {
-                Did::Send(id, server, _) => self.sent(id, server)?,
-                Did::Nack(id, _) => self.answered(id, true)?,
-                Did::Abandon(id) => self.answered(id, false)?,
-                Did::Cancel(id, trip) => {
+    fn check(&mut self, actions: &[Action]) -> Result<(), String> {
+        for actions in actions {
+            match actions {
+                Action::Forward(id, server, _) => self.sent(id, server)?,
+                Action::Reject(id, _) => self.answered(id, true)?,
+                Action::Fail(id) => self.answered(id, false)?,
+                Action::Cancel(id, attempt) => {
                     let asked = self.asked.get_mut(id).ok_or("cancels what it was never given")?;
-                    asked.trips.get(*trip).ok_or("cancels a trip that was never made")?;
-                    asked.cancelled.push(*trip);
+                    asked.trips.get(*attempt).ok_or("cancels a trip that was never made")?;
+                    asked.cancelled.push(*attempt);
                 }
-                Did::Add(name, _) => self.counts.push(name.clone()),
-                Did::Alarm(..) | Did::Follow(_) => {}
+                Action::UpdateCounter(name, _) => self.counts.push(name.clone()),
+                Action::SetTimer(..) | Action::WatchEndpoints(_) => {}
             }
         }
         Ok(())
@@ -102,14 +102,15 @@
         if !ready {
             return Err("rule 3: sent to a server that drains or is gone".into());
         }
-        if asked.trips.iter().any(|trip| trip.live) {
+        if asked.trips.iter().any(|attempt| attempt.live) {
             return Err("rule 2: two trips out at once".into());
         }
-        for trip in asked.trips.iter().filter(|trip| trip.ran) {
+        for attempt in asked.trips.iter().filter(|attempt| attempt.ran) {
             match self.kind {
                 Idempotency::Idempotent => {}
                 Idempotency::Keyed { scope: group, retention: memory } => {
-                    if (group == KeyScope::Zone && trip.zone != zone) || self.now >= trip.sent + memory {
+                    if (group == KeyScope::Zone && attempt.zone != zone) || self.now >= attempt.sent + memory
+                    {
                         return Err("rule 2: repeat outside the group or its memory".into());
                     }
                 }
@@ -117,7 +118,7 @@
             }
         }
         if asked.trips.is_empty() {
-            self.firsts.entry(asked.customer).or_default().push(self.now);
+            self.firsts.entry(asked.tenant).or_default().push(self.now);
         }
         asked.trips.push(Trip { server: server.clone(), zone, sent: self.now, live: true, ran: true });
         Ok(())
@@ -129,7 +130,7 @@
         if asked.answers > 1 {
             return Err("rule 1: answered twice".into());
         }
-        let ran = asked.trips.iter().any(|trip| trip.ran);
+        let ran = asked.trips.iter().any(|attempt| attempt.ran);
         let harmless =
             matches!(self.kind, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. });
         if nack && ran && !harmless {
@@ -177,25 +178,25 @@
     let ceiling = Ceiling { rate: 20.0, burst: 8.0 };
     let plan =
         Plan { rate: 60.0, burst: 60.0, priority_factor: 1.0, ceiling: Some(ceiling), ..Plan::default() };
-    let mut bed = Bed::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
+    let mut fixture = Fixture::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
     let servers = (0..6).map(|at| (id(format!("s{at}")), (at as u32 % 2, true))).collect();
     let mut model = Model {
         kind,
-        now: bed.now(),
+        now: fixture.now(),
         asked: BTreeMap::new(),
         servers,
         firsts: BTreeMap::new(),
         counts: Vec::new(),
     };
     for step in steps {
-        model.now = bed.now();
+        model.now = fixture.now();
         match step {
-            Step::Ask { customer, left } => {
+            Step::Ask { tenant, left } => {
                 let left = Micros::from(*left) * MS + MS;
                 let next = id(format!("t{}", model.asked.len() + 1));
-                let asked = Asked { customer: *customer, stop: model.now + left, ..Asked::default() };
+                let asked = Asked { tenant: *tenant, stop: model.now + left, ..Asked::default() };
                 model.asked.insert(next.clone(), asked);
-                let given = bed.ask(&format!("c{customer}"), left);
+                let given = fixture.request(&format!("c{tenant}"), left);
                 assert_eq!(given, next);
             }
             Step::End { which, outcome, took } => {
@@ -203,8 +204,8 @@
                     .asked
                     .iter()
                     .flat_map(|(id, asked)| {
-                        let live = asked.trips.iter().enumerate().filter(|(_, trip)| trip.live);
-                        live.map(|(at, trip)| (id.clone(), at, trip.server.clone()))
+                        let live = asked.trips.iter().enumerate().filter(|(_, attempt)| attempt.live);
+                        live.map(|(at, attempt)| (id.clone(), at, attempt.server.clone()))
                     })
                     .collect();
                 let Some((id, at, server)) = out.get(usize::from(*which) % out.len().max(1)).cloned() else {
@@ -220,20 +221,20 @@
                 asked.trips[at].live = false;
                 asked.trips[at].ran = !outcome.never_ran();
                 asked.answers += u32::from(outcome == Outcome::Ok && asked.answers == 0);
-                bed.end(&id, at, &server, outcome, Micros::from(*took) * 20);
+                fixture.end(&id, at, &server, outcome, Micros::from(*took) * 20);
             }
             Step::Drop(which) => {
                 let ids: Vec<Id> = model.asked.keys().cloned().collect();
                 let Some(id) = ids.get(usize::from(*which) % ids.len().max(1)) else { continue };
                 let asked = model.asked.get_mut(id).unwrap();
                 (asked.answers, asked.left) = (1, true);
-                bed.gateway.client_disconnected(id);
+                fixture.gateway.client_disconnected(id);
             }
             Step::Pass(time) => {
                 for _ in 0..time / 10 {
-                    bed.pass(10 * MS);
-                    model.now = bed.now();
-                    model.check(&bed.did())?;
+                    fixture.pass(10 * MS);
+                    model.now = fixture.now();
+                    model.check(&fixture.take_actions())?;
                     model.overdue()?;
                 }
             }
@@ -247,24 +248,26 @@
                 let name = format!("s{server}");
                 let started = Some(model.now).filter(|_| *fresh);
                 model.servers.insert(id(&name), (u32::from(*server) % 2, state == EndpointState::Ready));
-                bed.gateway
+                fixture
+                    .gateway
                     .endpoints_updated(false, &[listed(&name, u32::from(*server) % 2, state, started)]);
             }
             Step::Count { outcome, total } => {
                 if let Some(name) = model.counts.pop() {
                     let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Overloaded, Outcome::TimedOut]
                         [usize::from(*outcome) % 4];
-                    bed.gateway.counter_replied(&name, outcome, f64::from(*total), MS);
+                    fixture.gateway.counter_replied(&name, outcome, f64::from(*total), MS);
                 }
             }
             Step::Restart => {
                 let asked = model.asked.len();
-                let now = bed.now();
-                bed = Bed::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
-                bed.notes.0.borrow_mut().now = now;
-                bed.gateway = fernscale_policy::Engine::new(
+                let now = fixture.now();
+                fixture =
+                    Fixture::new(Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) }, 6);
+                fixture.host.0.borrow_mut().now = now;
+                fixture.gateway = fernscale_policy::Engine::new(
                     Settings { can_cancel: may_cancel, ..settings(kind, plan.clone()) },
-                    bed.notes.clone(),
+                    fixture.host.clone(),
                 );
                 let entries: Vec<Endpoint> = model
                     .servers
@@ -278,8 +281,8 @@
                         )
                     })
                     .collect();
-                bed.gateway.endpoints_updated(true, &entries);
-                bed.asked = asked;
+                fixture.gateway.endpoints_updated(true, &entries);
+                fixture.asked = asked;
                 for asked in model.asked.values_mut() {
                     asked.answers = 1;
                     asked.trips.clear();
@@ -287,12 +290,12 @@
                 model.counts.clear();
             }
         }
-        model.check(&bed.did())?;
+        model.check(&fixture.take_actions())?;
     }
     for _ in 0..400 {
-        bed.pass(10 * MS);
-        model.now = bed.now();
-        model.check(&bed.did())?;
+        fixture.pass(10 * MS);
+        model.now = fixture.now();
+        model.check(&fixture.take_actions())?;
         model.overdue()?;
     }
     model.ceilings(ceiling)
@@ -309,21 +312,21 @@
 }
 
 #[test]
-fn redoable() {
+fn idempotent_requests_keep_the_rules() {
     agree(|steps| judge(Idempotency::Idempotent, &steps));
 }
 
 #[test]
-fn labelled_for_all() {
+fn requests_keyed_for_all_servers_keep_the_rules() {
     agree(|steps| judge(Idempotency::Keyed { scope: KeyScope::All, retention: 700 * MS }, &steps));
 }
 
 #[test]
-fn labelled_for_a_zone() {
+fn requests_keyed_for_a_zone_keep_the_rules() {
     agree(|steps| judge(Idempotency::Keyed { scope: KeyScope::Zone, retention: 700 * MS }, &steps));
 }
 
 #[test]
-fn irreversible() {
+fn non_idempotent_requests_keep_the_rules() {
     agree(|steps| judge(Idempotency::NonIdempotent, &steps));
 }
