--- a/crates/gateway/src/operator/metrics.rs
+++ b/crates/gateway/src/operator/metrics.rs
@@ -7,26 +7,26 @@
 
 /// How a transaction was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Result {
-    Settled,
-    Nacked,
+pub enum ResponseResult {
+    Completed,
+    Rejected,
     Failed,
 }
 
-impl Result {
+impl ResponseResult {
     pub fn of(answer: &FinalAnswer) -> Self {
         match answer {
-            FinalAnswer::Completed(_) => Result::Settled,
-            FinalAnswer::Rejected(_) => Result::Nacked,
-            FinalAnswer::Failed | FinalAnswer::Malformed(_) => Result::Failed,
+            FinalAnswer::Completed(_) => ResponseResult::Completed,
+            FinalAnswer::Rejected(_) => ResponseResult::Rejected,
+            FinalAnswer::Failed | FinalAnswer::Malformed(_) => ResponseResult::Failed,
         }
     }
 }
 
 /// Counts from the start of this process.
 pub struct Metrics {
-    lanes: Box<[(String, [Cell<u64>; 3])]>,
-    tries: Cell<u64>,
+    classes: Box<[(String, [Cell<u64>; 3])]>,
+    attempts: Cell<u64>,
 }
 
 /// The servers as the module's actor sees them at this moment.
@@ -37,22 +37,22 @@
 }
 
 impl Metrics {
-    pub fn new(lanes: &[String]) -> Self {
-        let lanes = lanes.iter().map(|lane| (lane.clone(), Default::default())).collect();
-        Metrics { lanes, tries: Cell::new(0) }
+    pub fn new(classes: &[String]) -> Self {
+        let classes = classes.iter().map(|class| (class.clone(), Default::default())).collect();
+        Metrics { classes, attempts: Cell::new(0) }
     }
 
     /// The last byte of an answer has been written to the client.
-    pub fn answered(&self, lane: usize, result: Result) {
-        if let Some((_, results)) = self.lanes.get(lane) {
+    pub fn request_answered(&self, class: usize, result: ResponseResult) {
+        if let Some((_, results)) = self.classes.get(class) {
             let count = &results[result as usize];
             count.set(count.get() + 1);
         }
     }
 
     /// The last byte of a trip's command has been written to a server.
-    pub fn tried(&self) {
-        self.tries.set(self.tries.get() + 1);
+    pub fn attempt_forwarded(&self) {
+        self.attempts.set(self.attempts.get() + 1);
     }
 
     /// All figures, a line each.
@@ -61,12 +61,12 @@
         let mut line = |name: std::fmt::Arguments, value: u64, kind: char| {
             let _ = writeln!(text, "gateway.{name}:{value}|{kind}");
         };
-        for (lane, results) in &self.lanes {
+        for (class, results) in &self.classes {
             for (name, count) in ["ok", "shed", "errors"].iter().zip(results) {
-                line(format_args!("responses.{lane}.{name}"), count.get(), 'c');
+                line(format_args!("responses.{class}.{name}"), count.get(), 'c');
             }
         }
-        line(format_args!("tries"), self.tries.get(), 'c');
+        line(format_args!("tries"), self.attempts.get(), 'c');
         line(format_args!("active"), active as u64, 'g');
         line(format_args!("pool_size"), pool.size as u64, 'g');
         line(format_args!("pool_ejected"), pool.avoided as u64, 'g');
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -132,7 +132,7 @@
             .await
             .map_err(AttemptFailure::unsent)?;
         if call.is_some() {
-            self.shared.metrics.tried();
+            self.shared.metrics.attempt_forwarded();
         }
         let received = connection.message(|bytes| scan(bytes, false), until, self.message_timeout()).await;
         match received {
