--- /dev/null
+++ b/crates/gateway/src/downstream/commands.rs
@@ -0,0 +1,147 @@
+//! What a connection task does with the commands that have come: requests go to the dispatcher, the others are answered here.
+
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use futures_lite::future;
+use slog::debug;
+
+use super::connection_task::ConnectionTask;
+use super::idle::IdleState;
+use super::pipeline::{Counted, OpenRequest};
+use super::{PROTOCOL_ERROR_INTERVAL, STILL_COMING};
+use crate::operator::metrics::ResponseResult;
+use crate::protocol::call::{self, Call, Command, FinalAnswer};
+use crate::protocol::resp;
+use crate::rejection::EarlyRejection;
+use crate::shared::{Event, ReceivedRequest, ReplyHandle, Reservations};
+use crate::transport::ending::ConnectionEnd;
+
+/// Invalid commands of one connection, beyond which it ends: each costs as much as a valid one.
+const MAX_INVALID_COMMANDS: u32 = 16;
+/// How long an error about a command is delayed at most.
+const MAX_PROTOCOL_ERROR_DELAY: Duration = Duration::from_secs(1);
+
+impl ConnectionTask {
+    /// Handles the commands that have come complete, as many as the pipeline takes.
+    pub(super) async fn handle_commands(&mut self) -> Result<(), ConnectionEnd> {
+        while !self.pipeline.is_full() && !self.is_ending {
+            let scanned = match resp::command(self.connection.buffer.filled()) {
+                Ok(None) => return Ok(()),
+                Ok(Some((words, length))) => {
+                    Ok((call::command(&words, &self.context.shared.platform), length))
+                }
+                Err(why) => Err(why),
+            };
+            match scanned {
+                Ok((command, length)) => {
+                    self.connection.buffer.consume(length);
+                    self.handle_command(command).await?;
+                }
+                Err(why) => self.fail_protocol(why).await?,
+            }
+        }
+        Ok(())
+    }
+
+    async fn handle_command(&mut self, command: Result<Command, String>) -> Result<(), ConnectionEnd> {
+        match command {
+            Ok(Command::Call(call)) => self.handle_call(call).await,
+            Ok(Command::Ping) => self.pipeline.push_ready(self.ping_response(), None),
+            Ok(Command::Courtesy) => self.pipeline.push_ready(b"+OK\r\n".to_vec(), None),
+            Err(why) => self.handle_invalid(&why).await?,
+        }
+        Ok(())
+    }
+
+    fn ping_response(&self) -> Vec<u8> {
+        let shared = &self.context.shared;
+        if shared.ready.get() && shared.shutting_down_since.get().is_none() {
+            b"+PONG\r\n".to_vec()
+        } else {
+            call::error("not able to serve")
+        }
+    }
+
+    /// Hands a request to the dispatcher, or rejects it: then nothing has been done with it, so that the client may retry it.
+    async fn handle_call(&mut self, call: Call) {
+        let shared = &self.context.shared;
+        let class = call.request.class;
+        let places = match self.reserve(&call) {
+            Ok(places) => places,
+            Err(rejection) => {
+                rejection.record(&shared.log, Some(&call.request.id));
+                let response = FinalAnswer::Rejected(shared.platform.max_retry_after).write();
+                let counted = Counted { class, result: ResponseResult::Rejected };
+                return self.pipeline.push_ready(response, Some(counted));
+            }
+        };
+        let ticket = shared.next_ticket.get();
+        shared.next_ticket.set(ticket + 1);
+        let id = call.request.id.clone();
+        let open = OpenRequest { id, ticket, client_gone: call.client_gone.clone() };
+        let number = self.pipeline.push_open(open, class);
+        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places };
+        let received = ReceivedRequest { call, reply, received_at: Instant::now() };
+        drop(self.context.events.send(Event::RequestReceived(received)).await);
+    }
+
+    /// Reserves what a request takes until its reply is written.
+    fn reserve(&self, call: &Call) -> Result<Reservations, EarlyRejection> {
+        if !self.is_served {
+            return Err(EarlyRejection::NoConnectionSlot);
+        }
+        let shared = &self.context.shared;
+        // Danger: a client that sends on a busy connection without end would keep a gateway from shutting down.
+        if shared.shutting_down_since.get().is_some_and(|since| since.elapsed() >= STILL_COMING) {
+            return Err(EarlyRejection::ShuttingDown);
+        }
+        let open = shared.limits.open.reserve(1).ok_or(EarlyRejection::NoRequestSlot)?;
+        let bytes = shared.limits.bytes.reserve(call.weight()).ok_or(EarlyRejection::NoRequestSlot)?;
+        Ok([open, bytes])
+    }
+
+    async fn handle_invalid(&mut self, why: &str) -> Result<(), ConnectionEnd> {
+        self.invalid_commands += 1;
+        if self.invalid_commands > MAX_INVALID_COMMANDS {
+            return self.fail_protocol("too many commands make no sense").await;
+        }
+        debug!(self.context.shared.log, #"request.misread", "a command that makes no sense"; "why" => why);
+        self.wait_for_error_permit().await?;
+        self.pipeline.push_ready(call::error(why), None);
+        Ok(())
+    }
+
+    /// Ends a connection on which commands can't be told apart any more, after one error.
+    pub(super) async fn fail_protocol(&mut self, why: &str) -> Result<(), ConnectionEnd> {
+        debug!(self.context.shared.log, #"request.misread", "a command that can't be read"; "why" => why);
+        self.wait_for_error_permit().await?;
+        self.pipeline.push_ready(call::error(&format!("bad syntax: {why}")), None);
+        self.is_ending = true;
+        let unread = self.connection.buffer.filled().len();
+        self.connection.buffer.consume(unread);
+        Ok(())
+    }
+
+    /// Waits until the error about a command may be sent. The connection can be evicted meanwhile; it then ends after the error.
+    async fn wait_for_error_permit(&mut self) -> Result<(), ConnectionEnd> {
+        let next_error = &self.context.shared.next_protocol_error;
+        let now = Instant::now();
+        let permitted_at = next_error.get().max(now);
+        next_error.set((permitted_at + PROTOCOL_ERROR_INTERVAL).min(now + MAX_PROTOCOL_ERROR_DELAY));
+        if permitted_at == now {
+            return Ok(());
+        }
+        let entry = self.context.idle.enter(IdleState::AwaitsError, now, self.number, self.evict.clone());
+        let permitted = async {
+            Timer::at(permitted_at).await;
+            Ok(false)
+        };
+        let evicted = async { Ok(self.evicted.recv().await.is_ok()) };
+        let disconnected = async { Err(self.connection.closed().await) };
+        let is_evicted = future::or(permitted, future::or(evicted, disconnected)).await;
+        drop(entry);
+        self.is_ending |= is_evicted?;
+        Ok(())
+    }
+}
