--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -8,7 +8,7 @@
 
 /// Servers that are remembered after they have left, at most: the lists of a discovery that brings new names without end
 /// must not fill the memory. The one whose word is oldest goes first.
-const MOST_LEFT: usize = 16 * 1024;
+const MAX_REMEMBERED: usize = 16 * 1024;
 
 /// Servers that leave, or have left. Nothing begins at one of them, and one comes back only by a newer word, or with a newer
 /// start. Danger: words out of order. An agent that is behind, another discovery or a list from before the start may still
@@ -18,49 +18,51 @@
     /// The version of the newest list.
     index: u64,
     /// Those in use, and when each started.
-    used: HashMap<Id, Option<Micros>>,
-    left: HashMap<Id, Left>,
+    in_service: HashMap<Id, Option<Micros>>,
+    departures: HashMap<Id, Departure>,
 }
 
 /// The word that a server leaves.
 #[derive(Clone, Copy, Default)]
-struct Left {
+struct Departure {
     /// When it had started.
-    started: Option<Micros>,
+    started_at: Option<Micros>,
     /// The version that said so, or the first of another row: then nothing in that row has said so.
     index: u64,
-    elsewhere: bool,
+    is_other_sequence: bool,
 }
 
 impl DrainingEndpoints {
     /// Goes by a list that has come, and puts right in it what is older than what is known.
-    pub fn read(&mut self, members: &mut EndpointUpdate) {
-        if members.moved || members.index < self.index {
+    pub fn read(&mut self, update: &mut EndpointUpdate) {
+        if update.moved || update.index < self.index {
             // Another row of versions. That one still has a server in it is no newer word than that it leaves.
-            let anew = |left: &mut Left| (left.index, left.elsewhere) = (members.index, true);
-            self.left.values_mut().for_each(anew);
+            let restart = |departure: &mut Departure| {
+                (departure.index, departure.is_other_sequence) = (update.index, true)
+            };
+            self.departures.values_mut().for_each(restart);
         }
-        self.index = members.index;
-        if members.full {
-            let listed: HashSet<&Id> = members.servers.iter().map(|(listed, _)| &listed.server).collect();
-            let gone: Vec<Id> = self.used.keys().filter(|id| !listed.contains(id)).cloned().collect();
-            gone.into_iter().for_each(|id| self.leaves(&id, None));
+        self.index = update.index;
+        if update.full {
+            let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
+            let gone: Vec<Id> = self.in_service.keys().filter(|id| !listed.contains(id)).cloned().collect();
+            gone.into_iter().for_each(|id| self.depart(&id, None));
         }
-        for (listed, _) in &mut members.servers {
-            if listed.state != EndpointState::Ready {
-                self.leaves(&listed.server, listed.started_at);
+        for (endpoint, _) in &mut update.servers {
+            if endpoint.state != EndpointState::Ready {
+                self.depart(&endpoint.server, endpoint.started_at);
             } else if self
-                .left
-                .get(&listed.server)
-                .is_some_and(|left| !left.returns(listed, self.index, members.full))
+                .departures
+                .get(&endpoint.server)
+                .is_some_and(|departure| !departure.is_superseded_by(endpoint, self.index, update.full))
             {
-                listed.state = EndpointState::Draining;
+                endpoint.state = EndpointState::Draining;
             } else {
-                self.left.remove(&listed.server);
-                self.used.insert(listed.server.clone(), listed.started_at);
+                self.departures.remove(&endpoint.server);
+                self.in_service.insert(endpoint.server.clone(), endpoint.started_at);
             }
         }
-        if self.left.len() > MOST_LEFT {
+        if self.departures.len() > MAX_REMEMBERED {
             self.forget_oldest();
         }
     }
@@ -68,24 +70,25 @@
     /// Goes by an answer that was refused, of which only this is taken: that these leave.
     pub fn leave(&mut self, servers: &[Id]) {
         for id in servers {
-            if self.used.contains_key(id) {
-                self.leaves(id, None);
+            if self.in_service.contains_key(id) {
+                self.depart(id, None);
             }
         }
     }
 
     /// Forgets an eighth of those that have left: to look for the oldest each time would cost more than all the list.
     fn forget_oldest(&mut self) {
-        let mut words: Vec<u64> = self.left.values().map(|left| left.index).collect();
-        words.sort_unstable();
-        let newest_forgotten = words[words.len() - MOST_LEFT + MOST_LEFT / 8 - 1];
-        self.left.retain(|_, left| left.index > newest_forgotten);
+        let mut indexes: Vec<u64> = self.departures.values().map(|departure| departure.index).collect();
+        indexes.sort_unstable();
+        let newest_forgotten = indexes[indexes.len() - MAX_REMEMBERED + MAX_REMEMBERED / 8 - 1];
+        self.departures.retain(|_, departure| departure.index > newest_forgotten);
     }
 
-    fn leaves(&mut self, id: &Id, started: Option<Micros>) {
-        let before = self.left.get(id).and_then(|left| left.started);
-        let started = started.max(self.used.remove(id).flatten()).max(before);
-        self.left.insert(id.clone(), Left { started, index: self.index, elsewhere: false });
+    fn depart(&mut self, id: &Id, started_at: Option<Micros>) {
+        let before = self.departures.get(id).and_then(|departure| departure.started_at);
+        let started_at = started_at.max(self.in_service.remove(id).flatten()).max(before);
+        self.departures
+            .insert(id.clone(), Departure { started_at, index: self.index, is_other_sequence: false });
     }
 
     /// The version of the newest list.
@@ -94,13 +97,13 @@
     }
 
     pub fn contains(&self, server: &Id) -> bool {
-        self.left.contains_key(server)
+        self.departures.contains_key(server)
     }
 }
 
-impl Left {
+impl Departure {
     /// Whether a list of this version has the server back. A whole list repeats old words, changes are new ones.
-    fn returns(&self, listed: &Endpoint, index: u64, full: bool) -> bool {
-        listed.started_at > self.started || index > self.index && !(full && self.elsewhere)
+    fn is_superseded_by(&self, endpoint: &Endpoint, index: u64, full: bool) -> bool {
+        endpoint.started_at > self.started_at || index > self.index && !(full && self.is_other_sequence)
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -20,28 +20,28 @@
 use crate::transport::clock::yield_between_slices;
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
-use crate::transport::loop_timer::Turn;
+use crate::transport::loop_timer::Turn as LoopIteration;
 
 /// How long a call may wait for something new, at least and at most, and how much later its answer is given up, where a
 /// service has the list that all gateways ask: each call costs it work, and one that takes a second more has nothing to say.
 /// Danger: all watches fall silent at one time. Each is opened anew when its wait is over, what it missed counts two seconds
 /// later, and the service answers one call after another: the waits of a fleet must not end together.
-const LEAST_WAIT: Duration = Duration::from_secs(10);
-const WAIT: Duration = Duration::from_secs(20);
-const GRACE: Duration = Duration::from_secs(1);
+const MIN_WATCH: Duration = Duration::from_secs(10);
+const MAX_WATCH: Duration = Duration::from_secs(20);
+const WATCH_GRACE: Duration = Duration::from_secs(1);
 /// The same at an agent of this gateway's own, whose answers cost nothing and come at once. Danger: a watch that falls
 /// silent. Servers drain meanwhile, and all that the agent knows of it counts as told some seconds later.
-const AGENT_WAIT: Duration = Duration::from_secs(2);
-const AGENT_GRACE: Duration = Duration::from_millis(250);
+const AGENT_WATCH: Duration = Duration::from_secs(2);
+const AGENT_WATCH_GRACE: Duration = Duration::from_millis(250);
 
 /// How long the whole list is waited for: where all gateways ask for it at once, calls wait in turn, and one given up
 /// early is served for nobody and asked again. A gateway that knows servers from before does not wait for it. An agent
 /// is asked again meanwhile, on another connection, and whichever answers first is heard.
-const TURN: Duration = Duration::from_secs(5);
+const POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause after an answer with nothing new that did not wait for any: an agent that never waits would be asked
 /// without end. The next call still comes soon enough to go on with the watch.
-const PAUSE: Duration = Duration::from_millis(50);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub enum Order {
     Follow(bool),
@@ -60,15 +60,15 @@
     discovery: SocketAddr,
     connection: Option<Connection>,
     /// An agent has not answered on this one in time, and may yet, until then: one that is slow must not go unheard.
-    late: Option<(Connection, Instant)>,
-    following: bool,
-    by_fleet: bool,
+    late_connection: Option<(Connection, Instant)>,
+    is_watching: bool,
+    is_led_by_fleet: bool,
     /// The version that the next call starts from.
     index: Option<u64>,
     /// No answer has come yet, or none to the last call: the next asks for no wait, as whoever speaks again has news.
-    first: bool,
+    must_poll: bool,
     /// None has come from where discovery is now.
-    moved: bool,
+    has_moved: bool,
     known: KnownEndpoints,
 }
 
@@ -85,12 +85,12 @@
             events: events.clone(),
             discovery,
             connection: None,
-            late: None,
-            following: false,
-            by_fleet: false,
+            late_connection: None,
+            is_watching: false,
+            is_led_by_fleet: false,
             index,
-            first: true,
-            moved: false,
+            must_poll: true,
+            has_moved: false,
             known: KnownEndpoints::default(),
         }
     }
@@ -98,26 +98,28 @@
     pub async fn run(mut self, mailbox: Receiver<Order>) {
         let events = self.events.clone();
         let late = async move {
-            Timer::after(GRACE).await;
+            Timer::after(WATCH_GRACE).await;
             drop(events.send(Event::EndpointsLate).await);
         };
         self.shared.executor.spawn(late).detach();
         let mut mailbox = std::pin::pin!(mailbox);
         loop {
-            let (following, began) = (self.following, Instant::now());
-            let call = async {
-                if !following {
+            let (is_watching, began) = (self.is_watching, Instant::now());
+            let fetch = async {
+                if !is_watching {
                     future::pending::<()>().await;
                 }
-                Step::Told(self.call(self.index).await)
+                Input::Fetched(self.fetch(self.index).await)
             };
             // An order ends the call that is under way, and its connection with it; few ever come.
-            let order = async { Step::Order(mailbox.next().await) };
-            match future::or(call, order).await {
-                Step::Order(Some(Order::Follow(on))) => self.following = on && !self.by_fleet,
-                Step::Order(Some(Order::ByFleet)) => (self.by_fleet, self.following) = (true, false),
-                Step::Order(Some(Order::Ask(since, to))) => {
-                    let answer = self.ask(since, Duration::ZERO).await;
+            let order = async { Input::Order(mailbox.next().await) };
+            match future::or(fetch, order).await {
+                Input::Order(Some(Order::Follow(on))) => self.is_watching = on && !self.is_led_by_fleet,
+                Input::Order(Some(Order::ByFleet)) => {
+                    (self.is_led_by_fleet, self.is_watching) = (true, false)
+                }
+                Input::Order(Some(Order::Ask(since, to))) => {
+                    let answer = self.request(since, Duration::ZERO).await;
                     let answer = answer.and_then(|body| {
                         serde_json::from_slice::<Value>(&body).map_err(|error| error.to_string())
                     });
@@ -126,23 +128,24 @@
                     }
                     drop(to.send(answer.ok()).await);
                 }
-                Step::Order(Some(Order::Fetch)) => {
+                Input::Order(Some(Order::Fetch)) => {
                     self.connection = None;
-                    let told = self.call(None).await;
-                    self.tell(told).await;
+                    let fetched = self.fetch(None).await;
+                    self.report(fetched).await;
                 }
-                Step::Order(Some(Order::Move(discovery))) => {
+                Input::Order(Some(Order::Move(discovery))) => {
                     // Versions are another's there. Its whole list drops what has gone meanwhile.
-                    (self.discovery, self.connection, self.late, self.index) = (discovery, None, None, None);
-                    self.moved = true;
+                    (self.discovery, self.connection, self.late_connection, self.index) =
+                        (discovery, None, None, None);
+                    self.has_moved = true;
                 }
-                Step::Order(None) => return,
-                Step::Told(told) => {
-                    self.following &= told.is_ok();
-                    let idle = told.as_ref().is_ok_and(|members| !members.full && members.servers.is_empty());
-                    self.tell(told).await;
-                    if idle && began.elapsed() < self.least_wait() {
-                        Timer::after(PAUSE).await;
+                Input::Order(None) => return,
+                Input::Fetched(fetched) => {
+                    self.is_watching &= fetched.is_ok();
+                    let idle = fetched.as_ref().is_ok_and(|update| !update.full && update.servers.is_empty());
+                    self.report(fetched).await;
+                    if idle && began.elapsed() < self.min_watch_duration() {
+                        Timer::after(MIN_POLL_INTERVAL).await;
                     }
                 }
             }
@@ -150,45 +153,45 @@
     }
 
     /// How long the next call may wait for something new, and how much longer for its answer.
-    fn wait(&self) -> Duration {
-        let spread = if self.shared.platform.list_is_pushed { Duration::ZERO } else { WAIT - LEAST_WAIT };
-        self.least_wait() + spread.mul_f64(rand::random())
+    fn watch_duration(&self) -> Duration {
+        let spread = if self.shared.platform.list_is_pushed { Duration::ZERO } else { MAX_WATCH - MIN_WATCH };
+        self.min_watch_duration() + spread.mul_f64(rand::random())
     }
 
-    fn least_wait(&self) -> Duration {
+    fn min_watch_duration(&self) -> Duration {
         if self.shared.platform.list_is_pushed {
-            AGENT_WAIT
+            AGENT_WATCH
         } else {
-            LEAST_WAIT
+            MIN_WATCH
         }
     }
 
     fn grace(&self) -> Duration {
         if self.shared.platform.list_is_pushed {
-            AGENT_GRACE
+            AGENT_WATCH_GRACE
         } else {
-            GRACE
+            WATCH_GRACE
         }
     }
 
-    async fn tell(&mut self, told: Result<EndpointUpdate, ListError>) {
-        let event = match told {
+    async fn report(&mut self, fetched: Result<EndpointUpdate, ListError>) {
+        let event = match fetched {
             // A version older than the one asked from is another list's, or of one that is behind: changes to it say nothing
             // of what is known here, and only the whole of it will do.
-            Ok(members) if !members.full && self.index.is_some_and(|index| members.index < index) => {
-                let (index, known) = (members.index, self.index.take());
+            Ok(update) if !update.full && self.index.is_some_and(|index| update.index < index) => {
+                let (index, known) = (update.index, self.index.take());
                 warn!(self.shared.log, #"discovery.older", "older than what is known"; "index" => index, "known" => known);
-                self.first = false;
+                self.must_poll = false;
                 return;
             }
-            Ok(mut members) => {
-                members.moved = std::mem::take(&mut self.moved);
-                self.shared.apply_list(&mut members);
-                (self.index, self.first) = (Some(members.index), false);
-                Event::EndpointsUpdated(members)
+            Ok(mut update) => {
+                update.moved = std::mem::take(&mut self.has_moved);
+                self.shared.apply_list(&mut update);
+                (self.index, self.must_poll) = (Some(update.index), false);
+                Event::EndpointsUpdated(update)
             }
             Err(ListError { reason: why, index, draining: leaving }) => {
-                self.first = true;
+                self.must_poll = true;
                 warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => why);
                 // One that is behind says nothing new of anybody.
                 if !leaving.is_empty() && index >= self.index {
@@ -201,33 +204,33 @@
         drop(self.events.send(event).await);
     }
 
-    async fn call(&mut self, since: Option<u64>) -> Result<EndpointUpdate, ListError> {
+    async fn fetch(&mut self, since: Option<u64>) -> Result<EndpointUpdate, ListError> {
         // The first is asked for what is new, and answered at once: a list from before the start may be old.
-        let wait = if since.is_some() && !self.first { self.wait() } else { Duration::ZERO };
-        let body = match self.ask(since, wait).await {
+        let wait = if since.is_some() && !self.must_poll { self.watch_duration() } else { Duration::ZERO };
+        let body = match self.request(since, wait).await {
             // A watch that broke or fell silent is opened anew at once, and what it missed is asked for.
             Err(why) if !wait.is_zero() => {
                 warn!(self.shared.log, #"discovery.failed", "a watch broke"; "why" => why);
-                self.ask(since, Duration::ZERO).await
+                self.request(since, Duration::ZERO).await
             }
             other => other,
         };
         let body = body.map_err(|why| ListError { reason: why, index: None, draining: Vec::new() })?;
-        let members = self.read(&body).await?;
-        if members.full || !members.servers.is_empty() {
-            let (index, full) = (members.index, members.full);
-            info!(self.shared.log, #"discovery.list", "list"; "index" => index, "full" => full, "servers" => members.servers.len());
+        let update = self.parse(&body).await?;
+        if update.full || !update.servers.is_empty() {
+            let (index, full) = (update.index, update.full);
+            info!(self.shared.log, #"discovery.list", "list"; "index" => index, "full" => full, "servers" => update.servers.len());
         }
-        Ok(members)
+        Ok(update)
     }
 
     /// Reads an answer slice by slice: lists of thousands of servers must not hold up what clients are owed.
-    async fn read(&mut self, body: &[u8]) -> Result<EndpointUpdate, ListError> {
-        let unread = |why| ListError { reason: why, index: None, draining: Vec::new() };
-        let timed = Turn::begin("outline of a server list");
+    async fn parse(&mut self, body: &[u8]) -> Result<EndpointUpdate, ListError> {
+        let rejected = |why| ListError { reason: why, index: None, draining: Vec::new() };
+        let iteration = LoopIteration::begin("outline of a server list");
         let reader = SlicedReader::of(body);
-        timed.end(&self.shared.log);
-        let mut reader = reader.map_err(unread)?;
+        iteration.end(&self.shared.log);
+        let mut reader = reader.map_err(rejected)?;
         while reader.read_slice(&self.known, &self.shared.platform) {
             yield_between_slices().await;
         }
@@ -235,11 +238,11 @@
     }
 
     /// Asks, and gives the body of the answer.
-    async fn ask(&mut self, since: Option<u64>, wait: Duration) -> Result<Vec<u8>, String> {
+    async fn request(&mut self, since: Option<u64>, wait: Duration) -> Result<Vec<u8>, String> {
         let path = catalog::path(since.map(|since| (since, wait.as_millis() as u64)));
         let request = http::get(&self.discovery.to_string(), &path);
-        let turn = if self.shared.platform.list_is_pushed { AGENT_GRACE } else { TURN };
-        let until = Instant::now() + if wait.is_zero() { turn } else { wait + self.grace() };
+        let poll_timeout = if self.shared.platform.list_is_pushed { AGENT_WATCH_GRACE } else { POLL_TIMEOUT };
+        let until = Instant::now() + if wait.is_zero() { poll_timeout } else { wait + self.grace() };
         let reused = self.connection.is_some();
         let mut response = self.exchange(&request, until).await;
         if reused && response.is_err() && Instant::now() < until {
@@ -255,7 +258,7 @@
 
     /// The answer to a call, or to one that an agent has been late with: nothing has been heard since.
     async fn exchange(&mut self, request: &[u8], until: Instant) -> Result<http::Response, ConnectionEnd> {
-        let mut late = self.late.take();
+        let mut late = self.late_connection.take();
         let before = async {
             if let Some((connection, until)) = &mut late {
                 if let Ok(response) = answer(connection, *until).await {
@@ -265,15 +268,18 @@
             }
             future::pending().await
         };
-        let response = future::or(self.exchange_on_one(request, until), before).await;
+        let response = future::or(self.exchange_on_connection(request, until), before).await;
         match response {
-            Ok(_) => self.late = None,
-            Err(_) => self.late = late.filter(|(_, until)| Instant::now() < *until).or(self.late.take()),
+            Ok(_) => self.late_connection = None,
+            Err(_) => {
+                self.late_connection =
+                    late.filter(|(_, until)| Instant::now() < *until).or(self.late_connection.take())
+            }
         }
         response
     }
 
-    async fn exchange_on_one(
+    async fn exchange_on_connection(
         &mut self,
         request: &[u8],
         until: Instant,
@@ -290,7 +296,7 @@
         match &response {
             Ok(response) => self.connection = Some(connection).filter(|_| response.keep),
             Err(ConnectionEnd::Silent) if self.shared.platform.list_is_pushed => {
-                self.late = Some((connection, Instant::now() + TURN));
+                self.late_connection = Some((connection, Instant::now() + POLL_TIMEOUT));
             }
             Err(_) => {}
         }
@@ -300,7 +306,7 @@
 
 async fn answer(connection: &mut Connection, until: Instant) -> Result<http::Response, ConnectionEnd> {
     let mut reader = http::Reader::default();
-    match connection.message(|bytes| reader.read(bytes, false), until, GRACE).await {
+    match connection.message(|bytes| reader.read(bytes, false), until, WATCH_GRACE).await {
         Err(ConnectionEnd::Closed) => match reader.read(connection.buffer.filled(), true) {
             Ok(Some((response, _))) => Ok(response),
             _ => Err(ConnectionEnd::Closed),
@@ -309,7 +315,7 @@
     }
 }
 
-enum Step {
+enum Input {
     Order(Option<Order>),
-    Told(Result<EndpointUpdate, ListError>),
+    Fetched(Result<EndpointUpdate, ListError>),
 }
