--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -1,4 +1,4 @@
-//! Which servers the list has said to leave, and which word on a server is the newest.
+//! Which servers the endpoint list has taken out of service, and which version said so last.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,54 +6,52 @@
 
 use crate::protocol::catalog::EndpointUpdate;
 
-/// Servers that are remembered after they have left, at most: the lists of a discovery that brings new names without end
-/// must not fill the memory. The one whose word is oldest goes first.
+/// Servers that are remembered after their departure. Danger: a discovery that lists new names without end would fill the memory. Those
+/// whose departure is of the oldest version go first.
 const MAX_REMEMBERED: usize = 16 * 1024;
 
-/// Servers that leave, or have left. Nothing begins at one of them, and one comes back only by a newer word, or with a newer
-/// start. Danger: words out of order. An agent that is behind, another discovery or a list from before the start may still
-/// have a server in service that drains.
+/// Servers that drain or have been removed. No attempt begins at one of them, and one returns only by a newer version, or with a
+/// newer start. Danger: versions out of order. An agent that is behind, another discovery or a list from before the start may have a
+/// server in service that drains.
 #[derive(Default)]
 pub struct DrainingEndpoints {
     /// The version of the newest list.
     index: u64,
-    /// Those in use, and when each started.
+    /// Those in service, and when each started.
     in_service: HashMap<Id, Option<Micros>>,
     departures: HashMap<Id, Departure>,
 }
 
-/// The word that a server leaves.
+/// How a server was taken out of service.
 #[derive(Clone, Copy, Default)]
 struct Departure {
-    /// When it had started.
+    /// When the server had started.
     started_at: Option<Micros>,
-    /// The version that said so, or the first of another row: then nothing in that row has said so.
+    /// The version that said so, or the first one of another sequence of versions.
     index: u64,
+    /// The departure was known from another sequence of versions: nothing in the present one has said so.
     is_other_sequence: bool,
 }
 
 impl DrainingEndpoints {
-    /// Goes by a list that has come, and puts right in it what is older than what is known.
+    /// Applies a list. Servers that it has in service against something newer become draining in it.
     pub fn read(&mut self, update: &mut EndpointUpdate) {
         if update.moved || update.index < self.index {
-            // Another row of versions. That one still has a server in it is no newer word than that it leaves.
-            let restart = |departure: &mut Departure| {
-                (departure.index, departure.is_other_sequence) = (update.index, true)
-            };
-            self.departures.values_mut().for_each(restart);
+            // Another sequence of versions. That it still lists a server says nothing newer than that the server drains.
+            for departure in self.departures.values_mut() {
+                departure.index = update.index;
+                departure.is_other_sequence = true;
+            }
         }
         self.index = update.index;
         if update.full {
-            let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
-            let gone: Vec<Id> = self.in_service.keys().filter(|id| !listed.contains(id)).cloned().collect();
-            gone.into_iter().for_each(|id| self.depart(&id, None));
+            self.depart_unlisted(update);
         }
         for (endpoint, _) in &mut update.servers {
+            let departure = self.departures.get(&endpoint.server);
             if endpoint.state != EndpointState::Ready {
                 self.depart(&endpoint.server, endpoint.started_at);
-            } else if self
-                .departures
-                .get(&endpoint.server)
+            } else if departure
                 .is_some_and(|departure| !departure.is_superseded_by(endpoint, self.index, update.full))
             {
                 endpoint.state = EndpointState::Draining;
@@ -67,7 +65,16 @@
         }
     }
 
-    /// Goes by an answer that was refused, of which only this is taken: that these leave.
+    /// Takes out of service what a complete list does not have.
+    fn depart_unlisted(&mut self, update: &EndpointUpdate) {
+        let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
+        let removed: Vec<Id> = self.in_service.keys().filter(|id| !listed.contains(id)).cloned().collect();
+        for id in removed {
+            self.depart(&id, None);
+        }
+    }
+
+    /// Takes servers out of service that a rejected response names as draining.
     pub fn leave(&mut self, servers: &[Id]) {
         for id in servers {
             if self.in_service.contains_key(id) {
@@ -76,7 +83,7 @@
         }
     }
 
-    /// Forgets an eighth of those that have left: to look for the oldest each time would cost more than all the list.
+    /// Forgets an eighth of the departures at once: a search for the oldest at each list would cost more than the list.
     fn forget_oldest(&mut self) {
         let mut indexes: Vec<u64> = self.departures.values().map(|departure| departure.index).collect();
         indexes.sort_unstable();
@@ -87,8 +94,8 @@
     fn depart(&mut self, id: &Id, started_at: Option<Micros>) {
         let before = self.departures.get(id).and_then(|departure| departure.started_at);
         let started_at = started_at.max(self.in_service.remove(id).flatten()).max(before);
-        self.departures
-            .insert(id.clone(), Departure { started_at, index: self.index, is_other_sequence: false });
+        let departure = Departure { started_at, index: self.index, is_other_sequence: false };
+        self.departures.insert(id.clone(), departure);
     }
 
     /// The version of the newest list.
@@ -96,14 +103,15 @@
         self.index
     }
 
+    /// Whether a server is out of service.
     pub fn contains(&self, server: &Id) -> bool {
         self.departures.contains_key(server)
     }
 }
 
 impl Departure {
-    /// Whether a list of this version has the server back. A whole list repeats old words, changes are new ones.
-    fn is_superseded_by(&self, endpoint: &Endpoint, index: u64, full: bool) -> bool {
-        endpoint.started_at > self.started_at || index > self.index && !(full && self.is_other_sequence)
+    /// Whether a list of this version has the server in service again. A complete list repeats what was known, changes are new.
+    fn is_superseded_by(&self, endpoint: &Endpoint, index: u64, is_full: bool) -> bool {
+        endpoint.started_at > self.started_at || index > self.index && !(is_full && self.is_other_sequence)
     }
 }
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -29,6 +29,13 @@
     pub draining: Vec<Id>,
 }
 
+impl ListError {
+    /// The error of a response of which nothing could be read.
+    pub fn unread(reason: String) -> Self {
+        ListError { reason, index: None, draining: Vec::new() }
+    }
+}
+
 /// Latest time of a start that is believed, in milliseconds: later ones would run over the clock.
 const LATEST: f64 = 1e14;
 
--- a/crates/gateway/src/transport/ending.rs
+++ b/crates/gateway/src/transport/ending.rs
@@ -1,5 +1,6 @@
 //! Every way in which a connection can end, or fail to begin.
 
+use std::fmt;
 use std::io;
 
 use super::syscall::ConnectFailure;
@@ -40,7 +41,35 @@
     Stopping,
 }
 
+impl fmt::Display for ConnectionEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(self.name())
+    }
+}
+
 impl ConnectionEnd {
+    /// The name in log records and error texts. These stay as they are, whatever the variants are called.
+    pub fn name(self) -> &'static str {
+        match self {
+            ConnectionEnd::NoSocket => "NoSocket",
+            ConnectionEnd::NoMemory => "NoMemory",
+            ConnectionEnd::Refused => "Refused",
+            ConnectionEnd::NeverUp => "NeverUp",
+            ConnectionEnd::Closed => "Closed",
+            ConnectionEnd::Broken => "Broken",
+            ConnectionEnd::Garbled => "Garbled",
+            ConnectionEnd::Silent => "Silent",
+            ConnectionEnd::Stalled => "Stalled",
+            ConnectionEnd::GivenUp => "GivenUp",
+            ConnectionEnd::Cordoned => "Cordoned",
+            ConnectionEnd::Left => "Left",
+            ConnectionEnd::Unwanted => "Unwanted",
+            ConnectionEnd::OldList => "OldList",
+            ConnectionEnd::Idle => "Idle",
+            ConnectionEnd::Stopping => "Stopping",
+        }
+    }
+
     /// How a dial that failed ends.
     pub fn of_dial(error: &io::Error) -> Self {
         match ConnectFailure::classify(error) {
