--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -20,37 +20,39 @@
 use crate::transport::ending::ConnectionEnd;
 
 /// Calls that wait for their answers at most, late ones too: some seconds of all that a counter can do.
-const MOST_CALLS: usize = 4_096;
+const MAX_UNANSWERED: usize = 4_096;
 /// Bytes of answers that are not read yet at most: each is a short line or number, and one without an end must not
 /// be waited for long.
-const MOST_ANSWERS: usize = 4 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024;
 /// A call's answer is waited for so much longer than the site says. What is asked more than it can do answers each call
 /// when it has had its turn, and turns away what its line has no room for: given up before that, every call would be
 /// served for nobody. And a call given up may have been added or not, which puts a shared count out for a minute.
-const SLACK: Duration = Duration::from_millis(150);
+const ANSWER_GRACE: Duration = Duration::from_millis(150);
 /// A connection on which nothing has come for so long, with calls out, is taken to be dead: a machine that
 /// vanished says nothing. An answer that has begun comes in one piece, or its end never will: were it waited for, all
 /// calls behind it would go without word.
-const DEAD: Duration = Duration::from_secs(2);
-const PIECE: Duration = Duration::from_millis(50);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
 /// Connections at once, silent ones too: they stand for seconds each, and fit in with the gateway's own descriptors.
-const MOST_LINES: usize = 8;
+const MAX_ACTORS: usize = 8;
 
-pub struct Add {
-    pub count: Box<str>,
+pub use self::CounterUpdate as Add;
+
+pub struct CounterUpdate {
+    pub key: Box<str>,
     pub amount: f64,
-    pub life: Micros,
-    pub made: Instant,
+    pub lifetime: Micros,
+    pub created_at: Instant,
 }
 
-struct Out {
-    count: Box<str>,
-    made: Instant,
+struct SentCall {
+    key: Box<str>,
+    created_at: Instant,
 }
 
-enum Line {
+enum Link {
     Down,
-    Dialled(BoxedLocal<Result<Connection, ConnectionEnd>>),
+    Dialing(BoxedLocal<Result<Connection, ConnectionEnd>>),
     Up(Connection),
 }
 
@@ -58,105 +60,106 @@
     shared: Rc<Shared>,
     events: Sender<Event>,
     address: SocketAddr,
-    wait: Duration,
-    line: Line,
+    timeout: Duration,
+    link: Link,
     /// Calls that wait for the connection to come up.
-    waiting: VecDeque<Add>,
-    /// Calls written on this connection; the first `late` of them have been told of as timed out.
-    out: VecDeque<Out>,
-    late: usize,
-    heard: Instant,
+    unsent: VecDeque<CounterUpdate>,
+    /// Calls written on this connection; the first `expired` of them have been told of as timed out.
+    unanswered: VecDeque<SentCall>,
+    expired: usize,
+    last_received_at: Instant,
     /// When the last answer came here.
-    answered: Option<Instant>,
+    last_answered_at: Option<Instant>,
     /// One for each actor that still runs.
-    lines: Rc<()>,
+    actors: Rc<()>,
 }
 
-enum Step {
-    Order(Option<Add>),
-    Dialled(Result<Connection, ConnectionEnd>),
-    Heard(Result<(), ConnectionEnd>),
-    Late,
+enum Input {
+    Update(Option<CounterUpdate>),
+    Dialed(Result<Connection, ConnectionEnd>),
+    Received(Result<(), ConnectionEnd>),
+    Deadline,
 }
 
 impl Counter {
-    fn new(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr, lines: Rc<()>) -> Self {
+    fn new(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr, actors: Rc<()>) -> Self {
         Counter {
             shared: shared.clone(),
             events: events.clone(),
             address,
-            wait: Duration::from_micros(shared.platform.counter_timeout) + SLACK,
-            line: Line::Down,
-            waiting: VecDeque::new(),
-            out: VecDeque::new(),
-            late: 0,
-            heard: Instant::now(),
-            answered: None,
-            lines,
+            timeout: Duration::from_micros(shared.platform.counter_timeout) + ANSWER_GRACE,
+            link: Link::Down,
+            unsent: VecDeque::new(),
+            unanswered: VecDeque::new(),
+            expired: 0,
+            last_received_at: Instant::now(),
+            last_answered_at: None,
+            actors,
         }
     }
 
     /// Starts the actor; it ends with its last call, once nobody can order any more.
-    pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr) -> Sender<Add> {
+    pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr) -> Sender<CounterUpdate> {
         let (calls, mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
         shared.executor.spawn(Counter::new(shared, events, address, Rc::default()).run(mailbox)).detach();
         calls
     }
 
-    async fn run(mut self, mailbox: Receiver<Add>) {
-        let (mut alarm, mut left) = (DeadlineTimer::new(), false);
-        while !(left && self.waiting.is_empty() && self.out.is_empty()) {
-            let next = match self.out.get(self.late) {
-                Some(next) => Some(next.made + self.wait),
-                None if self.out.is_empty() => None,
-                None if self.may_leave(left) => Some(self.heard + self.wait),
-                None => Some(self.heard + DEAD),
+    async fn run(mut self, mailbox: Receiver<CounterUpdate>) {
+        let (mut alarm, mut is_closed) = (DeadlineTimer::new(), false);
+        while !(is_closed && self.unsent.is_empty() && self.unanswered.is_empty()) {
+            let next = match self.unanswered.get(self.expired) {
+                Some(next) => Some(next.created_at + self.timeout),
+                None if self.unanswered.is_empty() => None,
+                None if self.may_hand_over(is_closed) => Some(self.last_received_at + self.timeout),
+                None => Some(self.last_received_at + SILENCE_TIMEOUT),
             };
-            let waiting = self.waiting.front().map(|add| add.made + self.wait);
-            let torn = self.begun().map(|since| since + PIECE);
+            let waiting = self.unsent.front().map(|update| update.created_at + self.timeout);
+            let torn = self.answer_begun_at().map(|since| since + ANSWER_TIMEOUT);
             let next = next.into_iter().chain(waiting).chain(torn).min();
-            let line = &mut self.line;
+            let link = &mut self.link;
             let order = async {
-                match left {
+                match is_closed {
                     true => future::pending().await,
-                    false => Step::Order(mailbox.recv().await.ok()),
+                    false => Input::Update(mailbox.recv().await.ok()),
                 }
             };
             let heard = async {
-                match line {
-                    Line::Down => future::pending().await,
-                    Line::Dialled(dial) => Step::Dialled(dial.await),
-                    Line::Up(connection) => Step::Heard(connection.read().await),
+                match link {
+                    Link::Down => future::pending().await,
+                    Link::Dialing(dial) => Input::Dialed(dial.await),
+                    Link::Up(connection) => Input::Received(connection.read().await),
                 }
             };
             let late = async {
                 alarm.wait(next).await;
-                Step::Late
+                Input::Deadline
             };
             match future::or(heard, future::or(late, order)).await {
-                Step::Order(Some(add)) => self.add(add).await,
-                Step::Order(None) => left = true,
-                Step::Dialled(Ok(connection)) => {
-                    self.line = Line::Up(connection);
-                    for add in std::mem::take(&mut self.waiting) {
-                        self.add(add).await;
+                Input::Update(Some(update)) => self.send(update).await,
+                Input::Update(None) => is_closed = true,
+                Input::Dialed(Ok(connection)) => {
+                    self.link = Link::Up(connection);
+                    for update in std::mem::take(&mut self.unsent) {
+                        self.send(update).await;
                     }
                 }
-                Step::Dialled(Err(how)) => {
-                    self.line = Line::Down;
-                    for add in std::mem::take(&mut self.waiting) {
-                        self.tell(add.count, Err(AttemptFailure::unsent(how)), add.made).await;
+                Input::Dialed(Err(how)) => {
+                    self.link = Link::Down;
+                    for update in std::mem::take(&mut self.unsent) {
+                        self.report(update.key, Err(AttemptFailure::unsent(how)), update.created_at).await;
                     }
                 }
-                Step::Heard(Ok(())) => self.answers().await,
-                Step::Heard(Err(how)) => self.ended(how).await,
-                Step::Late => {
-                    self.late().await;
+                Input::Received(Ok(())) => self.handle_answers().await,
+                Input::Received(Err(how)) => self.connection_ended(how).await,
+                Input::Deadline => {
+                    self.expire_calls().await;
                     // A connection can fall silent while others would not: until it is dead, all calls would be lost.
-                    let silent = self.late > 0 && self.heard.elapsed() >= self.wait;
-                    if silent && self.may_leave(left) {
-                        left = true;
-                        let next = Counter::new(&self.shared, &self.events, self.address, self.lines.clone());
+                    let silent = self.expired > 0 && self.last_received_at.elapsed() >= self.timeout;
+                    if silent && self.may_hand_over(is_closed) {
+                        is_closed = true;
+                        let next =
+                            Counter::new(&self.shared, &self.events, self.address, self.actors.clone());
                         self.shared.executor.spawn(next.run(mailbox.clone())).detach();
                     }
                 }
@@ -164,120 +167,128 @@
         }
     }
 
-    async fn add(&mut self, add: Add) {
-        if self.out.len() >= MOST_CALLS {
-            self.ended(ConnectionEnd::Silent).await;
+    async fn send(&mut self, update: CounterUpdate) {
+        if self.unanswered.len() >= MAX_UNANSWERED {
+            self.connection_ended(ConnectionEnd::Silent).await;
         }
-        let Line::Up(connection) = &mut self.line else {
-            if matches!(self.line, Line::Down) {
+        let Link::Up(connection) = &mut self.link else {
+            if matches!(self.link, Link::Down) {
                 // A slow dial must not keep what is said here, or to whom it belongs, from being heard.
-                let dial =
-                    Connection::connect(self.address, self.wait, Buffer::new(MOST_ANSWERS, None), None);
-                self.line = Line::Dialled(Box::pin(dial));
+                let dial = Connection::connect(
+                    self.address,
+                    self.timeout,
+                    Buffer::new(MAX_ANSWER_BYTES, None),
+                    None,
+                );
+                self.link = Link::Dialing(Box::pin(dial));
             }
-            return self.waiting.push_back(add);
+            return self.unsent.push_back(update);
         };
-        if self.out.is_empty() {
-            self.heard = Instant::now();
+        if self.unanswered.is_empty() {
+            self.last_received_at = Instant::now();
         }
-        let life = add.life.div_ceil(1000).max(1).to_string();
-        let amount = add.amount.to_string();
+        let life = update.lifetime.div_ceil(1000).max(1).to_string();
+        let amount = update.amount.to_string();
         let command =
-            resp::write_command(&[b"ADDGET", add.count.as_bytes(), amount.as_bytes(), life.as_bytes()]);
-        match within(add.made + self.wait, ConnectionEnd::Silent, connection.write(&command)).await {
-            Ok(()) => self.out.push_back(Out { count: add.count, made: add.made }),
+            resp::write_command(&[b"ADDGET", update.key.as_bytes(), amount.as_bytes(), life.as_bytes()]);
+        match within(update.created_at + self.timeout, ConnectionEnd::Silent, connection.write(&command))
+            .await
+        {
+            Ok(()) => self.unanswered.push_back(SentCall { key: update.key, created_at: update.created_at }),
             Err(how) => {
-                self.tell(add.count, Err(AttemptFailure::unsent(how)), add.made).await;
+                self.report(update.key, Err(AttemptFailure::unsent(how)), update.created_at).await;
                 // A call cut off in its middle would spoil those behind it.
-                self.ended(how).await;
+                self.connection_ended(how).await;
             }
         }
     }
 
     /// Hands on the answers that have come whole.
-    async fn answers(&mut self) {
-        self.heard = Instant::now();
-        while let Line::Up(connection) = &mut self.line {
-            let told = match resp::reply(connection.buffer.filled()) {
+    async fn handle_answers(&mut self) {
+        self.last_received_at = Instant::now();
+        while let Link::Up(connection) = &mut self.link {
+            let total = match resp::reply(connection.buffer.filled()) {
                 Ok(None) => return,
                 Ok(Some((reply, length))) => {
-                    let told = told(&reply);
+                    let total = total_of(&reply);
                     connection.buffer.consume(length);
-                    told
+                    total
                 }
                 Err(_) => None,
             };
             // What can't be understood answers no call: that one is told of with the rest.
-            let Some((told, out)) = told.and_then(|told| Some((told, self.out.pop_front()?))) else {
-                return self.ended(ConnectionEnd::Garbled).await;
+            let Some((total, call)) = total.and_then(|total| Some((total, self.unanswered.pop_front()?)))
+            else {
+                return self.connection_ended(ConnectionEnd::Garbled).await;
             };
-            self.answered = Some(self.heard);
-            if self.late > 0 {
+            self.last_answered_at = Some(self.last_received_at);
+            if self.expired > 0 {
                 // An answer that comes late has been told of as none.
-                self.late -= 1;
+                self.expired -= 1;
             } else {
-                self.tell(out.count, Ok(told), out.made).await;
+                self.report(call.key, Ok(total), call.created_at).await;
             }
         }
     }
 
     /// Tells of calls that have had their time; gives up a connection that is dead.
-    async fn late(&mut self) {
-        while self.waiting.front().is_some_and(|add| add.made.elapsed() >= self.wait) {
-            let Some(add) = self.waiting.pop_front() else { break };
-            self.tell(add.count, Err(AttemptFailure::unsent(ConnectionEnd::NeverUp)), add.made).await;
+    async fn expire_calls(&mut self) {
+        while self.unsent.front().is_some_and(|update| update.created_at.elapsed() >= self.timeout) {
+            let Some(update) = self.unsent.pop_front() else { break };
+            self.report(update.key, Err(AttemptFailure::unsent(ConnectionEnd::NeverUp)), update.created_at)
+                .await;
         }
-        while let Some(out) = self.out.get(self.late).filter(|out| out.made.elapsed() >= self.wait) {
-            let (count, made) = (out.count.clone(), out.made);
-            self.late += 1;
+        while let Some(call) =
+            self.unanswered.get(self.expired).filter(|call| call.created_at.elapsed() >= self.timeout)
+        {
+            let (key, created_at) = (call.key.clone(), call.created_at);
+            self.expired += 1;
             // Nothing since, where answers came before: this is no counter that has more to do than it can.
-            let stalled = self.answered.is_some_and(|answered| answered <= made);
+            let stalled = self.last_answered_at.is_some_and(|answered| answered <= created_at);
             let how = if stalled { ConnectionEnd::Stalled } else { ConnectionEnd::Silent };
-            self.tell(count, Err(AttemptFailure::unanswered(how)), made).await;
+            self.report(key, Err(AttemptFailure::unanswered(how)), created_at).await;
         }
-        if self.begun().is_some_and(|since| since.elapsed() >= PIECE) {
-            self.ended(ConnectionEnd::Garbled).await;
+        if self.answer_begun_at().is_some_and(|since| since.elapsed() >= ANSWER_TIMEOUT) {
+            self.connection_ended(ConnectionEnd::Garbled).await;
         }
-        if !self.out.is_empty() && self.heard.elapsed() >= DEAD {
-            warn!(self.shared.log, #"counter.silent", "the counter is silent"; "calls" => self.out.len());
-            self.ended(ConnectionEnd::Silent).await;
+        if !self.unanswered.is_empty() && self.last_received_at.elapsed() >= SILENCE_TIMEOUT {
+            warn!(self.shared.log, #"counter.silent", "the counter is silent"; "calls" => self.unanswered.len());
+            self.connection_ended(ConnectionEnd::Silent).await;
         }
     }
 
     /// Whether another actor may take the calls from this one.
-    fn may_leave(&self, left: bool) -> bool {
-        !left && Rc::strong_count(&self.lines) < MOST_LINES
+    fn may_hand_over(&self, is_closed: bool) -> bool {
+        !is_closed && Rc::strong_count(&self.actors) < MAX_ACTORS
     }
 
     /// Since when an answer has been coming that is not there whole.
-    fn begun(&self) -> Option<Instant> {
-        match &self.line {
-            Line::Up(connection) => connection.buffer.since(),
+    fn answer_begun_at(&self) -> Option<Instant> {
+        match &self.link {
+            Link::Up(connection) => connection.buffer.since(),
             _ => None,
         }
     }
 
-    async fn ended(&mut self, how: ConnectionEnd) {
-        self.line = Line::Down;
-        if !self.out.is_empty() {
-            info!(self.shared.log, #"counter.ended", "the counter's connection ended"; "how" => ?how, "calls" => self.out.len());
+    async fn connection_ended(&mut self, how: ConnectionEnd) {
+        self.link = Link::Down;
+        if !self.unanswered.is_empty() {
+            info!(self.shared.log, #"counter.ended", "the counter's connection ended"; "how" => ?how, "calls" => self.unanswered.len());
         }
-        let told = std::mem::take(&mut self.late);
-        for out in std::mem::take(&mut self.out).into_iter().skip(told) {
-            self.tell(out.count, Err(AttemptFailure::unanswered(how)), out.made).await;
+        let reported = std::mem::take(&mut self.expired);
+        for call in std::mem::take(&mut self.unanswered).into_iter().skip(reported) {
+            self.report(call.key, Err(AttemptFailure::unanswered(how)), call.created_at).await;
         }
     }
 
-    async fn tell(&self, count: Box<str>, end: Result<CounterTotal, AttemptFailure>, made: Instant) {
+    async fn report(&self, key: Box<str>, end: Result<CounterTotal, AttemptFailure>, created_at: Instant) {
         drop(
-            self.events
-                .send(Event::CounterReplied { key: count, end, elapsed: micros(made.elapsed()) })
-                .await,
+            self.events.send(Event::CounterReplied { key, end, elapsed: micros(created_at.elapsed()) }).await,
         );
     }
 }
 
-fn told(reply: &Reply) -> Option<CounterTotal> {
+fn total_of(reply: &Reply) -> Option<CounterTotal> {
     match reply {
         Reply::Bulk(Some(total)) => {
             let total: f64 = std::str::from_utf8(total).ok()?.parse().ok()?;
--- a/crates/gateway/src/dispatcher/action_queue.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -11,7 +11,7 @@
 use fernscale_policy::{Host, Id, Micros, RejectReason};
 use slog::{info, Logger};
 
-use crate::counter::Add;
+use crate::counter::CounterUpdate;
 use crate::discovery;
 use crate::protocol::call::FinalAnswer;
 use crate::upstream;
@@ -29,7 +29,7 @@
     /// Give an order to the connections of a server.
     Upstream { server: Id, order: upstream::Order },
     /// Add an amount to a shared counter.
-    UpdateCounter(Add),
+    UpdateCounter(CounterUpdate),
     /// Give an order to discovery.
     Discovery(discovery::Order),
 }
@@ -100,8 +100,8 @@
     }
 
     fn update_counter(&mut self, key: &str, amount: f64, lifetime: Micros) {
-        let made = Instant::now();
-        self.push(Action::UpdateCounter(Add { count: key.into(), amount, life: lifetime, made }));
+        let created_at = Instant::now();
+        self.push(Action::UpdateCounter(CounterUpdate { key: key.into(), amount, lifetime, created_at }));
     }
 
     fn watch_endpoints(&mut self, on: bool) {
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -39,8 +39,8 @@
             Action::Answer { request, answer, reason } => self.answer(&request, answer, reason),
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::Upstream { server, order } => self.order_upstream(&server, order).await,
-            Action::UpdateCounter(add) => {
-                self.follow_ups.extend(self.counter.update(self.actions.now(), add));
+            Action::UpdateCounter(update) => {
+                self.follow_ups.extend(self.counter.update(self.actions.now(), update));
             }
             Action::Discovery(order) => {
                 if self.discovery.try_send(order).is_err() {
--- a/crates/gateway/src/dispatcher/counter_calls.rs
+++ b/crates/gateway/src/dispatcher/counter_calls.rs
@@ -12,7 +12,7 @@
 };
 use slog::info;
 
-use crate::counter::Add;
+use crate::counter::CounterUpdate;
 use crate::outcome::{CounterCallEnd, CounterTotal};
 use crate::shared::{Event, Shared};
 
@@ -20,46 +20,46 @@
 pub(super) struct CounterCalls {
     shared: Rc<Shared>,
     /// None where no counter service is configured.
-    calls: Option<Sender<Add>>,
+    calls: Option<Sender<CounterUpdate>>,
     /// Only where gateways gossip; from the first update on.
     monitor: Option<CounterMonitor>,
 }
 
 impl CounterCalls {
-    pub(super) fn new(shared: Rc<Shared>, calls: Option<Sender<Add>>) -> Self {
+    pub(super) fn new(shared: Rc<Shared>, calls: Option<Sender<CounterUpdate>>) -> Self {
         CounterCalls { shared, calls, monitor: None }
     }
 
     /// From now on calls go to another counter actor, or to none.
-    pub(super) fn replace(&mut self, calls: Option<Sender<Add>>) {
+    pub(super) fn replace(&mut self, calls: Option<Sender<CounterUpdate>>) {
         self.calls = calls;
     }
 
     /// Gossips an update, and passes it to the counter service unless that is lost. Gives the event that follows at once,
     /// if there is one.
-    pub(super) fn update(&mut self, now: Micros, mut add: Add) -> Option<Event> {
+    pub(super) fn update(&mut self, now: Micros, mut update: CounterUpdate) -> Option<Event> {
         if self.shared.joins_membership {
-            let known = self.gossip(now, &add.count, add.amount, add.life);
+            let known = self.gossip(now, &update.key, update.amount, update.lifetime);
             let monitor = self.monitor.get_or_insert_with(|| CounterMonitor::new(now));
-            match monitor.add(now, &add.count, add.amount, add.life, known) {
-                AddStep::Forward(amount) => add.amount = amount,
+            match monitor.add(now, &update.key, update.amount, update.lifetime, known) {
+                AddStep::Forward(amount) => update.amount = amount,
                 AddStep::Reply(total) => {
                     let end = Ok(CounterTotal::Total(total));
-                    return Some(Event::GossipTotalKnown { key: add.count, end });
+                    return Some(Event::GossipTotalKnown { key: update.key, end });
                 }
             }
         }
-        self.call(add)
+        self.call(update)
     }
 
     /// Passes an update to the counter actor. That one waits for the dispatcher at times, so the dispatcher must not wait for it:
     /// where its mailbox is full, the call has ended without being made.
-    fn call(&self, add: Add) -> Option<Event> {
-        match self.calls.as_ref()?.try_send(add) {
+    fn call(&self, update: CounterUpdate) -> Option<Event> {
+        match self.calls.as_ref()?.try_send(update) {
             Ok(()) => None,
-            Err(TrySendError::Full(add) | TrySendError::Closed(add)) => {
+            Err(TrySendError::Full(update) | TrySendError::Closed(update)) => {
                 let end = Ok(CounterTotal::Full);
-                Some(Event::CounterReplied { key: add.count, end, elapsed: 0 })
+                Some(Event::CounterReplied { key: update.key, end, elapsed: 0 })
             }
         }
     }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -27,7 +27,7 @@
 use self::requests::RequestsInFlight;
 use self::servers::ServerTable;
 use self::timers::Timers;
-use crate::counter::Add;
+use crate::counter::CounterUpdate;
 use crate::discovery;
 use crate::operator;
 use crate::operator::metrics::PoolGauges;
@@ -68,7 +68,7 @@
         shared: &Rc<Shared>,
         settings: Settings,
         events: &Sender<Event>,
-        counter: Option<Sender<Add>>,
+        counter: Option<Sender<CounterUpdate>>,
         discovery: Sender<discovery::Order>,
     ) -> Self {
         let actions = ActionQueue::new(shared.clock.now(), shared.log.clone());
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -10,7 +10,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use fernscale_gateway::counter::{Add, Counter};
+use fernscale_gateway::counter::{Counter, CounterUpdate};
 use fernscale_gateway::discovery::draining::DrainingEndpoints;
 use fernscale_gateway::discovery::{self, List};
 use fernscale_gateway::operator::metrics::Metrics;
@@ -103,7 +103,12 @@
     let orders = Counter::start(&shared, &events, address);
     let all = async {
         for count in calls {
-            let add = Add { count: (*count).into(), amount: 1.0, life: 4_000_000, made: Instant::now() };
+            let add = CounterUpdate {
+                key: (*count).into(),
+                amount: 1.0,
+                lifetime: 4_000_000,
+                created_at: Instant::now(),
+            };
             orders.send(add).await.expect("the actor runs");
             if !pause.is_zero() {
                 Timer::after(pause).await;
