--- a/crates/gateway/src/operator/mod.rs
+++ b/crates/gateway/src/operator/mod.rs
@@ -15,7 +15,7 @@
 use slog::{info, warn};
 
 use crate::operator::metrics::PoolGauges;
-use crate::protocol::operator::{self, Call, Refused};
+use crate::protocol::operator::{self, OperatorCall, Rejection};
 use crate::shared::Shared;
 use crate::transport::buffer::Buffer;
 use crate::transport::connection::{within, Connection};
@@ -24,12 +24,14 @@
 use crate::transport::syscall::AcceptFailure;
 
 /// How long a caller may take to its call's end, and to read the answer: longer than any that means well.
-const WHOLE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a caller that is done may take to close: closed here with something unread, it would lose its answer.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Orders that wait at the module's actor.
-pub const MOST_ORDERS: usize = 2 * OPERATORS;
+pub use self::MAX_QUEUED_ORDERS as MOST_ORDERS;
+/// Orders that wait at the dispatcher.
+pub const MAX_QUEUED_ORDERS: usize = 2 * OPERATORS;
 
 /// What operators want of the module's actor.
 pub enum Order {
@@ -50,25 +52,32 @@
 }
 
 /// Calls that are not whole yet, the oldest first: each ends when its other end is dropped.
-type Stalled = Rc<RefCell<VecDeque<(u64, Sender<()>)>>>;
+type IncompleteCalls = Rc<RefCell<VecDeque<(u64, Sender<()>)>>>;
 
-pub struct Desk {
+pub use self::OperatorListener as Desk;
+
+pub struct OperatorListener {
     shared: Rc<Shared>,
     orders: Sender<Order>,
-    stalled: Stalled,
-    let_in: u64,
+    incomplete: IncompleteCalls,
+    accepted: u64,
 }
 
-impl Desk {
+impl OperatorListener {
     pub fn new(shared: &Rc<Shared>, orders: Sender<Order>) -> Self {
-        Desk { shared: shared.clone(), orders, stalled: Stalled::default(), let_in: 0 }
+        OperatorListener {
+            shared: shared.clone(),
+            orders,
+            incomplete: IncompleteCalls::default(),
+            accepted: 0,
+        }
     }
 
     pub async fn run(mut self, listener: Async<TcpListener>) {
         let mut incoming = std::pin::pin!(listener.incoming());
         while let Some(stream) = incoming.next().await {
             match stream {
-                Ok(stream) => self.let_in(stream),
+                Ok(stream) => self.accept(stream),
                 Err(error) => {
                     warn!(self.shared.log, #"operator.not-accepted", "an operator's call could not be accepted"; "why" => error.to_string());
                     Timer::after(AcceptFailure::classify(&error).backoff()).await;
@@ -79,98 +88,101 @@
 
     /// Danger: callers that say nothing take all places, and whoever means well waits. The one that has said nothing
     /// whole for longest makes room; those whose call has come are answered within a moment, and keep theirs.
-    fn let_in(&mut self, stream: Async<TcpStream>) {
-        self.let_in += 1;
-        let number = self.let_in;
+    fn accept(&mut self, stream: Async<TcpStream>) {
+        self.accepted += 1;
+        let number = self.accepted;
         let (stays, evicted) = async_channel::bounded(1);
-        let mut stalled = self.stalled.borrow_mut();
-        stalled.push_back((number, stays));
-        if stalled.len() > OPERATORS {
-            stalled.pop_front();
+        let mut incomplete = self.incomplete.borrow_mut();
+        incomplete.push_back((number, stays));
+        if incomplete.len() > OPERATORS {
+            incomplete.pop_front();
         }
-        let connection = Connection::new(stream, Buffer::new(operator::MOST_MESSAGE, None), None);
-        let caller = Caller { connection, shared: self.shared.clone(), orders: self.orders.clone() };
-        let stalled = self.stalled.clone();
+        let connection = Connection::new(stream, Buffer::new(operator::MAX_MESSAGE, None), None);
+        let task = CallTask { connection, shared: self.shared.clone(), orders: self.orders.clone() };
+        let incomplete = self.incomplete.clone();
         let serve = async move {
-            let until = Instant::now() + WHOLE;
-            let mut caller = caller;
-            let gone = async {
+            let until = Instant::now() + CALL_TIMEOUT;
+            let mut task = task;
+            let evicted_first = async {
                 let _ = evicted.recv().await;
                 Err(ConnectionEnd::Idle)
             };
-            let call = future::or(caller.call(until), gone).await;
-            stalled.borrow_mut().retain(|(other, _)| *other != number);
-            caller.finish(call, until).await;
+            let call = future::or(task.read_call(until), evicted_first).await;
+            incomplete.borrow_mut().retain(|(other, _)| *other != number);
+            task.answer(call, until).await;
         };
         self.shared.executor.spawn(serve).detach();
     }
 }
 
-struct Caller {
+struct CallTask {
     connection: Connection,
     shared: Rc<Shared>,
     orders: Sender<Order>,
 }
 
-impl Caller {
+impl CallTask {
     /// Reads the call, or why there is none.
-    async fn call(&mut self, until: Instant) -> Result<Result<Call, Refused>, ConnectionEnd> {
+    async fn read_call(&mut self, until: Instant) -> Result<Result<OperatorCall, Rejection>, ConnectionEnd> {
         loop {
-            match operator::call(self.connection.buffer.filled()) {
+            match operator::parse_call(self.connection.buffer.filled()) {
                 Ok(Some(call)) => return Ok(Ok(call)),
-                Err(why) => return Ok(Err(why)),
+                Err(rejection) => return Ok(Err(rejection)),
                 Ok(None) => {}
             }
             match within(until, ConnectionEnd::Silent, self.connection.read()).await {
                 Ok(()) => {}
                 Err(ConnectionEnd::Silent) if !self.connection.buffer.is_empty() => {
-                    return Ok(Err(Refused { status: 408, why: "no whole call has come in time".into() }));
+                    return Ok(Err(Rejection {
+                        status: 408,
+                        reason: "no whole call has come in time".into(),
+                    }));
                 }
                 Err(how) => return Err(how),
             }
         }
     }
 
-    async fn finish(mut self, call: Result<Result<Call, Refused>, ConnectionEnd>, until: Instant) {
+    async fn answer(mut self, call: Result<Result<OperatorCall, Rejection>, ConnectionEnd>, until: Instant) {
         let Ok(call) = call else { return };
         let (status, text) = match call {
-            Ok(call) => self.act(call).await,
-            Err(Refused { status, why }) => (status, why + "\n"),
+            Ok(call) => self.perform(call).await,
+            Err(Rejection { status, reason }) => (status, reason + "\n"),
         };
-        let answer = operator::answer(status, &text);
-        if within(until, ConnectionEnd::Silent, self.connection.write(&answer)).await.is_err() {
+        let response = operator::write_response(status, &text);
+        if within(until, ConnectionEnd::Silent, self.connection.write(&response)).await.is_err() {
             return;
         }
         self.connection.finish();
-        let linger = Instant::now() + LINGER;
+        let linger = Instant::now() + LINGER_TIMEOUT;
         while within(linger, ConnectionEnd::Silent, self.connection.read()).await.is_ok() {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
         }
     }
 
-    async fn act(&mut self, call: Call) -> (u16, String) {
+    async fn perform(&mut self, call: OperatorCall) -> (u16, String) {
         match call {
-            Call::Health => match self.shared.is_serving() {
+            OperatorCall::Health => match self.shared.is_serving() {
                 true => (200, "ready\n".into()),
                 false => (503, "not ready to serve\n".into()),
             },
-            Call::Stats => {
-                let (tell, told) = async_channel::bounded(1);
-                let _ = self.orders.send(Order::Pool(tell)).await;
-                let pool = told.recv().await.unwrap_or_default();
+            OperatorCall::Stats => {
+                let (reply, replied) = async_channel::bounded(1);
+                let _ = self.orders.send(Order::Pool(reply)).await;
+                let pool = replied.recv().await.unwrap_or_default();
                 let active = self.shared.limits.open.used();
                 (200, self.shared.metrics.write(active, pool))
             }
-            Call::Cordon(server) => self.cordon(server, true).await,
-            Call::Uncordon(server) => self.cordon(server, false).await,
+            OperatorCall::Cordon(server) => self.set_cordon(server, true).await,
+            OperatorCall::Uncordon(server) => self.set_cordon(server, false).await,
         }
     }
 
-    async fn cordon(&mut self, server: Id, on: bool) -> (u16, String) {
-        let (done, told) = async_channel::bounded(1);
+    async fn set_cordon(&mut self, server: Id, on: bool) -> (u16, String) {
+        let (done, replied) = async_channel::bounded(1);
         let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
-        let known = told.recv().await.unwrap_or(false);
+        let known = replied.recv().await.unwrap_or(false);
         if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
             if !link.word(&server, on).await {
                 warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
