--- /dev/null
+++ b/crates/gateway/src/operator/call_task.rs
@@ -0,0 +1,151 @@
+//! The task of one operator's call: it is read, performed and answered, and the connection ends.
+
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_channel::Sender;
+use async_io::Async;
+use fernscale_policy::Id;
+use futures_lite::future;
+use slog::{info, warn};
+
+use super::{IncompleteCall, Order};
+use crate::protocol::operator::{self, OperatorCall, Rejection};
+use crate::shared::Shared;
+use crate::transport::buffer::Buffer;
+use crate::transport::connection::{within, Connection};
+use crate::transport::ending::ConnectionEnd;
+
+/// How long a call may take to its end, and until its response is written.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a caller may take to close the connection. Danger: closed here with bytes unread, it would be reset, and the caller would
+/// lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a call is not performed.
+enum CallFailure {
+    /// The connection ended, or the call was evicted: there is nobody to answer.
+    NobodyWaits,
+    Rejected(Rejection),
+}
+
+impl From<ConnectionEnd> for CallFailure {
+    fn from(_: ConnectionEnd) -> Self {
+        CallFailure::NobodyWaits
+    }
+}
+
+impl From<Rejection> for CallFailure {
+    fn from(rejection: Rejection) -> Self {
+        CallFailure::Rejected(rejection)
+    }
+}
+
+/// A response before it is written.
+struct Response {
+    status: u16,
+    body: String,
+}
+
+impl Response {
+    fn new(status: u16, body: impl Into<String>) -> Self {
+        Response { status, body: body.into() }
+    }
+}
+
+pub(super) struct CallTask {
+    connection: Connection,
+    shared: Rc<Shared>,
+    orders: Sender<Order>,
+}
+
+impl CallTask {
+    pub(super) fn new(stream: Async<TcpStream>, shared: Rc<Shared>, orders: Sender<Order>) -> Self {
+        let connection = Connection::new(stream, Buffer::new(operator::MAX_MESSAGE, None), None);
+        CallTask { connection, shared, orders }
+    }
+
+    /// Serves the call. It may be evicted until it has come complete.
+    pub(super) async fn run(mut self, incomplete: IncompleteCall) {
+        let until = Instant::now() + CALL_TIMEOUT;
+        let evicted = async {
+            incomplete.evicted().await;
+            Err(CallFailure::NobodyWaits)
+        };
+        let call = future::or(self.read_call(until), evicted).await;
+        drop(incomplete);
+        let response = match call {
+            Ok(call) => self.perform(call).await,
+            Err(CallFailure::Rejected(Rejection { status, reason })) => Response::new(status, reason + "\n"),
+            Err(CallFailure::NobodyWaits) => return,
+        };
+        self.respond(response, until).await;
+    }
+
+    async fn read_call(&mut self, until: Instant) -> Result<OperatorCall, CallFailure> {
+        loop {
+            if let Some(call) = operator::parse_call(self.connection.buffer.filled())? {
+                return Ok(call);
+            }
+            match within(until, ConnectionEnd::Silent, self.connection.read()).await {
+                Err(ConnectionEnd::Silent) if !self.connection.buffer.is_empty() => {
+                    let reason = "no whole call has come in time".into();
+                    return Err(CallFailure::Rejected(Rejection { status: 408, reason }));
+                }
+                other => other?,
+            }
+        }
+    }
+
+    async fn respond(mut self, response: Response, until: Instant) {
+        let bytes = operator::write_response(response.status, &response.body);
+        if within(until, ConnectionEnd::Silent, self.connection.write(&bytes)).await.is_err() {
+            return;
+        }
+        self.connection.finish();
+        let until = Instant::now() + LINGER_TIMEOUT;
+        while within(until, ConnectionEnd::Silent, self.connection.read()).await.is_ok() {
+            let count = self.connection.buffer.filled().len();
+            self.connection.buffer.consume(count);
+        }
+    }
+
+    async fn perform(&mut self, call: OperatorCall) -> Response {
+        match call {
+            OperatorCall::Health if self.shared.is_serving() => Response::new(200, "ready\n"),
+            OperatorCall::Health => Response::new(503, "not ready to serve\n"),
+            OperatorCall::Stats => self.stats().await,
+            OperatorCall::Cordon(server) => self.set_cordon(server, true).await,
+            OperatorCall::Uncordon(server) => self.set_cordon(server, false).await,
+        }
+    }
+
+    async fn stats(&self) -> Response {
+        let (reply, gauges) = async_channel::bounded(1);
+        let _ = self.orders.send(Order::Pool(reply)).await;
+        let pool = gauges.recv().await.unwrap_or_default();
+        let active = self.shared.limits.open.used();
+        Response::new(200, self.shared.metrics.write(active, pool))
+    }
+
+    /// Has the dispatcher set or lift a cordon, and the other processes of this gateway where there are any.
+    async fn set_cordon(&self, server: Id, on: bool) -> Response {
+        let (done, is_known) = async_channel::bounded(1);
+        let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
+        let known = is_known.recv().await.unwrap_or(false);
+        if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
+            if !link.word(&server, on).await {
+                warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
+            }
+        }
+        info!(self.shared.log, #"operator.cordon", "an operator's word on a server"; "server" => &*server, "out" => on, "known" => known);
+        if !known {
+            Response::new(404, format!("no server '{server}' is known\n"))
+        } else if on {
+            Response::new(200, format!("'{server}' is left out\n"))
+        } else {
+            Response::new(200, format!("'{server}' is used again\n"))
+        }
+    }
+}
--- a/crates/gateway/src/operator/metrics.rs
+++ b/crates/gateway/src/operator/metrics.rs
@@ -1,11 +1,11 @@
-//! The figures that operators read. Each is counted where its fact becomes true, and nowhere else.
+//! The metrics that operators read. Each is counted where its fact becomes true, and nowhere else.
 
 use std::cell::Cell;
-use std::fmt::Write;
+use std::fmt::{Arguments, Write};
 
 use crate::protocol::call::FinalAnswer;
 
-/// How a transaction was answered.
+/// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseResult {
     Completed,
@@ -14,6 +14,10 @@
 }
 
 impl ResponseResult {
+    /// Their names in the metrics, in the order of the variants.
+    const NAMES: [&'static str; 3] = ["ok", "shed", "errors"];
+
+    /// What a final answer is counted as.
     pub fn of(answer: &FinalAnswer) -> Self {
         match answer {
             FinalAnswer::Completed(_) => ResponseResult::Completed,
@@ -23,53 +27,68 @@
     }
 }
 
-/// Counts from the start of this process.
+/// The responses of one request class.
+struct ClassCounters {
+    class: String,
+    /// By [`ResponseResult`].
+    responses: [Cell<u64>; ResponseResult::NAMES.len()],
+}
+
+/// Counters from the start of this process.
 pub struct Metrics {
-    classes: Box<[(String, [Cell<u64>; 3])]>,
+    classes: Box<[ClassCounters]>,
     attempts: Cell<u64>,
 }
 
-/// The servers as the module's actor sees them at this moment.
+/// The servers as the dispatcher sees them at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolGauges {
+    /// Servers in the endpoint list.
     pub size: usize,
+    /// Those of them that the engine avoids.
     pub avoided: usize,
 }
 
 impl Metrics {
+    /// With the names of the request classes, in the order of their numbers.
     pub fn new(classes: &[String]) -> Self {
-        let classes = classes.iter().map(|class| (class.clone(), Default::default())).collect();
-        Metrics { classes, attempts: Cell::new(0) }
+        let counters = |class: &String| ClassCounters { class: class.clone(), responses: Default::default() };
+        Metrics { classes: classes.iter().map(counters).collect(), attempts: Cell::new(0) }
     }
 
-    /// The last byte of an answer has been written to the client.
+    /// Counts a response whose last byte has been written to the client. A class that is not known is not counted.
     pub fn request_answered(&self, class: usize, result: ResponseResult) {
-        if let Some((_, results)) = self.classes.get(class) {
-            let count = &results[result as usize];
-            count.set(count.get() + 1);
+        if let Some(counters) = self.classes.get(class) {
+            increment(&counters.responses[result as usize]);
         }
     }
 
-    /// The last byte of a trip's command has been written to a server.
+    /// Counts an attempt whose last byte has been written to a server.
     pub fn attempt_forwarded(&self) {
-        self.attempts.set(self.attempts.get() + 1);
+        increment(&self.attempts);
     }
 
-    /// All figures, a line each.
+    /// All metrics, one a line. `active` is the number of open requests.
     pub fn write(&self, active: usize, pool: PoolGauges) -> String {
         let mut text = String::new();
-        let mut line = |name: std::fmt::Arguments, value: u64, kind: char| {
-            let _ = writeln!(text, "gateway.{name}:{value}|{kind}");
-        };
-        for (class, results) in &self.classes {
-            for (name, count) in ["ok", "shed", "errors"].iter().zip(results) {
-                line(format_args!("responses.{class}.{name}"), count.get(), 'c');
+        for ClassCounters { class, responses } in &self.classes {
+            for (name, count) in ResponseResult::NAMES.iter().zip(responses) {
+                write_line(&mut text, format_args!("responses.{class}.{name}"), count.get(), 'c');
             }
         }
-        line(format_args!("tries"), self.attempts.get(), 'c');
-        line(format_args!("active"), active as u64, 'g');
-        line(format_args!("pool_size"), pool.size as u64, 'g');
-        line(format_args!("pool_ejected"), pool.avoided as u64, 'g');
+        write_line(&mut text, format_args!("tries"), self.attempts.get(), 'c');
+        write_line(&mut text, format_args!("active"), active as u64, 'g');
+        write_line(&mut text, format_args!("pool_size"), pool.size as u64, 'g');
+        write_line(&mut text, format_args!("pool_ejected"), pool.avoided as u64, 'g');
         text
     }
 }
+
+fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
+}
+
+/// Writes one metric; its kind is `c` for a counter, `g` for a gauge.
+fn write_line(text: &mut String, name: Arguments, value: u64, kind: char) {
+    let _ = writeln!(text, "gateway.{name}:{value}|{kind}");
+}
--- a/crates/gateway/src/operator/mod.rs
+++ b/crates/gateway/src/operator/mod.rs
@@ -1,69 +1,57 @@
-//! The second address, for operators: who is let in, and each call.
+//! The second address, for operators: one call to a connection.
+//!
+//! It owns which calls are served, and answers them. Cordons are carried out by the dispatcher, and figures counted where their facts
+//! become true: nothing here changes what clients get.
 
+mod call_task;
 pub mod metrics;
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
 
-use async_channel::Sender;
+use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use fernscale_policy::{Id, Micros};
-use futures_lite::{future, StreamExt};
-use slog::{info, warn};
+use futures_lite::StreamExt;
+use slog::warn;
 
+use self::call_task::CallTask;
 use crate::operator::metrics::PoolGauges;
-use crate::protocol::operator::{self, OperatorCall, Rejection};
 use crate::shared::Shared;
-use crate::transport::buffer::Buffer;
-use crate::transport::connection::{within, Connection};
-use crate::transport::ending::ConnectionEnd;
 use crate::transport::limits::OPERATORS;
 use crate::transport::syscall::AcceptFailure;
 
-/// How long a caller may take to its call's end, and to read the answer: longer than any that means well.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a caller that is done may take to close: closed here with something unread, it would lose its answer.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-
-/// Orders that wait at the module's actor.
+pub use self::OperatorListener as Desk;
 pub use self::MAX_QUEUED_ORDERS as MOST_ORDERS;
-/// Orders that wait at the dispatcher.
+
+/// Orders that wait at the dispatcher: those of the calls that are served at once, and of other processes.
 pub const MAX_QUEUED_ORDERS: usize = 2 * OPERATORS;
 
-/// What operators want of the module's actor.
+/// An order to the dispatcher, which handles it before all events.
 pub enum Order {
-    /// Takes a server out of use, or back into it; told is whether there is such a server.
-    Cordon {
-        server: Id,
-        on: bool,
-        done: Sender<bool>,
-    },
-    /// The same, as another process of this gateway heard it: out of use, or called back at that time.
-    Heard {
-        server: Id,
-        back: Option<Micros>,
-    },
-    /// This process has so much of its gateway's ceilings and cold budgets.
+    /// Cordon a server, or lift its cordon; `done` gets whether there is such a server.
+    Cordon { server: Id, on: bool, done: Sender<bool> },
+    /// The same from another process of this gateway: cordoned, or lifted at that time of the gateway's clock.
+    Heard { server: Id, back: Option<Micros> },
+    /// The fraction of its gateway's ceilings and slow-start budgets that this process has.
     Part(f64),
+    /// Report the gauges of the server pool.
     Pool(Sender<PoolGauges>),
 }
 
-/// Calls that are not whole yet, the oldest first: each ends when its other end is dropped.
-type IncompleteCalls = Rc<RefCell<VecDeque<(u64, Sender<()>)>>>;
-
-pub use self::OperatorListener as Desk;
-
+/// Accepts operators' calls.
 pub struct OperatorListener {
     shared: Rc<Shared>,
     orders: Sender<Order>,
     incomplete: IncompleteCalls,
+    /// Calls accepted so far, which numbers them.
     accepted: u64,
 }
 
 impl OperatorListener {
+    /// `orders` is the dispatcher's mailbox for operators.
     pub fn new(shared: &Rc<Shared>, orders: Sender<Order>) -> Self {
         OperatorListener {
             shared: shared.clone(),
@@ -73,6 +61,7 @@
         }
     }
 
+    /// Accepts calls until the listener is closed.
     pub async fn run(mut self, listener: Async<TcpListener>) {
         let mut incoming = std::pin::pin!(listener.incoming());
         while let Some(stream) = incoming.next().await {
@@ -86,113 +75,50 @@
         }
     }
 
-    /// Danger: callers that say nothing take all places, and whoever means well waits. The one that has said nothing
-    /// whole for longest makes room; those whose call has come are answered within a moment, and keep theirs.
     fn accept(&mut self, stream: Async<TcpStream>) {
         self.accepted += 1;
-        let number = self.accepted;
-        let (stays, evicted) = async_channel::bounded(1);
-        let mut incomplete = self.incomplete.borrow_mut();
-        incomplete.push_back((number, stays));
-        if incomplete.len() > OPERATORS {
-            incomplete.pop_front();
-        }
-        let connection = Connection::new(stream, Buffer::new(operator::MAX_MESSAGE, None), None);
-        let task = CallTask { connection, shared: self.shared.clone(), orders: self.orders.clone() };
-        let incomplete = self.incomplete.clone();
-        let serve = async move {
-            let until = Instant::now() + CALL_TIMEOUT;
-            let mut task = task;
-            let evicted_first = async {
-                let _ = evicted.recv().await;
-                Err(ConnectionEnd::Idle)
-            };
-            let call = future::or(task.read_call(until), evicted_first).await;
-            incomplete.borrow_mut().retain(|(other, _)| *other != number);
-            task.answer(call, until).await;
-        };
-        self.shared.executor.spawn(serve).detach();
+        let call = self.incomplete.enter(self.accepted);
+        let task = CallTask::new(stream, self.shared.clone(), self.orders.clone());
+        self.shared.executor.spawn(task.run(call)).detach();
     }
 }
 
-struct CallTask {
-    connection: Connection,
-    shared: Rc<Shared>,
-    orders: Sender<Order>,
-}
-
-impl CallTask {
-    /// Reads the call, or why there is none.
-    async fn read_call(&mut self, until: Instant) -> Result<Result<OperatorCall, Rejection>, ConnectionEnd> {
-        loop {
-            match operator::parse_call(self.connection.buffer.filled()) {
-                Ok(Some(call)) => return Ok(Ok(call)),
-                Err(rejection) => return Ok(Err(rejection)),
-                Ok(None) => {}
-            }
-            match within(until, ConnectionEnd::Silent, self.connection.read()).await {
-                Ok(()) => {}
-                Err(ConnectionEnd::Silent) if !self.connection.buffer.is_empty() => {
-                    return Ok(Err(Rejection {
-                        status: 408,
-                        reason: "no whole call has come in time".into(),
-                    }));
-                }
-                Err(how) => return Err(how),
-            }
+/// The number of a call, and the sender whose end evicts it.
+type NumberedCall = (u64, Sender<()>);
+
+/// The calls that have not come complete, the oldest first. Each is evicted by dropping its sender. Danger: callers that send nothing would
+/// keep others out. The one that has been incomplete for longest makes room, while complete calls are answered within a moment.
+#[derive(Clone, Default)]
+struct IncompleteCalls(Rc<RefCell<VecDeque<NumberedCall>>>);
+
+impl IncompleteCalls {
+    fn enter(&self, number: u64) -> IncompleteCall {
+        let (sender, evicted) = async_channel::bounded(1);
+        let mut calls = self.0.borrow_mut();
+        calls.push_back((number, sender));
+        if calls.len() > OPERATORS {
+            calls.pop_front();
         }
+        IncompleteCall { calls: self.clone(), number, evicted }
     }
+}
 
-    async fn answer(mut self, call: Result<Result<OperatorCall, Rejection>, ConnectionEnd>, until: Instant) {
-        let Ok(call) = call else { return };
-        let (status, text) = match call {
-            Ok(call) => self.perform(call).await,
-            Err(Rejection { status, reason }) => (status, reason + "\n"),
-        };
-        let response = operator::write_response(status, &text);
-        if within(until, ConnectionEnd::Silent, self.connection.write(&response)).await.is_err() {
-            return;
-        }
-        self.connection.finish();
-        let linger = Instant::now() + LINGER_TIMEOUT;
-        while within(linger, ConnectionEnd::Silent, self.connection.read()).await.is_ok() {
-            let count = self.connection.buffer.filled().len();
-            self.connection.buffer.consume(count);
-        }
-    }
+/// The presence of a call in the table; dropped, it takes the call out.
+struct IncompleteCall {
+    calls: IncompleteCalls,
+    number: u64,
+    evicted: Receiver<()>,
+}
 
-    async fn perform(&mut self, call: OperatorCall) -> (u16, String) {
-        match call {
-            OperatorCall::Health => match self.shared.is_serving() {
-                true => (200, "ready\n".into()),
-                false => (503, "not ready to serve\n".into()),
-            },
-            OperatorCall::Stats => {
-                let (reply, replied) = async_channel::bounded(1);
-                let _ = self.orders.send(Order::Pool(reply)).await;
-                let pool = replied.recv().await.unwrap_or_default();
-                let active = self.shared.limits.open.used();
-                (200, self.shared.metrics.write(active, pool))
-            }
-            OperatorCall::Cordon(server) => self.set_cordon(server, true).await,
-            OperatorCall::Uncordon(server) => self.set_cordon(server, false).await,
-        }
+impl IncompleteCall {
+    /// Waits until the call is evicted.
+    async fn evicted(&self) {
+        let _ = self.evicted.recv().await;
     }
+}
 
-    async fn set_cordon(&mut self, server: Id, on: bool) -> (u16, String) {
-        let (done, replied) = async_channel::bounded(1);
-        let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
-        let known = replied.recv().await.unwrap_or(false);
-        if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
-            if !link.word(&server, on).await {
-                warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
-            }
-        }
-        info!(self.shared.log, #"operator.cordon", "an operator's word on a server"; "server" => &*server, "out" => on, "known" => known);
-        match (known, on) {
-            (false, _) => (404, format!("no server '{server}' is known\n")),
-            (true, true) => (200, format!("'{server}' is left out\n")),
-            (true, false) => (200, format!("'{server}' is used again\n")),
-        }
+impl Drop for IncompleteCall {
+    fn drop(&mut self) {
+        self.calls.0.borrow_mut().retain(|(number, _)| *number != self.number);
     }
 }
--- a/crates/gateway/src/protocol/operator.rs
+++ b/crates/gateway/src/protocol/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask, over HTTP/1.1: one call to a connection.
+//! Operators' calls over HTTP/1.1: bytes to meaning and back, one call to a connection.
 
 use fernscale_policy::Id;
 
@@ -8,101 +8,143 @@
 /// No call is longer, with the blanks that may stand round its id.
 pub const MAX_MESSAGE: usize = MAX_HEAD + MAX_BODY;
 
+/// What an operator wants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorCall {
+    /// Whether this gateway serves clients.
     Health,
+    /// The metrics.
     Stats,
+    /// Take a server out of use.
     Cordon(Id),
+    /// Bring a server back into use.
     Uncordon(Id),
 }
 
-/// Why a call gets no yes: a status and a line that names what is wrong.
+/// Why a call is rejected: an HTTP status, and a line that names what is wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
     pub status: u16,
     pub reason: String,
 }
 
-fn reject<T>(status: u16, reason: impl Into<String>) -> Result<T, Rejection> {
-    Err(Rejection { status, reason: reason.into() })
+impl Rejection {
+    fn new(status: u16, reason: impl Into<String>) -> Self {
+        Rejection { status, reason: reason.into() }
+    }
+}
+
+/// The head of a call.
+struct Head<'a> {
+    method: &'a str,
+    /// Without the query.
+    path: &'a str,
+    content_length: Option<usize>,
 }
 
 /// Reads a call; `None` while its end has not come.
+///
+/// # Errors
+///
+/// A [`Rejection`] as soon as what has come can't be the beginning of a call.
 pub fn parse_call(bytes: &[u8]) -> Result<Option<OperatorCall>, Rejection> {
-    // Some write line ends before a call.
+    // Some clients write line ends before a call.
     let blank = bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     let bytes = &bytes[blank..];
-    let Some(end) = bytes.windows(4).take(MAX_HEAD).position(|four| four == b"\r\n\r\n") else {
-        // What can't be a call is told at once, so that nobody waits for the rest of it.
-        let first = &bytes[..bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len())];
-        if first.iter().any(|byte| !(b' '..=b'~').contains(byte) && *byte != b'\r') {
-            return reject(400, "the first line is no text");
+    let Some(end) = find_head_end(bytes)? else { return Ok(None) };
+    let head = parse_head(&bytes[..end])?;
+    let expected_method = match head.path {
+        "/admin/health" | "/admin/stats" => "GET",
+        "/admin/cordon" | "/admin/uncordon" => "POST",
+        _ => {
+            let reason = "no such path; there are /admin/health, stats, cordon, uncordon";
+            return Err(Rejection::new(404, reason));
         }
-        return if bytes.len() >= MAX_HEAD { reject(431, "the head is too long") } else { Ok(None) };
     };
-    let Ok(head) = std::str::from_utf8(&bytes[..end]) else { return reject(400, "the head is no text") };
+    if head.method != expected_method {
+        return Err(Rejection::new(405, format!("{} takes {expected_method}", head.path)));
+    }
+    match head.path {
+        "/admin/health" => return Ok(Some(OperatorCall::Health)),
+        "/admin/stats" => return Ok(Some(OperatorCall::Stats)),
+        _ => {}
+    }
+    let Some(server) = parse_server(&bytes[end + 4..], head.content_length)? else { return Ok(None) };
+    Ok(Some(match head.path {
+        "/admin/cordon" => OperatorCall::Cordon(server),
+        _ => OperatorCall::Uncordon(server),
+    }))
+}
+
+/// Where the head ends, before its empty line; `None` while that has not come.
+fn find_head_end(bytes: &[u8]) -> Result<Option<usize>, Rejection> {
+    if let Some(end) = bytes.windows(4).take(MAX_HEAD).position(|four| four == b"\r\n\r\n") {
+        return Ok(Some(end));
+    }
+    // What can't be a call is rejected at once, so that nobody waits for the rest of it.
+    let first_line = bytes.split(|byte| *byte == b'\n').next().unwrap_or_default();
+    if first_line.iter().any(|byte| !(b' '..=b'~').contains(byte) && *byte != b'\r') {
+        return Err(Rejection::new(400, "the first line is no text"));
+    }
+    if bytes.len() >= MAX_HEAD {
+        return Err(Rejection::new(431, "the head is too long"));
+    }
+    Ok(None)
+}
+
+fn parse_head(head: &[u8]) -> Result<Head<'_>, Rejection> {
+    let head = std::str::from_utf8(head).map_err(|_| Rejection::new(400, "the head is no text"))?;
     let mut lines = head.split("\r\n");
-    let first = lines.next().unwrap_or_default();
-    let mut words = first.split(' ');
-    let (Some(method), Some(path), Some("HTTP/1.1" | "HTTP/1.0"), None) =
+    let mut words = lines.next().unwrap_or_default().split(' ');
+    let (Some(method), Some(target), Some("HTTP/1.1" | "HTTP/1.0"), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return reject(400, "the first line is not: method, path, HTTP/1.1");
+        return Err(Rejection::new(400, "the first line is not: method, path, HTTP/1.1"));
     };
-    let mut length = None;
+    let mut content_length = None;
     for line in lines {
-        let Some((name, value)) = line.split_once(':') else {
-            return reject(400, "a header without a colon");
-        };
-        let value = value.trim();
+        let (name, value) =
+            line.split_once(':').ok_or_else(|| Rejection::new(400, "a header without a colon"))?;
         if name.eq_ignore_ascii_case("transfer-encoding") {
-            return reject(411, "the body has to have a Content-Length");
+            return Err(Rejection::new(411, "the body has to have a Content-Length"));
         }
         if name.eq_ignore_ascii_case("content-length") {
-            let number =
-                value.parse::<usize>().ok().filter(|_| value.bytes().all(|byte| byte.is_ascii_digit()));
-            let Some(number) = number else { return reject(400, "Content-Length is no number") };
-            if length.is_some_and(|other| other != number) {
-                return reject(400, "two Content-Lengths that differ");
+            let length = parse_content_length(value.trim())?;
+            if content_length.is_some_and(|other| other != length) {
+                return Err(Rejection::new(400, "two Content-Lengths that differ"));
             }
-            length = Some(number);
+            content_length = Some(length);
         }
     }
-    let path = path.split('?').next().unwrap_or_default();
-    let expected_method = match path {
-        "/admin/health" | "/admin/stats" => "GET",
-        "/admin/cordon" | "/admin/uncordon" => "POST",
-        _ => return reject(404, "no such path; there are /admin/health, stats, cordon, uncordon"),
-    };
-    if method != expected_method {
-        return reject(405, format!("{path} takes {expected_method}"));
-    }
-    match path {
-        "/admin/health" => return Ok(Some(OperatorCall::Health)),
-        "/admin/stats" => return Ok(Some(OperatorCall::Stats)),
-        _ => {}
-    }
-    let Some(length) = length else { return reject(411, "the body has to have a Content-Length") };
+    let path = target.split('?').next().unwrap_or_default();
+    Ok(Head { method, path, content_length })
+}
+
+fn parse_content_length(value: &str) -> Result<usize, Rejection> {
+    let is_digits = value.bytes().all(|byte| byte.is_ascii_digit());
+    let length = value.parse().ok().filter(|_| is_digits);
+    length.ok_or_else(|| Rejection::new(400, "Content-Length is no number"))
+}
+
+/// The id of a server from the bytes behind the head; `None` while the body has not come complete.
+fn parse_server(bytes: &[u8], content_length: Option<usize>) -> Result<Option<Id>, Rejection> {
+    let length =
+        content_length.ok_or_else(|| Rejection::new(411, "the body has to have a Content-Length"))?;
     if length > MAX_BODY {
-        return reject(413, "the body is too long for an id");
+        return Err(Rejection::new(413, "the body is too long for an id"));
     }
-    let Some(body) = bytes.get(end + 4..end + 4 + length) else { return Ok(None) };
-    let Ok(id) = std::str::from_utf8(body).map(str::trim) else { return reject(400, "the id is no text") };
+    let Some(body) = bytes.get(..length) else { return Ok(None) };
+    let id = std::str::from_utf8(body).map_err(|_| Rejection::new(400, "the id is no text"))?.trim();
     if id.is_empty() {
-        return reject(400, "the body has to be the id of a server, and is empty");
+        return Err(Rejection::new(400, "the body has to be the id of a server, and is empty"));
     }
     if id.chars().any(char::is_control) {
-        return reject(400, "the id has control characters");
+        return Err(Rejection::new(400, "the id has control characters"));
     }
-    let server = Id::from(id);
-    Ok(Some(if path == "/admin/cordon" {
-        OperatorCall::Cordon(server)
-    } else {
-        OperatorCall::Uncordon(server)
-    }))
+    Ok(Some(Id::from(id)))
 }
 
-/// A whole answer, after which the connection ends.
+/// A complete response, after which the connection ends.
 pub fn write_response(status: u16, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
