--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -1,4 +1,4 @@
-//! Which servers the list has said to leave, and which word on a server is the newest.
+//! Which servers the endpoint list has taken out of service, and which version said so last.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,86 +6,96 @@
 
 use crate::protocol::catalog::EndpointUpdate;
 
-/// Servers that are remembered after they have left, at most: the lists of a discovery that brings new names without end
-/// must not fill the memory. The one whose word is oldest goes first.
-const MOST_LEFT: usize = 16 * 1024;
+/// Servers that are remembered after their departure. Danger: a discovery that lists new names without end would fill the memory. Those
+/// whose departure is of the oldest version go first.
+const MAX_REMEMBERED: usize = 16 * 1024;
 
-/// Servers that leave, or have left. Nothing begins at one of them, and one comes back only by a newer word, or with a newer
-/// start. Danger: words out of order. An agent that is behind, another discovery or a list from before the start may still
-/// have a server in service that drains.
+/// Servers that drain or have been removed. No attempt begins at one of them, and one returns only by a newer version, or with a
+/// newer start. Danger: versions out of order. An agent that is behind, another discovery or a list from before the start may have a
+/// server in service that drains.
 #[derive(Default)]
 pub struct DrainingEndpoints {
     /// The version of the newest list.
     index: u64,
-    /// Those in use, and when each started.
-    used: HashMap<Id, Option<Micros>>,
-    left: HashMap<Id, Left>,
+    /// Those in service, and when each started.
+    in_service: HashMap<Id, Option<Micros>>,
+    departures: HashMap<Id, Departure>,
 }
 
-/// The word that a server leaves.
+/// How a server was taken out of service.
 #[derive(Clone, Copy, Default)]
-struct Left {
-    /// When it had started.
-    started: Option<Micros>,
-    /// The version that said so, or the first of another row: then nothing in that row has said so.
+struct Departure {
+    /// When the server had started.
+    started_at: Option<Micros>,
+    /// The version that said so, or the first one of another sequence of versions.
     index: u64,
-    elsewhere: bool,
+    /// The departure was known from another sequence of versions: nothing in the present one has said so.
+    is_other_sequence: bool,
 }
 
 impl DrainingEndpoints {
-    /// Goes by a list that has come, and puts right in it what is older than what is known.
-    pub fn read(&mut self, members: &mut EndpointUpdate) {
-        if members.moved || members.index < self.index {
-            // Another row of versions. That one still has a server in it is no newer word than that it leaves.
-            let anew = |left: &mut Left| (left.index, left.elsewhere) = (members.index, true);
-            self.left.values_mut().for_each(anew);
+    /// Applies a list. Servers that it has in service against something newer become draining in it.
+    pub fn read(&mut self, update: &mut EndpointUpdate) {
+        if update.moved || update.index < self.index {
+            // Another sequence of versions. That it still lists a server says nothing newer than that the server drains.
+            for departure in self.departures.values_mut() {
+                departure.index = update.index;
+                departure.is_other_sequence = true;
+            }
         }
-        self.index = members.index;
-        if members.full {
-            let listed: HashSet<&Id> = members.servers.iter().map(|(listed, _)| &listed.server).collect();
-            let gone: Vec<Id> = self.used.keys().filter(|id| !listed.contains(id)).cloned().collect();
-            gone.into_iter().for_each(|id| self.leaves(&id, None));
+        self.index = update.index;
+        if update.full {
+            self.depart_unlisted(update);
         }
-        for (listed, _) in &mut members.servers {
-            if listed.state != EndpointState::Ready {
-                self.leaves(&listed.server, listed.started_at);
-            } else if self
-                .left
-                .get(&listed.server)
-                .is_some_and(|left| !left.returns(listed, self.index, members.full))
+        for (endpoint, _) in &mut update.servers {
+            let departure = self.departures.get(&endpoint.server);
+            if endpoint.state != EndpointState::Ready {
+                self.depart(&endpoint.server, endpoint.started_at);
+            } else if departure
+                .is_some_and(|departure| !departure.is_superseded_by(endpoint, self.index, update.full))
             {
-                listed.state = EndpointState::Draining;
+                endpoint.state = EndpointState::Draining;
             } else {
-                self.left.remove(&listed.server);
-                self.used.insert(listed.server.clone(), listed.started_at);
+                self.departures.remove(&endpoint.server);
+                self.in_service.insert(endpoint.server.clone(), endpoint.started_at);
             }
         }
-        if self.left.len() > MOST_LEFT {
+        if self.departures.len() > MAX_REMEMBERED {
             self.forget_oldest();
         }
     }
 
-    /// Goes by an answer that was refused, of which only this is taken: that these leave.
+    /// Takes out of service what a complete list does not have.
+    fn depart_unlisted(&mut self, update: &EndpointUpdate) {
+        let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
+        let removed: Vec<Id> = self.in_service.keys().filter(|id| !listed.contains(id)).cloned().collect();
+        for id in removed {
+            self.depart(&id, None);
+        }
+    }
+
+    /// Takes servers out of service that a rejected response names as draining.
     pub fn leave(&mut self, servers: &[Id]) {
         for id in servers {
-            if self.used.contains_key(id) {
-                self.leaves(id, None);
+            if self.in_service.contains_key(id) {
+                self.depart(id, None);
             }
         }
     }
 
-    /// Forgets an eighth of those that have left: to look for the oldest each time would cost more than all the list.
+    /// Forgets an eighth of the departures at once: a search for the oldest at each list would cost more than the list.
     fn forget_oldest(&mut self) {
-        let mut words: Vec<u64> = self.left.values().map(|left| left.index).collect();
-        words.sort_unstable();
-        let newest_forgotten = words[words.len() - MOST_LEFT + MOST_LEFT / 8 - 1];
-        self.left.retain(|_, left| left.index > newest_forgotten);
+        let mut indexes: Vec<u64> = self.departures.values().map(|departure| departure.index).collect();
+        indexes.sort_unstable();
+        let newest_forgotten = indexes[indexes.len() - MAX_REMEMBERED + MAX_REMEMBERED / 8 - 1];
+        self.departures.retain(|_, departure| departure.index > newest_forgotten);
     }
 
-    fn leaves(&mut self, id: &Id, started: Option<Micros>) {
-        let before = self.left.get(id).and_then(|left| left.started);
-        let started = started.max(self.used.remove(id).flatten()).max(before);
-        self.left.insert(id.clone(), Left { started, index: self.index, elsewhere: false });
+    fn depart(&mut self, id: &Id, started_at: Option<Micros>) {
+        let before = self.departures.get(id).and_then(|departure| departure.started_at);
+        let started_at = started_at.max(self.in_service.remove(id).flatten()).max(before);
+        let departure = Departure { started_at, index: self.index, is_other_sequence: false };
+        self.departures.insert(id.clone(), departure);
     }
 
     /// The version of the newest list.
@@ -93,14 +103,15 @@
         self.index
     }
 
+    /// Whether a server is out of service.
     pub fn contains(&self, server: &Id) -> bool {
-        self.left.contains_key(server)
+        self.departures.contains_key(server)
     }
 }
 
-impl Left {
-    /// Whether a list of this version has the server back. A whole list repeats old words, changes are new ones.
-    fn returns(&self, listed: &Endpoint, index: u64, full: bool) -> bool {
-        listed.started_at > self.started || index > self.index && !(full && self.elsewhere)
+impl Departure {
+    /// Whether a list of this version has the server in service again. A complete list repeats what was known, changes are new.
+    fn is_superseded_by(&self, endpoint: &Endpoint, index: u64, is_full: bool) -> bool {
+        endpoint.started_at > self.started_at || index > self.index && !(is_full && self.is_other_sequence)
     }
 }
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -1,6 +1,6 @@
 //! When servers started, by this gateway's own clock.
 //!
-//! Discovery tells starts as Unix times. Each is turned into a time of the gateway's clock once, when it is first told, and
+//! Discovery lists starts as Unix times. Each is converted to a time of the gateway's clock once, when it is first listed, and
 //! stays that: whatever the wall clock is set to later, a server grows older as time goes by.
 
 use std::collections::{HashMap, HashSet};
@@ -9,40 +9,40 @@
 
 use crate::protocol::catalog::EndpointUpdate;
 
-/// A start that is told so long after it, µs, is not believed to be that old: servers are listed within seconds, and within
-/// minutes where discovery is down. The wall clock may have been wrong when this process started.
-const LONGEST_UNTOLD: Micros = 600_000_000;
-/// Servers that are remembered. Beyond, those that a whole list does not name are forgotten.
-const MOST_SERVERS: usize = 16 * 1024;
+/// A new start that is listed so much later than it was, in microseconds, is taken for one of this moment: servers are listed within
+/// seconds, and within minutes where discovery is down. Danger: the wall clock was wrong when this process started.
+const MAX_LISTING_DELAY: Micros = 600_000_000;
+/// Servers that are remembered. Beyond it those that a complete list does not have are forgotten.
+const MAX_REMEMBERED: usize = 16 * 1024;
 
 /// The start of one server.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As discovery tells it.
-    told: Micros,
+    /// As discovery lists it.
+    listed: Micros,
     /// By the gateway's clock.
-    own: Micros,
+    local: Micros,
 }
 
 /// The starts that are known.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     starts: HashMap<Id, Start>,
-    /// A list of discovery has been read: what is new in the next has started meanwhile.
-    listed: bool,
+    /// Discovery has given a list since the start of this process: a server that is new in the next one has started meanwhile.
+    has_read_list: bool,
 }
 
 impl StartTimes {
-    /// Puts times of the gateway's clock in the place of those that a list tells. `least_age` says how long ago a Unix time
-    /// was, µs, at the least: a server that is taken for warm too early is overloaded by all gateways, one that is taken for
-    /// cold too long is used less for some seconds.
-    pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, members: &mut EndpointUpdate) {
-        for (listed, _) in &mut members.servers {
-            listed.started_at = self.of_server(now, &least_age, listed);
+    /// Replaces the starts of a list by times of the gateway's clock, which is at `now`. `least_age` says how long ago a Unix time was
+    /// at the least, in microseconds: a server that is taken for older than it is gets too much load from all gateways, one taken for
+    /// younger gets less load for some seconds.
+    pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, update: &mut EndpointUpdate) {
+        for (endpoint, _) in &mut update.servers {
+            endpoint.started_at = self.started_at(now, &least_age, endpoint);
         }
-        if members.full && self.starts.len() > MOST_SERVERS {
-            let named: HashSet<&Id> = members.servers.iter().map(|(listed, _)| &listed.server).collect();
-            self.starts.retain(|server, _| named.contains(server));
+        if update.full && self.starts.len() > MAX_REMEMBERED {
+            let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
+            self.starts.retain(|server, _| listed.contains(server));
         }
     }
 
@@ -51,29 +51,29 @@
         &mut self,
         now: Micros,
         least_age: impl Fn(Micros) -> Micros,
-        members: &mut EndpointUpdate,
+        update: &mut EndpointUpdate,
     ) {
-        self.read(now, least_age, members);
-        self.listed |= !members.servers.is_empty();
+        self.read(now, least_age, update);
+        self.has_read_list |= !update.servers.is_empty();
     }
 
-    fn of_server(
+    fn started_at(
         &mut self,
         now: Micros,
         least_age: impl Fn(Micros) -> Micros,
-        listed: &Endpoint,
+        endpoint: &Endpoint,
     ) -> Option<Micros> {
-        let told = listed.listed_start?;
-        let known = self.starts.get(&listed.server).copied();
-        if let Some(known) = known.filter(|known| known.told == told) {
-            return Some(known.own);
+        let listed = endpoint.listed_start?;
+        let known = self.starts.get(&endpoint.server).copied();
+        if let Some(known) = known.filter(|known| known.listed == listed) {
+            return Some(known.local);
         }
-        let age = least_age(told);
-        // A word on an earlier start than the known one is an old word, and nothing new has started.
-        let new = known.map_or(self.listed, |known| told > known.told);
-        let age = if new && age > LONGEST_UNTOLD { 0 } else { age };
-        let own = now.saturating_sub(age);
-        self.starts.insert(listed.server.clone(), Start { told, own });
-        Some(own)
+        let age = least_age(listed);
+        // An earlier start than the known one comes from an old list: nothing new has started.
+        let is_new = known.map_or(self.has_read_list, |known| listed > known.listed);
+        let age = if is_new && age > MAX_LISTING_DELAY { 0 } else { age };
+        let local = now.saturating_sub(age);
+        self.starts.insert(endpoint.server.clone(), Start { listed, local });
+        Some(local)
     }
 }
