--- a/crates/gateway/src/fleet/durable_store.rs
+++ b/crates/gateway/src/fleet/durable_store.rs
@@ -16,15 +16,15 @@
 use crate::transport::clock::unix;
 
 /// Writes that wait at the most; beyond it a write is refused as not durable.
-const MOST_WAITING: usize = 4_096;
+const MAX_QUEUED_WRITES: usize = 4_096;
 /// Writes that become durable by one sync.
-const TOGETHER: usize = 256;
+const MAX_BATCHES_PER_SYNC: usize = 256;
 /// Bytes that are looked at for compaction after a sync.
-const SLICE: usize = 64 * 1024;
+const COMPACTION_SLICE_BYTES: usize = 64 * 1024;
 /// Bounds of the whole, on disk and in memory: what a gateway keeps for the fleet is some thousand small things.
-const MOST_DISK: u64 = 64 * 1024 * 1024;
-const MOST_INDEX: u64 = 4 * 1024 * 1024;
-const SEGMENT: u64 = 1024 * 1024;
+const MAX_DISK_BYTES: u64 = 64 * 1024 * 1024;
+const MAX_INDEX_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_SEGMENT_BYTES: u64 = 1024 * 1024;
 
 /// What is wrong with the folder, in trials.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,16 +38,16 @@
 }
 
 impl StoreFaults {
-    fn sets(self, wrong: &Faults) {
-        wrong.quota_bytes.set(self.quota_bytes);
-        wrong.sync_delay.set(self.sync_delay);
-        wrong.sync_fails.set(self.sync_fails);
+    fn apply_to(self, injected: &Faults) {
+        injected.quota_bytes.set(self.quota_bytes);
+        injected.sync_delay.set(self.sync_delay);
+        injected.sync_fails.set(self.sync_fails);
     }
 }
 
 enum Order {
     Write(Batch, Sender<bool>),
-    Trial(StoreFaults),
+    SetFaults(StoreFaults),
 }
 
 /// Keys and their values, in the order of the keys.
@@ -61,87 +61,87 @@
 
 impl DurableStore {
     /// Opens the store of a folder, and gives all that is in it. Fails with `Locked` while another process has it.
-    pub async fn open(folder: &Path, trial: StoreFaults) -> Result<(DurableStore, Entries), Error> {
-        let (orders, ordered) = mpsc::sync_channel(MOST_WAITING);
-        let (opened, opens) = async_channel::bounded(1);
-        let folder = PathBuf::from(folder);
-        let work = move || {
-            let wrong = Rc::new(Faults::default());
-            trial.sets(&wrong);
-            match open(&folder, &wrong) {
+    pub async fn open(directory: &Path, faults: StoreFaults) -> Result<(DurableStore, Entries), Error> {
+        let (orders, mailbox) = mpsc::sync_channel(MAX_QUEUED_WRITES);
+        let (opened, opening) = async_channel::bounded(1);
+        let directory = PathBuf::from(directory);
+        let run = move || {
+            let injected = Rc::new(Faults::default());
+            faults.apply_to(&injected);
+            match open(&directory, &injected) {
                 Ok((store, entries)) => {
                     let _ = opened.send_blocking(Ok(entries));
-                    serve(store, &wrong, &ordered);
+                    serve(store, &injected, &mailbox);
                 }
                 Err(why) => drop(opened.send_blocking(Err(why))),
             }
         };
-        let failed = |what| move |why| Error::Io { what, why };
-        thread::Builder::new().name("store".into()).spawn(work).map_err(failed("its thread"))?;
-        let gone = |_| failed("its thread")(io::Error::other("it has ended"));
-        let entries = opens.recv().await.map_err(gone)??;
+        let thread_error = |what| move |why| Error::Io { what, why };
+        thread::Builder::new().name("store".into()).spawn(run).map_err(thread_error("its thread"))?;
+        let thread_gone = |_| thread_error("its thread")(io::Error::other("it has ended"));
+        let entries = opening.recv().await.map_err(thread_gone)??;
         Ok((DurableStore { orders }, entries))
     }
 
     /// Hands a batch in. What comes says once whether it is durable; nothing does where the store has ended.
     pub fn write(&self, batch: Batch) -> Receiver<bool> {
-        let (done, doing) = async_channel::bounded(1);
+        let (done, completed) = async_channel::bounded(1);
         // Where there is no room the sender goes, and whoever waits is told so.
         let _ = self.orders.try_send(Order::Write(batch, done));
-        doing
+        completed
     }
 
     /// Another trial of the folder from now on.
-    pub fn set_faults(&self, trial: StoreFaults) {
-        let _ = self.orders.try_send(Order::Trial(trial));
+    pub fn set_faults(&self, faults: StoreFaults) {
+        let _ = self.orders.try_send(Order::SetFaults(faults));
     }
 }
 
-fn now() -> u64 {
+fn now_ms() -> u64 {
     unix() / 1_000
 }
 
-type Opened = (Store<FaultyDirectory<DiskDirectory>>, Entries);
+type OpenedStore = (Store<FaultyDirectory<DiskDirectory>>, Entries);
 
-fn open(folder: &Path, wrong: &Rc<Faults>) -> Result<Opened, Error> {
-    let files = DiskDirectory::new(folder).map_err(|why| Error::Io { what: "the folder", why })?;
+fn open(directory: &Path, injected: &Rc<Faults>) -> Result<OpenedStore, Error> {
+    let files = DiskDirectory::new(directory).map_err(|why| Error::Io { what: "the folder", why })?;
     let options = Options {
-        max_disk_bytes: MOST_DISK,
-        max_index_bytes: MOST_INDEX,
-        max_segment_bytes: SEGMENT,
+        max_disk_bytes: MAX_DISK_BYTES,
+        max_index_bytes: MAX_INDEX_BYTES,
+        max_segment_bytes: MAX_SEGMENT_BYTES,
         ..Options::default()
     };
-    let (store, _) = Store::open(FaultyDirectory::new(files, wrong), options, now())?;
-    let entries = store.scan(b"", None, usize::MAX, now())?;
+    let (store, _) = Store::open(FaultyDirectory::new(files, injected), options, now_ms())?;
+    let entries = store.scan(b"", None, usize::MAX, now_ms())?;
     Ok((store, entries))
 }
 
 /// Writes until nobody is left who could hand anything in, or nothing can be made durable any more.
-fn serve<F: Directory>(mut store: Store<F>, wrong: &Faults, orders: &mpsc::Receiver<Order>) {
+fn serve<F: Directory>(mut store: Store<F>, injected: &Faults, orders: &mpsc::Receiver<Order>) {
     while let Ok(first) = orders.recv() {
-        let mut waiting = Vec::new();
+        let mut completions = Vec::new();
         let mut written = Ok(());
-        for order in std::iter::once(first).chain(orders.try_iter().take(TOGETHER)) {
+        for order in std::iter::once(first).chain(orders.try_iter().take(MAX_BATCHES_PER_SYNC)) {
             match order {
                 Order::Write(batch, done) => {
-                    waiting.push(done);
-                    let write = store.write(&batch, Durability::Deferred, now());
+                    completions.push(done);
+                    let write = store.write(&batch, Durability::Deferred, now_ms());
                     written = written.and(write.map(drop));
                 }
-                Order::Trial(trial) => trial.sets(wrong),
+                Order::SetFaults(faults) => faults.apply_to(injected),
             }
         }
-        if waiting.is_empty() {
+        if completions.is_empty() {
             continue;
         }
-        let durable = written.and_then(|()| store.sync()).is_ok();
-        for done in waiting {
-            let _ = done.send_blocking(durable);
+        let is_durable = written.and_then(|()| store.sync()).is_ok();
+        for done in completions {
+            let _ = done.send_blocking(is_durable);
         }
-        if !durable {
+        if !is_durable {
             return;
         }
         // A slice that fails is told of by the next write.
-        let _ = store.compact(SLICE, now());
+        let _ = store.compact(COMPACTION_SLICE_BYTES, now_ms());
     }
 }
--- a/crates/gateway/src/fleet/endpoint_list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -23,11 +23,11 @@
 use crate::transport::clock::{boottime, real_duration};
 
 /// The job's name.
-const JOB: &str = "list";
+const LEASE_NAME: &str = "list";
 /// How long a call to discovery may take: another gateway's turn comes soon.
-const CALL: Duration = Duration::from_secs(1);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest sleep: this gateway's place in the order, and who owns the job, may change meanwhile.
-const LOOK: Micros = 50_000;
+const MAX_SLEEP: Micros = 50_000;
 
 /// What it works with.
 pub struct EndpointListConfig<E, R> {
@@ -39,54 +39,55 @@
     pub events: Sender<E>,
 }
 
-struct List<E, R> {
+struct ListTask<E, R> {
     host: Rc<dyn EndpointTable>,
-    mesh: Rc<Membership>,
-    owners: Rc<Leases>,
-    job: Name,
-    needs: EndpointListConfig<E, R>,
-    told: RefCell<ReplicatedList>,
+    membership: Rc<Membership>,
+    leases: Rc<Leases>,
+    lease: Name,
+    config: EndpointListConfig<E, R>,
+    replica: RefCell<ReplicatedList>,
     /// One carries out what is wanted, in its order; others leave it to that one.
-    carrying: Cell<bool>,
+    is_draining_outputs: Cell<bool>,
     wake: Wake,
 }
 
 pub fn start<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static>(
     host: Rc<dyn EndpointTable>,
-    mesh: &Rc<Membership>,
-    owners: &Rc<Leases>,
-    needs: EndpointListConfig<E, R>,
+    membership: &Rc<Membership>,
+    leases: &Rc<Leases>,
+    config: EndpointListConfig<E, R>,
 ) {
-    let job = Name::from(JOB);
-    if !owners.register(&job) {
+    let lease = Name::from(LEASE_NAME);
+    if !leases.register(&lease) {
         return;
     }
-    let told = ReplicatedList::new(&job, needs.poll_interval, needs.known_index, boottime(), rand::random());
-    let list = Rc::new(List {
+    let replica =
+        ReplicatedList::new(&lease, config.poll_interval, config.known_index, boottime(), rand::random());
+    let list = Rc::new(ListTask {
         host,
-        mesh: mesh.clone(),
-        owners: owners.clone(),
-        job,
-        needs,
-        told: RefCell::new(told),
-        carrying: Cell::new(false),
+        membership: membership.clone(),
+        leases: leases.clone(),
+        lease,
+        config,
+        replica: RefCell::new(replica),
+        is_draining_outputs: Cell::new(false),
         wake: Wake::new(),
     });
-    mesh.spawn_until_left(list.clone().hear(mesh.subscribe(Channel::EndpointList)));
-    mesh.spawn_until_left(list.keep_time());
+    membership.spawn_until_left(list.clone().receive_messages(membership.subscribe(Channel::EndpointList)));
+    membership.spawn_until_left(list.run_timer());
 }
 
-impl<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static> List<E, R> {
-    async fn keep_time(self: Rc<Self>) {
-        drop(self.needs.orders.send(DiscoveryRequest::DelegateToFleet.into()).await);
+impl<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static> ListTask<E, R> {
+    async fn run_timer(self: Rc<Self>) {
+        drop(self.config.orders.send(DiscoveryRequest::DelegateToFleet.into()).await);
         loop {
             let woken = self.wake.listen();
-            let (now, owns, place) = (boottime(), self.term().is_some(), self.owners.rank(&self.job));
-            self.told.borrow_mut().handle_timeout(now, owns, place);
-            self.carry().await;
-            let due = self.told.borrow().next_deadline(owns, place);
+            let (now, holds_lease, rank) = (boottime(), self.term().is_some(), self.leases.rank(&self.lease));
+            self.replica.borrow_mut().handle_timeout(now, holds_lease, rank);
+            self.drain_outputs().await;
+            let due = self.replica.borrow().next_deadline(holds_lease, rank);
             let wait = async {
-                Timer::after(real_duration(due.saturating_sub(boottime()).min(LOOK))).await;
+                Timer::after(real_duration(due.saturating_sub(boottime()).min(MAX_SLEEP))).await;
             };
             future::or(wait, woken).await;
         }
@@ -94,108 +95,115 @@
 
     /// This gateway's term as the owner, if it is.
     fn term(&self) -> Option<u64> {
-        self.owners.authorize(&self.job, ()).map(|effect| effect.token().term)
+        self.leases.authorize(&self.lease, ()).map(|effect| effect.token().term)
     }
 
-    async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
-        let mut came = std::pin::pin!(came);
-        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
+    async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
+        let mut payloads = std::pin::pin!(payloads);
+        while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
             match postcard::from_bytes::<ListMessage>(&body) {
-                Ok(note) => self.told.borrow_mut().handle_message(boottime(), &from.name.into(), note),
+                Ok(message) => {
+                    self.replica.borrow_mut().handle_message(boottime(), &sender.name.into(), message)
+                }
                 Err(_) => {
-                    let why = "a note about the list that can't be read";
-                    warn!(self.host.log(), #"list.unread", "{}", why; "peer" => from.name);
+                    let reason = "a note about the list that can't be read";
+                    warn!(self.host.log(), #"list.unread", "{}", reason; "peer" => sender.name);
                 }
             }
-            self.carry().await;
+            self.drain_outputs().await;
             self.wake.notify(1);
         }
     }
 
     /// Carries out what is wanted. Calls run beside it.
-    async fn carry(self: &Rc<Self>) {
-        if self.carrying.replace(true) {
+    async fn drain_outputs(self: &Rc<Self>) {
+        if self.is_draining_outputs.replace(true) {
             return;
         }
         loop {
-            self.host.set_fresh_until(self.told.borrow().fresh_until());
-            let output = self.told.borrow_mut().poll_output();
+            self.host.set_fresh_until(self.replica.borrow().fresh_until());
+            let output = self.replica.borrow_mut().poll_output();
             let Some(output) = output else { break };
             match output {
                 Output::Poll { since } => {
-                    self.mesh.spawn_until_left(self.clone().call(since));
+                    self.membership.spawn_until_left(self.clone().poll(since));
                 }
-                Output::Broadcast(piece) => {
-                    let note = self.signed(piece);
-                    for peer in self.mesh.live_peers() {
-                        self.send(&peer.name, &note);
+                Output::Broadcast(fragment) => {
+                    let message = self.with_token(fragment);
+                    for peer in self.membership.live_peers() {
+                        self.send(&peer.name, &message);
                     }
                 }
-                Output::SendFragment(to, piece) => self.send(&to, &self.signed(piece)),
-                Output::SendMessage(to, note) => self.send(&to, &note),
-                Output::Updated(answer) => self.learn(answer).await,
+                Output::SendFragment(to, fragment) => self.send(&to, &self.with_token(fragment)),
+                Output::SendMessage(to, message) => self.send(&to, &message),
+                Output::Updated(reply) => self.publish_update(reply).await,
                 Output::HandOver => {
-                    if self.owners.hand_over(&self.job) {
+                    if self.leases.hand_over(&self.lease) {
                         info!(self.host.log(), #"list.handed-over", "discovery can't be asked here: another had better");
                     }
                 }
-                Output::Rejected(highest) => self.owners.effect_rejected(&self.job, highest),
+                Output::Rejected(highest) => self.leases.effect_rejected(&self.lease, highest),
             }
         }
-        self.carrying.set(false);
+        self.is_draining_outputs.set(false);
     }
 
     /// With the fence of the owner, if this gateway is it.
-    fn signed(&self, piece: Fragment) -> ListMessage {
-        match self.owners.authorize(&self.job, piece.clone()) {
+    fn with_token(&self, fragment: Fragment) -> ListMessage {
+        match self.leases.authorize(&self.lease, fragment.clone()) {
             Some(effect) => ListMessage::Fragment(Some(effect.token()), effect.content().clone()),
-            None => ListMessage::Fragment(None, piece),
+            None => ListMessage::Fragment(None, fragment),
         }
     }
 
     /// A note that can't be sent now is as good as lost on the way.
-    fn send(&self, to: &str, note: &ListMessage) {
-        let _ = self.mesh.send_to(to, Channel::EndpointList, postcard::to_stdvec(note).unwrap_or_default());
+    fn send(&self, to: &str, message: &ListMessage) {
+        let _ = self.membership.send_to(
+            to,
+            Channel::EndpointList,
+            postcard::to_stdvec(message).unwrap_or_default(),
+        );
     }
 
-    async fn call(self: Rc<Self>, since: Option<u64>) {
-        let (to, answers) = async_channel::bounded(1);
-        drop(self.needs.orders.send(DiscoveryRequest::Poll { since, reply: to }.into()).await);
-        let answer = async { answers.recv().await.ok().flatten() };
+    async fn poll(self: Rc<Self>, since: Option<u64>) {
+        let (reply_to, replies) = async_channel::bounded(1);
+        drop(self.config.orders.send(DiscoveryRequest::Poll { since, reply: reply_to }.into()).await);
+        let reply = async { replies.recv().await.ok().flatten() };
         let late = async {
-            Timer::after(CALL).await;
+            Timer::after(POLL_TIMEOUT).await;
             None
         };
-        let answer = future::or(answer, late).await.and_then(|body| read(&body));
+        let reply = future::or(reply, late).await.and_then(|body| parse_reply(&body));
         let term = self.term();
-        self.told.borrow_mut().poll_completed(boottime(), answer, term);
-        self.carry().await;
+        self.replica.borrow_mut().poll_completed(boottime(), reply, term);
+        self.drain_outputs().await;
         self.wake.notify(1);
     }
 
-    async fn learn(&self, answer: SourceReply) {
-        let SourceReply { index, is_complete: full, entries } = answer;
+    async fn publish_update(&self, reply: SourceReply) {
+        let SourceReply { index, is_complete, entries } = reply;
         let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
-        let body = json!({ "index": index, "snapshot": full, "endpoints": endpoints.collect::<Vec<_>>() });
+        let body =
+            json!({ "index": index, "snapshot": is_complete, "endpoints": endpoints.collect::<Vec<_>>() });
         match catalog::endpoint_update(&body, self.host.platform()) {
-            Ok(mut members) => {
-                self.host.apply_list(&mut members);
-                info!(self.host.log(), #"discovery.list", "list"; "index" => index, "full" => full,
-                    "servers" => members.servers.len(), "by" => "fleet");
-                drop(self.needs.events.send(FleetEvent::EndpointsUpdated(members).into()).await);
+            Ok(mut update) => {
+                self.host.apply_list(&mut update);
+                info!(self.host.log(), #"discovery.list", "list"; "index" => index, "full" => is_complete,
+                    "servers" => update.servers.len(), "by" => "fleet");
+                drop(self.config.events.send(FleetEvent::EndpointsUpdated(update).into()).await);
             }
-            Err(ListError { reason: why, draining: leaving, .. }) => {
-                warn!(self.host.log(), #"discovery.failed", "discovery failed"; "why" => why);
-                self.host.start_draining(&leaving);
-                drop(self.needs.events.send(FleetEvent::EndpointsDraining(leaving).into()).await);
-                drop(self.needs.events.send(FleetEvent::EndpointsUnavailable.into()).await);
+            Err(ListError { reason, draining, .. }) => {
+                warn!(self.host.log(), #"discovery.failed", "discovery failed"; "why" => reason);
+                self.host.start_draining(&draining);
+                drop(self.config.events.send(FleetEvent::EndpointsDraining(draining).into()).await);
+                drop(self.config.events.send(FleetEvent::EndpointsUnavailable.into()).await);
             }
         }
     }
 }
 
 /// An answer of discovery's; nothing where it makes no sense.
-fn read(body: &Value) -> Option<SourceReply> {
+fn parse_reply(body: &Value) -> Option<SourceReply> {
     let entry = |entry: &Value| {
         Some(Entry {
             name: entry.get("name")?.as_str()?.into(),
--- a/crates/gateway/src/fleet/leases/acceptor_store.rs
+++ b/crates/gateway/src/fleet/leases/acceptor_store.rs
@@ -5,7 +5,7 @@
 
 use async_channel::Receiver;
 use async_io::Timer;
-use fernscale_lease::acceptor::{Acceptor, DurableHead, DurableState as Promises, StateChange};
+use fernscale_lease::acceptor::{Acceptor, DurableHead, DurableState, StateChange};
 use fernscale_lease::{FencingToken, Name, ProcessId};
 use fernscale_store::{Batch, Error};
 use slog::{info, warn};
@@ -15,110 +15,116 @@
 use crate::transport::clock::boottime;
 
 /// How often the store is tried while another process of this gateway has it.
-const AGAIN: Duration = Duration::from_millis(50);
+const LOCKED_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// And how soon after it has failed: whoever mends a disk need not start the gateway anew.
-const REOPENED: Duration = Duration::from_secs(2);
+const REOPEN_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The keys of a voter's space in the store.
-const HEAD: &[u8] = b"owner/head";
-const PROMISE: &[u8] = b"owner/promise/";
+const HEAD_KEY: &[u8] = b"owner/head";
+const PROMISE_KEY_PREFIX: &[u8] = b"owner/promise/";
 
 /// A write of a voter's, and whether it has become durable.
-pub(super) struct Write {
+pub(super) struct PendingWrite {
     number: u64,
     /// Of which opening of the store it is.
-    of: u64,
+    store_opening: u64,
     done: Receiver<bool>,
 }
 
 impl Leases {
     /// Opens the store as soon as no other process of this gateway has it, and votes by what it holds.
-    pub(super) async fn vote(self: Rc<Self>) {
-        let Some(folder) = self.settings.directory.clone() else { return };
+    pub(super) async fn run_acceptor(self: Rc<Self>) {
+        let Some(directory) = self.settings.directory.clone() else { return };
         loop {
-            let failed = self.disk_failed.listen();
-            let pause = match DurableStore::open(&folder, self.trial.get()).await {
-                Ok((durable, entries)) => match promises(entries) {
+            let failed = self.store_failed.listen();
+            let pause = match DurableStore::open(&directory, self.store_faults.get()).await {
+                Ok((store, entries)) => match promises(entries) {
                     Ok(promises) => {
-                        self.votes_by(durable, promises);
+                        self.start_acceptor(store, promises);
                         failed.await;
                         // What was written last may be on the disk or not: only another start can tell.
-                        self.durable.take();
-                        self.core.borrow_mut().voter = None;
-                        REOPENED
+                        self.store.take();
+                        self.core.borrow_mut().acceptor = None;
+                        REOPEN_INTERVAL
                     }
-                    Err(why) => self.no_folder(&why.to_string()),
+                    Err(reason) => self.store_unusable(&reason.to_string()),
                 },
-                Err(Error::Locked) => AGAIN,
-                Err(why) => self.no_folder(&why.to_string()),
+                Err(Error::Locked) => LOCKED_RETRY_INTERVAL,
+                Err(reason) => self.store_unusable(&reason.to_string()),
             };
             Timer::after(pause).await;
         }
     }
 
-    fn votes_by(&self, durable: DurableStore, promises: Promises) {
+    fn start_acceptor(&self, store: DurableStore, promises: DurableState) {
         info!(self.host.log(), #"owner.folder", "the folder of promises is open"; "promises" => promises.promises.len(),
             "writes" => promises.write_count);
-        self.durable.replace(Some(durable));
-        let (me, voters, terms) = (&self.me, &self.settings.acceptors, self.settings.terms);
-        let voter = Acceptor::new(me, ProcessId(rand::random()), voters, terms, promises, boottime());
-        self.core.borrow_mut().voter = Some(voter);
+        self.store.replace(Some(store));
+        let (name, acceptors, terms) = (&self.name, &self.settings.acceptors, self.settings.terms);
+        let acceptor = Acceptor::new(name, ProcessId(rand::random()), acceptors, terms, promises, boottime());
+        self.core.borrow_mut().acceptor = Some(acceptor);
         self.wake.notify(1);
     }
 
-    fn no_folder(&self, why: &str) -> Duration {
-        warn!(self.host.log(), #"owner.no-folder", "promises can't be kept, and none are made"; "why" => why);
-        REOPENED
+    fn store_unusable(&self, reason: &str) -> Duration {
+        warn!(self.host.log(), #"owner.no-folder", "promises can't be kept, and none are made"; "why" => reason);
+        REOPEN_INTERVAL
     }
 
     /// Another trial of the folder from now on.
-    pub fn set_store_faults(&self, trial: StoreFaults) {
-        self.trial.set(trial);
-        if let Some(durable) = &*self.durable.borrow() {
-            durable.set_faults(trial);
+    pub fn set_store_faults(&self, store_faults: StoreFaults) {
+        self.store_faults.set(store_faults);
+        if let Some(store) = &*self.store.borrow() {
+            store.set_faults(store_faults);
         }
     }
 
-    pub(super) fn write(&self, number: u64, change: &StateChange) {
-        let Some(durable) = &*self.durable.borrow() else { return };
+    pub(super) fn persist(&self, number: u64, change: &StateChange) {
+        let Some(store) = &*self.store.borrow() else { return };
         let bytes = |content: Result<Vec<u8>, postcard::Error>| content.unwrap_or_default();
-        let mut batch = Batch::new().put(HEAD, &bytes(postcard::to_stdvec(&change.head)));
-        for (job, fence) in &change.promises {
-            batch =
-                batch.put(&[PROMISE, job.as_bytes()].concat(), &bytes(postcard::to_stdvec(&(job, fence))));
+        let mut batch = Batch::new().put(HEAD_KEY, &bytes(postcard::to_stdvec(&change.head)));
+        for (lease, token) in &change.promises {
+            batch = batch.put(
+                &[PROMISE_KEY_PREFIX, lease.as_bytes()].concat(),
+                &bytes(postcard::to_stdvec(&(lease, token))),
+            );
         }
-        let _ = self.synced.try_send(Write { number, of: self.opened.get(), done: durable.write(batch) });
+        let _ = self.pending_writes.try_send(PendingWrite {
+            number,
+            store_opening: self.store_opening.get(),
+            done: store.write(batch),
+        });
     }
 
-    pub(super) async fn hear_of_disk(self: Rc<Self>, syncs: Receiver<Write>) {
-        while let Ok(Write { number, of, done }) = syncs.recv().await {
-            let durable = done.recv().await.unwrap_or(false);
-            if of != self.opened.get() {
+    pub(super) async fn report_completed_writes(self: Rc<Self>, writes: Receiver<PendingWrite>) {
+        while let Ok(PendingWrite { number, store_opening, done }) = writes.recv().await {
+            let is_durable = done.recv().await.unwrap_or(false);
+            if store_opening != self.store_opening.get() {
                 continue;
             }
-            if let Some(voter) = &mut self.core.borrow_mut().voter {
-                voter.write_completed(boottime(), number, durable);
+            if let Some(acceptor) = &mut self.core.borrow_mut().acceptor {
+                acceptor.write_completed(boottime(), number, is_durable);
             }
-            self.carry();
-            if !durable {
-                self.opened.set(of + 1);
-                self.disk_failed.notify(1);
+            self.drain_outputs();
+            if !is_durable {
+                self.store_opening.set(store_opening + 1);
+                self.store_failed.notify(1);
             }
         }
     }
 }
 
 /// What a voter's folder holds.
-fn promises(entries: Entries) -> Result<Promises, postcard::Error> {
-    let mut all = Promises::default();
+fn promises(entries: Entries) -> Result<DurableState, postcard::Error> {
+    let mut all = DurableState::default();
     for (key, value) in entries {
-        if key == HEAD {
+        if key == HEAD_KEY {
             let head: DurableHead = postcard::from_bytes(&value)?;
             all.apply(&StateChange { head, promises: Vec::new() });
-        } else if key.starts_with(PROMISE) {
-            let (job, fence): (Name, FencingToken) = postcard::from_bytes(&value)?;
-            all.promises.insert(job, fence);
+        } else if key.starts_with(PROMISE_KEY_PREFIX) {
+            let (lease, token): (Name, FencingToken) = postcard::from_bytes(&value)?;
+            all.promises.insert(lease, token);
         }
     }
     Ok(all)
--- a/crates/gateway/src/fleet/leases/messages.rs
+++ b/crates/gateway/src/fleet/leases/messages.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use async_channel::Receiver;
-use fernscale_lease::acceptor::{Acceptor, Output};
-use fernscale_lease::candidate::Output as Wants;
+use fernscale_lease::acceptor::{Acceptor, Output as AcceptorOutput};
+use fernscale_lease::candidate::Output as CandidateOutput;
 use fernscale_lease::message::{AcceptorReply, Message};
 use fernscale_lease::{Name, ProcessId};
 use fernscale_membership::payload::{Channel, ReceivedPayload};
@@ -17,33 +17,31 @@
 use crate::transport::clock::boottime;
 
 impl Leases {
-    pub(super) async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
-        let mut came = std::pin::pin!(came);
-        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            let Ok(letter) = postcard::from_bytes::<Message>(&body) else {
-                let why = "a letter about jobs that can't be read";
-                warn!(self.host.log(), #"owner.unread", "{}", why; "peer" => &from.name);
+    pub(super) async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
+        let mut payloads = std::pin::pin!(payloads);
+        while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
+            let Ok(message) = postcard::from_bytes::<Message>(&body) else {
+                let reason = "a letter about jobs that can't be read";
+                warn!(self.host.log(), #"owner.unread", "{}", reason; "peer" => &sender.name);
                 continue;
             };
-            let (now, name, run) = (boottime(), Name::from(from.name), ProcessId(from.instance.0));
+            let (now, name, process) = (boottime(), Name::from(sender.name), ProcessId(sender.instance.0));
             let core = &mut *self.core.borrow_mut();
-            match letter {
-                Message::Request(ask) => {
-                    if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                        voter.handle_request(now, run, ask);
+            match message {
+                Message::Request(request) => {
+                    if let Some(acceptor) = core.acceptor.as_mut().filter(|_| !core.name_is_taken) {
+                        acceptor.handle_request(now, process, request);
                     }
                 }
-                Message::Reply(say @ AcceptorReply::Recovery(_)) => {
-                    if let Some(voter) = &mut core.voter {
-                        voter.handle_peer_reply(&name, say);
+                Message::Reply(reply @ AcceptorReply::Recovery(_)) => {
+                    if let Some(acceptor) = &mut core.acceptor {
+                        acceptor.handle_peer_reply(&name, reply);
                     }
                 }
-                Message::Reply(say) => core.claimer.handle_reply(now, &name, say),
-                Message::Released { lease: job, token: fence } => {
-                    core.claimer.lease_released(now, &job, fence)
-                }
-                Message::Offer { lease: job } => {
-                    core.roster.offer_received(now, &job, &name, &mut core.claimer)
+                Message::Reply(reply) => core.candidate.handle_reply(now, &name, reply),
+                Message::Released { lease, token } => core.candidate.lease_released(now, &lease, token),
+                Message::Offer { lease } => {
+                    core.candidacy.offer_received(now, &lease, &name, &mut core.candidate)
                 }
             }
             self.wake.notify(1);
@@ -51,52 +49,52 @@
     }
 
     /// A letter that can't be sent now is as good as lost on the way.
-    fn send(&self, to: &Name, letter: &Message) {
-        let _ = self.mesh.send_to(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
+    fn send(&self, to: &Name, message: &Message) {
+        let _ = self.membership.send_to(to, Channel::Lease, postcard::to_stdvec(message).unwrap_or_default());
     }
 
     /// Carries out what voter and claimer want.
-    pub(super) fn carry(&self) {
+    pub(super) fn drain_outputs(&self) {
         let now = boottime();
         let mut events = VecDeque::new();
         loop {
             let core = &mut *self.core.borrow_mut();
-            if let Some(output) = core.voter.as_mut().and_then(Acceptor::poll_output) {
+            if let Some(output) = core.acceptor.as_mut().and_then(Acceptor::poll_output) {
                 match output {
-                    Output::Persist { number, change } => self.write(number, &change),
-                    Output::Reply { to, reply: say } if to == core.claimer.process() => {
-                        core.claimer.handle_reply(now, &self.me, say)
+                    AcceptorOutput::Persist { number, change } => self.persist(number, &change),
+                    AcceptorOutput::Reply { to, reply } if to == core.candidate.process() => {
+                        core.candidate.handle_reply(now, &self.name, reply)
                     }
-                    Output::Reply { to, reply: say } => {
-                        let body = postcard::to_stdvec(&Message::Reply(say)).unwrap_or_default();
-                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
+                    AcceptorOutput::Reply { to, reply } => {
+                        let body = postcard::to_stdvec(&Message::Reply(reply)).unwrap_or_default();
+                        let _ = self.membership.send_to_instance(Instance(to.0), Channel::Lease, body);
                     }
-                    Output::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
-                    Output::PeerReply { to, reply: say } => self.send(&to, &Message::Reply(say)),
-                    Output::Event(event) => self.tell_voted(&event),
+                    AcceptorOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
+                    AcceptorOutput::PeerReply { to, reply } => self.send(&to, &Message::Reply(reply)),
+                    AcceptorOutput::Event(event) => self.log_acceptor_event(&event),
                 }
-            } else if let Some(wanted) = core.claimer.poll_output() {
-                match wanted {
-                    Wants::Request { to, request: ask } if to == self.me => {
-                        let run = core.claimer.process();
-                        if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                            voter.handle_request(now, run, ask);
+            } else if let Some(output) = core.candidate.poll_output() {
+                match output {
+                    CandidateOutput::Request { to, request } if to == self.name => {
+                        let process = core.candidate.process();
+                        if let Some(acceptor) = core.acceptor.as_mut().filter(|_| !core.name_is_taken) {
+                            acceptor.handle_request(now, process, request);
                         }
                     }
-                    Wants::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
-                    Wants::Released { to, lease: job, token: fence } => {
-                        self.send(&to, &Message::Released { lease: job, token: fence })
+                    CandidateOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
+                    CandidateOutput::Released { to, lease, token } => {
+                        self.send(&to, &Message::Released { lease, token })
                     }
-                    Wants::Offer { to, lease: job } => {
-                        let body = postcard::to_stdvec(&Message::Offer { lease: job }).unwrap_or_default();
-                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
+                    CandidateOutput::Offer { to, lease } => {
+                        let body = postcard::to_stdvec(&Message::Offer { lease }).unwrap_or_default();
+                        let _ = self.membership.send_to_instance(Instance(to.0), Channel::Lease, body);
                     }
-                    Wants::Event(event) => events.push_back(event),
+                    CandidateOutput::Event(event) => events.push_back(event),
                 }
             } else {
                 break;
             }
         }
-        events.iter().for_each(|event| self.tell_owned(event));
+        events.iter().for_each(|event| self.log_candidate_event(event));
     }
 }
--- a/crates/gateway/src/fleet/leases/status.rs
+++ b/crates/gateway/src/fleet/leases/status.rs
@@ -7,46 +7,48 @@
 use crate::transport::clock::boottime;
 
 impl Leases {
-    pub(super) fn answer(&self, question: &[u8]) -> Option<Vec<u8>> {
-        let answer = match postcard::from_bytes(question).ok()? {
+    pub(super) fn reply_to_query(&self, query: &[u8]) -> Option<Vec<u8>> {
+        let reply_to_query = match postcard::from_bytes(query).ok()? {
             StatusQuery::Leases => StatusReply::Leases(self.view()),
-            StatusQuery::Release(job) => StatusReply::Released(self.hand_over(&job)),
-            StatusQuery::Cordon(on) => {
-                self.core.borrow_mut().cordoned = on;
-                info!(self.host.log(), #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => on);
-                StatusReply::Cordoned(on)
+            StatusQuery::Release(lease) => StatusReply::Released(self.hand_over(&lease)),
+            StatusQuery::Cordon(cordoned) => {
+                self.core.borrow_mut().cordoned = cordoned;
+                info!(self.host.log(), #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => cordoned);
+                StatusReply::Cordoned(cordoned)
             }
         };
         self.wake.notify(1);
-        postcard::to_stdvec(&answer).ok()
+        postcard::to_stdvec(&reply_to_query).ok()
     }
 
     fn view(&self) -> LeaseView {
         let (core, now) = (self.core.borrow(), boottime());
-        let is_voter = self.settings.acceptors.names.contains(&self.me);
-        let votes = is_voter.then(|| match &core.voter {
-            Some(voter) if voter.has_failed() || core.doubled => AcceptorState::NotVoting,
-            Some(voter) if voter.is_voting() => AcceptorState::Voting,
+        let is_voter = self.settings.acceptors.names.contains(&self.name);
+        let acceptor_state = is_voter.then(|| match &core.acceptor {
+            Some(acceptor) if acceptor.has_failed() || core.name_is_taken => AcceptorState::NotVoting,
+            Some(acceptor) if acceptor.is_voting() => AcceptorState::Voting,
             _ => AcceptorState::Recovering,
         });
-        let jobs = core.claimer.lease_status(now).map(|own| LeaseSummary {
-            rank: core.roster.rank(&own.lease) as u32,
-            held: own.held.map(|(fence, since, left)| (fence, (now - since) / 1_000, left / 1_000)),
-            rejections: own.rejections,
-            last_rejection: own.last_rejection.map(|why| why.to_string()),
-            lease: own.lease,
+        let jobs = core.candidate.lease_status(now).map(|status| LeaseSummary {
+            rank: core.candidacy.rank(&status.lease) as u32,
+            held: status
+                .held
+                .map(|(token, since, remaining)| (token, (now - since) / 1_000, remaining / 1_000)),
+            rejections: status.rejections,
+            last_rejection: status.last_rejection.map(|reason| reason.to_string()),
+            lease: status.lease,
         });
-        let held = core.voter.iter().flat_map(|voter| voter.held_leases(now));
-        let held = held.map(|(job, by, left)| HeldLease {
-            lease: job.clone(),
-            holder: by,
-            remaining_ms: left / 1_000,
+        let held = core.acceptor.iter().flat_map(|acceptor| acceptor.held_leases(now));
+        let held = held.map(|(lease, holder, remaining)| HeldLease {
+            lease: lease.clone(),
+            holder,
+            remaining_ms: remaining / 1_000,
         });
-        let me = self.mesh.local();
-        let live = self.mesh.live_peers().into_iter().chain([me]);
+        let name = self.membership.local();
+        let live = self.membership.live_peers().into_iter().chain([name]);
         LeaseView {
-            gateway: self.me.clone(),
-            acceptor: votes,
+            gateway: self.name.clone(),
+            acceptor: acceptor_state,
             cordoned: core.cordoned,
             leases: jobs.collect(),
             held: held.collect(),
--- a/crates/gateway/src/fleet/membership/connection.rs
+++ b/crates/gateway/src/fleet/membership/connection.rs
@@ -14,13 +14,13 @@
 use crate::transport::syscall::dialled;
 
 /// Bytes that tell a stream's length.
-const HEAD: usize = 4;
+const LENGTH_BYTES: usize = 4;
 /// In which an exchange must be over.
-pub(super) const EXCHANGE: Duration = Duration::from_secs(2);
+pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) async fn read(stream: &Async<TcpStream>) -> io::Result<Vec<u8>> {
-    let head = read_exact(stream, HEAD).await?;
-    let length = head.iter().fold(0, |length, byte| length << u8::BITS | usize::from(*byte));
+    let prefix = read_exact(stream, LENGTH_BYTES).await?;
+    let length = prefix.iter().fold(0, |length, byte| length << u8::BITS | usize::from(*byte));
     if length > MAX_STREAM_BYTES {
         return Err(io::Error::other("too long"));
     }
@@ -33,17 +33,19 @@
 }
 
 /// A connection from this address, where it leads there.
-pub(super) async fn connect(from: Option<IpAddr>, to: SocketAddr) -> io::Result<Async<TcpStream>> {
-    let leads = |from: &IpAddr| {
-        !from.is_unspecified()
-            && from.is_ipv4() == to.is_ipv4()
-            && from.is_loopback() == to.ip().is_loopback()
+pub(super) async fn connect(local_ip: Option<IpAddr>, to: SocketAddr) -> io::Result<Async<TcpStream>> {
+    let can_reach = |local_ip: &IpAddr| {
+        !local_ip.is_unspecified()
+            && local_ip.is_ipv4() == to.is_ipv4()
+            && local_ip.is_loopback() == to.ip().is_loopback()
+    };
+    let Some(local_ip) = local_ip.filter(can_reach) else {
+        return dialled(|| Async::<TcpStream>::connect(to)).await;
     };
-    let Some(from) = from.filter(leads) else { return dialled(|| Async::<TcpStream>::connect(to)).await };
     let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-    rustix::net::bind(&socket, &SocketAddr::new(from, 0))?;
+    rustix::net::bind(&socket, &SocketAddr::new(local_ip, 0))?;
     match rustix::net::connect(&socket, &to) {
         // One that a signal interrupts goes on all the same.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
@@ -58,14 +60,18 @@
 }
 
 /// Sends sealed bytes to a gateway, from an address of this machine if one is given, and gives its sealed answer.
-pub async fn dial_and_exchange(from: Option<IpAddr>, to: SocketAddr, sealed: Vec<u8>) -> io::Result<Vec<u8>> {
+pub async fn dial_and_exchange(
+    local_ip: Option<IpAddr>,
+    to: SocketAddr,
+    sealed: Vec<u8>,
+) -> io::Result<Vec<u8>> {
     let work = async {
-        let stream = connect(from, to).await?;
+        let stream = connect(local_ip, to).await?;
         write(&stream, &sealed).await?;
         read(&stream).await
     };
     let late = async {
-        Timer::at(Instant::now() + EXCHANGE).await;
+        Timer::at(Instant::now() + EXCHANGE_TIMEOUT).await;
         Err(io::Error::from(io::ErrorKind::TimedOut))
     };
     future::or(work, late).await
--- a/crates/gateway/src/fleet/membership/datagrams.rs
+++ b/crates/gateway/src/fleet/membership/datagrams.rs
@@ -10,29 +10,29 @@
 use crate::transport::clock::unix;
 
 /// Datagrams taken in a row: a flood of them must leave the core to those who are served.
-const IN_A_ROW: usize = 64;
+const MAX_DATAGRAMS_IN_A_ROW: usize = 64;
 /// And the pause after so many, by which a flood is held to some 60,000 a second.
-const PAUSE: Duration = Duration::from_millis(1);
+const FLOOD_PAUSE: Duration = Duration::from_millis(1);
 impl Membership {
-    pub(super) async fn hear(self: Rc<Self>) {
+    pub(super) async fn receive_datagrams(self: Rc<Self>) {
         let mut bytes = [0; 2 * MAX_DATAGRAM_BYTES];
         let Some(socket) = self.socket.borrow().clone() else { return };
         loop {
-            for _ in 0..IN_A_ROW {
-                let Ok((length, from)) = socket.recv_from(&mut bytes).await else { break };
+            for _ in 0..MAX_DATAGRAMS_IN_A_ROW {
+                let Ok((length, sender)) = socket.recv_from(&mut bytes).await else { break };
                 let opened = self.sealer.borrow_mut().open::<Packet>(unix(), &bytes[..length]);
                 match opened {
                     Ok((sealed_by, packet)) if sealed_by == packet.sender.instance => {
                         let now = self.host.clock().now();
-                        self.node.borrow_mut().handle_packet(now, from, packet);
-                        self.carry();
+                        self.node.borrow_mut().handle_packet(now, sender, packet);
+                        self.drain_outputs();
                         self.wake.notify(1);
                     }
-                    Ok(_) => self.refused(from, "it speaks in another's name"),
-                    Err(why) => self.refused(from, &why.to_string()),
+                    Ok(_) => self.log_rejected(sender, "it speaks in another's name"),
+                    Err(reason) => self.log_rejected(sender, &reason.to_string()),
                 }
             }
-            Timer::after(PAUSE).await;
+            Timer::after(FLOOD_PAUSE).await;
         }
     }
 }
--- a/crates/gateway/src/fleet/membership/mod.rs
+++ b/crates/gateway/src/fleet/membership/mod.rs
@@ -32,7 +32,7 @@
 use crate::transport::clock::unix;
 use crate::transport::syscall::uninterrupted;
 
-use log::{run, tell};
+use log::{log_event, process_id};
 
 pub use connection::dial_and_exchange;
 pub use query::{query, query_counters, query_members};
@@ -59,65 +59,65 @@
     /// Closed when this gateway leaves.
     left: (async_channel::Sender<()>, async_channel::Receiver<()>),
     /// Where streams of this gateway come from: others may know it by that.
-    from: IpAddr,
-    gateways: usize,
-    exchanges: Rc<Cell<usize>>,
+    local_ip: IpAddr,
+    gateway_count: usize,
+    open_exchanges: Rc<Cell<usize>>,
     /// Exchanges that this gateway has begun and that are not over.
-    begun: Rc<Cell<usize>>,
-    streams: Rc<Cell<usize>>,
+    begun_exchanges: Rc<Cell<usize>>,
+    open_streams: Rc<Cell<usize>>,
     /// How the counter stood when last looked at, for who asks.
     pub standing: Cell<monitor::CounterHealth>,
     /// Who takes in what is carried for others, and who answers operators' questions about it.
-    takers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
-    answerers: RefCell<BTreeMap<Channel, Answerer>>,
+    subscribers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
+    responders: RefCell<BTreeMap<Channel, Responder>>,
     host: HostHandle,
 }
 
 /// Answers an operator's question; nothing where it makes no sense.
-pub type Answerer = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
+pub type Responder = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
 
 /// Messages of a kind that wait for their taker. Beyond it they are lost, as on the way.
-const MOST_WAITING: usize = 512;
+const MAX_QUEUED_PAYLOADS: usize = 512;
 impl Membership {
     /// Listens, and speaks from now on.
     pub fn start(
         host: &HostHandle,
         name: &str,
-        gateways: u32,
+        gateway_count: u32,
         settings: &Settings,
     ) -> io::Result<Rc<Membership>> {
         let listener = Async::<TcpListener>::bind(settings.listen)?;
         let address = listener.get_ref().local_addr()?;
         let socket = Async::<UdpSocket>::bind(address)?;
-        let told = settings.advertise.unwrap_or(address);
-        let me = Peer { name: name.into(), instance: Instance(rand::random()), address: told };
-        let run = run(&me);
-        let sealer = Sealer::new(settings.keys.clone(), me.instance);
+        let advertised = settings.advertise.unwrap_or(address);
+        let local = Peer { name: name.into(), instance: Instance(rand::random()), address: advertised };
+        let process_id = process_id(&local);
+        let sealer = Sealer::new(settings.keys.clone(), local.instance);
         let sealer = sealer.ok_or_else(|| io::Error::other("the mesh has no key"))?;
-        let config = Config { local: me, seeds: settings.seeds.clone() };
-        let mesh = Rc::new_cyclic(|this| Membership {
+        let config = Config { local, seeds: settings.seeds.clone() };
+        let membership = Rc::new_cyclic(|this| Membership {
             this: this.clone(),
             node: RefCell::new(Node::new(config, rand::random(), host.clock().now())),
             sealer: RefCell::new(sealer),
             socket: RefCell::new(Some(Rc::new(socket))),
             wake: Wake::new(),
             left: async_channel::bounded(1),
-            from: address.ip(),
-            gateways: gateways as usize,
-            exchanges: Rc::default(),
-            begun: Rc::default(),
+            local_ip: address.ip(),
+            gateway_count: gateway_count as usize,
+            open_exchanges: Rc::default(),
+            begun_exchanges: Rc::default(),
             standing: Cell::new(monitor::CounterHealth::Healthy),
-            takers: RefCell::default(),
-            answerers: RefCell::default(),
-            streams: Rc::default(),
+            subscribers: RefCell::default(),
+            responders: RefCell::default(),
+            open_streams: Rc::default(),
             host: host.clone(),
         });
         info!(host.log(), #"mesh.starts", "speaks with other gateways"; "listen" => address.to_string(),
-            "advertise" => told.to_string(), "run" => run, "seeds" => settings.seeds.len());
-        mesh.spawn_until_left(mesh.clone().keep_time());
-        mesh.spawn_until_left(mesh.clone().hear());
-        mesh.spawn_until_left(mesh.clone().exchanges(listener));
-        Ok(mesh)
+            "advertise" => advertised.to_string(), "run" => process_id, "seeds" => settings.seeds.len());
+        membership.spawn_until_left(membership.clone().run_timer());
+        membership.spawn_until_left(membership.clone().receive_datagrams());
+        membership.spawn_until_left(membership.clone().accept_streams(listener));
+        Ok(membership)
     }
 
     /// Another ring of keys from now on.
@@ -126,63 +126,71 @@
     }
 
     /// This gateway has added an amount to a count: what all know of it with that.
-    pub fn add_to_counter(&self, count: &str, amount: f64, life: Micros) -> Option<monitor::GossipTotal> {
-        self.node.borrow_mut().add_to_counter(self.host.clock().now(), count, amount, life);
-        self.gossip_total(count)
+    pub fn add_to_counter(
+        &self,
+        counter: &str,
+        amount: f64,
+        time_to_live: Micros,
+    ) -> Option<monitor::GossipTotal> {
+        self.node.borrow_mut().add_to_counter(self.host.clock().now(), counter, amount, time_to_live);
+        self.gossip_total(counter)
     }
 
     /// This gateway has added all this before it could speak.
-    pub fn deliver(&self, untold: UndeliveredUpdates) {
+    pub fn deliver(&self, undelivered: UndeliveredUpdates) {
         let now = self.host.clock().now();
-        for (count, (amount, ends)) in untold.0 {
-            self.node.borrow_mut().add_to_counter(now, &count, amount, ends.saturating_sub(now));
+        for (counter, (amount, ends)) in undelivered.0 {
+            self.node.borrow_mut().add_to_counter(now, &counter, amount, ends.saturating_sub(now));
         }
     }
 
-    pub fn gossip_total(&self, count: &str) -> Option<monitor::GossipTotal> {
+    pub fn gossip_total(&self, counter: &str) -> Option<monitor::GossipTotal> {
         let node = self.node.borrow();
-        let total = node.counter_total(self.host.clock().now(), count)?;
-        Some(monitor::GossipTotal { total, is_complete: node.live_members().count() + 1 >= self.gateways })
+        let total = node.counter_total(self.host.clock().now(), counter)?;
+        Some(monitor::GossipTotal {
+            total,
+            is_complete: node.live_members().count() + 1 >= self.gateway_count,
+        })
     }
 
     /// Tells some that this gateway goes, and listens no more.
     pub fn leave(&self) {
         self.node.borrow_mut().leave(self.host.clock().now());
-        self.carry();
+        self.drain_outputs();
         self.left.0.close();
         self.socket.take();
     }
 
     /// Nothing that this gateway says is on its way any more, as far as it can tell.
     pub fn is_fully_told(&self) -> bool {
-        self.begun.get() == 0
+        self.begun_exchanges.get() == 0
     }
 
     // For others.
 
     /// What is carried of this kind comes here from now on.
-    pub fn subscribe(&self, kind: Channel) -> Receiver<ReceivedPayload> {
-        let (to, taken) = async_channel::bounded(MOST_WAITING);
-        self.takers.borrow_mut().insert(kind, to);
-        taken
+    pub fn subscribe(&self, channel: Channel) -> Receiver<ReceivedPayload> {
+        let (to, payloads) = async_channel::bounded(MAX_QUEUED_PAYLOADS);
+        self.subscribers.borrow_mut().insert(channel, to);
+        payloads
     }
 
     /// Operators' questions of this kind are answered so.
-    pub fn set_responder(&self, kind: Channel, answerer: Answerer) {
-        self.answerers.borrow_mut().insert(kind, answerer);
+    pub fn set_responder(&self, channel: Channel, responder: Responder) {
+        self.responders.borrow_mut().insert(channel, responder);
     }
 
     /// Sends a message to the live gateway of a name; it may be lost.
-    pub fn send_to(&self, to: &str, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
-        let sent = self.node.borrow_mut().send_to(to, kind, body);
-        self.carry();
+    pub fn send_to(&self, to: &str, channel: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let sent = self.node.borrow_mut().send_to(to, channel, body);
+        self.drain_outputs();
         sent
     }
 
     /// Sends a message to one run of a gateway.
-    pub fn send_to_instance(&self, to: Instance, kind: Channel, body: Vec<u8>) -> Result<(), SendError> {
-        let sent = self.node.borrow_mut().send_to_instance(to, kind, body);
-        self.carry();
+    pub fn send_to_instance(&self, to: Instance, channel: Channel, body: Vec<u8>) -> Result<(), SendError> {
+        let sent = self.node.borrow_mut().send_to_instance(to, channel, body);
+        self.drain_outputs();
         sent
     }
 
@@ -212,7 +220,7 @@
         self.host.executor().spawn(future::or(left, work)).detach();
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timer(self: Rc<Self>) {
         loop {
             let woken = self.wake.listen();
             let due = self.node.borrow().next_deadline();
@@ -227,12 +235,12 @@
             if now >= self.node.borrow().next_deadline() {
                 self.node.borrow_mut().handle_timeout(now);
             }
-            self.carry();
+            self.drain_outputs();
         }
     }
 
     /// Carries out what the node wants.
-    fn carry(&self) {
+    fn drain_outputs(&self) {
         loop {
             let Some(output) = self.node.borrow_mut().poll_output() else { return };
             match output {
@@ -246,21 +254,21 @@
                 Output::ExchangeState { to } => self.begin_exchange(to),
                 Output::SendStream { to, carried } => {
                     let stream = StreamMessage::Payload(self.local(), carried);
-                    self.stream(to, self.sealer.borrow_mut().seal(unix(), &stream));
+                    self.send_stream(to, self.sealer.borrow_mut().seal(unix(), &stream));
                 }
-                Output::Received(came) => {
-                    let taker = self.takers.borrow().get(&came.channel).cloned();
-                    if let Some(taker) = taker {
-                        let _ = taker.try_send(came);
+                Output::Received(payload) => {
+                    let subscriber = self.subscribers.borrow().get(&payload.channel).cloned();
+                    if let Some(subscriber) = subscriber {
+                        let _ = subscriber.try_send(payload);
                     }
                 }
-                Output::Event(event) => tell(self.host.log(), &event),
+                Output::Event(event) => log_event(self.host.log(), &event),
             }
         }
     }
 
-    fn refused(&self, from: SocketAddr, why: &str) {
-        warn!(self.host.log(), #"mesh.refused", "a packet was not believed"; "from" => from.to_string(), "why" => why);
+    fn log_rejected(&self, sender: SocketAddr, reason: &str) {
+        warn!(self.host.log(), #"mesh.refused", "a packet was not believed"; "from" => sender.to_string(), "why" => reason);
     }
 
     fn view(&self) -> MembershipView {
@@ -274,7 +282,7 @@
         MembershipView {
             local: node.local().clone(),
             members: node.members().map(member).collect(),
-            configured_gateways: self.gateways as u32,
+            configured_gateways: self.gateway_count as u32,
             counter_count: node.counters().len() as u32,
             counter_health: self.standing.get().name().into(),
         }
--- a/crates/gateway/src/fleet/membership/query.rs
+++ b/crates/gateway/src/fleet/membership/query.rs
@@ -11,42 +11,42 @@
 use crate::transport::clock::unix;
 
 /// Asks a gateway of this installation something, by its keys.
-fn ask(to: SocketAddr, keys: &[Key], what: &StreamMessage) -> Result<StreamMessage, String> {
+fn call(to: SocketAddr, keys: &[Key], message: &StreamMessage) -> Result<StreamMessage, String> {
     let sealer = Sealer::new(keys.to_vec(), Instance(rand::random()));
     let mut sealer = sealer.ok_or("there is no key to ask with")?;
-    let sealed = sealer.seal(unix(), what);
+    let sealed = sealer.seal(unix(), message);
     let answer = async_io::block_on(dial_and_exchange(None, to, sealed));
     let answer = answer.map_err(|error| format!("the gateway at {to} does not answer: {error}"))?;
     let opened = sealer.open::<StreamMessage>(unix(), &answer);
     opened
-        .map(|(_, said)| said)
-        .map_err(|why| format!("the gateway at {to} gives an answer that is not believed: {why}"))
+        .map(|(_, message)| message)
+        .map_err(|reason| format!("the gateway at {to} gives an answer that is not believed: {reason}"))
 }
 
-fn something_else(to: SocketAddr) -> String {
+fn unexpected_reply(to: SocketAddr) -> String {
     format!("the gateway at {to} answers with something else")
 }
 
 /// Who is there, as a gateway sees it.
 pub fn query_members(to: SocketAddr, keys: &[Key]) -> Result<MembershipView, String> {
-    match ask(to, keys, &StreamMessage::ListMembers)? {
+    match call(to, keys, &StreamMessage::ListMembers)? {
         StreamMessage::Members(view) => Ok(view),
-        _ => Err(something_else(to)),
+        _ => Err(unexpected_reply(to)),
     }
 }
 
 /// A question about something that the mesh only carries; the answer is empty where the gateway has nothing to say of it.
-pub fn query(to: SocketAddr, keys: &[Key], kind: Channel, question: Vec<u8>) -> Result<Vec<u8>, String> {
-    match ask(to, keys, &StreamMessage::Query(kind, question))? {
+pub fn query(to: SocketAddr, keys: &[Key], channel: Channel, query: Vec<u8>) -> Result<Vec<u8>, String> {
+    match call(to, keys, &StreamMessage::Query(channel, query))? {
         StreamMessage::QueryReply(answer) => Ok(answer),
-        _ => Err(something_else(to)),
+        _ => Err(unexpected_reply(to)),
     }
 }
 
 /// What a gateway knows of all counts.
 pub fn query_counters(to: SocketAddr, keys: &[Key]) -> Result<Vec<CounterTotal>, String> {
-    match ask(to, keys, &StreamMessage::ListCounters)? {
-        StreamMessage::CounterTotals(sums) => Ok(sums),
-        _ => Err(something_else(to)),
+    match call(to, keys, &StreamMessage::ListCounters)? {
+        StreamMessage::CounterTotals(totals) => Ok(totals),
+        _ => Err(unexpected_reply(to)),
     }
 }
--- a/crates/gateway/src/fleet/trial_leases.rs
+++ b/crates/gateway/src/fleet/trial_leases.rs
@@ -23,49 +23,49 @@
 /// What a trial says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    pub jobs: Vec<Name>,
+    pub lease_names: Vec<Name>,
     /// Where effects are taken in.
-    pub effects: SocketAddr,
+    pub effects_address: SocketAddr,
     /// Between two of one job, and between the look at the lease and the effect.
-    pub every: Micros,
-    pub pause: Micros,
+    pub effect_interval: Micros,
+    pub effect_delay: Micros,
 }
 
 /// How long an answer is waited for.
-const ANSWER: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of an answer at the most.
-const LONGEST: usize = 1_024;
+const MAX_REPLY_BYTES: usize = 1_024;
 
-pub fn start(shared: &HostHandle, owners: &Rc<Leases>, settings: &Settings) {
-    for job in &settings.jobs {
-        if owners.register(job) {
-            let work = work(shared.clone(), owners.clone(), job.clone(), settings.clone());
-            shared.executor().spawn(work).detach();
+pub fn start(host: &HostHandle, leases: &Rc<Leases>, settings: &Settings) {
+    for lease in &settings.lease_names {
+        if leases.register(lease) {
+            let run_lease = run_lease(host.clone(), leases.clone(), lease.clone(), settings.clone());
+            host.executor().spawn(run_lease).detach();
         }
     }
 }
 
-async fn work(shared: HostHandle, owners: Rc<Leases>, job: Name, settings: Settings) {
+async fn run_lease(host: HostHandle, leases: Rc<Leases>, lease: Name, settings: Settings) {
     let (mut connection, mut number) = (None, 0u64);
     loop {
-        Timer::after(Duration::from_micros(settings.every)).await;
-        let Some(effect) = owners.authorize(&job, number) else {
+        Timer::after(Duration::from_micros(settings.effect_interval)).await;
+        let Some(effect) = leases.authorize(&lease, number) else {
             connection = None;
             continue;
         };
         number += 1;
-        Timer::after(Duration::from_micros(settings.pause)).await;
-        let said = async { Some(tell(settings.effects, &mut connection, &effect).await) };
-        let late = async {
-            Timer::after(ANSWER).await;
+        Timer::after(Duration::from_micros(settings.effect_delay)).await;
+        let sent = async { Some(send_effect(settings.effects_address, &mut connection, &effect).await) };
+        let timeout = async {
+            Timer::after(REPLY_TIMEOUT).await;
             None
         };
-        match future::or(said, late).await {
+        match future::or(sent, timeout).await {
             Some(Ok(None)) => {}
             Some(Ok(Some(highest))) => {
-                warn!(shared.log(), #"owner.refused", "an effect was refused, as another owns the job";
-                    "job" => &*job, "term" => effect.token().term, "highest" => highest.term);
-                owners.effect_rejected(&job, highest);
+                warn!(host.log(), #"owner.refused", "an effect was refused, as another owns the job";
+                    "job" => &*lease, "term" => effect.token().term, "highest" => highest.term);
+                leases.effect_rejected(&lease, highest);
             }
             // Whether it was taken in is not known; the next one tells.
             Some(Err(_)) | None => connection = None,
@@ -74,24 +74,24 @@
 }
 
 /// Sends an effect, and gives the fence that it was refused by, if it was.
-async fn tell(
+async fn send_effect(
     to: SocketAddr,
     connection: &mut Option<BufReader<Async<TcpStream>>>,
     effect: &AuthorizedEffect<u64>,
 ) -> std::io::Result<Option<FencingToken>> {
-    let fence = effect.token();
-    let line = json!({ "job": &**effect.lease(), "term": fence.term, "run": fence.process.0, "number": effect.content() });
+    let token = effect.token();
+    let line = json!({ "job": &**effect.lease(), "term": token.term, "run": token.process.0, "number": effect.content() });
     let stream = match connection {
         Some(stream) => stream,
         None => connection.insert(BufReader::new(Async::<TcpStream>::connect(to).await?)),
     };
     stream.get_mut().write_all(format!("{line}\n").as_bytes()).await?;
-    let mut answer = String::new();
-    stream.read_line(&mut answer).await?;
-    if answer.is_empty() || answer.len() > LONGEST {
+    let mut reply = String::new();
+    stream.read_line(&mut reply).await?;
+    if reply.is_empty() || reply.len() > MAX_REPLY_BYTES {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
     }
-    let answer: Value = serde_json::from_str(&answer)?;
-    let number = |name: &str| answer.get(name).and_then(Value::as_u64);
+    let reply: Value = serde_json::from_str(&reply)?;
+    let number = |name: &str| reply.get(name).and_then(Value::as_u64);
     Ok(number("term").zip(number("run")).map(|(term, run)| FencingToken { term, process: ProcessId(run) }))
 }
--- a/crates/gateway/src/program/file.rs
+++ b/crates/gateway/src/program/file.rs
@@ -231,7 +231,12 @@
         section.problem(job.at, "'trials.jobs' need 'trials.effects', the address that is told of them");
     }
     let jobs = jobs.into_iter().map(|job| job.value.into()).collect();
-    let jobs = effects.map(|effects| trial_leases::Settings { jobs, effects: effects.value, every, pause });
+    let jobs = effects.map(|effects| trial_leases::Settings {
+        lease_names: jobs,
+        effects_address: effects.value,
+        effect_interval: every,
+        effect_delay: pause,
+    });
     Trials { wrong: clocks(section), folder, jobs }
 }
 
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -121,7 +121,7 @@
                 name: config.name.clone(),
                 number,
                 gateways,
-                warm_up: config.settings.slow_start_duration,
+                slow_start_duration: config.settings.slow_start_duration,
             };
             (settings, me)
         }),
