--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -70,7 +70,8 @@
         let settings = config.mesh.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".into()])?;
         let owner = config.owner.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
         let keys = &settings.keys;
-        let seen = membership::query_members(settings.listen, keys).map_err(|why| vec![why])?;
+        let seen =
+            membership::query_members(settings.listen, keys).map_err(|error| vec![error.to_string()])?;
         let own = view(settings.listen, keys).map_err(|why| vec![why])?;
         let (mut views, mut unheard) = (vec![(settings.listen, own)], Vec::new());
         let me = views[0].1.gateway.clone();
@@ -109,7 +110,7 @@
 
 fn asked(to: SocketAddr, keys: &[Key], question: &StatusQuery) -> Result<StatusReply, String> {
     let question = postcard::to_stdvec(question).map_err(|why| why.to_string())?;
-    let answer = membership::query(to, keys, Channel::Lease, question)?;
+    let answer = membership::query(to, keys, Channel::Lease, question).map_err(|error| error.to_string())?;
     let nothing = |_| {
         format!("the gateway at {to} takes no part in owning jobs: it has no [owner], or has just started")
     };
@@ -146,7 +147,8 @@
 ) -> Result<(), Failed> {
     let Some(settings) = &config.mesh else { return Ok(()) };
     let holding = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
-    let seen = membership::query_members(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+    let seen = membership::query_members(settings.listen, &settings.keys)
+        .map_err(|error| vec![error.to_string()])?;
     let of_members = seen.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
     let own = (seen.local.instance.0, views[0].0);
     let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.process.0).map(|(_, at)| at);
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -10,7 +10,8 @@
     let config = source.read()?;
     let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     if counts {
-        let sums = membership::query_counters(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+        let sums = membership::query_counters(settings.listen, &settings.keys)
+            .map_err(|error| vec![error.to_string()])?;
         if json {
             println!("{}", serde_json::to_string(&sums).map_err(|why| vec![why.to_string()])?);
             return Ok(());
@@ -20,7 +21,8 @@
         }
         return Ok(());
     }
-    let view = membership::query_members(settings.listen, &settings.keys).map_err(|why| vec![why])?;
+    let view = membership::query_members(settings.listen, &settings.keys)
+        .map_err(|error| vec![error.to_string()])?;
     if json {
         let text = serde_json::to_string(&view).map_err(|why| vec![why.to_string()])?;
         println!("{text}");
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -16,7 +16,7 @@
     let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     let at = settings.listen;
     let answer = membership::query(at, &settings.keys, Channel::OutlierDetection, Vec::new())
-        .map_err(|why| vec![why])?;
+        .map_err(|error| vec![error.to_string()])?;
     let nothing = |_| vec![format!("the gateway at {at} has no [signals], or has just started")];
     let view: OutlierView = postcard::from_bytes(&answer).map_err(nothing)?;
     if json {
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -90,7 +90,7 @@
         })?;
         let at = settings.listen;
         let answer = membership::query(at, &settings.keys, Channel::Subsetting, Vec::new())
-            .map_err(|why| vec![why])?;
+            .map_err(|error| vec![error.to_string()])?;
         let nothing =
             |_| vec![format!("the gateway at {at} has no subset: it has no [subsets], or has just started")];
         let view: SubsetView = postcard::from_bytes(&answer).map_err(nothing)?;
--- a/crates/gateway/src/fleet/durable_store.rs
+++ b/crates/gateway/src/fleet/durable_store.rs
@@ -1,5 +1,6 @@
-//! The gateway's store, on a thread of its own: a sync may take seconds on a bad disk, and those who are served must not
-//! wait for it. Writes that wait together become durable by one sync, in the order in which they were handed in.
+//! The gateway's store, on a thread of its own: a sync may take seconds on a bad disk, and client requests must not wait
+//! for it. Writes that wait together become durable by one sync, in the order in which they were handed in. What is
+//! written, and what a failed write means, the callers decide.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,25 +16,25 @@
 
 use crate::transport::clock::unix;
 
-/// Writes that wait at the most; beyond it a write is refused as not durable.
+/// Writes that wait for the thread. A further one completes as not durable.
 const MAX_QUEUED_WRITES: usize = 4_096;
 /// Writes that become durable by one sync.
 const MAX_BATCHES_PER_SYNC: usize = 256;
-/// Bytes that are looked at for compaction after a sync.
+/// Bytes examined for compaction after a sync.
 const COMPACTION_SLICE_BYTES: usize = 64 * 1024;
-/// Bounds of the whole, on disk and in memory: what a gateway keeps for the fleet is some thousand small things.
+/// Size of the store on disk and of its index in memory, for some thousand small entries.
 const MAX_DISK_BYTES: u64 = 64 * 1024 * 1024;
 const MAX_INDEX_BYTES: u64 = 4 * 1024 * 1024;
 const MAX_SEGMENT_BYTES: u64 = 1024 * 1024;
 
-/// What is wrong with the folder, in trials.
+/// Faults to inject into the store's files, in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreFaults {
-    /// Bytes that its files may hold.
+    /// Bytes that the files may hold; no limit without it.
     pub quota_bytes: Option<u64>,
-    /// Every sync takes so much longer.
+    /// Added to the duration of every sync.
     pub sync_delay: Duration,
-    /// Every sync fails.
+    /// Whether every sync fails.
     pub sync_fails: bool,
 }
 
@@ -45,6 +46,7 @@
     }
 }
 
+/// What the thread is to do.
 enum Order {
     Write(Batch, Sender<bool>),
     SetFaults(StoreFaults),
@@ -53,14 +55,17 @@
 /// Keys and their values, in the order of the keys.
 pub type Entries = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// The way to the store. Spaces are told apart by the first part of their keys.
+/// A handle to the store's thread. Each user of the store has keys with a prefix of its own.
 #[derive(Clone)]
 pub struct DurableStore {
     orders: mpsc::SyncSender<Order>,
 }
 
 impl DurableStore {
-    /// Opens the store of a folder, and gives all that is in it. Fails with `Locked` while another process has it.
+    /// Opens the store of a directory and gives all of its entries.
+    ///
+    /// # Errors
+    /// `Locked` while another process has the store; else those of opening and reading it, or of starting the thread.
     pub async fn open(directory: &Path, faults: StoreFaults) -> Result<(DurableStore, Entries), Error> {
         let (orders, mailbox) = mpsc::sync_channel(MAX_QUEUED_WRITES);
         let (opened, opening) = async_channel::bounded(1);
@@ -83,15 +88,16 @@
         Ok((DurableStore { orders }, entries))
     }
 
-    /// Hands a batch in. What comes says once whether it is durable; nothing does where the store has ended.
+    /// Hands in a batch. The receiver gets one message, whether the batch is durable; it closes without one where the
+    /// queue is full or the thread has ended.
     pub fn write(&self, batch: Batch) -> Receiver<bool> {
         let (done, completed) = async_channel::bounded(1);
-        // Where there is no room the sender goes, and whoever waits is told so.
+        // A batch that does not fit is dropped with its sender, which closes the receiver.
         let _ = self.orders.try_send(Order::Write(batch, done));
         completed
     }
 
-    /// Another trial of the folder from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         let _ = self.orders.try_send(Order::SetFaults(faults));
     }
@@ -116,7 +122,7 @@
     Ok((store, entries))
 }
 
-/// Writes until nobody is left who could hand anything in, or nothing can be made durable any more.
+/// Handles orders until all handles are dropped, or a sync has failed: whether earlier writes are durable is unknown then.
 fn serve<F: Directory>(mut store: Store<F>, injected: &Faults, orders: &mpsc::Receiver<Order>) {
     while let Ok(first) = orders.recv() {
         let mut completions = Vec::new();
@@ -141,7 +147,7 @@
         if !is_durable {
             return;
         }
-        // A slice that fails is told of by the next write.
+        // Where this fails, the next write fails as well and reports it.
         let _ = store.compact(COMPACTION_SLICE_BYTES, now_ms());
     }
 }
--- a/crates/gateway/src/fleet/endpoint_list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The list of servers, asked for by one gateway for all: calls to discovery, notes between gateways, and what is new for the
-//! module. Who asks when, and what is believed, the package `owner` decides.
+//! The endpoint list that one gateway polls for all: calls to discovery, messages between gateways, and updates for the
+//! dispatcher. Who polls when, and which message counts, the replicated list of the lease package decides.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,20 +22,22 @@
 use crate::protocol::catalog::{self, ListError};
 use crate::transport::clock::{boottime, real_duration};
 
-/// The job's name.
+/// Name of the lease whose holder polls discovery.
 const LEASE_NAME: &str = "list";
-/// How long a call to discovery may take: another gateway's turn comes soon.
+/// How long a poll may take before the next gateway in rank may try.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest sleep: this gateway's place in the order, and who owns the job, may change meanwhile.
+/// Longest sleep of the timer in microseconds, as rank and lease holder change without waking it.
 const MAX_SLEEP: Micros = 50_000;
 
-/// What it works with.
+/// Settings of the list and the ways to discovery and the dispatcher.
 pub struct EndpointListConfig<E, R> {
-    /// How soon each gateway must know of a change.
+    /// How soon each gateway must know of a change, in microseconds.
     pub poll_interval: Micros,
-    /// The version that was known before the start.
+    /// Version of the list that was known before the start.
     pub known_index: Option<u64>,
+    /// Mailbox of the actor that calls discovery.
     pub orders: Sender<R>,
+    /// Mailbox of the dispatcher.
     pub events: Sender<E>,
 }
 
@@ -46,11 +48,13 @@
     lease: Name,
     config: EndpointListConfig<E, R>,
     replica: RefCell<ReplicatedList>,
-    /// One carries out what is wanted, in its order; others leave it to that one.
+    /// Whether a task carries out outputs now; others leave theirs to it, so that the order holds.
     is_draining_outputs: Cell<bool>,
     wake: Wake,
 }
 
+/// Registers the lease and starts the tasks, which run until this gateway leaves the membership. From then on discovery
+/// makes no calls of its own.
 pub fn start<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static>(
     host: Rc<dyn EndpointTable>,
     membership: &Rc<Membership>,
@@ -82,7 +86,9 @@
         drop(self.config.orders.send(DiscoveryRequest::DelegateToFleet.into()).await);
         loop {
             let woken = self.wake.listen();
-            let (now, holds_lease, rank) = (boottime(), self.term().is_some(), self.leases.rank(&self.lease));
+            let now = boottime();
+            let holds_lease = self.term().is_some();
+            let rank = self.leases.rank(&self.lease);
             self.replica.borrow_mut().handle_timeout(now, holds_lease, rank);
             self.drain_outputs().await;
             let due = self.replica.borrow().next_deadline(holds_lease, rank);
@@ -93,7 +99,7 @@
         }
     }
 
-    /// This gateway's term as the owner, if it is.
+    /// The term under which this gateway holds the lease, if it does.
     fn term(&self) -> Option<u64> {
         self.leases.authorize(&self.lease, ()).map(|effect| effect.token().term)
     }
@@ -115,7 +121,7 @@
         }
     }
 
-    /// Carries out what is wanted. Calls run beside it.
+    /// Carries out the outputs of the list until it has none. Polls run in tasks of their own.
     async fn drain_outputs(self: &Rc<Self>) {
         if self.is_draining_outputs.replace(true) {
             return;
@@ -148,7 +154,7 @@
         self.is_draining_outputs.set(false);
     }
 
-    /// With the fence of the owner, if this gateway is it.
+    /// A fragment as a message, with the fencing token where this gateway holds the lease.
     fn with_token(&self, fragment: Fragment) -> ListMessage {
         match self.leases.authorize(&self.lease, fragment.clone()) {
             Some(effect) => ListMessage::Fragment(Some(effect.token()), effect.content().clone()),
@@ -156,7 +162,7 @@
         }
     }
 
-    /// A note that can't be sent now is as good as lost on the way.
+    /// Sends a message. One that can't be sent is lost, as on the network.
     fn send(&self, to: &str, message: &ListMessage) {
         let _ = self.membership.send_to(
             to,
@@ -165,6 +171,7 @@
         );
     }
 
+    /// Calls discovery for what is newer than a version and hands the result to the list.
     async fn poll(self: Rc<Self>, since: Option<u64>) {
         let (reply_to, replies) = async_channel::bounded(1);
         drop(self.config.orders.send(DiscoveryRequest::Poll { since, reply: reply_to }.into()).await);
@@ -180,6 +187,7 @@
         self.wake.notify(1);
     }
 
+    /// Reads an update with the reader of discovery's replies and lets the dispatcher know the result.
     async fn publish_update(&self, reply: SourceReply) {
         let SourceReply { index, is_complete, entries } = reply;
         let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
@@ -202,7 +210,7 @@
     }
 }
 
-/// An answer of discovery's; nothing where it makes no sense.
+/// Reads a reply of discovery; nothing where a field is missing or has another type.
 fn parse_reply(body: &Value) -> Option<SourceReply> {
     let entry = |entry: &Value| {
         Some(Entry {
--- a/crates/gateway/src/fleet/leases/status.rs
+++ b/crates/gateway/src/fleet/leases/status.rs
@@ -1,39 +1,35 @@
-//! Operators' questions.
+//! Replies to operators' queries about leases. The only change that an operator can make here is to release a lease or to
+//! cordon this gateway.
 
 use fernscale_lease::status::{AcceptorState, HeldLease, LeaseSummary, LeaseView, StatusQuery, StatusReply};
 use slog::info;
 
-use super::Leases;
+use super::{Core, Leases};
 use crate::transport::clock::boottime;
 
 impl Leases {
+    /// The encoded reply to an encoded [`StatusQuery`]; nothing where the query can't be decoded.
     pub(super) fn reply_to_query(&self, query: &[u8]) -> Option<Vec<u8>> {
-        let reply_to_query = match postcard::from_bytes(query).ok()? {
+        let reply = match postcard::from_bytes(query).ok()? {
             StatusQuery::Leases => StatusReply::Leases(self.view()),
             StatusQuery::Release(lease) => StatusReply::Released(self.hand_over(&lease)),
             StatusQuery::Cordon(cordoned) => {
                 self.core.borrow_mut().cordoned = cordoned;
-                info!(self.host.log(), #"owner.cordon", "an operator has this gateway own nothing, or calls it back"; "out" => cordoned);
+                info!(self.host.log(), #"owner.cordon", "an operator has this gateway own nothing, or calls it back";
+                    "out" => cordoned);
                 StatusReply::Cordoned(cordoned)
             }
         };
         self.wake.notify(1);
-        postcard::to_stdvec(&reply_to_query).ok()
+        postcard::to_stdvec(&reply).ok()
     }
 
     fn view(&self) -> LeaseView {
-        let (core, now) = (self.core.borrow(), boottime());
-        let is_voter = self.settings.acceptors.names.contains(&self.name);
-        let acceptor_state = is_voter.then(|| match &core.acceptor {
-            Some(acceptor) if acceptor.has_failed() || core.name_is_taken => AcceptorState::NotVoting,
-            Some(acceptor) if acceptor.is_voting() => AcceptorState::Voting,
-            _ => AcceptorState::Recovering,
-        });
-        let jobs = core.candidate.lease_status(now).map(|status| LeaseSummary {
+        let core = self.core.borrow();
+        let now = boottime();
+        let leases = core.candidate.lease_status(now).map(|status| LeaseSummary {
             rank: core.candidacy.rank(&status.lease) as u32,
-            held: status
-                .held
-                .map(|(token, since, remaining)| (token, (now - since) / 1_000, remaining / 1_000)),
+            held: status.held.map(|(token, since, left)| (token, (now - since) / 1_000, left / 1_000)),
             rejections: status.rejections,
             last_rejection: status.last_rejection.map(|reason| reason.to_string()),
             lease: status.lease,
@@ -44,15 +40,26 @@
             holder,
             remaining_ms: remaining / 1_000,
         });
-        let name = self.membership.local();
-        let live = self.membership.live_peers().into_iter().chain([name]);
+        let processes = self.membership.live_peers().into_iter().chain([self.membership.local()]);
         LeaseView {
             gateway: self.name.clone(),
-            acceptor: acceptor_state,
+            acceptor: self.acceptor_state(&core),
             cordoned: core.cordoned,
-            leases: jobs.collect(),
+            leases: leases.collect(),
             held: held.collect(),
-            processes: live.map(|peer| (peer.name.into(), peer.instance.0)).collect(),
+            processes: processes.map(|peer| (peer.name.into(), peer.instance.0)).collect(),
+        }
+    }
+
+    /// The state of this gateway's acceptor; nothing where it is not in the acceptor set.
+    fn acceptor_state(&self, core: &Core) -> Option<AcceptorState> {
+        if !self.settings.acceptors.names.contains(&self.name) {
+            return None;
         }
+        Some(match &core.acceptor {
+            Some(acceptor) if acceptor.has_failed() || core.name_is_taken => AcceptorState::NotVoting,
+            Some(acceptor) if acceptor.is_voting() => AcceptorState::Voting,
+            _ => AcceptorState::Recovering,
+        })
     }
 }
--- a/crates/gateway/src/fleet/membership/connection.rs
+++ b/crates/gateway/src/fleet/membership/connection.rs
@@ -1,4 +1,5 @@
-//! Streams between gateways: sealed bytes with their length before them.
+//! Streams between gateways: connecting, and messages of sealed bytes with their length in front. It never looks into
+//! the bytes.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -13,12 +14,13 @@
 use crate::transport::stream::{read_exact, write_all};
 use crate::transport::syscall::dialled;
 
-/// Bytes that tell a stream's length.
+/// Size of the length in front of a message: an unsigned number, the highest byte first.
 const LENGTH_BYTES: usize = 4;
-/// In which an exchange must be over.
+/// How long an exchange may take, from connecting to the last byte.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub(super) async fn read(stream: &Async<TcpStream>) -> io::Result<Vec<u8>> {
+/// Reads one message. Fails where the length is above [`MAX_STREAM_BYTES`].
+pub(super) async fn read_message(stream: &Async<TcpStream>) -> io::Result<Vec<u8>> {
     let prefix = read_exact(stream, LENGTH_BYTES).await?;
     let length = prefix.iter().fold(0, |length, byte| length << u8::BITS | usize::from(*byte));
     if length > MAX_STREAM_BYTES {
@@ -27,12 +29,13 @@
     read_exact(stream, length).await
 }
 
-pub(super) async fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
+/// Writes one message.
+pub(super) async fn write_message(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
     write_all(stream, &(bytes.len() as u32).to_be_bytes()).await?;
     write_all(stream, bytes).await
 }
 
-/// A connection from this address, where it leads there.
+/// Connects from a local address, or from any where the address can't reach the target.
 pub(super) async fn connect(local_ip: Option<IpAddr>, to: SocketAddr) -> io::Result<Async<TcpStream>> {
     let can_reach = |local_ip: &IpAddr| {
         !local_ip.is_unspecified()
@@ -47,7 +50,7 @@
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     rustix::net::bind(&socket, &SocketAddr::new(local_ip, 0))?;
     match rustix::net::connect(&socket, &to) {
-        // One that a signal interrupts goes on all the same.
+        // A connect that a signal interrupts continues in the background.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
         Err(error) => return Err(error.into()),
     }
@@ -59,20 +62,24 @@
     }
 }
 
-/// Sends sealed bytes to a gateway, from an address of this machine if one is given, and gives its sealed answer.
+/// Sends a sealed message to a gateway and gives its sealed reply. `local_ip` is the source address, where it can reach
+/// the gateway.
+///
+/// # Errors
+/// Those of the connection, and `TimedOut` two seconds after the call.
 pub async fn dial_and_exchange(
     local_ip: Option<IpAddr>,
     to: SocketAddr,
     sealed: Vec<u8>,
 ) -> io::Result<Vec<u8>> {
-    let work = async {
+    let exchange = async {
         let stream = connect(local_ip, to).await?;
-        write(&stream, &sealed).await?;
-        read(&stream).await
+        write_message(&stream, &sealed).await?;
+        read_message(&stream).await
     };
-    let late = async {
+    let timeout = async {
         Timer::at(Instant::now() + EXCHANGE_TIMEOUT).await;
         Err(io::Error::from(io::ErrorKind::TimedOut))
     };
-    future::or(work, late).await
+    future::or(exchange, timeout).await
 }
--- a/crates/gateway/src/fleet/membership/datagrams.rs
+++ b/crates/gateway/src/fleet/membership/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams from other gateways.
+//! Datagrams from other gateways: they are opened and handed to the node, at a bounded rate. What can't be opened is
+//! logged and dropped.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,11 +10,13 @@
 use super::Membership;
 use crate::transport::clock::unix;
 
-/// Datagrams taken in a row: a flood of them must leave the core to those who are served.
+/// Datagrams handled before a pause. Danger: without it a flood of datagrams takes the core from client requests.
 const MAX_DATAGRAMS_IN_A_ROW: usize = 64;
-/// And the pause after so many, by which a flood is held to some 60,000 a second.
+/// That pause.
 const FLOOD_PAUSE: Duration = Duration::from_millis(1);
+
 impl Membership {
+    /// Receives until the socket is dropped with the task.
     pub(super) async fn receive_datagrams(self: Rc<Self>) {
         let mut bytes = [0; 2 * MAX_DATAGRAM_BYTES];
         let Some(socket) = self.socket.borrow().clone() else { return };
@@ -29,7 +32,7 @@
                         self.wake.notify(1);
                     }
                     Ok(_) => self.log_rejected(sender, "it speaks in another's name"),
-                    Err(reason) => self.log_rejected(sender, &reason.to_string()),
+                    Err(error) => self.log_rejected(sender, &error.to_string()),
                 }
             }
             Timer::after(FLOOD_PAUSE).await;
--- a/crates/gateway/src/fleet/membership/exchanges.rs
+++ b/crates/gateway/src/fleet/membership/exchanges.rs
@@ -1,4 +1,6 @@
-//! Exchanges with other gateways over streams, and questions of operators.
+//! Streams of membership: exchanges of the full state with other gateways, messages too long for a datagram, and
+//! operators' queries. The number of streams and their duration are bounded here; what a message means to the node the
+//! membership package decides.
 
 use std::cell::Cell;
 use std::io;
@@ -7,29 +9,29 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use fernscale_membership::packet::StreamMessage;
+use fernscale_membership::packet::{FullState, StreamMessage};
 use futures_lite::{future, StreamExt};
 
-use super::connection::{connect, dial_and_exchange, read, write, EXCHANGE_TIMEOUT};
+use super::connection::{connect, dial_and_exchange, read_message, write_message, EXCHANGE_TIMEOUT};
 use super::Membership;
 use crate::transport::clock::unix;
 
-/// Exchanges that others may have under way here. What is read of each before its seal is looked at has a bound, so that
-/// strangers can't take more memory than all of them times that.
+/// Exchanges that others may have open here. Danger: a message is read whole before its seal is checked, so without a
+/// bound strangers could take any amount of memory.
 const MAX_INCOMING_EXCHANGES: usize = 4;
-/// Messages that are on their way over streams at once, and likewise.
+/// Messages on their way over streams. Further ones are lost, as on the network.
 const MAX_OUTGOING_STREAMS: usize = 16;
 
 /// Pause after a connection that could not be accepted.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// Counts something that goes on, until it is dropped.
+/// Counts an open exchange or stream until it is dropped.
 struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
-    fn new(counter: &Rc<Cell<usize>>) -> Self {
-        counter.set(counter.get() + 1);
-        CountGuard(counter.clone())
+    fn new(count: &Rc<Cell<usize>>) -> Self {
+        count.set(count.get() + 1);
+        CountGuard(count.clone())
     }
 }
 
@@ -40,51 +42,42 @@
 }
 
 impl Membership {
-    /// Exchanges all that is known with another gateway.
+    /// Sends the full state to another gateway and merges the one that it replies with.
     pub(super) fn begin_exchange(&self, to: SocketAddr) {
-        let sealed = self.sealed_full_state();
-        let work = dial_and_exchange(Some(self.local_ip), to, sealed);
+        let exchange = dial_and_exchange(Some(self.local_ip), to, self.sealed_full_state());
         let Some(membership) = self.this.upgrade() else { return };
         let guard = CountGuard::new(&self.begun_exchanges);
-        let work = async move {
-            if let Ok(answer) = work.await {
-                membership.handle_full_state_reply(&answer);
+        let task = async move {
+            if let Ok(reply) = exchange.await {
+                membership.handle_full_state_reply(&reply);
             }
             drop(guard);
         };
-        self.host.executor().spawn(work).detach();
+        self.host.executor().spawn(task).detach();
     }
 
-    /// Sends sealed bytes that nobody answers.
+    /// Sends a sealed message that has no reply. It is lost where too many are on their way.
     pub(super) fn send_stream(&self, to: SocketAddr, sealed: Vec<u8>) {
-        let Some(membership) = self.this.upgrade().filter(|_| self.open_streams.get() < MAX_OUTGOING_STREAMS)
-        else {
+        if self.open_streams.get() >= MAX_OUTGOING_STREAMS {
             return;
-        };
+        }
         let guard = CountGuard::new(&self.open_streams);
-        let work = async move {
+        let local_ip = self.local_ip;
+        let task = async move {
             let send = async {
-                let stream = connect(Some(membership.local_ip), to).await?;
-                write(&stream, &sealed).await?;
-                // Until the other has read it all: what is not read yet goes with a connection that is let go.
-                let _ = read(&stream).await;
+                let stream = connect(Some(local_ip), to).await?;
+                write_message(&stream, &sealed).await?;
+                // Waits until the other side closes: closing first would discard what it has not read yet.
+                let _ = read_message(&stream).await;
                 Ok(())
             };
-            let late = async {
-                Timer::after(EXCHANGE_TIMEOUT).await;
-                Err(io::Error::from(io::ErrorKind::TimedOut))
-            };
-            let _ = future::or(send, late).await;
+            let _ = future::or(send, exchange_timeout()).await;
             drop(guard);
         };
-        self.host.executor().spawn(work).detach();
-    }
-
-    pub(super) fn sealed_full_state(&self) -> Vec<u8> {
-        let state = self.node.borrow().full_state(self.host.clock().now());
-        self.sealer.borrow_mut().seal(unix(), &StreamMessage::FullState(state))
+        self.host.executor().spawn(task).detach();
     }
 
+    /// Accepts streams until this gateway leaves. Those beyond the bound are closed.
     pub(super) async fn accept_streams(self: Rc<Self>, listener: Async<TcpListener>) {
         let mut incoming = std::pin::pin!(listener.incoming());
         while let Some(stream) = incoming.next().await {
@@ -97,68 +90,74 @@
             }
             let guard = CountGuard::new(&self.open_exchanges);
             let membership = self.clone();
-            self.host
-                .executor()
-                .spawn(async move {
-                    let work = membership.exchange(stream);
-                    let late = async {
-                        Timer::after(EXCHANGE_TIMEOUT).await;
-                        Err(io::Error::from(io::ErrorKind::TimedOut))
-                    };
-                    let _ = future::or(work, late).await;
-                    drop(guard);
-                })
-                .detach();
+            let task = async move {
+                let _ = future::or(membership.serve_stream(stream), exchange_timeout()).await;
+                drop(guard);
+            };
+            self.host.executor().spawn(task).detach();
         }
     }
 
-    /// Somebody asks for all that is known here, and tells what it knows; or only asks who is there.
-    async fn exchange(&self, stream: Async<TcpStream>) -> io::Result<()> {
-        let bytes = read(&stream).await?;
+    /// Handles the message of an accepted stream, and writes the reply if the message has one.
+    async fn serve_stream(&self, stream: Async<TcpStream>) -> io::Result<()> {
+        let bytes = read_message(&stream).await?;
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), &bytes);
-        let answer = match opened {
+        let reply = match opened {
             Ok((sealed_by, StreamMessage::FullState(state))) if sealed_by == state.sender.instance => {
-                self.node.borrow_mut().handle_full_state(self.host.clock().now(), state);
-                self.drain_outputs();
-                self.wake.notify(1);
+                self.merge_full_state(state);
                 self.sealed_full_state()
             }
-            Ok((_, StreamMessage::ListMembers)) => {
-                let view = StreamMessage::Members(self.view());
-                self.sealer.borrow_mut().seal(unix(), &view)
-            }
+            Ok((_, StreamMessage::ListMembers)) => self.seal(&StreamMessage::Members(self.view())),
             Ok((_, StreamMessage::ListCounters)) => {
-                let totals =
-                    StreamMessage::CounterTotals(self.node.borrow().counter_totals(self.host.clock().now()));
-                self.sealer.borrow_mut().seal(unix(), &totals)
+                let totals = self.node.borrow().counter_totals(self.host.clock().now());
+                self.seal(&StreamMessage::CounterTotals(totals))
             }
-            Ok((sealed_by, StreamMessage::Payload(sender, carried))) if sealed_by == sender.instance => {
-                self.node.borrow_mut().handle_payload(self.host.clock().now(), sender, carried);
+            Ok((sealed_by, StreamMessage::Payload(sender, payload))) if sealed_by == sender.instance => {
+                self.node.borrow_mut().handle_payload(self.host.clock().now(), sender, payload);
                 self.drain_outputs();
                 return Ok(());
             }
             Ok((_, StreamMessage::Query(channel, query))) => {
-                let answer = self.responders.borrow().get(&channel).and_then(|responds| responds(&query));
-                let answer = StreamMessage::QueryReply(answer.unwrap_or_default());
-                self.sealer.borrow_mut().seal(unix(), &answer)
+                let reply = self.responders.borrow().get(&channel).and_then(|respond| respond(&query));
+                self.seal(&StreamMessage::QueryReply(reply.unwrap_or_default()))
             }
             other => {
-                let reason = other.err().map_or("it makes no sense here".into(), |reason| reason.to_string());
+                let reason = other.err().map_or("it makes no sense here".into(), |error| error.to_string());
                 self.log_rejected(stream.get_ref().peer_addr()?, &reason);
                 return Ok(());
             }
         };
-        write(&stream, &answer).await
+        write_message(&stream, &reply).await
     }
 
     fn handle_full_state_reply(&self, bytes: &[u8]) {
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), bytes);
-        if let Ok((sealed_by, StreamMessage::FullState(state))) = opened {
-            if sealed_by == state.sender.instance {
-                self.node.borrow_mut().handle_full_state(self.host.clock().now(), state);
-                self.drain_outputs();
-                self.wake.notify(1);
+        match opened {
+            Ok((sealed_by, StreamMessage::FullState(state))) if sealed_by == state.sender.instance => {
+                self.merge_full_state(state)
             }
+            _ => {}
         }
     }
+
+    fn merge_full_state(&self, state: FullState) {
+        self.node.borrow_mut().handle_full_state(self.host.clock().now(), state);
+        self.drain_outputs();
+        self.wake.notify(1);
+    }
+
+    fn sealed_full_state(&self) -> Vec<u8> {
+        let state = self.node.borrow().full_state(self.host.clock().now());
+        self.seal(&StreamMessage::FullState(state))
+    }
+
+    fn seal(&self, message: &StreamMessage) -> Vec<u8> {
+        self.sealer.borrow_mut().seal(unix(), message)
+    }
+}
+
+/// Ends a stream that takes too long.
+async fn exchange_timeout() -> io::Result<()> {
+    Timer::after(EXCHANGE_TIMEOUT).await;
+    Err(io::Error::from(io::ErrorKind::TimedOut))
 }
--- a/crates/gateway/src/fleet/membership/mod.rs
+++ b/crates/gateway/src/fleet/membership/mod.rs
@@ -1,5 +1,6 @@
-//! The mesh on sockets: datagrams one way and the other, streams for exchanges of everything, and who asks who is there.
-//! What is said to whom, and what is believed of it, the packages `mesh` and `tally` decide.
+//! Membership on sockets: datagrams between gateways, exchanges of the full state over streams, and the one carrier by
+//! which the other subsystems of the fleet send their messages. This module owns the sockets and the timer; what is sent
+//! to whom, and what is believed, the packages `membership` and `shared-counter` decide.
 
 mod connection;
 mod datagrams;
@@ -10,6 +11,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::future::Future;
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener, UdpSocket};
 use std::rc::{Rc, Weak};
@@ -17,13 +19,13 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use event_listener::Event as Wake;
-use fernscale_membership::node::{Config, Node, Output};
-use fernscale_membership::packet::{MemberView, MembershipView, Peer, StreamMessage};
+use fernscale_membership::node::{Config, Member, Node, Output as NodeOutput};
+use fernscale_membership::packet::{MemberView, MembershipView, Packet, Peer, StreamMessage};
 use fernscale_membership::payload::{Channel, ReceivedPayload, SendError};
 use fernscale_membership::seal::{Key, Sealer};
 use fernscale_policy::Micros;
 use fernscale_shared_counter::gossip::LivePeer;
-use fernscale_shared_counter::monitor;
+use fernscale_shared_counter::monitor::{CounterHealth, GossipTotal};
 use fernscale_shared_counter::pn_counter::Instance;
 use futures_lite::future;
 use slog::{info, warn};
@@ -35,51 +37,63 @@
 use log::{log_event, process_id};
 
 pub use connection::dial_and_exchange;
-pub use query::{query, query_counters, query_members};
+pub use query::{query, query_counters, query_members, QueryError};
 pub use undelivered::UndeliveredUpdates;
 
-/// What an installation says of its mesh.
+/// Messages of one channel that wait for their subscriber. Further ones are lost, as on the network.
+const MAX_QUEUED_PAYLOADS: usize = 512;
+
+/// The section `[mesh]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
+    /// Address for datagrams and streams of other gateways.
     pub listen: SocketAddr,
-    /// Where others find this gateway, if that is elsewhere: behind an address that is passed on to it.
+    /// Address at which the others reach this gateway, where it differs: behind a forwarded one.
     pub advertise: Option<SocketAddr>,
+    /// Gateways to contact first.
     pub seeds: Vec<SocketAddr>,
+    /// Keys that messages are sealed with: the first seals, all of them open.
     pub keys: Vec<Key>,
 }
 
+/// Replies to an operator's encoded query; nothing where it can't be decoded.
+pub type Responder = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
+
+/// This gateway among the others, with its sockets and tasks.
 pub struct Membership {
     /// Itself, for the tasks that it spawns.
     this: Weak<Membership>,
     node: RefCell<Node>,
     sealer: RefCell<Sealer>,
-    /// None once this gateway has left: another process of it may listen there.
+    /// Nothing once this gateway has left: another process of it may bind the address.
     socket: RefCell<Option<Rc<Async<UdpSocket>>>>,
+    /// Ends the sleep of the timer task.
     wake: Wake,
-    /// Closed when this gateway leaves.
-    left: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    /// Where streams of this gateway come from: others may know it by that.
+    /// Both ends of a channel that carries nothing and is closed when this gateway leaves.
+    left: (Sender<()>, Receiver<()>),
+    /// Source address of outgoing streams, by which other gateways may know this one.
     local_ip: IpAddr,
+    /// Gateways of the installation by its configuration.
     gateway_count: usize,
+    /// Exchanges that other gateways and operators have open here.
     open_exchanges: Rc<Cell<usize>>,
-    /// Exchanges that this gateway has begun and that are not over.
+    /// Exchanges that this gateway has begun and that have not completed.
     begun_exchanges: Rc<Cell<usize>>,
+    /// Outgoing streams with a message on its way.
     open_streams: Rc<Cell<usize>>,
-    /// How the counter stood when last looked at, for who asks.
-    pub standing: Cell<monitor::CounterHealth>,
-    /// Who takes in what is carried for others, and who answers operators' questions about it.
+    /// Health of the shared counter as the dispatcher last saw it, for operators' queries.
+    pub standing: Cell<CounterHealth>,
     subscribers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
     responders: RefCell<BTreeMap<Channel, Responder>>,
     host: HostHandle,
 }
 
-/// Answers an operator's question; nothing where it makes no sense.
-pub type Responder = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
-
-/// Messages of a kind that wait for their taker. Beyond it they are lost, as on the way.
-const MAX_QUEUED_PAYLOADS: usize = 512;
 impl Membership {
-    /// Listens, and speaks from now on.
+    /// Binds the sockets and starts the tasks. `gateway_count` is the number of gateways in the installation.
+    ///
+    /// # Errors
+    /// Those of binding the address (`AddrInUse` while another process of this gateway has it), and one where the
+    /// settings hold no key.
     pub fn start(
         host: &HostHandle,
         name: &str,
@@ -106,10 +120,10 @@
             gateway_count: gateway_count as usize,
             open_exchanges: Rc::default(),
             begun_exchanges: Rc::default(),
-            standing: Cell::new(monitor::CounterHealth::Healthy),
+            open_streams: Rc::default(),
+            standing: Cell::new(CounterHealth::Healthy),
             subscribers: RefCell::default(),
             responders: RefCell::default(),
-            open_streams: Rc::default(),
             host: host.clone(),
         });
         info!(host.log(), #"mesh.starts", "speaks with other gateways"; "listen" => address.to_string(),
@@ -120,40 +134,36 @@
         Ok(membership)
     }
 
-    /// Another ring of keys from now on.
+    /// Replaces the keys that messages are sealed with.
     pub fn set_keys(&self, keys: &[Key]) {
         self.sealer.borrow_mut().set_keys(keys.to_vec());
     }
 
-    /// This gateway has added an amount to a count: what all know of it with that.
-    pub fn add_to_counter(
-        &self,
-        counter: &str,
-        amount: f64,
-        time_to_live: Micros,
-    ) -> Option<monitor::GossipTotal> {
+    /// Adds an amount to a shared counter that expires after `time_to_live` microseconds, and gives the total that the
+    /// gateways know of.
+    pub fn add_to_counter(&self, counter: &str, amount: f64, time_to_live: Micros) -> Option<GossipTotal> {
         self.node.borrow_mut().add_to_counter(self.host.clock().now(), counter, amount, time_to_live);
         self.gossip_total(counter)
     }
 
-    /// This gateway has added all this before it could speak.
+    /// Adds the updates that were collected before membership could start.
     pub fn deliver(&self, undelivered: UndeliveredUpdates) {
         let now = self.host.clock().now();
-        for (counter, (amount, ends)) in undelivered.0 {
-            self.node.borrow_mut().add_to_counter(now, &counter, amount, ends.saturating_sub(now));
+        for (counter, (amount, expires_at)) in undelivered.0 {
+            self.node.borrow_mut().add_to_counter(now, &counter, amount, expires_at.saturating_sub(now));
         }
     }
 
-    pub fn gossip_total(&self, counter: &str) -> Option<monitor::GossipTotal> {
+    /// The total of a shared counter that the gateways know of, and whether all of them are live; nothing for a counter
+    /// without any update.
+    pub fn gossip_total(&self, counter: &str) -> Option<GossipTotal> {
         let node = self.node.borrow();
         let total = node.counter_total(self.host.clock().now(), counter)?;
-        Some(monitor::GossipTotal {
-            total,
-            is_complete: node.live_members().count() + 1 >= self.gateway_count,
-        })
+        let is_complete = node.live_members().count() + 1 >= self.gateway_count;
+        Some(GossipTotal { total, is_complete })
     }
 
-    /// Tells some that this gateway goes, and listens no more.
+    /// Announces to some members that this gateway leaves, ends its tasks and closes its sockets.
     pub fn leave(&self) {
         self.node.borrow_mut().leave(self.host.clock().now());
         self.drain_outputs();
@@ -161,76 +171,80 @@
         self.socket.take();
     }
 
-    /// Nothing that this gateway says is on its way any more, as far as it can tell.
+    /// Whether no exchange that this gateway has begun is still open, so that what it knows has reached the others as far
+    /// as it can tell.
     pub fn is_fully_told(&self) -> bool {
         self.begun_exchanges.get() == 0
     }
 
-    // For others.
-
-    /// What is carried of this kind comes here from now on.
+    /// Gives the messages of a channel to the caller from now on; an earlier subscriber gets no more.
     pub fn subscribe(&self, channel: Channel) -> Receiver<ReceivedPayload> {
-        let (to, payloads) = async_channel::bounded(MAX_QUEUED_PAYLOADS);
-        self.subscribers.borrow_mut().insert(channel, to);
+        let (sender, payloads) = async_channel::bounded(MAX_QUEUED_PAYLOADS);
+        self.subscribers.borrow_mut().insert(channel, sender);
         payloads
     }
 
-    /// Operators' questions of this kind are answered so.
+    /// Sets what replies to operators' queries of a channel.
     pub fn set_responder(&self, channel: Channel, responder: Responder) {
         self.responders.borrow_mut().insert(channel, responder);
     }
 
-    /// Sends a message to the live gateway of a name; it may be lost.
+    /// Sends a message to the live gateway of a name. It may be lost on the way.
+    ///
+    /// # Errors
+    /// Those of [`Node::send_to`]: nothing was sent.
     pub fn send_to(&self, to: &str, channel: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let sent = self.node.borrow_mut().send_to(to, channel, body);
         self.drain_outputs();
         sent
     }
 
-    /// Sends a message to one run of a gateway.
+    /// Sends a message to one process of a gateway. It may be lost on the way.
+    ///
+    /// # Errors
+    /// Those of [`Node::send_to_instance`]: nothing was sent.
     pub fn send_to_instance(&self, to: Instance, channel: Channel, body: Vec<u8>) -> Result<(), SendError> {
         let sent = self.node.borrow_mut().send_to_instance(to, channel, body);
         self.drain_outputs();
         sent
     }
 
+    /// This gateway as the others know it.
     pub fn local(&self) -> Peer {
         self.node.borrow().local().clone()
     }
 
-    /// Other gateways that are not taken for gone.
+    /// The other gateways that are not taken for dead.
     pub fn live_peers(&self) -> Vec<Peer> {
         self.node.borrow().live_members().map(|member| member.peer.clone()).collect()
     }
 
-    /// The same, as rumours know them.
+    /// The same by name and process, as the gossip of the other subsystems identifies them.
     pub fn live_instances(&self) -> Vec<LivePeer> {
-        self.live_peers()
-            .into_iter()
-            .map(|peer| LivePeer { name: peer.name, instance: peer.instance.0 })
-            .collect()
+        let live_peer = |peer: Peer| LivePeer { name: peer.name, instance: peer.instance.0 };
+        self.live_peers().into_iter().map(live_peer).collect()
     }
 
-    /// Works at something until this gateway leaves; then it is dropped, with the sockets that it has.
-    pub fn spawn_until_left(&self, work: impl std::future::Future<Output = ()> + 'static) {
+    /// Runs a task until this gateway leaves. It is dropped then, with the sockets that it owns.
+    pub fn spawn_until_left(&self, task: impl Future<Output = ()> + 'static) {
         let left = self.left.1.clone();
         let left = async move {
             let _ = left.recv().await;
         };
-        self.host.executor().spawn(future::or(left, work)).detach();
+        self.host.executor().spawn(future::or(left, task)).detach();
     }
 
     async fn run_timer(self: Rc<Self>) {
         loop {
             let woken = self.wake.listen();
-            let due = self.node.borrow().next_deadline();
-            let wait = async {
-                if due == Micros::MAX {
+            let deadline = self.node.borrow().next_deadline();
+            let sleep = async {
+                if deadline == Micros::MAX {
                     future::pending::<()>().await;
                 }
-                Timer::at(self.host.clock().instant(due)).await;
+                Timer::at(self.host.clock().instant(deadline)).await;
             };
-            future::or(wait, woken).await;
+            future::or(sleep, woken).await;
             let now = self.host.clock().now();
             if now >= self.node.borrow().next_deadline() {
                 self.node.borrow_mut().handle_timeout(now);
@@ -239,41 +253,46 @@
         }
     }
 
-    /// Carries out what the node wants.
+    /// Carries out the outputs of the node until it has none.
     fn drain_outputs(&self) {
         loop {
             let Some(output) = self.node.borrow_mut().poll_output() else { return };
             match output {
-                Output::SendDatagram { to, packet } => {
-                    let bytes = self.sealer.borrow_mut().seal(unix(), &packet);
-                    // A datagram that can't be sent now is as good as lost on the way.
-                    if let Some(socket) = &*self.socket.borrow() {
-                        let _ = uninterrupted(|| socket.get_ref().send_to(&bytes, to));
-                    }
-                }
-                Output::ExchangeState { to } => self.begin_exchange(to),
-                Output::SendStream { to, carried } => {
+                NodeOutput::SendDatagram { to, packet } => self.send_datagram(to, &packet),
+                NodeOutput::ExchangeState { to } => self.begin_exchange(to),
+                NodeOutput::SendStream { to, carried } => {
                     let stream = StreamMessage::Payload(self.local(), carried);
                     self.send_stream(to, self.sealer.borrow_mut().seal(unix(), &stream));
                 }
-                Output::Received(payload) => {
-                    let subscriber = self.subscribers.borrow().get(&payload.channel).cloned();
-                    if let Some(subscriber) = subscriber {
-                        let _ = subscriber.try_send(payload);
-                    }
-                }
-                Output::Event(event) => log_event(self.host.log(), &event),
+                NodeOutput::Received(payload) => self.publish(payload),
+                NodeOutput::Event(event) => log_event(self.host.log(), &event),
             }
         }
     }
 
+    /// Sends a sealed packet. One that can't be sent is lost, as on the network.
+    fn send_datagram(&self, to: SocketAddr, packet: &Packet) {
+        let bytes = self.sealer.borrow_mut().seal(unix(), packet);
+        if let Some(socket) = &*self.socket.borrow() {
+            let _ = uninterrupted(|| socket.get_ref().send_to(&bytes, to));
+        }
+    }
+
+    fn publish(&self, payload: ReceivedPayload) {
+        let subscriber = self.subscribers.borrow().get(&payload.channel).cloned();
+        if let Some(subscriber) = subscriber {
+            let _ = subscriber.try_send(payload);
+        }
+    }
+
     fn log_rejected(&self, sender: SocketAddr, reason: &str) {
         warn!(self.host.log(), #"mesh.refused", "a packet was not believed"; "from" => sender.to_string(), "why" => reason);
     }
 
     fn view(&self) -> MembershipView {
-        let (node, now) = (self.node.borrow(), self.host.clock().now());
-        let member = |member: &fernscale_membership::node::Member| MemberView {
+        let node = self.node.borrow();
+        let now = self.host.clock().now();
+        let member_view = |member: &Member| MemberView {
             peer: member.peer.clone(),
             state: member.state,
             incarnation: member.incarnation,
@@ -281,7 +300,7 @@
         };
         MembershipView {
             local: node.local().clone(),
-            members: node.members().map(member).collect(),
+            members: node.members().map(member_view).collect(),
             configured_gateways: self.gateway_count as u32,
             counter_count: node.counters().len() as u32,
             counter_health: self.standing.get().name().into(),
--- a/crates/gateway/src/fleet/membership/undelivered.rs
+++ b/crates/gateway/src/fleet/membership/undelivered.rs
@@ -1,21 +1,22 @@
-//! Updates of counters that wait until there is a way to the others.
+//! Updates of shared counters that wait until membership can start, while another process of this gateway has its
+//! address. It only collects them; delivering them is the membership's work.
 
 use std::collections::BTreeMap;
 
 use fernscale_policy::Micros;
 
-/// Counts that wait for a way to the others: another process of this gateway speaks with them, until it ends.
+/// Counters with an update that waits.
 const MAX_UNDELIVERED_COUNTERS: usize = 16_384;
 
-/// What the others are to be told of, by the count, and until when that lives.
+/// The sum of the updates that wait, and when it expires in microseconds of the gateway's clock, by the counter's key.
 #[derive(Default)]
 pub struct UndeliveredUpdates(pub(super) BTreeMap<Box<str>, (f64, Micros)>);
 
 impl UndeliveredUpdates {
-    /// At the bound a new count is not told of, as at the mesh's own.
+    /// Adds an update. Beyond the bound an update of a counter without one is dropped, as the gossip of counters does.
     pub fn add(&mut self, counter: &str, amount: f64, expires_at: Micros) {
-        if let Some((undelivered, _)) = self.0.get_mut(counter) {
-            *undelivered += amount;
+        if let Some((sum, _)) = self.0.get_mut(counter) {
+            *sum += amount;
         } else if self.0.len() < MAX_UNDELIVERED_COUNTERS {
             self.0.insert(counter.into(), (amount, expires_at));
         }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! What this gateway does together with the others: thin shells round the packages `mesh`, `owner` and those to come. They
-//! carry messages, keep time and write to the disk; what is said and believed, and who does what, the packages decide.
+//! What this gateway does together with the others of the fleet: thin shells around the packages `membership`, `lease`,
+//! `subsetting` and `outlier-detection`. They carry messages, keep the time and write to the disk; what is sent and believed, and
+//! who does what, the packages decide.
 //!
-//! All messages go by the one carrier of the mesh, each kind to whoever takes it in; all that must survive goes to the one
-//! store of the gateway.
+//! Messages of all subsystems go over `membership`, each on its channel. Whatever must survive a restart is in the one
+//! `durable_store`. What the subsystems need of the gateway is in `host`; they import nothing else of its state.
 
 pub mod durable_store;
 pub mod endpoint_list;
--- a/crates/gateway/src/fleet/outlier_detection.rs
+++ b/crates/gateway/src/fleet/outlier_detection.rs
@@ -1,5 +1,6 @@
-//! What gateways tell each other of servers: what this one meets, what others say, and which servers are left out of use by it.
-//! Whom to believe, how much may be out and whose turn it is to try, the package `signals` decides.
+//! Outlier detection shared by the gateways: results of attempts go in, messages to and from other gateways are carried,
+//! and changes of ejected servers come out for the dispatcher. Which reports count, how many servers may be ejected and who
+//! may send a trial request, the package `outlier-detection` decides.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,16 +23,17 @@
 use super::subsetting::Subsetting;
 use crate::transport::clock::{boottime, real_duration};
 
-/// The shortest sleep between two looks.
+/// Shortest sleep between two updates, in microseconds.
 const MIN_SLEEP: Micros = 20_000;
 
-/// What an installation says of its signals.
+/// The section `[signals]` of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// Where this gateway stands, by a name of the list's zones; nothing, zones make no difference to it.
+    /// Name of this gateway's zone; without one zones make no difference.
     pub zone: Option<String>,
 }
 
+/// The detector of this gateway, with the tasks that serve it.
 pub struct OutlierDetection {
     host: HostHandle,
     membership: Rc<Membership>,
@@ -40,7 +42,8 @@
 }
 
 impl OutlierDetection {
-    /// Takes part from now on. `events`: the module's, who is told which servers to leave.
+    /// Starts the tasks, which run until this gateway leaves the membership. `subsetting` says how many gateways observe a
+    /// server; without it all live ones do. `events` is the dispatcher's mailbox, which gets `OutlierDetectionDue`.
     pub fn start<E: From<FleetEvent> + 'static>(
         host: &HostHandle,
         membership: &Rc<Membership>,
@@ -69,17 +72,19 @@
         detection
     }
 
-    /// A trip has ended there.
+    /// Records the result of an attempt of a request class at a server.
     pub fn attempt_completed(&self, server: &str, class: usize, result: AttemptResult) {
         self.core.borrow_mut().attempt_completed(boottime(), server, class, result);
     }
 
-    /// A trip goes there. True: that was this gateway's turn to try it, and no other may follow.
+    /// Records that an attempt goes to a server. True where the attempt has used this gateway's trial permit for an ejected
+    /// server, so that no other may follow.
     pub fn may_forward(&self, server: &str) -> bool {
         self.core.borrow_mut().may_forward(self.host.clock().now(), server)
     }
 
-    /// Looks at the list and at what was said: which servers are to be left from now on, and which are not any more.
+    /// Updates the detector by the endpoint list and the reports received, and gives the servers that are ejected from now
+    /// on and those that are not any more.
     pub fn update<'l>(&self, endpoints: impl Iterator<Item = &'l Endpoint>) -> Vec<EjectionChange> {
         let zone = |zone: u32| self.host.zones().get(zone as usize).cloned().unwrap_or_default();
         let server = |endpoint: &Endpoint| Server {
@@ -90,7 +95,8 @@
         };
         let servers =
             endpoints.filter(|endpoint| endpoint.state == EndpointState::Ready).map(server).collect();
-        let (now, shared_now) = (boottime(), self.host.clock().now());
+        let now = boottime();
+        let shared_now = self.host.clock().now();
         let changes = self.core.borrow_mut().handle_timeout(
             now,
             shared_now,
@@ -101,18 +107,20 @@
         changes
     }
 
+    /// Logs changes of the ejected servers and asks the dispatcher for the next update.
     async fn run_timer<E: From<FleetEvent>>(self: Rc<Self>, events: Sender<E>) {
         let mut ejected_before = BTreeSet::new();
         while events.send(FleetEvent::OutlierDetectionDue.into()).await.is_ok() {
-            let now: BTreeSet<String> = self.core.borrow().ejected().map(String::from).collect();
-            // Those that are used again first: at no moment does the log have more of them out than there are.
-            let restored = ejected_before.difference(&now).map(|server| (server, false));
-            for (server, left) in restored.chain(now.difference(&ejected_before).map(|server| (server, true)))
+            let ejected: BTreeSet<String> = self.core.borrow().ejected().map(String::from).collect();
+            // Restored servers first, so that the log never shows more servers ejected than there are.
+            let restored = ejected_before.difference(&ejected).map(|server| (server, false));
+            for (server, is_ejected) in
+                restored.chain(ejected.difference(&ejected_before).map(|server| (server, true)))
             {
                 info!(self.host.log(), #"signals.server", "a server is left out of use, or used again, by the gateways' word";
-                    "server" => server, "out" => left);
+                    "server" => server, "out" => is_ejected);
             }
-            ejected_before = now;
+            ejected_before = ejected;
             let due = self.core.borrow().next_deadline();
             Timer::after(real_duration(due.saturating_sub(boottime()).max(MIN_SLEEP))).await;
         }
@@ -127,7 +135,7 @@
                     let observers = self
                         .subsetting
                         .as_ref()
-                        .map_or(gateway_count, |subsets| subsets.gateways_per_server());
+                        .map_or(gateway_count, |subsetting| subsetting.gateways_per_server());
                     self.core.borrow_mut().handle_message(boottime(), &sender.name, message, observers);
                 }
                 Err(_) => {
@@ -143,7 +151,7 @@
         loop {
             let message = self.core.borrow_mut().poll_message();
             let Some((to, message)) = message else { return };
-            // A note that can't be sent now is as good as lost on the way.
+            // A message that can't be sent is lost, as on the network.
             let _ = self.membership.send_to(
                 &to,
                 Channel::OutlierDetection,
@@ -157,7 +165,7 @@
     }
 }
 
-/// The id of a server that a change is about.
+/// The id of the server that a change is about.
 pub fn server_id(change: &EjectionChange) -> Id {
     Id::from(&*change.server)
 }
--- a/crates/gateway/src/fleet/subsetting.rs
+++ b/crates/gateway/src/fleet/subsetting.rs
@@ -1,5 +1,6 @@
-//! Which servers this gateway uses, as dealt out among all gateways: who is there and what each carries goes over the mesh, what
-//! is dealt to whom the package `subset` decides. Without a mesh all gateways are taken to be there, by their numbers.
+//! Deterministic subsetting: load reports are carried between gateways, and the endpoint list is turned into the subset that
+//! this gateway uses. Which server belongs to which gateway, and when a change takes effect, the package `subsetting`
+//! decides. Without membership all configured gateways count as live, by their numbers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -20,56 +21,106 @@
 use super::membership::Membership;
 use crate::transport::clock::{boottime, real_duration};
 
-/// What an installation says of its subsets.
+/// Shortest sleep between two updates, in microseconds.
+const MIN_SLEEP: Micros = 20_000;
+
+/// The section `[subsets]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Servers of a gateway, and gateways of a server, at the least, or all where there are fewer.
+    /// Least number of servers of a gateway and of gateways of a server, or all where there are fewer.
     pub min_servers: usize,
-    /// Where this gateway stands, by a name of the list's zones; nothing, zones make no difference to it.
+    /// Name of this gateway's zone; without one zones make no difference.
     pub zone: Option<String>,
 }
 
-/// Who this gateway is, and what it is given to know of the installation.
+/// This gateway and what its configuration says of the installation.
 pub struct LocalGateway {
+    /// Its name, by which it is known where there is membership.
     pub name: String,
+    /// Its number, from 0, by which it is known without membership.
     pub number: u32,
+    /// Number of gateways in the installation.
     pub gateways: u32,
-    /// How long after its start a server is cold.
+    /// How long a server is in slow start, in microseconds.
     pub slow_start_duration: Micros,
 }
 
+/// What the subsetting package keeps for this gateway.
 struct Core {
     tracker: SubsetTracker,
-    /// Nothing where gateways have no way to each other.
+    /// Nothing without membership.
     load_reports: Option<LoadReports>,
-    /// What was told last, and the servers avoided then.
+    /// Servers of the subset that the dispatcher was given last.
     used_servers: BTreeSet<String>,
+    /// Servers that the dispatcher avoided at the last update.
     avoided_servers: BTreeSet<String>,
 }
 
+/// The subset of this gateway, with the tasks that keep it up to date.
 pub struct Subsetting {
     host: HostHandle,
     membership: Option<Rc<Membership>>,
     settings: Settings,
     local: LocalGateway,
     core: RefCell<Core>,
+    /// Attempts since the last load report.
     forwarded_attempts: Cell<u64>,
 }
 
-/// What has changed for the module and the servers' actors.
+/// What an update changes for the dispatcher and the upstream connections.
 #[derive(Default)]
 pub struct SubsetChange {
+    /// The new subset, if there is one.
     pub subset: Option<Subset>,
-    /// To be connected to before there is a trip, and no longer used.
+    /// Servers to connect to before the first attempt.
     pub opens: Vec<Id>,
+    /// Servers that this gateway no longer uses.
     pub leaves: Vec<Id>,
 }
 
-/// A server of the list, and whether this gateway avoids it now.
+/// An endpoint, and whether the dispatcher avoids it now.
 pub type ServerSlot<'l> = (&'l Endpoint, bool);
 
+/// The servers of the endpoint list that are ready, by name.
+#[derive(Default)]
+struct ReadyServers {
+    servers: Vec<Server>,
+    avoided: BTreeSet<String>,
+    slow_starting: BTreeSet<String>,
+}
+
+impl ReadyServers {
+    /// `now` and `slow_start_duration` are in microseconds of the gateway's clock.
+    fn collect<'l>(
+        endpoints: impl Iterator<Item = ServerSlot<'l>>,
+        now: Micros,
+        slow_start_duration: Micros,
+    ) -> Self {
+        let mut ready = ReadyServers::default();
+        for (endpoint, is_avoided) in endpoints.filter(|(endpoint, _)| endpoint.state == EndpointState::Ready)
+        {
+            let name = endpoint.server.to_string();
+            if is_avoided {
+                ready.avoided.insert(name.clone());
+            }
+            if endpoint.started_at.is_some_and(|at| now < at + slow_start_duration) {
+                ready.slow_starting.insert(name.clone());
+            }
+            ready.servers.push(Server { name, weight: endpoint.weight, zone: endpoint.zone });
+        }
+        ready
+    }
+}
+
+/// The fleet, and whether all configured gateways are known.
+struct FleetState {
+    view: FleetView,
+    is_complete: bool,
+}
+
 impl Subsetting {
-    /// Takes part from now on. `events`: the module's, who is asked to look at its servers now and then.
+    /// Starts the tasks. With membership they run until this gateway leaves it. `events` is the dispatcher's mailbox, which
+    /// gets `SubsettingDue`.
     pub fn start<E: From<FleetEvent> + 'static>(
         host: &HostHandle,
         membership: Option<&Rc<Membership>>,
@@ -82,12 +133,12 @@
         let process = membership.map(|membership| membership.local().instance.0);
         let local_peer = LivePeer { name: local.name.clone(), instance: process.unwrap_or(0) };
         let name = membership.map_or(local.number.to_string(), |_| local.name.clone());
-        let settings_of_tracker = fernscale_subsetting::Settings {
+        let tracker_settings = fernscale_subsetting::Settings {
             min_servers: settings.min_servers,
             prefers_own_zone: settings.zone.is_some(),
         };
         let core = Core {
-            tracker: SubsetTracker::new(&name, settings_of_tracker, rand::random()),
+            tracker: SubsetTracker::new(&name, tracker_settings, rand::random()),
             load_reports: membership.map(|_| LoadReports::new(local_peer, &zone, rand::random(), now)),
             used_servers: BTreeSet::new(),
             avoided_servers: BTreeSet::new(),
@@ -119,17 +170,17 @@
         subsetting
     }
 
-    /// A trip was sent.
+    /// Counts an attempt towards the load of this gateway.
     pub fn attempt_forwarded(&self) {
         self.forwarded_attempts.set(self.forwarded_attempts.get() + 1);
     }
 
-    /// How many gateways use a server, in the mean.
+    /// Mean number of gateways that use a server, 1 at least.
     pub fn gateways_per_server(&self) -> f64 {
         self.core.borrow().tracker.current().gateways_per_server.max(1.0)
     }
 
-    /// This gateway ends, and no other process of it goes on.
+    /// Announces that this gateway leaves. Only for a gateway that no other process continues.
     pub fn shut_down(&self) {
         let live_peers = self.live_peers();
         if let Some(load_reports) = &mut self.core.borrow_mut().load_reports {
@@ -138,6 +189,7 @@
         self.drain_messages();
     }
 
+    /// Records the load, and asks the dispatcher for the next update.
     async fn run_timer<E: From<FleetEvent>>(self: Rc<Self>, events: Sender<E>) {
         loop {
             let now = boottime();
@@ -184,7 +236,7 @@
         loop {
             let message = self.core.borrow_mut().load_reports.as_mut().and_then(LoadReports::poll_message);
             let Some((to, message)) = message else { return };
-            // A note that can't be sent now is as good as lost on the way.
+            // A message that can't be sent is lost, as on the network.
             let _ = membership.send_to(
                 &to,
                 Channel::Subsetting,
@@ -193,50 +245,34 @@
         }
     }
 
-    /// The others that the mesh takes for live.
+    /// The other gateways that are live; none without membership.
     fn live_peers(&self) -> Vec<LivePeer> {
         self.membership.as_ref().map_or(Vec::new(), |membership| membership.live_instances())
     }
 
-    /// Looks at the list of servers and at the fleet: what is to change.
+    /// Updates the subset by the endpoint list and the fleet, and gives what has changed.
     pub fn update<'l>(&self, endpoints: impl Iterator<Item = ServerSlot<'l>>) -> SubsetChange {
-        let (now, shared_now) = (boottime(), self.host.clock().now());
-        let (mut servers, mut avoided, mut slow_starting) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
-        for (endpoint, is_avoided) in endpoints.filter(|(endpoint, _)| endpoint.state == EndpointState::Ready)
-        {
-            let name = endpoint.server.to_string();
-            if is_avoided {
-                avoided.insert(name.clone());
-            }
-            if endpoint.started_at.is_some_and(|at| shared_now < at + self.local.slow_start_duration) {
-                slow_starting.insert(name.clone());
-            }
-            servers.push(Server { name, weight: endpoint.weight, zone: endpoint.zone });
-        }
+        let now = boottime();
+        let slow_start_duration = self.local.slow_start_duration;
+        let ready = ReadyServers::collect(endpoints, self.host.clock().now(), slow_start_duration);
         let live_peers = self.live_peers();
         let core = &mut *self.core.borrow_mut();
-        let (gateways, is_complete) = match &core.load_reports {
-            Some(load_reports) => (
-                self.gateways(load_reports.gateway_loads(&live_peers)),
-                live_peers.len() + 1 >= self.local.gateways as usize,
-            ),
-            None => {
-                let zone = self.zone(self.settings.zone.as_deref().unwrap_or_default());
-                let by_number = |number: u32| Gateway { name: number.to_string(), load: 1.0, zone };
-                ((0..self.local.gateways.max(1)).map(by_number).collect(), true)
-            }
-        };
-        core.tracker.set_avoided(avoided.clone());
-        core.avoided_servers = avoided;
-        core.tracker.fleet_changed(now, FleetView { gateways, servers }, is_complete);
-        let changed = core.tracker.handle_timeout(now);
-        let mut change = SubsetChange::default();
-        let opens =
-            core.tracker.take_preconnects(now).into_iter().filter(|name| !slow_starting.contains(name));
-        change.opens = opens.map(Id::from).collect();
-        if !changed || core.tracker.current().weights.is_empty() {
-            return change;
+        let fleet = self.fleet_view(core.load_reports.as_ref(), &live_peers, ready.servers);
+        core.tracker.set_avoided(ready.avoided.clone());
+        core.avoided_servers = ready.avoided;
+        core.tracker.fleet_changed(now, fleet.view, fleet.is_complete);
+        let has_changed = core.tracker.handle_timeout(now);
+        let preconnects = core.tracker.take_preconnects(now).into_iter();
+        let opens = preconnects.filter(|name| !ready.slow_starting.contains(name)).map(Id::from).collect();
+        let mut change = SubsetChange { opens, ..SubsetChange::default() };
+        if has_changed && !core.tracker.current().weights.is_empty() {
+            self.apply_subset(core, &mut change);
         }
+        change
+    }
+
+    /// Takes the tracker's subset as the one in use, and adds to a change what differs from the one before.
+    fn apply_subset(&self, core: &mut Core, change: &mut SubsetChange) {
         let current = core.tracker.current();
         let names: BTreeSet<String> = current.weights.keys().cloned().collect();
         change.leaves = core.used_servers.difference(&names).map(|name| Id::from(&**name)).collect();
@@ -245,21 +281,41 @@
                 "more" => names.difference(&core.used_servers).count(), "fewer" => change.leaves.len(),
                 "gateways" => core.tracker.settled_view().gateways.len());
         }
-        // Beside the others' mean, as ratings are.
+        // Relative to the mean, as the dispatcher's other weights are.
         let server_count = current.weights.len() as f64;
         let weights = current.weights.iter().map(|(name, share)| (Id::from(&**name), share * server_count));
         change.subset =
             Some(Subset { weights: weights.collect(), gateways_per_server: current.gateways_per_server });
         core.used_servers = names;
-        change
     }
 
+    /// The fleet as the subset is computed from: by the load reports, or by the configured number of gateways.
+    fn fleet_view(
+        &self,
+        load_reports: Option<&LoadReports>,
+        live_peers: &[LivePeer],
+        servers: Vec<Server>,
+    ) -> FleetState {
+        let Some(load_reports) = load_reports else {
+            let zone = self.zone(self.settings.zone.as_deref().unwrap_or_default());
+            let by_number = |number: u32| Gateway { name: number.to_string(), load: 1.0, zone };
+            let gateways = (0..self.local.gateways.max(1)).map(by_number).collect();
+            return FleetState { view: FleetView { gateways, servers }, is_complete: true };
+        };
+        let gateways = self.gateways(load_reports.gateway_loads(live_peers));
+        FleetState {
+            view: FleetView { gateways, servers },
+            is_complete: live_peers.len() + 1 >= self.local.gateways as usize,
+        }
+    }
+
+    /// Index of a zone in the platform's list.
     fn zone(&self, name: &str) -> u32 {
         let known = self.host.zones().iter().position(|zone| zone == name);
         known.map_or(u32::MAX, |at| at as u32)
     }
 
-    /// The fleet as the deal takes it. Whoever has not told what it carries is taken to carry what the others do.
+    /// The gateways of the fleet with their loads. One without a report counts with the mean of the others.
     fn gateways(&self, known: Vec<GatewayLoad>) -> Vec<Gateway> {
         let known_loads: Vec<f64> =
             known.iter().filter_map(|known| known.load).filter(|load| *load > 0.0).collect();
@@ -303,6 +359,3 @@
         }
     }
 }
-
-/// The shortest sleep between two looks.
-const MIN_SLEEP: Micros = 20_000;
--- a/crates/gateway/src/fleet/trial_leases.rs
+++ b/crates/gateway/src/fleet/trial_leases.rs
@@ -1,8 +1,9 @@
-//! Jobs of trials: whoever owns one tells a stand-in so again and again, by lines of JSON that carry the fence. They show that
-//! there is one owner at a time, and that a late one does no harm; nothing else uses them.
+//! Leases for tests of the lease subsystem: their holder sends an effect again and again to a recorder, as a line of JSON
+//! with the fencing token. The recorder checks that there is one holder at a time and that a late effect is rejected.
+//! Nothing that serves clients uses them.
 //!
-//! Between the look at the lease and the effect stands a pause, which a real effect has as well: there a process may be
-//! stopped, and wake up when another owns the job.
+//! A pause lies between the authorization and the effect, as with a real one: the process may be stopped there, and resume
+//! when another gateway holds the lease.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -20,33 +21,36 @@
 use super::host::HostHandle;
 use super::leases::Leases;
 
-/// What a trial says.
+/// The leases of the section `[trials]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
+    /// The leases to hold.
     pub lease_names: Vec<Name>,
-    /// Where effects are taken in.
+    /// Address of the recorder.
     pub effects_address: SocketAddr,
-    /// Between two of one job, and between the look at the lease and the effect.
+    /// Pause between two effects under one lease, in microseconds.
     pub effect_interval: Micros,
+    /// Pause between the authorization and the effect, in microseconds.
     pub effect_delay: Micros,
 }
 
-/// How long an answer is waited for.
+/// How long to wait for the recorder's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of an answer at the most.
 const MAX_REPLY_BYTES: usize = 1_024;
 
+/// Registers the leases and starts a task for each that is new.
 pub fn start(host: &HostHandle, leases: &Rc<Leases>, settings: &Settings) {
     for lease in &settings.lease_names {
         if leases.register(lease) {
-            let run_lease = run_lease(host.clone(), leases.clone(), lease.clone(), settings.clone());
-            host.executor().spawn(run_lease).detach();
+            let task = run_lease(host.clone(), leases.clone(), lease.clone(), settings.clone());
+            host.executor().spawn(task).detach();
         }
     }
 }
 
 async fn run_lease(host: HostHandle, leases: Rc<Leases>, lease: Name, settings: Settings) {
-    let (mut connection, mut number) = (None, 0u64);
+    let mut connection = None;
+    let mut number = 0u64;
     loop {
         Timer::after(Duration::from_micros(settings.effect_interval)).await;
         let Some(effect) = leases.authorize(&lease, number) else {
@@ -67,13 +71,13 @@
                     "job" => &*lease, "term" => effect.token().term, "highest" => highest.term);
                 leases.effect_rejected(&lease, highest);
             }
-            // Whether it was taken in is not known; the next one tells.
+            // Whether the effect was accepted is unknown; the next one shows it.
             Some(Err(_)) | None => connection = None,
         }
     }
 }
 
-/// Sends an effect, and gives the fence that it was refused by, if it was.
+/// Sends an effect. Gives the higher fencing token by which it was rejected, or nothing where it was accepted.
 async fn send_effect(
     to: SocketAddr,
     connection: &mut Option<BufReader<Async<TcpStream>>>,
