--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -8,8 +8,8 @@
     let shown = file.display().to_string();
     let platform = file.extension().is_some_and(|extension| extension == "json");
     let source = match platform {
-        true => Source { own: None, platform: Some(file) },
-        false => Source { own: Some(file), platform: None },
+        true => Source { installation: None, platform: Some(file) },
+        false => Source { installation: Some(file), platform: None },
     };
     let config = source.read()?;
     println!(
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -67,8 +67,9 @@
 
 impl Fleet {
     fn ask(config: &Config) -> Result<Fleet, Failed> {
-        let settings = config.mesh.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".into()])?;
-        let owner = config.owner.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
+        let settings =
+            config.membership.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".into()])?;
+        let owner = config.leases.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
         let keys = &settings.keys;
         let seen =
             membership::query_members(settings.listen, keys).map_err(|error| vec![error.to_string()])?;
@@ -125,7 +126,8 @@
 }
 
 fn cordon(config: &Config, on: bool) -> Result<(), Failed> {
-    let settings = config.mesh.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
+    let settings =
+        config.membership.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     let answer = asked(settings.listen, &settings.keys, &StatusQuery::Cordon(on)).map_err(|why| vec![why])?;
     match answer {
         StatusReply::Cordoned(now) if now == on => {
@@ -145,7 +147,7 @@
     held: &BTreeMap<Name, Holding>,
     name: &str,
 ) -> Result<(), Failed> {
-    let Some(settings) = &config.mesh else { return Ok(()) };
+    let Some(settings) = &config.membership else { return Ok(()) };
     let holding = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
     let seen = membership::query_members(settings.listen, &settings.keys)
         .map_err(|error| vec![error.to_string()])?;
@@ -181,7 +183,7 @@
         json!({ "job": &**job, "owner": holding.gateway.as_deref(), "term": holding.by.term,
             "run": format!("{:016x}", holding.by.process.0), "left_ms": holding.left_ms })
     });
-    let voters = config.owner.iter().flat_map(|owner| &owner.acceptors.names).map(|voter| {
+    let voters = config.leases.iter().flat_map(|owner| &owner.acceptors.names).map(|voter| {
         let view = views.iter().find(|(_, view)| view.gateway == *voter).map(|(_, view)| votes(view));
         json!({ "voter": &**voter, "state": view.unwrap_or("is not heard") })
     });
@@ -199,7 +201,7 @@
     unheard: &[Name],
     held: &BTreeMap<Name, Holding>,
 ) {
-    let all = config.owner.as_ref().map_or(0, |owner| owner.acceptors.names.len());
+    let all = config.leases.as_ref().map_or(0, |owner| owner.acceptors.names.len());
     let voting = views.iter().filter(|(_, view)| view.acceptor == Some(AcceptorState::Voting)).count();
     println!("{} of {all} voters vote, {} jobs have an owner", voting, held.len());
     if voting < majority(all) {
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -8,7 +8,7 @@
 pub fn members(own: Option<PathBuf>, counts: bool, json: bool) -> Result<(), Vec<String>> {
     let source = Source::from_environment(own).map_err(|why| vec![why])?;
     let config = source.read()?;
-    let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
+    let settings = config.membership.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     if counts {
         let sums = membership::query_counters(settings.listen, &settings.keys)
             .map_err(|error| vec![error.to_string()])?;
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -10,10 +10,10 @@
 
 pub fn servers(own: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
     let config = Source::from_environment(own).map_err(|why| vec![why])?.read()?;
-    if config.signals.is_none() {
+    if config.outlier_detection.is_none() {
         return Err(vec!["the configuration has no [signals]: each gateway finds out alone".into()]);
     }
-    let settings = config.mesh.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
+    let settings = config.membership.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     let at = settings.listen;
     let answer = membership::query(at, &settings.keys, Channel::OutlierDetection, Vec::new())
         .map_err(|error| vec![error.to_string()])?;
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -79,12 +79,12 @@
 
     fn ask(asked: &Asked) -> Result<Fleet, Failed> {
         let config = Source::from_environment(asked.config.clone()).map_err(|why| vec![why])?.read()?;
-        if config.subsets.is_none() {
+        if config.subsetting.is_none() {
             return Err(vec![
                 "the configuration has no [subsets]: each gateway takes a row by its number".into()
             ]);
         }
-        let settings = config.mesh.ok_or_else(|| {
+        let settings = config.membership.ok_or_else(|| {
             vec!["the configuration has no [mesh]: subsets go by number, see --gateways and --servers"
                 .to_string()]
         })?;
--- a/crates/gateway/src/program/log.rs
+++ b/crates/gateway/src/program/log.rs
@@ -12,7 +12,7 @@
 use slog_term::{FullFormat, PlainSyncDecorator};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -22,33 +22,33 @@
 
 /// How the log is written; `most_a_second` records of each event, and a line that says how many more there were.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Logging {
-    pub form: Form,
+pub struct LogSettings {
+    pub format: LogFormat,
     pub level: Level,
-    pub most_a_second: u32,
+    pub max_records_per_second: u32,
 }
 
-impl Default for Logging {
+impl Default for LogSettings {
     /// What happens to each connection or transaction would cost more than serving it, so it is not told. A list that
     /// changes with every answer still fits.
     fn default() -> Self {
-        Logging { form: Form::Text, level: Level::Info, most_a_second: 20 }
+        LogSettings { format: LogFormat::Text, level: Level::Info, max_records_per_second: 20 }
     }
 }
 
-pub fn start(name: &str, logging: Logging) -> Logger {
+pub fn start(name: &str, logging: LogSettings) -> Logger {
     let root = o!("gateway" => name.to_string());
-    match logging.form {
-        Form::Text => {
+    match logging.format {
+        LogFormat::Text => {
             let text = FullFormat::new(PlainSyncDecorator::new(io::stderr()));
             let text = text.use_custom_header_print(|time, to, record, _| {
                 time(to)?;
                 write!(to, " {} {} {}", record.level().as_short_str(), record.tag(), record.msg())?;
                 Ok(true)
             });
-            root_of(text.build().ignore_res(), logging, root)
+            root_logger(text.build().ignore_res(), logging, root)
         }
-        Form::Json => root_of(json(io::stderr()).ignore_res(), logging, root),
+        LogFormat::Json => root_logger(json(io::stderr()).ignore_res(), logging, root),
     }
 }
 
@@ -62,69 +62,69 @@
     Mutex::new(slog_json::Json::new(to).add_key_value(fields).build())
 }
 
-fn root_of(
+fn root_logger(
     drain: impl Drain<Ok = (), Err = slog::Never> + Send + 'static,
-    logging: Logging,
+    logging: LogSettings,
     fields: slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + 'static>,
 ) -> Logger {
-    let paced = Paced::new(drain, logging.most_a_second);
-    Logger::root(Mutex::new(LevelFilter::new(paced, logging.level)).fuse(), fields)
+    let rate_limited = RateLimited::new(drain, logging.max_records_per_second);
+    Logger::root(Mutex::new(LevelFilter::new(rate_limited, logging.level)).fuse(), fields)
 }
 
 /// Passes so many records of each event in a second. Danger: whoever can make the gateway write lines as fast as it
 /// likes has its core and its log.
-pub struct Paced<D> {
+pub struct RateLimited<D> {
     inner: D,
-    most: u32,
-    events: RefCell<BTreeMap<String, Second>>,
+    max_per_second: u32,
+    events: RefCell<BTreeMap<String, EventWindow>>,
 }
 
-struct Second {
-    began: Instant,
+struct EventWindow {
+    began_at: Instant,
     passed: u32,
     left_out: u32,
 }
 
-const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
-impl<D> Paced<D> {
-    pub fn new(inner: D, most: u32) -> Self {
-        Paced { inner, most, events: RefCell::default() }
+impl<D> RateLimited<D> {
+    pub fn new(inner: D, max_per_second: u32) -> Self {
+        RateLimited { inner, max_per_second, events: RefCell::default() }
     }
 
     /// Whether a record of this event passes now, and how many before it did not.
-    pub fn passes(&self, event: &str, now: Instant) -> (bool, u32) {
+    pub fn admit(&self, event: &str, now: Instant) -> (bool, u32) {
         let mut events = self.events.borrow_mut();
         // Events are named in the code, so that there are only so many.
         if !events.contains_key(event) {
-            events.insert(event.into(), Second { began: now, passed: 0, left_out: 0 });
+            events.insert(event.into(), EventWindow { began_at: now, passed: 0, left_out: 0 });
         }
-        let Some(second) = events.get_mut(event) else { return (true, 0) };
-        let mut told = 0;
-        if now.duration_since(second.began) >= SECOND {
-            told = second.left_out;
-            *second = Second { began: now, passed: 0, left_out: 0 };
+        let Some(window) = events.get_mut(event) else { return (true, 0) };
+        let mut left_out = 0;
+        if now.duration_since(window.began_at) >= WINDOW {
+            left_out = window.left_out;
+            *window = EventWindow { began_at: now, passed: 0, left_out: 0 };
         }
-        let passes = second.passed < self.most;
-        second.passed += passes as u32;
-        second.left_out += !passes as u32;
-        (passes, told)
+        let is_admitted = window.passed < self.max_per_second;
+        window.passed += is_admitted as u32;
+        window.left_out += !is_admitted as u32;
+        (is_admitted, left_out)
     }
 }
 
-impl<D: Drain<Ok = ()>> Drain for Paced<D> {
+impl<D: Drain<Ok = ()>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = D::Err;
 
     fn log(&self, record: &Record, fields: &OwnedKVList) -> Result<(), D::Err> {
-        let (passes, left_out) = self.passes(record.tag(), Instant::now());
+        let (is_admitted, left_out) = self.admit(record.tag(), Instant::now());
         if left_out > 0 {
             let event = record.tag();
-            let told = format_args!("records were left out");
+            let message = format_args!("records were left out");
             let more = b!("of" => event, "records" => left_out);
-            self.inner.log(&record!(Level::Warning, "log.left-out", &told, more), fields)?;
+            self.inner.log(&record!(Level::Warning, "log.left-out", &message, more), fields)?;
         }
-        if passes {
+        if is_admitted {
             self.inner.log(record, fields)
         } else {
             Ok(())
--- a/crates/gateway/src/program/reader.rs
+++ b/crates/gateway/src/program/reader.rs
@@ -17,12 +17,12 @@
 pub struct Problem {
     pub line: usize,
     pub column: usize,
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "line {}, column {}: {}", self.line, self.column, self.what)
+        write!(to, "line {}, column {}: {}", self.line, self.column, self.message)
     }
 }
 
@@ -37,15 +37,15 @@
         Problems { text, found: RefCell::default() }
     }
 
-    pub fn add(&self, at: usize, what: String) {
-        let before = &self.text[..self.text.floor_char_boundary(at)];
+    pub fn add(&self, offset: usize, message: String) {
+        let before = &self.text[..self.text.floor_char_boundary(offset)];
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        self.found.borrow_mut().push(Problem { line, column, what });
+        self.found.borrow_mut().push(Problem { line, column, message });
     }
 
     /// In the order of the file.
-    pub fn into_found(self) -> Vec<Problem> {
+    pub fn into_sorted(self) -> Vec<Problem> {
         let mut found = self.found.into_inner();
         found.sort();
         found
@@ -54,14 +54,14 @@
 
 /// A key's own value, with where it stands.
 #[derive(Clone, Debug)]
-pub struct At<T> {
+pub struct Located<T> {
     pub value: T,
-    pub at: usize,
+    pub offset: usize,
 }
 
-impl<T> At<T> {
-    fn new(value: T, at: usize) -> Self {
-        At { value, at }
+impl<T> Located<T> {
+    fn new(value: T, offset: usize) -> Self {
+        Located { value, offset }
     }
 }
 
@@ -70,13 +70,13 @@
     /// As the file would name it; empty for the whole.
     name: String,
     table: &'a DeTable<'a>,
-    at: usize,
-    asked: Vec<&'static str>,
+    offset: usize,
+    known_keys: Vec<&'static str>,
     problems: &'a Problems<'a>,
 }
 
 /// What a value that is something else is called in a problem.
-fn kind(value: &DeValue) -> &'static str {
+fn type_name(value: &DeValue) -> &'static str {
     match value {
         DeValue::String(_) => "text",
         DeValue::Integer(_) => "a whole number",
@@ -89,15 +89,15 @@
 }
 
 /// Letters that may differ between what stands there and the key that was perhaps meant, for each three it has.
-const LETTERS_A_SLIP: usize = 3;
+const LETTERS_PER_TYPO: usize = 3;
 
 /// The one that was perhaps meant.
 pub fn nearest<'n>(given: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
     let near = known.into_iter().map(|name| (strsim::damerau_levenshtein(given, name), name)).min()?;
-    (near.0 <= given.chars().count().div_ceil(LETTERS_A_SLIP)).then_some(near.1)
+    (near.0 <= given.chars().count().div_ceil(LETTERS_PER_TYPO)).then_some(near.1)
 }
 
-fn meant<'n>(given: &str, known: impl IntoIterator<Item = &'n str> + Clone) -> String {
+fn suggestion<'n>(given: &str, known: impl IntoIterator<Item = &'n str> + Clone) -> String {
     match nearest(given, known.clone()) {
         Some(name) => format!("; '{name}' is perhaps meant"),
         None => {
@@ -113,19 +113,19 @@
 
 impl<'a> Section<'a> {
     /// The whole of a file.
-    pub fn whole(table: &'a DeTable<'a>, problems: &'a Problems<'a>) -> Self {
-        Section { name: String::new(), table, at: 0, asked: Vec::new(), problems }
+    pub fn root(table: &'a DeTable<'a>, problems: &'a Problems<'a>) -> Self {
+        Section { name: String::new(), table, offset: 0, known_keys: Vec::new(), problems }
     }
 
-    pub fn at(&self) -> usize {
-        self.at
+    pub fn offset(&self) -> usize {
+        self.offset
     }
 
-    pub fn problem(&self, at: usize, what: impl Into<String>) {
-        self.problems.add(at, what.into());
+    pub fn problem(&self, offset: usize, message: impl Into<String>) {
+        self.problems.add(offset, message.into());
     }
 
-    fn shown(&self, key: &str) -> String {
+    fn qualified_name(&self, key: &str) -> String {
         if self.name.is_empty() {
             key.into()
         } else {
@@ -134,43 +134,48 @@
     }
 
     fn get(&mut self, key: &'static str) -> Option<(&'a DeValue<'a>, usize)> {
-        self.asked.push(key);
+        self.known_keys.push(key);
         let value = self.table.get(key)?;
         let Range { start, .. } = value.span();
         Some((value.get_ref(), start))
     }
 
-    fn no(&self, key: &str, value: &DeValue, at: usize, meant: &str) {
-        self.problem(at, format!("'{}' is {}, and {meant} is meant", self.shown(key), kind(value)));
+    fn wrong_type(&self, key: &str, value: &DeValue, offset: usize, suggestion: &str) {
+        self.problem(
+            offset,
+            format!("'{}' is {}, and {suggestion} is meant", self.qualified_name(key), type_name(value)),
+        );
     }
 
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
     /// What must stand there; its lack is a problem of the section.
-    pub fn needed<T>(
+    pub fn required<T>(
         &mut self,
         key: &'static str,
         read: impl Fn(&mut Self, &'static str) -> Option<T>,
     ) -> Option<T> {
-        if !self.has(key) {
-            self.asked.push(key);
-            self.problem(self.at, format!("'{}' is missing", self.shown(key)));
+        if !self.contains(key) {
+            self.known_keys.push(key);
+            self.problem(self.offset, format!("'{}' is missing", self.qualified_name(key)));
             return None;
         }
         read(self, key)
     }
 
-    pub fn text(&mut self, key: &'static str) -> Option<At<String>> {
+    pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         match self.get(key)? {
-            (DeValue::String(text), at) if !text.is_empty() => Some(At::new(text.to_string(), at)),
-            (DeValue::String(_), at) => {
-                self.problem(at, format!("'{}' is empty", self.shown(key)));
+            (DeValue::String(text), offset) if !text.is_empty() => {
+                Some(Located::new(text.to_string(), offset))
+            }
+            (DeValue::String(_), offset) => {
+                self.problem(offset, format!("'{}' is empty", self.qualified_name(key)));
                 None
             }
-            (other, at) => {
-                self.no(key, other, at, "text in quotes");
+            (other, offset) => {
+                self.wrong_type(key, other, offset, "text in quotes");
                 None
             }
         }
@@ -179,181 +184,198 @@
     pub fn flag(&mut self, key: &'static str) -> Option<bool> {
         match self.get(key)? {
             (DeValue::Boolean(on), _) => Some(*on),
-            (other, at) => {
-                self.no(key, other, at, "true or false");
+            (other, offset) => {
+                self.wrong_type(key, other, offset, "true or false");
                 None
             }
         }
     }
 
     /// A number, whole or not, within bounds.
-    pub fn number(&mut self, key: &'static str, within: RangeInclusive<f64>) -> Option<At<f64>> {
-        let (value, at) = self.get(key)?;
+    pub fn number(&mut self, key: &'static str, allowed: RangeInclusive<f64>) -> Option<Located<f64>> {
+        let (value, offset) = self.get(key)?;
         let text = match value {
             DeValue::Integer(number) if number.radix() == 10 => number.as_str().to_string(),
             DeValue::Float(number) => number.as_str().to_string(),
             other => {
-                self.no(key, other, at, "a number");
+                self.wrong_type(key, other, offset, "a number");
                 return None;
             }
         };
         // Underscores between digits are allowed there and not here.
         match text.replace('_', "").parse::<f64>() {
-            Ok(number) if within.contains(&number) => Some(At::new(number, at)),
+            Ok(number) if allowed.contains(&number) => Some(Located::new(number, offset)),
             _ => {
-                let (least, most) = (within.start(), within.end());
-                let key = self.shown(key);
-                self.problem(at, format!("'{key}' is {text}; from {least} to {most} is allowed"));
+                let (minimum, maximum) = (allowed.start(), allowed.end());
+                let key = self.qualified_name(key);
+                self.problem(offset, format!("'{key}' is {text}; from {minimum} to {maximum} is allowed"));
                 None
             }
         }
     }
 
-    pub fn count(&mut self, key: &'static str, within: RangeInclusive<u64>) -> Option<At<u64>> {
-        let number = self.number(key, *within.start() as f64..=*within.end() as f64)?;
+    pub fn count(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
+        let number = self.number(key, *allowed.start() as f64..=*allowed.end() as f64)?;
         if number.value.fract() != 0.0 {
-            self.problem(number.at, format!("'{}' is no whole number", self.shown(key)));
+            self.problem(number.offset, format!("'{}' is no whole number", self.qualified_name(key)));
             return None;
         }
-        Some(At::new(number.value as u64, number.at))
+        Some(Located::new(number.value as u64, number.offset))
     }
 
     /// A time with its unit, as in `250ms` or `1m 30s`.
-    pub fn time(&mut self, key: &'static str, within: RangeInclusive<Micros>) -> Option<At<Micros>> {
+    pub fn time(&mut self, key: &'static str, allowed: RangeInclusive<Micros>) -> Option<Located<Micros>> {
         let found = self.with_unit(key, "a time as in \"250ms\"")?;
         match humantime::parse_duration(&found.value).map(|time| time.as_micros()) {
-            Ok(time) if (*within.start() as u128..=*within.end() as u128).contains(&time) => {
-                Some(At::new(time as Micros, found.at))
+            Ok(time) if (*allowed.start() as u128..=*allowed.end() as u128).contains(&time) => {
+                Some(Located::new(time as Micros, found.offset))
             }
             Ok(_) => {
                 let show =
                     |time: &Micros| humantime::format_duration(std::time::Duration::from_micros(*time));
-                let (least, most) = (show(within.start()), show(within.end()));
-                let (key, given) = (self.shown(key), found.value);
-                self.problem(found.at, format!("'{key}' is {given}; from {least} to {most} is allowed"));
+                let (minimum, maximum) = (show(allowed.start()), show(allowed.end()));
+                let (key, given) = (self.qualified_name(key), found.value);
+                self.problem(
+                    found.offset,
+                    format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"),
+                );
                 None
             }
-            Err(why) => {
-                let (key, given) = (self.shown(key), found.value);
-                self.problem(found.at, format!("'{key}' is '{given}', which is no time: {why}"));
+            Err(error) => {
+                let (key, given) = (self.qualified_name(key), found.value);
+                self.problem(found.offset, format!("'{key}' is '{given}', which is no time: {error}"));
                 None
             }
         }
     }
 
     /// A size in bytes with its unit, as in `64MiB`.
-    pub fn size(&mut self, key: &'static str, within: RangeInclusive<u64>) -> Option<At<u64>> {
+    pub fn size(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
         let found = self.with_unit(key, "a size as in \"64MiB\"")?;
         match found.value.parse::<bytesize::ByteSize>() {
-            Ok(size) if within.contains(&size.as_u64()) => Some(At::new(size.as_u64(), found.at)),
+            Ok(size) if allowed.contains(&size.as_u64()) => Some(Located::new(size.as_u64(), found.offset)),
             Ok(_) => {
                 let show = |size: &u64| bytesize::ByteSize(*size).to_string();
-                let (key, given) = (self.shown(key), found.value);
-                let (least, most) = (show(within.start()), show(within.end()));
-                self.problem(found.at, format!("'{key}' is {given}; from {least} to {most} is allowed"));
+                let (key, given) = (self.qualified_name(key), found.value);
+                let (minimum, maximum) = (show(allowed.start()), show(allowed.end()));
+                self.problem(
+                    found.offset,
+                    format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"),
+                );
                 None
             }
             Err(_) => {
-                let (key, given) = (self.shown(key), found.value);
-                self.problem(found.at, format!("'{key}' is '{given}', which is no size as in \"64MiB\""));
+                let (key, given) = (self.qualified_name(key), found.value);
+                self.problem(found.offset, format!("'{key}' is '{given}', which is no size as in \"64MiB\""));
                 None
             }
         }
     }
 
-    fn with_unit(&mut self, key: &'static str, meant: &str) -> Option<At<String>> {
+    fn with_unit(&mut self, key: &'static str, suggestion: &str) -> Option<Located<String>> {
         match self.get(key)? {
-            (DeValue::String(text), at) => Some(At::new(text.to_string(), at)),
-            (other, at) => {
-                self.no(key, other, at, meant);
+            (DeValue::String(text), offset) => Some(Located::new(text.to_string(), offset)),
+            (other, offset) => {
+                self.wrong_type(key, other, offset, suggestion);
                 None
             }
         }
     }
 
-    pub fn address(&mut self, key: &'static str) -> Option<At<SocketAddr>> {
+    pub fn address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let text = self.text(key)?;
         match text.value.parse() {
-            Ok(address) => Some(At::new(address, text.at)),
+            Ok(address) => Some(Located::new(address, text.offset)),
             Err(_) => {
-                let (key, given) = (self.shown(key), text.value);
-                let what =
+                let (key, given) = (self.qualified_name(key), text.value);
+                let message =
                     format!("'{key}' is '{given}', which is no address and port as in \"127.0.0.1:7001\"");
-                self.problem(text.at, what);
+                self.problem(text.offset, message);
                 None
             }
         }
     }
 
     /// One of several words.
-    pub fn choice<T: Copy>(&mut self, key: &'static str, choices: &[(&str, T)]) -> Option<At<T>> {
+    pub fn choice<T: Copy>(&mut self, key: &'static str, choices: &[(&str, T)]) -> Option<Located<T>> {
         let text = self.text(key)?;
         match choices.iter().find(|(word, _)| *word == text.value) {
-            Some((_, choice)) => Some(At::new(*choice, text.at)),
+            Some((_, choice)) => Some(Located::new(*choice, text.offset)),
             None => {
-                let (shown, given) = (self.shown(key), &text.value);
-                let hint = meant(given, choices.iter().map(|(word, _)| *word));
-                self.problem(text.at, format!("'{shown}' is '{given}'{hint}"));
+                let (qualified_name, given) = (self.qualified_name(key), &text.value);
+                let hint = suggestion(given, choices.iter().map(|(word, _)| *word));
+                self.problem(text.offset, format!("'{qualified_name}' is '{given}'{hint}"));
                 None
             }
         }
     }
 
     /// Names in a list, none twice.
-    pub fn names(&mut self, key: &'static str) -> Option<Vec<At<String>>> {
-        let (value, at) = self.get(key)?;
+    pub fn names(&mut self, key: &'static str) -> Option<Vec<Located<String>>> {
+        let (value, offset) = self.get(key)?;
         let DeValue::Array(items) = value else {
-            self.no(key, value, at, "a list of names");
+            self.wrong_type(key, value, offset, "a list of names");
             return None;
         };
-        let mut names: Vec<At<String>> = Vec::new();
+        let mut names: Vec<Located<String>> = Vec::new();
         for item in items.iter() {
-            let at = item.span().start;
+            let offset = item.span().start;
             match item.get_ref() {
                 DeValue::String(name) if names.iter().any(|known| known.value == **name) => {
-                    self.problem(at, format!("'{}' names '{name}' twice", self.shown(key)));
+                    self.problem(offset, format!("'{}' names '{name}' twice", self.qualified_name(key)));
+                }
+                DeValue::String(name) if !name.is_empty() => {
+                    names.push(Located::new(name.to_string(), offset))
                 }
-                DeValue::String(name) if !name.is_empty() => names.push(At::new(name.to_string(), at)),
-                other => self.no(key, other, at, "a list of names"),
+                other => self.wrong_type(key, other, offset, "a list of names"),
             }
         }
         Some(names)
     }
 
     pub fn section(&mut self, key: &'static str) -> Option<Section<'a>> {
-        let (value, at) = self.get(key)?;
+        let (value, offset) = self.get(key)?;
         let DeValue::Table(table) = value else {
-            self.no(key, value, at, "a section");
+            self.wrong_type(key, value, offset, "a section");
             return None;
         };
-        Some(Section { name: self.shown(key), table, at, asked: Vec::new(), problems: self.problems })
+        Some(Section {
+            name: self.qualified_name(key),
+            table,
+            offset,
+            known_keys: Vec::new(),
+            problems: self.problems,
+        })
     }
 
     /// The tables of a list, `[[key]]`.
     pub fn sections(&mut self, key: &'static str) -> Vec<Section<'a>> {
-        let Some((value, at)) = self.get(key) else { return Vec::new() };
+        let Some((value, offset)) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value else {
-            self.no(key, value, at, "a list of sections, [[…]],");
+            self.wrong_type(key, value, offset, "a list of sections, [[…]],");
             return Vec::new();
         };
-        let section = |(place, item): (usize, &'a Spanned<DeValue<'a>>)| {
-            let (at, name) = (item.span().start, format!("{}[{place}]", self.shown(key)));
+        let section = |(index, item): (usize, &'a Spanned<DeValue<'a>>)| {
+            let (offset, name) = (item.span().start, format!("{}[{index}]", self.qualified_name(key)));
             let DeValue::Table(table) = item.get_ref() else {
-                self.problem(at, format!("'{name}' is {}, and a section is meant", kind(item.get_ref())));
+                self.problem(
+                    offset,
+                    format!("'{name}' is {}, and a section is meant", type_name(item.get_ref())),
+                );
                 return None;
             };
-            Some(Section { name, table, at, asked: Vec::new(), problems: self.problems })
+            Some(Section { name, table, offset, known_keys: Vec::new(), problems: self.problems })
         };
         items.iter().enumerate().filter_map(section).collect()
     }
 
     /// Every key that was never asked for is a problem.
-    pub fn end(self) {
+    pub fn finish(self) {
         for key in self.table.keys() {
-            let (name, at) = (key.get_ref(), key.span().start);
-            if !self.asked.contains(&&**name) {
-                let hint = meant(name, self.asked.iter().copied());
-                self.problem(at, format!("'{}' is no known key{hint}", self.shown(name)));
+            let (name, offset) = (key.get_ref(), key.span().start);
+            if !self.known_keys.contains(&&**name) {
+                let hint = suggestion(name, self.known_keys.iter().copied());
+                self.problem(offset, format!("'{}' is no known key{hint}", self.qualified_name(name)));
             }
         }
     }
