--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: an installation's own file, the platform's JSON, or both, the latter over the former.
+//! The configuration of a gateway: read from an installation's own file, the platform's JSON, or both, the latter over the
+//! former, and checked as a whole. It never changes or starts anything.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,48 +17,59 @@
 use crate::protocol::catalog::{self, EndpointUpdate, KnownEndpoints, SlicedReader};
 use crate::transport::clock::{yield_between_slices, ClockFault};
 
-/// Names the platform's file.
+/// Environment variable with the path of the platform's file.
 const PLATFORM_FILE_VARIABLE: &str = "BALANCER_CONFIG";
-/// The second address, where the file has none.
+/// Environment variable with the address for operators, for a file without one.
 const OPERATOR_VARIABLE: &str = "BALANCER_OPERATOR";
-/// The number of the descriptor that is the clients' listening socket.
+/// Environment variable with the number of the descriptor of an inherited listening socket.
 pub const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_PASSED_SOCKET";
 
+/// A checked configuration.
 #[derive(Debug)]
 pub struct Config {
+    /// The gateway's name, unique among the gateways.
     pub name: String,
+    /// Address for clients.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
+    /// Address of the shared counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Where operators call; absent, nobody does.
+    /// Address for operators, if there is one.
     pub operator: Option<SocketAddr>,
-    /// The descriptor of the listening socket that this process was started with; absent, it binds its own.
+    /// Descriptor of the listening socket that this process was started with; without one it binds its own.
     pub inherited_socket: Option<RawFd>,
+    /// File descriptors that the gateway may open.
     pub max_descriptors: usize,
+    /// Memory that the gateway may use, in MiB.
     pub memory_mb: usize,
+    /// Settings of the decision module.
     pub settings: Settings,
+    /// Settings of the protocols and of what lies around the decision module.
     pub platform_settings: PlatformSettings,
+    /// Format and level of the log.
     pub logging: LogSettings,
-    /// The way to other gateways; absent, there is none.
+    /// Membership among the gateways, if there is one.
     pub membership: Option<membership::Settings>,
-    /// Jobs of the fleet; absent, it has none.
+    /// Leases of the fleet, if it has any.
     pub leases: Option<leases::Settings>,
-    /// Servers are dealt out among the gateways; absent, each takes a row by its number.
+    /// Subsetting by the fleet; without it each gateway takes a subset by its number.
     pub subsetting: Option<subsetting::Settings>,
-    /// Gateways tell each other what servers are like; absent, each finds out alone.
+    /// Shared outlier detection; without it each gateway detects outliers alone.
     pub outlier_detection: Option<outlier_detection::Settings>,
-    /// Jobs of trials, and what is wrong with the store's folder in trials.
+    /// Leases for tests of the lease subsystem.
     pub trial_leases: Option<trial_leases::Settings>,
+    /// Faults to inject into the store.
     pub store_faults: durable_store::StoreFaults,
-    /// Clocks that are wrong on purpose, in trials.
+    /// Faults to inject into the clocks.
     pub clock_fault: ClockFault,
-    /// All that holds until the next start, whatever a later configuration says.
+    /// The fields of the platform's form that only a restart changes.
     pub fixed: Value,
-    /// The servers as this gateway last knew them.
+    /// The endpoints known before discovery replies.
     pub known: Option<EndpointUpdate>,
 }
 
-/// Where the configuration comes from. What the platform's file says wins over the other.
+/// The files of a configuration. The platform's wins over the other.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
     /// An installation's own file, `fernscale.toml`.
@@ -67,7 +79,10 @@
 }
 
 impl Source {
-    /// The file given, if any, and the one that the environment names.
+    /// The given file of the installation, if any, and the platform's file that the environment names.
+    ///
+    /// # Errors
+    /// There is neither.
     pub fn from_environment(installation: Option<PathBuf>) -> Result<Self, String> {
         let platform = std::env::var_os(PLATFORM_FILE_VARIABLE).map(PathBuf::from);
         if installation.is_none() && platform.is_none() {
@@ -76,7 +91,10 @@
         Ok(Source { installation, platform })
     }
 
-    /// Reads all anew; else every problem that can be told, each a line that begins with the file.
+    /// Reads and checks the files.
+    ///
+    /// # Errors
+    /// Every problem that was found, each a line that begins with the file.
     pub fn read(&self) -> Result<Config, Vec<String>> {
         let (config, known) = self.read_without_known_endpoints()?;
         let Some(known) = known else { return Ok(config) };
@@ -86,7 +104,10 @@
         self.with_known_endpoints(config, reader)
     }
 
-    /// The same while a gateway runs: it knows thousands of servers, and clients wait meanwhile.
+    /// The same in slices, for a gateway that runs: a list of thousands of endpoints must not hold up client requests.
+    ///
+    /// # Errors
+    /// Those of [`Self::read`].
     pub async fn read_in_slices(&self) -> Result<Config, Vec<String>> {
         let (config, known) = self.read_without_known_endpoints()?;
         let Some(known) = known else { return Ok(config) };
@@ -104,13 +125,13 @@
         Ok(Config { known: Some(known), ..config })
     }
 
-    /// A problem of what both files say together.
+    /// A problem of the files together.
     fn problem(&self, reason: &dyn std::fmt::Display) -> Vec<String> {
         let named = self.platform.as_deref().or(self.installation.as_deref());
         vec![in_file(named.unwrap_or(Path::new("configuration")), reason)]
     }
 
-    /// All but the platform's list of known servers, and that as it stands.
+    /// Everything but the platform's list of known endpoints, and the text of that list.
     fn read_without_known_endpoints(&self) -> Result<(Config, Option<Box<RawValue>>), Vec<String>> {
         let mut installation = InstallationConfig::default();
         if let Some(path) = &self.installation {
@@ -135,10 +156,10 @@
     }
 }
 
-/// The platform's file, and apart from it the list of known servers, if it has one.
+/// The platform's file, and apart from it the text of its list of known endpoints, if it has one.
 fn platform(text: &str) -> Result<(Value, Option<Box<RawValue>>), serde_json::Error> {
     let fields: BTreeMap<String, &RawValue> = match serde_json::from_str(text) {
-        // What is no object is refused for what it lacks.
+        // Anything but an object is rejected later, for its missing fields.
         Err(error) if error.is_data() => return Ok((serde_json::from_str(text)?, None)),
         other => other?,
     };
@@ -162,82 +183,88 @@
     format!("'{}': {what}", path.display())
 }
 
-/// Reads the platform's form from a text.
+/// Reads a configuration from a text in the platform's form.
+///
+/// # Errors
+/// The first problem that was found.
 pub fn read(text: &str) -> Result<Config, String> {
     let config: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
     from_value(&config, InstallationConfig::default())
 }
 
-fn from_value(config: &Value, installation: InstallationConfig) -> Result<Config, String> {
-    let text = |name: &str| {
-        let text = config.get(name).and_then(Value::as_str);
+/// The top level of the platform's form.
+struct PlatformForm<'c>(&'c Value);
+
+impl PlatformForm<'_> {
+    fn text(&self, name: &str) -> Result<&str, String> {
+        let text = self.0.get(name).and_then(Value::as_str);
         text.ok_or_else(|| format!("'{name}' is missing, or no text"))
-    };
-    let address = |name: &str| {
-        let text = text(name)?;
+    }
+
+    fn address(&self, name: &str) -> Result<SocketAddr, String> {
+        let text = self.text(name)?;
         text.parse().map_err(|_| format!("'{name}' is '{text}', which is no address of a socket"))
-    };
-    let seed = text("seed")?;
-    let seed =
-        u64::from_str_radix(seed, 16).map_err(|_| format!("'seed' is '{seed}', which is no hex number"))?;
-    let mut flat = FlatFields(HashMap::from([("prng".into(), seed.to_string())]));
-    let nested = config.get("settings").filter(|settings| settings.is_object());
-    flat.flatten("", nested.ok_or("'settings' is missing, or no object")?);
-    let platform_settings = settings::platform_settings(&flat)?;
-    let settings = settings::policy_settings(&flat)?;
-    if settings.classes.is_empty() || settings.plans.is_empty() {
-        return Err("'settings' has no 'lanes' or no 'tiersOfService'".into());
     }
-    let operator = match (config.get("operator"), std::env::var(OPERATOR_VARIABLE)) {
-        (Some(_), _) => Some(address("operator")?),
-        (None, Ok(text)) => {
-            let invalid = |_| format!("{OPERATOR_VARIABLE} is '{text}', which is no address of a socket");
-            Some(text.parse().map_err(invalid)?)
-        }
-        (None, Err(_)) => None,
-    };
-    let inherited_socket = match std::env::var(INHERITED_SOCKET_VARIABLE) {
-        Ok(text) => {
-            let number = text.parse().ok().filter(|number| *number > 2);
-            Some(number.ok_or_else(|| {
-                format!("{INHERITED_SOCKET_VARIABLE} is '{text}', which is no descriptor of a socket")
-            })?)
+
+    fn limit(&self, name: &str, default: u64) -> usize {
+        let configured = self.0.pointer(&format!("/limits/{name}")).and_then(Value::as_f64);
+        configured.map_or(default, |configured| configured as u64) as usize
+    }
+
+    /// The settings under flat names, with the seed of the random generator.
+    fn flat_settings(&self) -> Result<FlatFields, String> {
+        let seed = self.text("seed")?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| format!("'seed' is '{seed}', which is no hex number"))?;
+        let mut flat = FlatFields(HashMap::from([("prng".into(), seed.to_string())]));
+        let settings = self.0.get("settings").filter(|settings| settings.is_object());
+        flat.flatten("", settings.ok_or("'settings' is missing, or no object")?);
+        Ok(flat)
+    }
+
+    /// Address for operators: that of the form, else that of the environment, else none.
+    fn operator_address(&self) -> Result<Option<SocketAddr>, String> {
+        if self.0.get("operator").is_some() {
+            return self.address("operator").map(Some);
         }
-        Err(_) => None,
-    };
+        let Ok(text) = std::env::var(OPERATOR_VARIABLE) else { return Ok(None) };
+        let invalid = |_| format!("{OPERATOR_VARIABLE} is '{text}', which is no address of a socket");
+        text.parse().map(Some).map_err(invalid)
+    }
+
+    /// The fields that a running gateway can't take from a new configuration.
+    fn fixed_fields(&self) -> Value {
+        let is_reloadable = |name: &str| ["discovery", "counter", "known", "seed"].contains(&name);
+        let fields = self.0.as_object().into_iter().flatten().filter(|(name, _)| !is_reloadable(name));
+        fields.map(|(name, value)| (name.clone(), value.clone())).collect()
+    }
+}
+
+/// The descriptor of the listening socket that the environment names, if it does.
+fn inherited_socket() -> Result<Option<RawFd>, String> {
+    let Ok(text) = std::env::var(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
+    // The first three are the standard streams.
+    let number = text.parse().ok().filter(|number| *number > 2);
+    let invalid = || format!("{INHERITED_SOCKET_VARIABLE} is '{text}', which is no descriptor of a socket");
+    number.map(Some).ok_or_else(invalid)
+}
+
+/// Checks what the sections of an installation's file need of each other and of the platform's form.
+fn check_fleet_sections(
+    installation: &InstallationConfig,
+    form: &PlatformForm,
+    platform_settings: &PlatformSettings,
+    settings: &Settings,
+) -> Result<(), String> {
     if let Some(leases) = &installation.leases {
-        let is_acceptor = leases
-            .acceptors
-            .names
-            .iter()
-            .chain(&leases.acceptors.previous_names)
-            .any(|acceptor| **acceptor == *text("name").unwrap_or_default());
         if installation.membership.is_none() {
             return Err("[owner] needs [mesh], by which gateways speak with each other".into());
         }
-        if leases.leases_endpoint_list && settings.list_poll_interval.unwrap_or(0) == 0 {
-            return Err(
-                "'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'".into()
-            );
-        }
-        if is_acceptor && leases.directory.is_none() {
-            let name = text("name")?;
-            return Err(format!(
-                "'{name}' is among 'owner.voters': it needs [store], where promises are kept"
-            ));
-        }
+        check_leases(leases, form, settings)?;
     }
-    let zones = [
-        ("subsets", installation.subsetting.as_ref().and_then(|subsetting| subsetting.zone.as_ref())),
-        (
-            "signals",
-            installation
-                .outlier_detection
-                .as_ref()
-                .and_then(|outlier_detection| outlier_detection.zone.as_ref()),
-        ),
-    ];
-    for (section, zone) in zones {
+    let subsetting_zone = installation.subsetting.as_ref().and_then(|settings| settings.zone.as_ref());
+    let detection_zone = installation.outlier_detection.as_ref().and_then(|settings| settings.zone.as_ref());
+    for (section, zone) in [("subsets", subsetting_zone), ("signals", detection_zone)] {
         if let Some(zone) = zone.filter(|zone| !platform_settings.zones.contains(zone)) {
             return Err(format!("'{section}.zone' is '{zone}', which is none of the zones"));
         }
@@ -245,30 +272,52 @@
     if installation.outlier_detection.is_some() && installation.membership.is_none() {
         return Err("[signals] needs [mesh], by which gateways speak with each other".into());
     }
-    let limit = |name: &str, absent: u64| {
-        let configured = config.pointer(&format!("/limits/{name}")).and_then(Value::as_f64);
-        configured.map_or(absent, |configured| configured as u64) as usize
-    };
-    let max_descriptors = limit("sockets", DEFAULT_DESCRIPTORS);
+    Ok(())
+}
+
+fn check_leases(leases: &leases::Settings, form: &PlatformForm, settings: &Settings) -> Result<(), String> {
+    if leases.leases_endpoint_list && settings.list_poll_interval.unwrap_or(0) == 0 {
+        return Err(
+            "'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'".into()
+        );
+    }
+    let mut acceptors = leases.acceptors.names.iter().chain(&leases.acceptors.previous_names);
+    let name = form.text("name").unwrap_or_default();
+    if acceptors.any(|acceptor| **acceptor == *name) && leases.directory.is_none() {
+        let name = form.text("name")?;
+        return Err(format!("'{name}' is among 'owner.voters': it needs [store], where promises are kept"));
+    }
+    Ok(())
+}
+
+fn from_value(config: &Value, installation: InstallationConfig) -> Result<Config, String> {
+    let form = PlatformForm(config);
+    let flat = form.flat_settings()?;
+    let platform_settings = settings::platform_settings(&flat)?;
+    let settings = settings::policy_settings(&flat)?;
+    if settings.classes.is_empty() || settings.plans.is_empty() {
+        return Err("'settings' has no 'lanes' or no 'tiersOfService'".into());
+    }
+    let operator = form.operator_address()?;
+    let inherited_socket = inherited_socket()?;
+    check_fleet_sections(&installation, &form, &platform_settings, &settings)?;
+    let max_descriptors = form.limit("sockets", DEFAULT_DESCRIPTORS);
     if max_descriptors < MIN_DESCRIPTORS as usize {
         return Err(format!(
             "'limits.sockets={max_descriptors}' is below {MIN_DESCRIPTORS}: nobody could be let in"
         ));
     }
     let known = config.get("known").filter(|known| !known.is_null());
-    let changes = |name: &str| ["discovery", "counter", "known", "seed"].contains(&name);
-    let fields = config.as_object().into_iter().flatten().filter(|(name, _)| !changes(name));
-    let fixed = fields.map(|(name, value)| (name.clone(), value.clone())).collect();
     Ok(Config {
-        fixed,
-        name: text("name")?.into(),
-        listen: address("listen")?,
-        discovery: address("discovery")?,
-        counter: if settings.has_shared_counter { Some(address("counter")?) } else { None },
+        fixed: form.fixed_fields(),
+        name: form.text("name")?.into(),
+        listen: form.address("listen")?,
+        discovery: form.address("discovery")?,
+        counter: if settings.has_shared_counter { Some(form.address("counter")?) } else { None },
         operator,
         inherited_socket,
         max_descriptors,
-        memory_mb: limit("memory_mb", DEFAULT_MEMORY_MB),
+        memory_mb: form.limit("memory_mb", DEFAULT_MEMORY_MB),
         settings,
         logging: installation.logging,
         membership: installation.membership,
@@ -286,12 +335,12 @@
     })
 }
 
-/// Descriptors that may be had where the configuration does not say: what systems commonly allow.
+/// File descriptors without a configured limit: what systems commonly allow.
 const DEFAULT_DESCRIPTORS: u64 = 1_024;
-/// And memory: what the smallest of machines have.
+/// Memory without a configured limit, in MiB: what the smallest machines have.
 const DEFAULT_MEMORY_MB: u64 = 192;
 
-/// Nested settings under the names that all settings are read by: `lanes.0.value`, `lanes.count`.
+/// Nested settings under the flat names that settings are read by: `lanes.0.value`, `lanes.count`.
 struct FlatFields(HashMap<String, String>);
 
 impl FlatFields {
--- /dev/null
+++ b/crates/gateway/src/program/listener.rs
@@ -0,0 +1,64 @@
+//! The listening sockets of a gateway: binding them, and taking over one from the process before.
+
+use std::fmt::Display;
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::{BorrowedFd, FromRawFd, OwnedFd, RawFd};
+
+use async_io::Async;
+use rustix::event::{self, PollFd, PollFlags, Timespec};
+
+use super::config::{Config, INHERITED_SOCKET_VARIABLE};
+
+/// Connections that may wait to be accepted. Danger: beyond it the system drops a client's attempt to connect, which the
+/// client repeats only a second later.
+const ACCEPT_BACKLOG: i32 = 1_024;
+
+/// The listeners of a gateway.
+pub(super) struct Listeners {
+    pub clients: Async<TcpListener>,
+    pub operators: Option<Async<TcpListener>>,
+}
+
+impl Listeners {
+    /// Takes the inherited socket for clients, if there is one, and binds the others.
+    pub(super) fn bind(config: &Config) -> Result<Self, String> {
+        let clients = match config.inherited_socket {
+            Some(descriptor) => inherited_listener(descriptor)?,
+            None => listen(config.listen)?,
+        };
+        let operators = config.operator.map(listen).transpose()?;
+        Ok(Listeners { clients, operators })
+    }
+}
+
+fn listen(address: SocketAddr) -> Result<Async<TcpListener>, String> {
+    let failed = |error: &dyn Display| format!("can't listen on {address}: {error}");
+    let listener = Async::<TcpListener>::bind(address).map_err(|error| failed(&error))?;
+    rustix::net::listen(&listener, ACCEPT_BACKLOG).map_err(|error| failed(&error))?;
+    Ok(listener)
+}
+
+/// The listening socket that this process was started with.
+fn inherited_listener(number: RawFd) -> Result<Async<TcpListener>, String> {
+    let failed = |reason: &dyn Display| {
+        format!(
+            "{INHERITED_SOCKET_VARIABLE} names descriptor {number}, which is no listening socket: {reason}"
+        )
+    };
+    // SAFETY: the descriptor is borrowed for one query, which fails where it is not open.
+    let descriptor = unsafe { BorrowedFd::borrow_raw(number) };
+    let is_listening = rustix::net::sockopt::socket_acceptconn(descriptor).map_err(|error| failed(&error))?;
+    if !is_listening {
+        return Err(failed(&"it does not listen"));
+    }
+    // SAFETY: the descriptor is open and listens. This process has opened no listener yet, so nothing else here owns it,
+    // and it is taken once.
+    let socket = unsafe { OwnedFd::from_raw_fd(number) };
+    Async::new(TcpListener::from(socket)).map_err(|error| failed(&error))
+}
+
+/// Whether a connection waits to be accepted.
+pub(super) fn has_pending_connection(listener: &Async<TcpListener>) -> bool {
+    let mut poll_fds = [PollFd::new(listener, PollFlags::IN)];
+    event::poll(&mut poll_fds, Some(&Timespec::default())).is_ok() && !poll_fds[0].revents().is_empty()
+}
--- a/crates/gateway/src/program/log.rs
+++ b/crates/gateway/src/program/log.rs
@@ -1,6 +1,6 @@
-//! The log: lines on standard error, as text or as JSON. Every record has a stable event name, its tag, and fields; an
-//! outsider can cause some of them at will, so each event has a number of records a second, and what is left out is
-//! counted and told with the next that passes.
+//! The log: lines on standard error, as text or as JSON. Every record has a stable event name, which is its tag, and
+//! fields. Outsiders can cause some records at will, so each event has a maximum number of records a second; those left
+//! out are counted and reported with the next one that passes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,31 +11,37 @@
 use slog::{b, o, record, Drain, FnValue, LevelFilter, Logger, OwnedKVList, PushFnValue, Record};
 use slog_term::{FullFormat, PlainSyncDecorator};
 
+/// Form of the lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
+    /// For people.
     #[default]
     Text,
+    /// One object a line.
     Json,
 }
 
 pub use slog::Level;
 
-/// How the log is written; `most_a_second` records of each event, and a line that says how many more there were.
+/// The section `[log]` of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
+    /// Form of the lines.
     pub format: LogFormat,
+    /// The least severe level that is written.
     pub level: Level,
+    /// Records of one event that are written in a second.
     pub max_records_per_second: u32,
 }
 
 impl Default for LogSettings {
-    /// What happens to each connection or transaction would cost more than serving it, so it is not told. A list that
-    /// changes with every answer still fits.
+    /// Records of single connections and requests are at the level `debug`, as writing them costs more than serving.
     fn default() -> Self {
         LogSettings { format: LogFormat::Text, level: Level::Info, max_records_per_second: 20 }
     }
 }
 
+/// The logger of a gateway. Every record carries the gateway's name.
 pub fn start(name: &str, logging: LogSettings) -> Logger {
     let root = o!("gateway" => name.to_string());
     match logging.format {
@@ -71,35 +77,49 @@
     Logger::root(Mutex::new(LevelFilter::new(rate_limited, logging.level)).fuse(), fields)
 }
 
-/// Passes so many records of each event in a second. Danger: whoever can make the gateway write lines as fast as it
-/// likes has its core and its log.
+/// Passes a maximum number of records of each event in a second. Danger: without it, a client that can cause records takes
+/// the core and fills the log.
 pub struct RateLimited<D> {
     inner: D,
     max_per_second: u32,
     events: RefCell<BTreeMap<String, EventWindow>>,
 }
 
+/// The records of one event in the current second.
 struct EventWindow {
     began_at: Instant,
     passed: u32,
     left_out: u32,
 }
 
+/// Length of the window in which records are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
+/// What is to be done with a record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// Whether it is written.
+    pub is_admitted: bool,
+    /// Earlier records of the event that were left out and are to be reported now.
+    pub left_out: u32,
+}
+
 impl<D> RateLimited<D> {
+    /// Passes at most `max_per_second` records of each event to a drain.
     pub fn new(inner: D, max_per_second: u32) -> Self {
         RateLimited { inner, max_per_second, events: RefCell::default() }
     }
 
-    /// Whether a record of this event passes now, and how many before it did not.
-    pub fn admit(&self, event: &str, now: Instant) -> (bool, u32) {
+    /// Counts a record of an event and decides on it.
+    pub fn admit(&self, event: &str, now: Instant) -> Admission {
         let mut events = self.events.borrow_mut();
-        // Events are named in the code, so that there are only so many.
+        // Bounded: the names of events are constants of the code.
         if !events.contains_key(event) {
             events.insert(event.into(), EventWindow { began_at: now, passed: 0, left_out: 0 });
         }
-        let Some(window) = events.get_mut(event) else { return (true, 0) };
+        let Some(window) = events.get_mut(event) else {
+            return Admission { is_admitted: true, left_out: 0 };
+        };
         let mut left_out = 0;
         if now.duration_since(window.began_at) >= WINDOW {
             left_out = window.left_out;
@@ -108,7 +128,7 @@
         let is_admitted = window.passed < self.max_per_second;
         window.passed += is_admitted as u32;
         window.left_out += !is_admitted as u32;
-        (is_admitted, left_out)
+        Admission { is_admitted, left_out }
     }
 }
 
@@ -117,7 +137,7 @@
     type Err = D::Err;
 
     fn log(&self, record: &Record, fields: &OwnedKVList) -> Result<(), D::Err> {
-        let (is_admitted, left_out) = self.admit(record.tag(), Instant::now());
+        let Admission { is_admitted, left_out } = self.admit(record.tag(), Instant::now());
         if left_out > 0 {
             let event = record.tag();
             let message = format_args!("records were left out");
--- a/crates/gateway/src/program/mod.rs
+++ b/crates/gateway/src/program/mod.rs
@@ -1,8 +1,12 @@
-//! The program: its configuration, how it starts, how it ends, its log.
+//! The program: its configuration, how it starts and ends, and its log.
 
 pub mod config;
 pub mod file;
 mod fleet;
+mod listener;
 pub mod log;
+mod problem;
 pub mod reader;
+mod reload;
 pub mod run;
+mod shutdown;
--- a/crates/gateway/src/program/reader.rs
+++ b/crates/gateway/src/program/reader.rs
@@ -1,9 +1,9 @@
-//! Reads a TOML file key by key and keeps every problem found, each with its place, instead of ending at the first.
+//! Reads a TOML file key by key and collects every problem with its position, instead of ending at the first. It knows
+//! types and bounds, and never what a key means.
 //!
-//! A section knows which keys it was asked for; what is left when it ends is unknown, and the nearest asked one is
-//! named. So the code that reads a section is also the list of its keys.
+//! A section remembers the keys that were read. Any other key of the table is unknown, and is reported with the most
+//! similar one that was read. So the code that reads a section is also the list of its keys.
 
-use std::cell::RefCell;
 use std::fmt;
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
@@ -12,50 +12,16 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// One thing that is wrong in a file, and where: line and column from 1.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Problem {
-    pub line: usize,
-    pub column: usize,
-    pub message: String,
-}
-
-impl fmt::Display for Problem {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "line {}, column {}: {}", self.line, self.column, self.message)
-    }
-}
-
-/// A text and what is wrong in it.
-pub struct Problems<'t> {
-    text: &'t str,
-    found: RefCell<Vec<Problem>>,
-}
+use super::problem::suggestion;
 
-impl<'t> Problems<'t> {
-    pub fn new(text: &'t str) -> Self {
-        Problems { text, found: RefCell::default() }
-    }
+pub use super::problem::{nearest, Problem, Problems};
 
-    pub fn add(&self, offset: usize, message: String) {
-        let before = &self.text[..self.text.floor_char_boundary(offset)];
-        let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        self.found.borrow_mut().push(Problem { line, column, message });
-    }
-
-    /// In the order of the file.
-    pub fn into_sorted(self) -> Vec<Problem> {
-        let mut found = self.found.into_inner();
-        found.sort();
-        found
-    }
-}
-
-/// A key's own value, with where it stands.
+/// A value with its offset in the file, in bytes.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
+    /// The value.
     pub value: T,
+    /// The offset.
     pub offset: usize,
 }
 
@@ -67,7 +33,7 @@
 
 /// One table of the file.
 pub struct Section<'a> {
-    /// As the file would name it; empty for the whole.
+    /// The name with those of the sections around it; empty for the whole file.
     name: String,
     table: &'a DeTable<'a>,
     offset: usize,
@@ -75,7 +41,7 @@
     problems: &'a Problems<'a>,
 }
 
-/// What a value that is something else is called in a problem.
+/// What a problem calls the type of a value.
 fn type_name(value: &DeValue) -> &'static str {
     match value {
         DeValue::String(_) => "text",
@@ -88,39 +54,18 @@
     }
 }
 
-/// Letters that may differ between what stands there and the key that was perhaps meant, for each three it has.
-const LETTERS_PER_TYPO: usize = 3;
-
-/// The one that was perhaps meant.
-pub fn nearest<'n>(given: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
-    let near = known.into_iter().map(|name| (strsim::damerau_levenshtein(given, name), name)).min()?;
-    (near.0 <= given.chars().count().div_ceil(LETTERS_PER_TYPO)).then_some(near.1)
-}
-
-fn suggestion<'n>(given: &str, known: impl IntoIterator<Item = &'n str> + Clone) -> String {
-    match nearest(given, known.clone()) {
-        Some(name) => format!("; '{name}' is perhaps meant"),
-        None => {
-            let all: Vec<_> = known.into_iter().map(|name| format!("'{name}'")).collect();
-            if all.is_empty() {
-                String::new()
-            } else {
-                format!("; known here: {}", all.join(", "))
-            }
-        }
-    }
-}
-
 impl<'a> Section<'a> {
-    /// The whole of a file.
+    /// The whole file.
     pub fn root(table: &'a DeTable<'a>, problems: &'a Problems<'a>) -> Self {
         Section { name: String::new(), table, offset: 0, known_keys: Vec::new(), problems }
     }
 
+    /// Where the section begins, in bytes.
     pub fn offset(&self) -> usize {
         self.offset
     }
 
+    /// Adds a problem at an offset in bytes.
     pub fn problem(&self, offset: usize, message: impl Into<String>) {
         self.problems.add(offset, message.into());
     }
@@ -147,11 +92,24 @@
         );
     }
 
+    fn out_of_bounds(
+        &self,
+        key: &str,
+        given: &str,
+        offset: usize,
+        minimum: &dyn fmt::Display,
+        maximum: &dyn fmt::Display,
+    ) {
+        let key = self.qualified_name(key);
+        self.problem(offset, format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"));
+    }
+
+    /// Whether the file has a key.
     pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// What must stand there; its lack is a problem of the section.
+    /// Reads a key that must be there; a missing one is a problem of the section.
     pub fn required<T>(
         &mut self,
         key: &'static str,
@@ -165,6 +123,7 @@
         read(self, key)
     }
 
+    /// A text that is not empty.
     pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         match self.get(key)? {
             (DeValue::String(text), offset) if !text.is_empty() => {
@@ -181,6 +140,7 @@
         }
     }
 
+    /// True or false.
     pub fn flag(&mut self, key: &'static str) -> Option<bool> {
         match self.get(key)? {
             (DeValue::Boolean(on), _) => Some(*on),
@@ -202,18 +162,17 @@
                 return None;
             }
         };
-        // Underscores between digits are allowed there and not here.
+        // TOML allows underscores between digits, and the parser of numbers does not.
         match text.replace('_', "").parse::<f64>() {
             Ok(number) if allowed.contains(&number) => Some(Located::new(number, offset)),
             _ => {
-                let (minimum, maximum) = (allowed.start(), allowed.end());
-                let key = self.qualified_name(key);
-                self.problem(offset, format!("'{key}' is {text}; from {minimum} to {maximum} is allowed"));
+                self.out_of_bounds(key, &text, offset, allowed.start(), allowed.end());
                 None
             }
         }
     }
 
+    /// A whole number within bounds.
     pub fn count(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
         let number = self.number(key, *allowed.start() as f64..=*allowed.end() as f64)?;
         if number.value.fract() != 0.0 {
@@ -223,7 +182,7 @@
         Some(Located::new(number.value as u64, number.offset))
     }
 
-    /// A time with its unit, as in `250ms` or `1m 30s`.
+    /// A time within bounds with its unit, as in `250ms` or `1m 30s`.
     pub fn time(&mut self, key: &'static str, allowed: RangeInclusive<Micros>) -> Option<Located<Micros>> {
         let found = self.with_unit(key, "a time as in \"250ms\"")?;
         match humantime::parse_duration(&found.value).map(|time| time.as_micros()) {
@@ -233,12 +192,8 @@
             Ok(_) => {
                 let show =
                     |time: &Micros| humantime::format_duration(std::time::Duration::from_micros(*time));
-                let (minimum, maximum) = (show(allowed.start()), show(allowed.end()));
-                let (key, given) = (self.qualified_name(key), found.value);
-                self.problem(
-                    found.offset,
-                    format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"),
-                );
+                let minimum = show(allowed.start());
+                self.out_of_bounds(key, &found.value, found.offset, &minimum, &show(allowed.end()));
                 None
             }
             Err(error) => {
@@ -249,19 +204,15 @@
         }
     }
 
-    /// A size in bytes with its unit, as in `64MiB`.
+    /// A size within bounds with its unit, as in `64MiB`; in bytes.
     pub fn size(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
         let found = self.with_unit(key, "a size as in \"64MiB\"")?;
         match found.value.parse::<bytesize::ByteSize>() {
             Ok(size) if allowed.contains(&size.as_u64()) => Some(Located::new(size.as_u64(), found.offset)),
             Ok(_) => {
                 let show = |size: &u64| bytesize::ByteSize(*size).to_string();
-                let (key, given) = (self.qualified_name(key), found.value);
-                let (minimum, maximum) = (show(allowed.start()), show(allowed.end()));
-                self.problem(
-                    found.offset,
-                    format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"),
-                );
+                let minimum = show(allowed.start());
+                self.out_of_bounds(key, &found.value, found.offset, &minimum, &show(allowed.end()));
                 None
             }
             Err(_) => {
@@ -272,16 +223,17 @@
         }
     }
 
-    fn with_unit(&mut self, key: &'static str, suggestion: &str) -> Option<Located<String>> {
+    fn with_unit(&mut self, key: &'static str, expected: &str) -> Option<Located<String>> {
         match self.get(key)? {
             (DeValue::String(text), offset) => Some(Located::new(text.to_string(), offset)),
             (other, offset) => {
-                self.wrong_type(key, other, offset, suggestion);
+                self.wrong_type(key, other, offset, expected);
                 None
             }
         }
     }
 
+    /// An address and port.
     pub fn address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let text = self.text(key)?;
         match text.value.parse() {
@@ -296,7 +248,7 @@
         }
     }
 
-    /// One of several words.
+    /// The choice that goes by one of several words.
     pub fn choice<T: Copy>(&mut self, key: &'static str, choices: &[(&str, T)]) -> Option<Located<T>> {
         let text = self.text(key)?;
         match choices.iter().find(|(word, _)| *word == text.value) {
@@ -310,7 +262,7 @@
         }
     }
 
-    /// Names in a list, none twice.
+    /// A list of names, none twice.
     pub fn names(&mut self, key: &'static str) -> Option<Vec<Located<String>>> {
         let (value, offset) = self.get(key)?;
         let DeValue::Array(items) = value else {
@@ -333,6 +285,7 @@
         Some(names)
     }
 
+    /// A section within this one. Its caller calls [`Self::finish`].
     pub fn section(&mut self, key: &'static str) -> Option<Section<'a>> {
         let (value, offset) = self.get(key)?;
         let DeValue::Table(table) = value else {
@@ -348,8 +301,33 @@
         })
     }
 
-    /// The tables of a list, `[[key]]`.
-    pub fn sections(&mut self, key: &'static str) -> Vec<Section<'a>> {
+    /// Reads a section with a function, and reports its unknown keys. Nothing where the section is missing.
+    pub fn read_section<T>(
+        &mut self,
+        key: &'static str,
+        read: impl FnOnce(&mut Section<'a>) -> T,
+    ) -> Option<T> {
+        let mut section = self.section(key)?;
+        let value = read(&mut section);
+        section.finish();
+        Some(value)
+    }
+
+    /// The same for each section of a list, `[[key]]`.
+    pub fn read_sections<T>(
+        &mut self,
+        key: &'static str,
+        mut read: impl FnMut(&mut Section<'a>) -> T,
+    ) -> Vec<T> {
+        let read_one = |mut section: Section<'a>| {
+            let value = read(&mut section);
+            section.finish();
+            value
+        };
+        self.sections(key).into_iter().map(read_one).collect()
+    }
+
+    fn sections(&mut self, key: &'static str) -> Vec<Section<'a>> {
         let Some((value, offset)) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value else {
             self.wrong_type(key, value, offset, "a list of sections, [[…]],");
@@ -369,7 +347,7 @@
         items.iter().enumerate().filter_map(section).collect()
     }
 
-    /// Every key that was never asked for is a problem.
+    /// Reports every key that was not read as unknown.
     pub fn finish(self) {
         for key in self.table.keys() {
             let (name, offset) = (key.get_ref(), key.span().start);
