--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -18,32 +18,32 @@
 
 /// Pause between two looks at the others, while there are some and while there are none: half a second is the longest
 /// that anything which two processes settle may take, as an operator's call is answered within one.
-const LOOK: Duration = Duration::from_millis(20);
-const LOOK_ALONE: Duration = Duration::from_millis(100);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
+const ALONE_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an operator's word waits until the others have heard it.
-const HEARD: Duration = Duration::from_millis(700);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(700);
 
 pub struct Link {
     shared: Rc<Shared>,
     orders: Sender<Order>,
-    shell: RecordDirectory,
+    records: RecordDirectory,
     core: RefCell<HotRestart>,
-    told: RefCell<Option<ProcessRecord>>,
+    published: RefCell<Option<ProcessRecord>>,
     /// The part that the module was told: all, until another is.
-    of_all: Cell<f64>,
+    fraction: Cell<f64>,
 }
 
 impl Link {
     /// Takes a place among the records in the directory that the processes share, with so many descriptors for all; as often as it
     /// takes, as a folder may fail for a while. Others that hear nothing of this process have all of the gateway's limits.
-    pub async fn join(shared: Rc<Shared>, directory: PathBuf, sockets: usize, orders: Sender<Order>) {
+    pub async fn join(shared: Rc<Shared>, directory: PathBuf, descriptors: usize, orders: Sender<Order>) {
         let link = loop {
-            match Link::open(&shared, &directory, sockets, orders.clone()) {
+            match Link::open(&shared, &directory, descriptors, orders.clone()) {
                 Ok(link) => break Rc::new(link),
                 Err(error) => {
                     warn!(shared.log, #"handover.none", "goes on as if no other process had this gateway, and tries again";
                         "why" => error.to_string());
-                    Timer::after(LOOK_ALONE).await;
+                    Timer::after(ALONE_UPDATE_INTERVAL).await;
                 }
             }
         };
@@ -54,84 +54,84 @@
     fn open(
         shared: &Rc<Shared>,
         directory: &Path,
-        sockets: usize,
+        descriptors: usize,
         orders: Sender<Order>,
     ) -> Result<Self, fernscale_hot_restart::directory::Error> {
-        let shell = RecordDirectory::open(directory)?;
-        let core = RefCell::new(HotRestart::new(shell.generation(), sockets));
+        let records = RecordDirectory::open(directory)?;
+        let core = RefCell::new(HotRestart::new(records.generation(), descriptors));
         let link = Link {
             shared: shared.clone(),
             orders,
-            shell,
+            records,
             core,
-            told: RefCell::default(),
-            of_all: Cell::new(1.0),
+            published: RefCell::default(),
+            fraction: Cell::new(1.0),
         };
         // To be seen goes first: of two that come at once, one sees the other.
-        link.tell();
+        link.publish();
         Ok(link)
     }
 
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.look().await;
+            self.update_state().await;
             let alone = self.core.borrow().is_alone();
-            Timer::after(if alone { LOOK_ALONE } else { LOOK }).await;
+            Timer::after(if alone { ALONE_UPDATE_INTERVAL } else { UPDATE_INTERVAL }).await;
         }
     }
 
-    async fn look(&self) {
-        let (others, errors) = self.shell.read();
+    async fn update_state(&self) {
+        let (others, errors) = self.records.read();
         for error in errors {
             warn!(self.shared.log, #"handover.refused", "what another process left is not used"; "why" => error.to_string());
         }
-        let held = self.shared.limits.used_descriptors();
-        let changes = self.core.borrow_mut().update(&others, held, now());
+        let held_descriptors = self.shared.limits.used_descriptors();
+        let changes = self.core.borrow_mut().update(&others, held_descriptors, now());
         for change in changes {
             match change {
-                Change::Cordoned(server) => self.order(&server, None).await,
-                Change::Uncordoned(server, at) => self.order(&server, Some(at)).await,
-                Change::Share(part) => self.part(part).await,
+                Change::Cordoned(server) => self.send_cordon_order(&server, None).await,
+                Change::Uncordoned(server, at) => self.send_cordon_order(&server, Some(at)).await,
+                Change::Share(share) => self.apply_share(share).await,
             }
         }
-        if self.tell() {
+        if self.publish() {
             // What the dead left is here now, and may go.
             others
                 .iter()
                 .filter(|other| !other.is_alive)
-                .for_each(|other| self.shell.clear(other.generation));
+                .for_each(|other| self.records.clear(other.generation));
         }
     }
 
-    async fn order(&self, server: &str, back: Option<Micros>) {
-        let out = back.is_none();
+    async fn send_cordon_order(&self, server: &str, uncordoned_at: Option<Micros>) {
+        let cordoned = uncordoned_at.is_none();
         // Told by the wall clock, which may have been set meanwhile.
         let clock = &self.shared.clock;
-        let back = back.map(|at| clock.now().saturating_sub(clock.least_age(at)));
-        info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => out);
-        let _ = self.orders.send(Order::Heard { server: Id::from(server), back }).await;
+        let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.least_age(at)));
+        info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => cordoned);
+        let _ = self.orders.send(Order::Heard { server: Id::from(server), back: uncordoned_at }).await;
     }
 
-    async fn part(&self, part: ProcessShare) {
-        let ProcessShare { fraction: of_all, processes, descriptors: sockets } = part;
-        debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => of_all, "processes" => processes, "sockets" => sockets);
-        self.shared.limits.set_process_share(sockets, processes);
+    async fn apply_share(&self, share: ProcessShare) {
+        let ProcessShare { fraction, processes, descriptors } = share;
+        debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => fraction, "processes" => processes, "sockets" => descriptors);
+        self.shared.limits.set_process_share(descriptors, processes);
         self.shared.limits_lowered.notify(1);
         // Descriptors come and go all the time; the module begins anew with each part that it is told.
-        if self.of_all.replace(of_all) != of_all {
-            let _ = self.orders.send(Order::Part(of_all)).await;
+        if self.fraction.replace(fraction) != fraction {
+            let _ = self.orders.send(Order::Part(fraction)).await;
         }
     }
 
     /// Lets the others know what is new here; false if they can't.
-    fn tell(&self) -> bool {
+    fn publish(&self) -> bool {
         let record = self.core.borrow().record();
-        if self.told.borrow().as_ref() == Some(&record) {
+        if self.published.borrow().as_ref() == Some(&record) {
             return true;
         }
-        match self.shell.write(&record) {
+        match self.records.write(&record) {
             Ok(()) => {
-                *self.told.borrow_mut() = Some(record);
+                *self.published.borrow_mut() = Some(record);
                 true
             }
             Err(error) => {
@@ -142,27 +142,27 @@
     }
 
     /// Tells the others of an operator's word, and waits until they have heard it; false if they have not.
-    pub async fn word(&self, server: &Id, out: bool) -> bool {
-        self.core.borrow_mut().set_cordon(server, out, now());
-        let (version, until) = (self.core.borrow().version(), Instant::now() + HEARD);
-        while !self.tell() || !self.core.borrow().is_acknowledged(version) {
-            if Instant::now() >= until {
+    pub async fn word(&self, server: &Id, cordoned: bool) -> bool {
+        self.core.borrow_mut().set_cordon(server, cordoned, now());
+        let (version, deadline) = (self.core.borrow().version(), Instant::now() + ACKNOWLEDGE_TIMEOUT);
+        while !self.publish() || !self.core.borrow().is_acknowledged(version) {
+            if Instant::now() >= deadline {
                 return false;
             }
-            Timer::after(LOOK).await;
+            Timer::after(UPDATE_INTERVAL).await;
         }
         true
     }
 
     /// Whether all others that live know of this process.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.core.borrow().is_settled()
     }
 
     /// No more clients come to this process.
-    pub fn ends(&self) {
+    pub fn begin_shutdown(&self) {
         self.core.borrow_mut().begin_shutdown();
-        self.tell();
+        self.publish();
     }
 }
 
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -246,8 +246,9 @@
     shares_listener: bool,
 ) {
     let began_at = Instant::now();
-    let is_settled =
-        || shared.hot_restart.get().is_some_and(|link| link.settled()) || began_at.elapsed() > SETTLE_TIMEOUT;
+    let is_settled = || {
+        shared.hot_restart.get().is_some_and(|link| link.is_settled()) || began_at.elapsed() > SETTLE_TIMEOUT
+    };
     while shares_listener && !(shared.ready.get() && is_settled()) {
         Timer::after(POLL_INTERVAL).await;
     }
--- a/crates/gateway/src/program/shutdown.rs
+++ b/crates/gateway/src/program/shutdown.rs
@@ -63,7 +63,7 @@
 /// gateways only where no other process continues this one.
 fn hand_over(shared: &Shared) {
     if let Some(link) = shared.hot_restart.get() {
-        link.ends();
+        link.begin_shutdown();
     }
     if let Some(leases) = shared.leases.get() {
         leases.shut_down();
--- a/crates/hot-restart/src/directory.rs
+++ b/crates/hot-restart/src/directory.rs
@@ -13,9 +13,9 @@
 /// Where the records stand in the directory that the processes share.
 const DIRECTORY: &str = "fernscale";
 /// Longest record that is read, bytes: as many words as there may be, each with a long id.
-const MOST_RECORD: u64 = 1024 * 1024;
+const MAX_RECORD_BYTES: u64 = 1024 * 1024;
 /// Records of processes that are looked at: two live as a rule, and the dead are cleared away.
-const MOST_PROCESSES: usize = 64;
+const MAX_PROCESSES: usize = 64;
 
 #[derive(Debug, Error)]
 pub enum Error {
@@ -37,33 +37,33 @@
     /// Takes a number greater than that of any process before.
     pub fn open(shared: &Path) -> Result<Self, Error> {
         let directory = shared.join(DIRECTORY);
-        let unusable = |why| Error::Io { path: directory.clone(), why };
-        fs::create_dir_all(&directory).map_err(unusable)?;
-        let time =
-            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_micros() as Generation);
-        let newest = numbers(&directory).map_err(unusable)?.into_iter().max().unwrap_or(0);
-        let mut me = time.max(newest + 1);
+        let io_error = |why| Error::Io { path: directory.clone(), why };
+        fs::create_dir_all(&directory).map_err(io_error)?;
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_micros() as Generation);
+        let newest = generations(&directory).map_err(io_error)?.into_iter().max().unwrap_or(0);
+        let mut generation = now.max(newest + 1);
         loop {
-            let (path, fresh) = (directory.join(format!("{me}.lock")), directory.join(format!("new-{me}")));
-            let unusable = |why| Error::Io { path: path.clone(), why };
-            match OpenOptions::new().write(true).create_new(true).open(&fresh) {
+            let (path, unnamed_lock) =
+                (directory.join(format!("{generation}.lock")), directory.join(format!("new-{generation}")));
+            let io_error = |why| Error::Io { path: path.clone(), why };
+            match OpenOptions::new().write(true).create_new(true).open(&unnamed_lock) {
                 Ok(_) if path.exists() => {
-                    fs::remove_file(&fresh).map_err(unusable)?;
-                    me += 1;
+                    fs::remove_file(&unnamed_lock).map_err(io_error)?;
+                    generation += 1;
                 }
                 // Danger: one that looks in between would take an unlocked file for that of a dead process and clear it
                 // away, and from then on nobody would see this one. It is locked before it has its name.
                 Ok(lock) => {
-                    let named = lock.lock().and_then(|()| fs::rename(&fresh, &path));
+                    let named = lock.lock().and_then(|()| fs::rename(&unnamed_lock, &path));
                     named.map_err(|why| {
                         // It is tried again, with another number.
-                        let _ = fs::remove_file(&fresh);
-                        unusable(why)
+                        let _ = fs::remove_file(&unnamed_lock);
+                        io_error(why)
                     })?;
-                    return Ok(RecordDirectory { directory, generation: me, _lock: lock });
+                    return Ok(RecordDirectory { directory, generation, _lock: lock });
                 }
-                Err(why) if why.kind() == io::ErrorKind::AlreadyExists => me += 1,
-                Err(why) => return Err(Error::Io { path: fresh, why }),
+                Err(why) if why.kind() == io::ErrorKind::AlreadyExists => generation += 1,
+                Err(why) => return Err(Error::Io { path: unnamed_lock, why }),
             }
         }
     }
@@ -74,27 +74,28 @@
 
     pub fn write(&self, record: &ProcessRecord) -> Result<(), Error> {
         let path = self.directory.join(format!("{}.json", self.generation));
-        let fresh = self.directory.join(format!("{}.fresh", self.generation));
+        let new_record = self.directory.join(format!("{}.fresh", self.generation));
         let text = serde_json::to_string(record).unwrap_or_default();
         let text = format!("{:08x} {text}\n", crc32fast::hash(text.as_bytes()));
-        let done = fs::write(&fresh, text).and_then(|()| fs::rename(&fresh, &path));
-        done.map_err(|why| Error::Io { path, why })
+        let written = fs::write(&new_record, text).and_then(|()| fs::rename(&new_record, &path));
+        written.map_err(|why| Error::Io { path, why })
     }
 
     /// All other processes that left something here, and what of it could not be used.
     pub fn read(&self) -> (Vec<OtherProcess>, Vec<Error>) {
         let (mut others, mut errors) = (Vec::new(), Vec::new());
-        let numbers = match numbers(&self.directory) {
-            Ok(numbers) => numbers,
+        let found = match generations(&self.directory) {
+            Ok(generations) => generations,
             Err(why) => {
                 errors.push(Error::Io { path: self.directory.clone(), why });
                 Vec::new()
             }
         };
-        for generation in numbers.into_iter().filter(|number| *number != self.generation).take(MOST_PROCESSES)
+        for generation in
+            found.into_iter().filter(|generation| *generation != self.generation).take(MAX_PROCESSES)
         {
             // Its life is looked at first: a record that is read afterwards is the last one of a process that ended.
-            let lives = lives(&self.directory.join(format!("{generation}.lock")));
+            let is_alive = is_locked(&self.directory.join(format!("{generation}.lock")));
             let record = match read(&self.directory.join(format!("{generation}.json"))) {
                 Ok(record) => record,
                 Err(error) => {
@@ -102,51 +103,53 @@
                     None
                 }
             };
-            others.push(OtherProcess { generation, is_alive: lives, record });
+            others.push(OtherProcess { generation, is_alive, record });
         }
         (others, errors)
     }
 
     /// Clears away what a process left that has ended, once its words are known and told here.
     pub fn clear(&self, generation: Generation) {
-        for kind in ["json", "fresh", "lock"] {
-            let _ = fs::remove_file(self.directory.join(format!("{generation}.{kind}")));
+        for extension in ["json", "fresh", "lock"] {
+            let _ = fs::remove_file(self.directory.join(format!("{generation}.{extension}")));
         }
     }
 }
 
 /// The numbers of all that have a file here.
-fn numbers(directory: &Path) -> io::Result<Vec<Generation>> {
-    let mut numbers = Vec::new();
+fn generations(directory: &Path) -> io::Result<Vec<Generation>> {
+    let mut found = Vec::new();
     for entry in fs::read_dir(directory)? {
         let name = entry?.file_name();
-        let number: Option<Generation> =
-            name.to_str().and_then(|name| name.split_once('.')).and_then(|(number, _)| number.parse().ok());
-        numbers.extend(number);
+        let generation: Option<Generation> = name
+            .to_str()
+            .and_then(|name| name.split_once('.'))
+            .and_then(|(generation, _)| generation.parse().ok());
+        found.extend(generation);
     }
-    numbers.sort_unstable();
-    numbers.dedup();
-    Ok(numbers)
+    found.sort_unstable();
+    found.dedup();
+    Ok(found)
 }
 
-fn lives(lock: &Path) -> bool {
+fn is_locked(lock: &Path) -> bool {
     let Ok(file) = File::open(lock) else { return false };
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
 fn read(path: &Path) -> Result<Option<ProcessRecord>, Error> {
-    let spoilt = |why| Error::Corrupt { path: path.into(), why };
+    let corrupt = |why| Error::Corrupt { path: path.into(), why };
     match fs::metadata(path) {
-        Ok(about) if about.len() > MOST_RECORD => return Err(spoilt("it is too long")),
+        Ok(metadata) if metadata.len() > MAX_RECORD_BYTES => return Err(corrupt("it is too long")),
         Ok(_) => {}
         Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(why) => return Err(Error::Io { path: path.into(), why }),
     }
     let text = fs::read(path).map_err(|why| Error::Io { path: path.into(), why })?;
-    let text = std::str::from_utf8(&text).map_err(|_| spoilt("it is no text"))?;
-    let (sum, json) = text.trim_end().split_once(' ').ok_or_else(|| spoilt("it is cut short"))?;
-    if u32::from_str_radix(sum, 16).ok() != Some(crc32fast::hash(json.as_bytes())) {
-        return Err(spoilt("its checksum is wrong"));
+    let text = std::str::from_utf8(&text).map_err(|_| corrupt("it is no text"))?;
+    let (checksum, json) = text.trim_end().split_once(' ').ok_or_else(|| corrupt("it is cut short"))?;
+    if u32::from_str_radix(checksum, 16).ok() != Some(crc32fast::hash(json.as_bytes())) {
+        return Err(corrupt("its checksum is wrong"));
     }
-    serde_json::from_str(json).map(Some).map_err(|_| spoilt("it is no record"))
+    serde_json::from_str(json).map(Some).map_err(|_| corrupt("it is no record"))
 }
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -14,12 +14,12 @@
 pub const MAX_CORDONS: usize = 4_096;
 /// Time for which it is remembered that a server was called back, µs: it may be cold so long, and a process that starts
 /// meanwhile has to know. Servers are warm long before.
-const COLD: Micros = 60_000_000;
+const UNCORDON_RETENTION: Micros = 60_000_000;
 /// Descriptors that a process which ends keeps beside those it holds, for the trips of what is still open.
-const TO_END: usize = 16;
+const SHUTDOWN_DESCRIPTORS: usize = 16;
 /// Part of the descriptors, as its divisor, that a process has even where the others leave less: without any it could
 /// not even say that it is not ready.
-const LEAST_PART: usize = 8;
+const MIN_SHARE_DIVISOR: usize = 8;
 
 /// What the operators last said of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -77,130 +77,141 @@
 
 #[derive(Debug)]
 pub struct HotRestart {
-    me: Generation,
+    generation: Generation,
     /// Descriptors of the whole gateway.
-    sockets: usize,
+    descriptors: usize,
     version: u64,
-    words: BTreeMap<String, CordonRecord>,
+    cordons: BTreeMap<String, CordonRecord>,
     /// The others that live: the version heard of each, whether it has heard of this one, and what it claims.
-    live: BTreeMap<Generation, Live>,
+    live_processes: BTreeMap<Generation, LiveProcess>,
     /// All that lived when this one came have said that they know of it.
-    settled: bool,
-    ending: bool,
-    held: usize,
-    part: Option<ProcessShare>,
+    is_settled: bool,
+    is_shutting_down: bool,
+    held_descriptors: usize,
+    share: Option<ProcessShare>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Live {
-    heard: u64,
-    knows: Option<u64>,
-    sockets: usize,
+struct LiveProcess {
+    merged_version: u64,
+    acknowledged_version: Option<u64>,
+    descriptors: usize,
 }
 
 impl HotRestart {
-    pub fn new(me: Generation, sockets: usize) -> Self {
+    pub fn new(generation: Generation, descriptors: usize) -> Self {
         HotRestart {
-            me,
-            sockets,
+            generation,
+            descriptors,
             version: 0,
-            words: BTreeMap::new(),
-            live: BTreeMap::new(),
-            settled: false,
-            ending: false,
-            held: 0,
-            part: None,
+            cordons: BTreeMap::new(),
+            live_processes: BTreeMap::new(),
+            is_settled: false,
+            is_shutting_down: false,
+            held_descriptors: 0,
+            share: None,
         }
     }
 
     /// The operators' word, heard here. True if it is to be told; what is said already is not new.
-    pub fn set_cordon(&mut self, server: &str, out: bool, at: Micros) -> bool {
-        let known = self.words.get(server);
-        if known.is_some_and(|word| word.cordoned == out)
-            || known.is_none() && self.words.len() >= MAX_CORDONS
+    pub fn set_cordon(&mut self, server: &str, cordoned: bool, at: Micros) -> bool {
+        let known = self.cordons.get(server);
+        if known.is_some_and(|cordon| cordon.cordoned == cordoned)
+            || known.is_none() && self.cordons.len() >= MAX_CORDONS
         {
             return false;
         }
-        let stamp = known.map_or(1, |word| word.stamp + 1);
-        self.words.insert(server.into(), CordonRecord { stamp, by: self.me, at, cordoned: out });
+        let stamp = known.map_or(1, |cordon| cordon.stamp + 1);
+        self.cordons.insert(server.into(), CordonRecord { stamp, by: self.generation, at, cordoned });
         self.version += 1;
         true
     }
 
     /// The others as they are now, and the descriptors held here; says what changes.
-    pub fn update(&mut self, others: &[OtherProcess], held: usize, now: Micros) -> Vec<Change> {
+    pub fn update(&mut self, others: &[OtherProcess], held_descriptors: usize, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
-        self.held = held;
-        self.live.clear();
-        let me = self.me;
-        for other in others.iter().filter(|other| other.generation != me) {
+        self.held_descriptors = held_descriptors;
+        self.live_processes.clear();
+        let generation = self.generation;
+        for other in others.iter().filter(|other| other.generation != generation) {
             if let Some(record) = &other.record {
-                self.hear(record, &mut changes);
+                self.merge(record, &mut changes);
             }
             if other.is_alive {
                 let record = other.record.as_ref();
-                let live = Live {
-                    heard: record.map_or(0, |record| record.version),
-                    knows: record.and_then(|record| record.acknowledged.get(&self.me).copied()),
-                    sockets: record.map_or(self.sockets, |record| record.descriptors),
+                let process = LiveProcess {
+                    merged_version: record.map_or(0, |record| record.version),
+                    acknowledged_version: record
+                        .and_then(|record| record.acknowledged.get(&self.generation).copied()),
+                    descriptors: record.map_or(self.descriptors, |record| record.descriptors),
                 };
-                self.live.insert(other.generation, live);
+                self.live_processes.insert(other.generation, process);
             }
         }
-        if self.live.is_empty() {
-            self.words.retain(|_, word| word.cordoned || now < word.at.saturating_add(COLD));
+        if self.live_processes.is_empty() {
+            self.cordons
+                .retain(|_, cordon| cordon.cordoned || now < cordon.at.saturating_add(UNCORDON_RETENTION));
         }
-        self.settled |= self.live.values().all(|live| live.knows.is_some());
-        let part = self.divide();
-        if self.part != Some(part) {
-            self.part = Some(part);
-            changes.push(Change::Share(part));
+        self.is_settled |= self.live_processes.values().all(|process| process.acknowledged_version.is_some());
+        let share = self.compute_share();
+        if self.share != Some(share) {
+            self.share = Some(share);
+            changes.push(Change::Share(share));
         }
         changes
     }
 
-    fn hear(&mut self, record: &ProcessRecord, changes: &mut Vec<Change>) {
-        for (server, word) in &record.cordons {
-            let known = self.words.get(server);
-            if known.is_some_and(|known| *known >= *word)
-                || known.is_none() && self.words.len() >= MAX_CORDONS
+    fn merge(&mut self, record: &ProcessRecord, changes: &mut Vec<Change>) {
+        for (server, cordon) in &record.cordons {
+            let known = self.cordons.get(server);
+            if known.is_some_and(|known| *known >= *cordon)
+                || known.is_none() && self.cordons.len() >= MAX_CORDONS
             {
                 continue;
             }
-            changes.push(if word.cordoned {
+            changes.push(if cordon.cordoned {
                 Change::Cordoned(server.clone())
             } else {
-                Change::Uncordoned(server.clone(), word.at)
+                Change::Uncordoned(server.clone(), cordon.at)
             });
-            self.words.insert(server.clone(), *word);
+            self.cordons.insert(server.clone(), *cordon);
             self.version += 1;
         }
     }
 
-    fn divide(&self) -> ProcessShare {
-        let processes = self.live.len() + 1;
+    fn compute_share(&self) -> ProcessShare {
+        let processes = self.live_processes.len() + 1;
         // Danger: two that each take themselves for the gateway admit twice its ceilings, and push a cold server
         // twice. Who comes waits until the others have said that they take less.
-        let of_all = if self.settled { 1.0 / processes as f64 } else { 0.0 };
-        let older: usize = self.live.range(..self.me).map(|(_, live)| live.sockets).sum();
-        let younger = self.live.range(self.me..).count();
-        let even = self.sockets.saturating_sub(older) / (1 + younger);
-        let wanted = if self.ending { even.min(self.held + TO_END) } else { even };
-        ProcessShare { fraction: of_all, processes, descriptors: wanted.max(self.sockets / LEAST_PART) }
+        let fraction = if self.is_settled { 1.0 / processes as f64 } else { 0.0 };
+        let older_descriptors: usize =
+            self.live_processes.range(..self.generation).map(|(_, process)| process.descriptors).sum();
+        let younger_processes = self.live_processes.range(self.generation..).count();
+        let even_share = self.descriptors.saturating_sub(older_descriptors) / (1 + younger_processes);
+        let share_wanted = if self.is_shutting_down {
+            even_share.min(self.held_descriptors + SHUTDOWN_DESCRIPTORS)
+        } else {
+            even_share
+        };
+        ProcessShare {
+            fraction,
+            processes,
+            descriptors: share_wanted.max(self.descriptors / MIN_SHARE_DIVISOR),
+        }
     }
 
     /// No more clients come here.
     pub fn begin_shutdown(&mut self) {
-        self.ending = true;
+        self.is_shutting_down = true;
     }
 
     /// All that live know of this process.
     pub fn is_settled(&self) -> bool {
-        self.settled
+        self.is_settled
     }
 
     pub fn is_alone(&self) -> bool {
-        self.live.is_empty()
+        self.live_processes.is_empty()
     }
 
     pub fn version(&self) -> u64 {
@@ -209,17 +220,26 @@
 
     /// Whether all that live have heard the words up to this version; not known before the first look.
     pub fn is_acknowledged(&self, version: u64) -> bool {
-        self.part.is_some() && self.live.values().all(|live| live.knows.is_some_and(|knows| knows >= version))
+        self.share.is_some()
+            && self.live_processes.values().all(|process| {
+                process
+                    .acknowledged_version
+                    .is_some_and(|acknowledged_version| acknowledged_version >= version)
+            })
     }
 
     /// What the others are to know.
     pub fn record(&self) -> ProcessRecord {
-        let sockets = self.part.map_or(self.sockets, |part| part.descriptors);
+        let descriptors = self.share.map_or(self.descriptors, |share| share.descriptors);
         ProcessRecord {
             version: self.version,
-            cordons: self.words.clone(),
-            acknowledged: self.live.iter().map(|(generation, live)| (*generation, live.heard)).collect(),
-            descriptors: sockets.max(self.held),
+            cordons: self.cordons.clone(),
+            acknowledged: self
+                .live_processes
+                .iter()
+                .map(|(generation, process)| (*generation, process.merged_version))
+                .collect(),
+            descriptors: descriptors.max(self.held_descriptors),
         }
     }
 }
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -8,15 +8,15 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SOCKETS: usize = 400;
+const DESCRIPTORS: usize = 400;
 const SERVERS: [&str; 3] = ["s0", "s1", "s2"];
 
 struct Process {
     core: HotRestart,
-    part: ProcessShare,
-    held: usize,
+    share: ProcessShare,
+    held_descriptors: usize,
     /// What its module has been told.
-    out: BTreeMap<String, bool>,
+    cordoned: BTreeMap<String, bool>,
 }
 
 /// All processes, and the directory that they share: the last record of each, dead or alive.
@@ -29,12 +29,12 @@
 }
 
 impl World {
-    fn come(&mut self) -> Generation {
+    fn start_process(&mut self) -> Generation {
         self.next += 1;
-        let core = HotRestart::new(self.next, SOCKETS);
+        let core = HotRestart::new(self.next, DESCRIPTORS);
         self.files.insert(self.next, Some(core.record()));
-        let part = ProcessShare { fraction: 0.0, processes: 1, descriptors: 0 };
-        self.live.insert(self.next, Process { core, part, held: 0, out: BTreeMap::new() });
+        let share = ProcessShare { fraction: 0.0, processes: 1, descriptors: 0 };
+        self.live.insert(self.next, Process { core, share, held_descriptors: 0, cordoned: BTreeMap::new() });
         self.next
     }
 
@@ -47,150 +47,157 @@
         self.files.iter().map(other).collect()
     }
 
-    fn look(&mut self, who: Generation) {
+    fn update(&mut self, generation: Generation) {
         self.now += 20_000;
         let others = self.others();
-        let process = self.live.get_mut(&who).expect("it lives");
-        for change in process.core.update(&others, process.held, self.now) {
+        let process = self.live.get_mut(&generation).expect("it lives");
+        for change in process.core.update(&others, process.held_descriptors, self.now) {
             match change {
-                Change::Cordoned(server) => drop(process.out.insert(server, true)),
-                Change::Uncordoned(server, _) => drop(process.out.insert(server, false)),
-                Change::Share(part) => process.part = part,
+                Change::Cordoned(server) => drop(process.cordoned.insert(server, true)),
+                Change::Uncordoned(server, _) => drop(process.cordoned.insert(server, false)),
+                Change::Share(share) => process.share = share,
             }
         }
         // It takes what it may.
-        process.held =
-            process.held.max(process.part.descriptors / 2).min(process.part.descriptors.max(process.held));
-        self.files.insert(who, Some(process.core.record()));
+        process.held_descriptors = process
+            .held_descriptors
+            .max(process.share.descriptors / 2)
+            .min(process.share.descriptors.max(process.held_descriptors));
+        self.files.insert(generation, Some(process.core.record()));
     }
 
-    fn word(&mut self, who: Generation, server: &str, out: bool) {
-        let process = self.live.get_mut(&who).expect("it lives");
-        process.core.set_cordon(server, out, self.now);
-        process.out.insert(server.into(), out);
-        self.files.insert(who, Some(process.core.record()));
+    fn set_cordon(&mut self, generation: Generation, server: &str, cordoned: bool) {
+        let process = self.live.get_mut(&generation).expect("it lives");
+        process.core.set_cordon(server, cordoned, self.now);
+        process.cordoned.insert(server.into(), cordoned);
+        self.files.insert(generation, Some(process.core.record()));
     }
 
     fn settle(&mut self) {
         for _ in 0..4 {
-            for who in self.live.keys().copied().collect::<Vec<_>>() {
-                self.look(who);
+            for generation in self.live.keys().copied().collect::<Vec<_>>() {
+                self.update(generation);
             }
         }
     }
 
-    fn parts(&self) -> f64 {
-        self.live.values().map(|process| process.part.fraction).sum()
+    fn fraction_sum(&self) -> f64 {
+        self.live.values().map(|process| process.share.fraction).sum()
     }
 
-    fn sees(&self, who: Generation, server: &str) -> bool {
-        self.live[&who].out.get(server).copied().unwrap_or(false)
+    fn sees_cordon(&self, generation: Generation, server: &str) -> bool {
+        self.live[&generation].cordoned.get(server).copied().unwrap_or(false)
     }
 }
 
 #[test]
-fn parts_are_never_more_than_one_gateways_and_the_last_word_holds_everywhere() {
+fn shares_never_exceed_one_gateway_and_the_last_cordon_holds_in_every_process() {
     for seed in 0..400 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::default();
-        let mut said: BTreeMap<&str, bool> = BTreeMap::new();
-        world.come();
+        let mut last_cordons: BTreeMap<&str, bool> = BTreeMap::new();
+        world.start_process();
         for _ in 0..200 {
             let all: Vec<Generation> = world.live.keys().copied().collect();
-            let one = all.get(chance.gen_range(0..all.len().max(1))).copied();
-            match (chance.gen_range(0..20), one) {
-                (0, _) | (_, None) if world.live.len() < 4 => drop(world.come()),
-                (1, Some(one)) => drop(world.live.remove(&one)),
-                (2, Some(one)) => world.live.get_mut(&one).expect("it lives").core.begin_shutdown(),
-                (3, Some(one)) if chance.gen() => drop(world.files.insert(one, None)),
-                (3..=5, Some(one)) => {
+            let process = all.get(rng.gen_range(0..all.len().max(1))).copied();
+            match (rng.gen_range(0..20), process) {
+                (0, _) | (_, None) if world.live.len() < 4 => drop(world.start_process()),
+                (1, Some(process)) => drop(world.live.remove(&process)),
+                (2, Some(process)) => world.live.get_mut(&process).expect("it lives").core.begin_shutdown(),
+                (3, Some(process)) if rng.gen() => drop(world.files.insert(process, None)),
+                (3..=5, Some(process)) => {
                     // As operators do: the next word once the last has been heard, at any process.
                     world.settle();
-                    let (server, out) = (SERVERS[chance.gen_range(0..3)], chance.gen());
-                    world.word(one, server, out);
-                    said.insert(server, out);
-                    if chance.gen() {
+                    let (server, cordoned) = (SERVERS[rng.gen_range(0..3)], rng.gen());
+                    world.set_cordon(process, server, cordoned);
+                    last_cordons.insert(server, cordoned);
+                    if rng.gen() {
                         world.settle();
-                        let core = &world.live[&one].core;
+                        let core = &world.live[&process].core;
                         assert!(
                             core.is_acknowledged(core.version()),
                             "seed {seed}: a word that is not heard"
                         );
                     }
                 }
-                (_, Some(one)) => world.look(one),
+                (_, Some(process)) => world.update(process),
                 _ => {}
             }
-            assert!(world.parts() <= 1.0 + 1e-9, "seed {seed}: {} gateways", world.parts());
+            assert!(world.fraction_sum() <= 1.0 + 1e-9, "seed {seed}: {} gateways", world.fraction_sum());
         }
         if world.live.is_empty() {
             continue;
         }
         world.settle();
-        assert!((world.parts() - 1.0).abs() < 1e-9, "seed {seed}: {} of one gateway", world.parts());
+        assert!(
+            (world.fraction_sum() - 1.0).abs() < 1e-9,
+            "seed {seed}: {} of one gateway",
+            world.fraction_sum()
+        );
         let all: Vec<Generation> = world.live.keys().copied().collect();
         for server in SERVERS {
-            let told: Vec<bool> = all.iter().map(|who| world.sees(*who, server)).collect();
-            assert!(told.iter().all(|out| *out == told[0]), "seed {seed}: {server} is {told:?}");
+            let seen: Vec<bool> =
+                all.iter().map(|generation| world.sees_cordon(*generation, server)).collect();
+            assert!(seen.iter().all(|cordoned| *cordoned == seen[0]), "seed {seed}: {server} is {seen:?}");
         }
     }
 }
 
 #[test]
-fn a_word_outlives_the_process_that_heard_it() {
+fn a_cordon_outlives_the_process_that_received_it() {
     let mut world = World::default();
-    let old = world.come();
-    world.look(old);
-    world.word(old, "s0", true);
-    world.word(old, "s1", true);
-    world.word(old, "s1", false);
+    let old = world.start_process();
+    world.update(old);
+    world.set_cordon(old, "s0", true);
+    world.set_cordon(old, "s1", true);
+    world.set_cordon(old, "s1", false);
     world.live.remove(&old);
-    let new = world.come();
-    world.look(new);
-    assert!(world.sees(new, "s0"));
+    let new = world.start_process();
+    world.update(new);
+    assert!(world.sees_cordon(new, "s0"));
     // Called back a moment ago: the new process has to take it for cold.
-    assert_eq!(world.live[&new].out.get("s1"), Some(&false));
-    world.word(new, "s0", false);
-    let third = world.come();
+    assert_eq!(world.live[&new].cordoned.get("s1"), Some(&false));
+    world.set_cordon(new, "s0", false);
+    let third = world.start_process();
     world.settle();
-    assert!(!world.sees(third, "s0"));
+    assert!(!world.sees_cordon(third, "s0"));
 }
 
 #[test]
-fn a_newcomer_has_nothing_until_all_have_said_that_they_know_of_it() {
+fn a_new_process_has_no_share_until_all_others_have_acknowledged_it() {
     let mut world = World::default();
-    let old = world.come();
-    world.look(old);
-    let new = world.come();
-    world.look(new);
-    assert_eq!((world.live[&old].part.fraction, world.live[&new].part.fraction), (1.0, 0.0));
+    let old = world.start_process();
+    world.update(old);
+    let new = world.start_process();
+    world.update(new);
+    assert_eq!((world.live[&old].share.fraction, world.live[&new].share.fraction), (1.0, 0.0));
     assert!(!world.live[&new].core.is_settled());
-    world.look(old);
-    assert_eq!((world.live[&old].part.fraction, world.live[&new].part.fraction), (0.5, 0.0));
-    world.look(new);
-    assert_eq!((world.live[&new].part.fraction, world.live[&new].part.descriptors), (0.5, SOCKETS / 2));
+    world.update(old);
+    assert_eq!((world.live[&old].share.fraction, world.live[&new].share.fraction), (0.5, 0.0));
+    world.update(new);
+    assert_eq!((world.live[&new].share.fraction, world.live[&new].share.descriptors), (0.5, DESCRIPTORS / 2));
     // The old one ends: what it does not hold any more is the new one's, and all of it once it is gone.
-    world.live.get_mut(&old).expect("it lives").held = 30;
+    world.live.get_mut(&old).expect("it lives").held_descriptors = 30;
     world.live.get_mut(&old).expect("it lives").core.begin_shutdown();
-    world.look(old);
-    world.look(new);
-    let [ends, comes] = [old, new].map(|who| world.live[&who].part.descriptors);
-    assert!(ends + comes <= SOCKETS && comes > SOCKETS * 3 / 4, "{ends} and {comes}");
+    world.update(old);
+    world.update(new);
+    let [ending, starting] = [old, new].map(|generation| world.live[&generation].share.descriptors);
+    assert!(ending + starting <= DESCRIPTORS && starting > DESCRIPTORS * 3 / 4, "{ending} and {starting}");
     world.live.remove(&old);
-    world.look(new);
-    let part = world.live[&new].part;
-    assert_eq!((part.fraction, part.processes, part.descriptors), (1.0, 1, SOCKETS));
+    world.update(new);
+    let share = world.live[&new].share;
+    assert_eq!((share.fraction, share.processes, share.descriptors), (1.0, 1, DESCRIPTORS));
 }
 
 #[test]
-fn one_whose_record_can_not_be_read_counts_and_a_dead_one_does_not() {
+fn a_live_process_with_an_unreadable_record_counts_and_a_dead_one_does_not() {
     let mut world = World::default();
-    let old = world.come();
+    let old = world.start_process();
     world.files.insert(old, None);
-    let new = world.come();
-    world.look(new);
-    assert_eq!(world.live[&new].part.fraction, 0.0);
+    let new = world.start_process();
+    world.update(new);
+    assert_eq!(world.live[&new].share.fraction, 0.0);
     world.live.remove(&old);
-    world.look(new);
-    assert_eq!(world.live[&new].part.fraction, 1.0);
+    world.update(new);
+    assert_eq!(world.live[&new].share.fraction, 1.0);
 }
--- a/crates/hot-restart/tests/shell.rs
+++ b/crates/hot-restart/tests/shell.rs
@@ -12,7 +12,7 @@
     core.record()
 }
 
-fn left(directory: &Path) -> Vec<std::path::PathBuf> {
+fn files_in(directory: &Path) -> Vec<std::path::PathBuf> {
     let mut files: Vec<_> = fs::read_dir(directory.join("fernscale"))
         .expect("a folder")
         .map(|entry| entry.expect("an entry").path())
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_one_writes_the_other_reads_and_a_lock_ends_with_its_process() {
+fn a_record_is_read_by_the_other_process_and_a_lock_ends_with_its_owner() {
     let shared = tempfile::tempdir().expect("a folder");
     let old = RecordDirectory::open(shared.path()).expect("opened");
     let new = RecordDirectory::open(shared.path()).expect("opened");
@@ -42,19 +42,19 @@
 }
 
 #[test]
-fn leftovers_cut_short_or_spoilt_are_refused_whole_and_named() {
+fn truncated_or_corrupt_records_are_rejected_whole_and_named() {
     let shared = tempfile::tempdir().expect("a folder");
     let dead = RecordDirectory::open(shared.path()).expect("opened");
     dead.write(&record("s0")).expect("written");
     drop(dead);
     let file =
-        left(shared.path()).into_iter().find(|file| file.extension().is_some_and(|kind| kind == "json"));
+        files_in(shared.path()).into_iter().find(|file| file.extension().is_some_and(|kind| kind == "json"));
     let file = file.expect("a record");
-    let good = fs::read(&file).expect("read");
+    let intact = fs::read(&file).expect("read");
     let new = RecordDirectory::open(shared.path()).expect("opened");
-    let cuts = (0..good.len() - 1).map(|length| good[..length].to_vec());
-    let flips = (0..good.len() - 1).map(|at| {
-        let mut bytes = good.clone();
+    let cuts = (0..intact.len() - 1).map(|length| intact[..length].to_vec());
+    let flips = (0..intact.len() - 1).map(|at| {
+        let mut bytes = intact.clone();
         bytes[at] ^= 0x04;
         bytes
     });
@@ -68,12 +68,12 @@
         );
         assert!(errors.len() == 1 && errors[0].to_string().contains(".json"));
     }
-    fs::write(&file, &good).expect("written");
+    fs::write(&file, &intact).expect("written");
     assert_eq!(new.read().0[0].record, Some(record("s0")));
 }
 
 #[test]
-fn a_directory_that_can_not_be_used_is_an_error_that_names_it() {
+fn an_unusable_directory_is_an_error_that_names_it() {
     let shared = tempfile::tempdir().expect("a folder");
     let file = shared.path().join("file");
     fs::write(&file, "x").expect("written");
