--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -1,4 +1,5 @@
-//! The way to the other processes of this gateway, while one takes the other's place.
+//! Hot restart in the gateway: exchanges records with the other processes of this gateway, and applies what they change in
+//! this one. What a record means and how limits are divided, the package `hot-restart` decides.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -7,7 +8,7 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use fernscale_hot_restart::directory::RecordDirectory;
+use fernscale_hot_restart::directory::{RecordDirectory, Records};
 use fernscale_hot_restart::state::{Change, HotRestart, Micros, ProcessRecord, ProcessShare};
 use fernscale_policy::Id;
 use slog::{debug, info, warn};
@@ -16,26 +17,30 @@
 use crate::shared::Shared;
 use crate::transport::clock::micros;
 
-/// Pause between two looks at the others, while there are some and while there are none: half a second is the longest
-/// that anything which two processes settle may take, as an operator's call is answered within one.
+/// Pause between two updates while there are other processes. Together with [`ALONE_UPDATE_INTERVAL`] it keeps what two
+/// processes agree on below half a second, as an operator's call is answered within one.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between two updates while there is no other process.
 const ALONE_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an operator's word waits until the others have heard it.
+/// How long an operator's cordon waits for the other processes to acknowledge it.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(700);
 
+/// This process among those of its gateway.
 pub struct Link {
     shared: Rc<Shared>,
     orders: Sender<Order>,
     records: RecordDirectory,
     core: RefCell<HotRestart>,
+    /// The record that was written last.
     published: RefCell<Option<ProcessRecord>>,
-    /// The part that the module was told: all, until another is.
+    /// The fraction that the dispatcher was given last: the whole at first.
     fraction: Cell<f64>,
 }
 
 impl Link {
-    /// Takes a place among the records in the directory that the processes share, with so many descriptors for all; as often as it
-    /// takes, as a folder may fail for a while. Others that hear nothing of this process have all of the gateway's limits.
+    /// Joins the processes that share a directory, and exchanges records from then on. `descriptors` are those of the whole
+    /// gateway. Danger: a process that the others can't see takes the whole of the limits, and so do they; so joining is
+    /// tried until it succeeds, as a directory may fail for a while.
     pub async fn join(shared: Rc<Shared>, directory: PathBuf, descriptors: usize, orders: Sender<Order>) {
         let link = loop {
             match Link::open(&shared, &directory, descriptors, orders.clone()) {
@@ -67,12 +72,12 @@
             published: RefCell::default(),
             fraction: Cell::new(1.0),
         };
-        // To be seen goes first: of two that come at once, one sees the other.
+        // Written before the others are read: of two processes that start at once, one sees the other.
         link.publish();
         Ok(link)
     }
 
-    pub async fn run(self: Rc<Self>) {
+    async fn run(self: Rc<Self>) {
         loop {
             self.update_state().await;
             let alone = self.core.borrow().is_alone();
@@ -81,7 +86,7 @@
     }
 
     async fn update_state(&self) {
-        let (others, errors) = self.records.read();
+        let Records { others, errors } = self.records.read();
         for error in errors {
             warn!(self.shared.log, #"handover.refused", "what another process left is not used"; "why" => error.to_string());
         }
@@ -95,7 +100,7 @@
             }
         }
         if self.publish() {
-            // What the dead left is here now, and may go.
+            // The cordons of ended processes are in this process's record now.
             others
                 .iter()
                 .filter(|other| !other.is_alive)
@@ -105,7 +110,7 @@
 
     async fn send_cordon_order(&self, server: &str, uncordoned_at: Option<Micros>) {
         let cordoned = uncordoned_at.is_none();
-        // Told by the wall clock, which may have been set meanwhile.
+        // The time is one of the wall clock, which may have been set since.
         let clock = &self.shared.clock;
         let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.least_age(at)));
         info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => cordoned);
@@ -117,13 +122,13 @@
         debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => fraction, "processes" => processes, "sockets" => descriptors);
         self.shared.limits.set_process_share(descriptors, processes);
         self.shared.limits_lowered.notify(1);
-        // Descriptors come and go all the time; the module begins anew with each part that it is told.
+        // Descriptors change all the time, and the dispatcher starts over with each fraction that it is given.
         if self.fraction.replace(fraction) != fraction {
             let _ = self.orders.send(Order::Part(fraction)).await;
         }
     }
 
-    /// Lets the others know what is new here; false if they can't.
+    /// Writes this process's record if it has changed. False where it can't be written, which is logged.
     fn publish(&self) -> bool {
         let record = self.core.borrow().record();
         if self.published.borrow().as_ref() == Some(&record) {
@@ -141,7 +146,8 @@
         }
     }
 
-    /// Tells the others of an operator's word, and waits until they have heard it; false if they have not.
+    /// Cordons or uncordons a server in all processes, and waits until they have acknowledged it. False where they have not
+    /// in time.
     pub async fn word(&self, server: &Id, cordoned: bool) -> bool {
         self.core.borrow_mut().set_cordon(server, cordoned, now());
         let (version, deadline) = (self.core.borrow().version(), Instant::now() + ACKNOWLEDGE_TIMEOUT);
@@ -154,12 +160,12 @@
         true
     }
 
-    /// Whether all others that live know of this process.
+    /// Whether the other processes have acknowledged this one.
     pub fn is_settled(&self) -> bool {
         self.core.borrow().is_settled()
     }
 
-    /// No more clients come to this process.
+    /// Lets the other processes know that this one accepts no more clients.
     pub fn begin_shutdown(&self) {
         self.core.borrow_mut().begin_shutdown();
         self.publish();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,7 @@
-//! One gateway on sockets, by layers: protocol, transport, routing round the decision module, program.
+//! One gateway on sockets. `transport` and `protocol` know bytes; `downstream` serves clients and `upstream` servers;
+//! `dispatcher` runs the decision module between them; `discovery`, `counter` and `operator` speak with the services
+//! around; `fleet` works with the other gateways and `hot_restart` with other processes of this one; `program` reads the
+//! configuration, starts all of these and ends them. `shared` is the state between the actors.
 
 pub mod counter;
 pub mod discovery;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,5 +1,6 @@
-//! Who does what: an actor with a mailbox for each server, for the list, for the counter and for the module, and
-//! a task for each client's connection.
+//! The state that the actors of one gateway share, and the events by which they reach the dispatcher. An actor with a
+//! mailbox runs for each server, for discovery, for the shared counter and for the dispatcher, and a task for each client
+//! connection. Nothing here decides or does I/O.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeSet;
@@ -22,70 +23,76 @@
 use crate::transport::limits::{Limits, Reservation};
 use crate::{counter, hot_restart};
 
-/// Orders or events that wait in a mailbox at most; who sends more is held back until there is room. Events come
-/// from many, orders from one.
+/// Events that wait in a mailbox, which has many senders. A sender of more waits.
 pub const MAX_QUEUED_EVENTS: usize = 256;
+/// Orders that wait in a mailbox, which has one sender. A sender of more waits.
 pub const MAX_QUEUED_ORDERS: usize = 64;
 
-/// What all parts of one gateway share.
+/// The state that all actors of one gateway share.
 pub struct Shared {
+    /// Where all tasks run.
     pub executor: Rc<LocalExecutor<'static>>,
+    /// The log.
     pub log: Logger,
+    /// The clock of the decision module.
     pub clock: Clock,
+    /// Limits on descriptors and memory, with what is reserved of them.
     pub limits: Limits,
-    /// There are fewer places than before: idle clients make room.
+    /// Notified when the limits are lowered, so that idle client connections are closed.
     pub limits_lowered: event_listener::Event,
+    /// Settings of the protocols and of what lies around the decision module.
     pub platform: PlatformSettings,
+    /// Figures for operators.
     pub metrics: metrics::Metrics,
-    /// Servers that the operators have taken out of use: no trip to one of them begins.
+    /// Servers that operators have cordoned: no attempt at one of them begins.
     pub cordoned: RefCell<BTreeSet<Id>>,
-    /// When servers started, by this gateway's clock.
+    /// Start times of servers by this gateway's clock.
     pub start_times: RefCell<start_times::StartTimes>,
-    /// Servers that the list says to leave: none begins there either.
+    /// Servers that the endpoint list says are draining: no attempt begins there either.
     pub draining: RefCell<draining::DrainingEndpoints>,
-    /// Until when what is known of the servers may be used, by the clock of the fleet's jobs: older, no trip begins.
+    /// Until when the endpoint list may be used, in microseconds of `boottime`. Later no attempt begins.
     pub endpoints_fresh_until: Cell<Micros>,
-    /// Servers are known, so that transactions can be served.
+    /// Whether servers are known, so that requests can be served.
     pub ready: Cell<bool>,
-    /// Clients are accepted.
+    /// Whether clients are accepted.
     pub listening: Cell<bool>,
-    /// Since when this gateway ends: answers what has come and still comes, and takes leave of clients.
+    /// When the graceful shutdown began, if it has.
     pub shutting_down_since: Cell<Option<Instant>>,
-    /// From when on a client may be told that it asked wrongly.
+    /// From when on a client may get a reply to a protocol error again.
     pub next_protocol_error: Cell<Instant>,
-    /// Tickets given out.
+    /// The ticket of the next reply handle.
     pub next_ticket: Cell<u64>,
-    /// The way to the other processes of this gateway, where the clients' listening socket is passed on.
+    /// The exchange with the other processes of this gateway, where the listening socket is inherited.
     pub hot_restart: OnceCell<Rc<hot_restart::Link>>,
-    /// There is to be a way to other gateways: at once, or when another process of this one has let it go.
+    /// Whether membership is configured. It may start late, when another process of this gateway lets its address go.
     pub joins_membership: bool,
-    /// What they are to be told as soon as there is.
+    /// Updates of shared counters to deliver when membership starts.
     pub undelivered_updates: RefCell<membership::UndeliveredUpdates>,
-    /// The way to other gateways, where there is one.
+    /// Membership, once it runs.
     pub membership: OnceCell<Rc<membership::Membership>>,
-    /// Jobs of the fleet, where it has any.
+    /// Leases of the fleet, once they run.
     pub leases: OnceCell<Rc<leases::Leases>>,
-    /// Which servers this gateway uses, where they are dealt out among all.
+    /// Subsetting, where it is configured and runs.
     pub subsetting: OnceCell<Rc<subsetting::Subsetting>>,
-    /// What gateways tell each other of servers, where they do.
+    /// Shared outlier detection, where it is configured and runs.
     pub outlier_detection: OnceCell<Rc<outlier_detection::OutlierDetection>>,
 }
 
 impl Shared {
-    /// Whether this process serves clients that come now.
+    /// Whether this process serves new clients.
     pub fn is_serving(&self) -> bool {
         self.ready.get() && self.listening.get() && self.shutting_down_since.get().is_none()
     }
 
-    /// Goes by a list that discovery has given: when servers started, and who leaves, counts from this moment on, also while
-    /// the module has not heard of it.
+    /// Applies the start times and draining servers of a list from discovery. They count from now on, also before the
+    /// dispatcher handles the list.
     pub fn apply_list(&self, members: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
         self.start_times.borrow_mut().read_news(self.clock.now(), least_age, members);
         self.draining.borrow_mut().read(members);
     }
 
-    /// The same for the list that was known before the start.
+    /// The same for the list that was known before the gateway started.
     pub fn apply_known_list(&self, members: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
         self.start_times.borrow_mut().read(self.clock.now(), least_age, members);
@@ -93,48 +100,64 @@
     }
 }
 
-/// What happens, for the module.
+/// What the dispatcher handles.
 pub enum Event {
+    /// A client has sent a request.
     RequestReceived(ReceivedRequest),
-    /// The client has gone that asked for this under this ticket.
+    /// The client of a request, by its id and the ticket of its reply handle, has disconnected.
     ClientDisconnected(Id, u64),
-    /// The answer has begun to come, and is too long to be kept whole.
+    /// A response has begun that is too long to be buffered whole.
     ResponseStarted {
+        /// The id of the request.
         request: Id,
+        /// The number of the attempt.
         attempt: usize,
+        /// The response as it arrives.
         flow: ResponseStream,
     },
+    /// An attempt has a result.
     AttemptCompleted(CompletedAttempt),
+    /// A health check has a result.
     HealthCheckCompleted {
+        /// The server.
         server: Id,
+        /// Its load report, or why there is none.
         end: Result<LoadReport, AttemptFailure>,
     },
+    /// A query of the shared counter has a result.
     CounterReplied {
+        /// The counter's key.
         key: Box<str>,
+        /// The total, or why there is none.
         end: Result<CounterTotal, AttemptFailure>,
+        /// How long the query took, in microseconds.
         elapsed: Micros,
     },
-    /// What the gateways know of a count together, as the counter is lost.
+    /// The total that the gateways know by gossip, as the shared counter is lost.
     GossipTotalKnown {
+        /// The counter's key.
         key: Box<str>,
+        /// The total, or why there is none.
         end: Result<CounterTotal, AttemptFailure>,
     },
-    /// From now on calls to the counter go to this actor.
+    /// Queries of the shared counter go to another actor from now on.
     CounterReplaced(Option<Sender<counter::Add>>),
+    /// There is an update of the endpoint list.
     EndpointsUpdated(EndpointUpdate),
+    /// Discovery has given no list that can be used.
     EndpointsUnavailable,
-    /// An answer was refused, and these are what it says to leave.
+    /// These endpoints are draining by a list that can't be used otherwise.
     EndpointsDraining(Vec<Id>),
-    /// It is time to look at which servers this gateway is to use.
+    /// The subset of this gateway is to be updated.
     SubsettingDue,
-    /// It is time to look at what other gateways say of servers.
+    /// Shared outlier detection is to be updated.
     OutlierDetectionDue,
-    /// Discovery has not answered for a while after the start.
+    /// Discovery has given no list in time after the start.
     EndpointsLate,
 }
 
 impl Event {
-    /// What the log calls a turn that handles this.
+    /// The log's name for a loop iteration that handles this event.
     pub fn name(&self) -> &'static str {
         match self {
             Event::RequestReceived(_) => "request",
@@ -153,47 +176,65 @@
     }
 }
 
+/// A request as it arrives at the dispatcher.
 pub struct ReceivedRequest {
+    /// What the client wants.
     pub call: Call,
+    /// Where the reply goes.
     pub reply: ReplyHandle,
+    /// When the request was complete.
     pub received_at: Instant,
 }
 
-/// Where the final answer goes, and the places that the transaction takes until it is written.
+/// Where the final reply goes, with the limits that the request uses until the reply is written.
 pub struct ReplyHandle {
-    /// Tells apart those who use one id, as only one of them has it.
+    /// Unique in the gateway, as several clients may use one request id.
     pub ticket: u64,
+    /// Position of the request on its connection.
     pub number: u64,
+    /// The connection's task.
     pub to: Sender<(u64, FinalReply, Reservations)>,
+    /// What the request has reserved.
     pub places: Reservations,
 }
 
-/// The final answer to a client.
+/// The final reply to a client.
 pub enum FinalReply {
+    /// It is all there.
     Complete(FinalAnswer),
+    /// It is a value that is still arriving.
     Streamed(ResponseStream),
 }
 
-/// A value that is passed on as it comes. Where its pieces end without the last word, it has broken off.
+/// A value that is forwarded as it arrives. Where the pieces end without [`Piece::End`], the value is incomplete.
 pub struct ResponseStream {
+    /// Length of the whole value in bytes.
     pub length: usize,
+    /// The value in pieces.
     pub pieces: Receiver<Piece>,
 }
 
+/// A piece of a value.
 pub enum Piece {
+    /// The next bytes.
     Bytes(Vec<u8>),
-    /// The value has come whole.
+    /// The value is complete.
     End,
 }
 
-/// A place among the transactions that are open, and one for the bytes of it.
+/// The reservation of one open request, and that of its bytes.
 pub type Reservations = [Reservation; 2];
 
-/// The end of one trip.
+/// The result of one attempt.
 pub struct CompletedAttempt {
+    /// The id of the request.
     pub request: Id,
+    /// The number of the attempt.
     pub attempt: usize,
+    /// The server.
     pub server: Id,
+    /// The server's reply and load report, or why there are none.
     pub end: Result<(ServerReply, LoadReport), AttemptFailure>,
+    /// How long the attempt took, in microseconds.
     pub elapsed: Micros,
 }
--- a/crates/hot-restart/src/directory.rs
+++ b/crates/hot-restart/src/directory.rs
@@ -1,5 +1,5 @@
-//! The records of a gateway's processes in one directory: `N.json`, and `N.lock`, which the process numbered N holds
-//! as long as it lives. A record is replaced whole and begins with its checksum.
+//! The records of a gateway's processes in one directory: `N.json`, and `N.lock`, which process N keeps locked as long as
+//! it runs. A record is replaced whole and begins with its checksum. What a record means is decided in [`crate::state`].
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
@@ -10,22 +10,44 @@
 
 use crate::state::{Generation, OtherProcess, ProcessRecord};
 
-/// Where the records stand in the directory that the processes share.
+/// Name of the records' directory within the one that the processes share.
 const DIRECTORY: &str = "fernscale";
-/// Longest record that is read, bytes: as many words as there may be, each with a long id.
+/// Longest record that is read, in bytes: the maximum of cordons, each with a long server name.
 const MAX_RECORD_BYTES: u64 = 1024 * 1024;
-/// Records of processes that are looked at: two live as a rule, and the dead are cleared away.
+/// Processes that are read: two are live as a rule, and records of ended ones are cleared.
 const MAX_PROCESSES: usize = 64;
 
+/// Why the directory or a record can't be used.
 #[derive(Debug, Error)]
 pub enum Error {
+    /// A file operation failed.
     #[error("'{path}' can't be used: {why}")]
-    Io { path: PathBuf, why: io::Error },
+    Io {
+        /// The file or directory.
+        path: PathBuf,
+        /// What the system reports.
+        why: io::Error,
+    },
+    /// A record is damaged.
     #[error("'{path}' is refused: {why}")]
-    Corrupt { path: PathBuf, why: &'static str },
+    Corrupt {
+        /// The record's file.
+        path: PathBuf,
+        /// What is wrong with it.
+        why: &'static str,
+    },
 }
 
-/// This process's place among the records.
+/// The other processes, and the records that could not be used.
+#[derive(Debug, Default)]
+pub struct Records {
+    /// All other processes that have a file in the directory.
+    pub others: Vec<OtherProcess>,
+    /// An error for each record that could not be read, or for the directory.
+    pub errors: Vec<Error>,
+}
+
+/// This process's number and lock in the directory.
 #[derive(Debug)]
 pub struct RecordDirectory {
     directory: PathBuf,
@@ -34,7 +56,11 @@
 }
 
 impl RecordDirectory {
-    /// Takes a number greater than that of any process before.
+    /// Joins the processes of the directory, with a number greater than that of any before. Creates `fernscale` in the
+    /// shared directory if it is missing.
+    ///
+    /// # Errors
+    /// A file can't be created or locked. The caller may try again.
     pub fn open(shared: &Path) -> Result<Self, Error> {
         let directory = shared.join(DIRECTORY);
         let io_error = |why| Error::Io { path: directory.clone(), why };
@@ -51,12 +77,12 @@
                     fs::remove_file(&unnamed_lock).map_err(io_error)?;
                     generation += 1;
                 }
-                // Danger: one that looks in between would take an unlocked file for that of a dead process and clear it
-                // away, and from then on nobody would see this one. It is locked before it has its name.
+                // Danger: another process would take an unlocked file for that of an ended process and clear it, and
+                // nobody would see this process from then on. So the file is locked before it gets its name.
                 Ok(lock) => {
                     let named = lock.lock().and_then(|()| fs::rename(&unnamed_lock, &path));
                     named.map_err(|why| {
-                        // It is tried again, with another number.
+                        // The next attempt has another number.
                         let _ = fs::remove_file(&unnamed_lock);
                         io_error(why)
                     })?;
@@ -68,10 +94,15 @@
         }
     }
 
+    /// This process's number.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
+    /// Replaces this process's record.
+    ///
+    /// # Errors
+    /// The file can't be written or renamed; the record before is still there.
     pub fn write(&self, record: &ProcessRecord) -> Result<(), Error> {
         let path = self.directory.join(format!("{}.json", self.generation));
         let new_record = self.directory.join(format!("{}.fresh", self.generation));
@@ -81,34 +112,34 @@
         written.map_err(|why| Error::Io { path, why })
     }
 
-    /// All other processes that left something here, and what of it could not be used.
-    pub fn read(&self) -> (Vec<OtherProcess>, Vec<Error>) {
-        let (mut others, mut errors) = (Vec::new(), Vec::new());
+    /// Reads all other processes. Whatever can't be read is an error beside the rest.
+    pub fn read(&self) -> Records {
+        let mut records = Records::default();
         let found = match generations(&self.directory) {
             Ok(generations) => generations,
             Err(why) => {
-                errors.push(Error::Io { path: self.directory.clone(), why });
+                records.errors.push(Error::Io { path: self.directory.clone(), why });
                 Vec::new()
             }
         };
         for generation in
             found.into_iter().filter(|generation| *generation != self.generation).take(MAX_PROCESSES)
         {
-            // Its life is looked at first: a record that is read afterwards is the last one of a process that ended.
+            // The lock first: where the process has ended, the record read afterwards is its last one.
             let is_alive = is_locked(&self.directory.join(format!("{generation}.lock")));
             let record = match read(&self.directory.join(format!("{generation}.json"))) {
                 Ok(record) => record,
                 Err(error) => {
-                    errors.push(error);
+                    records.errors.push(error);
                     None
                 }
             };
-            others.push(OtherProcess { generation, is_alive, record });
+            records.others.push(OtherProcess { generation, is_alive, record });
         }
-        (others, errors)
+        records
     }
 
-    /// Clears away what a process left that has ended, once its words are known and told here.
+    /// Removes the files of a process that has ended. To be called once its cordons are in this process's record.
     pub fn clear(&self, generation: Generation) {
         for extension in ["json", "fresh", "lock"] {
             let _ = fs::remove_file(self.directory.join(format!("{generation}.{extension}")));
@@ -116,7 +147,7 @@
     }
 }
 
-/// The numbers of all that have a file here.
+/// The numbers of all processes that have a file in the directory.
 fn generations(directory: &Path) -> io::Result<Vec<Generation>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(directory)? {
@@ -132,11 +163,13 @@
     Ok(found)
 }
 
+/// Whether a process holds the lock.
 fn is_locked(lock: &Path) -> bool {
     let Ok(file) = File::open(lock) else { return false };
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
+/// The record in a file; nothing where there is no file.
 fn read(path: &Path) -> Result<Option<ProcessRecord>, Error> {
     let corrupt = |why| Error::Corrupt { path: path.into(), why };
     match fs::metadata(path) {
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,80 +1,92 @@
-//! The state of one process beside the others of its gateway. Inputs are what is read of them; outputs are changes.
+//! The state of one process beside the others of its gateway: cordons merged from all records, and the share of the
+//! gateway's limits that is this process's. Inputs are the records, outputs are changes; it never reads or writes a file.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Whole microseconds since 1970.
+/// Microseconds since 1970 by the clock that all processes share.
 pub type Micros = u64;
 
-/// A process: one that started later has a greater number.
+/// Identifies a process: one that started later has a greater number.
 pub type Generation = u64;
 
-/// Words on servers that are kept: many more than anybody takes out by hand.
+/// Cordons that are kept: many more than operators set by hand.
 pub const MAX_CORDONS: usize = 4_096;
-/// Time for which it is remembered that a server was called back, µs: it may be cold so long, and a process that starts
-/// meanwhile has to know. Servers are warm long before.
+/// How long an uncordoned server is remembered, in microseconds: longer than a slow start, as a process that starts
+/// meanwhile must know of it.
 const UNCORDON_RETENTION: Micros = 60_000_000;
-/// Descriptors that a process which ends keeps beside those it holds, for the trips of what is still open.
+/// Descriptors that a process in shutdown keeps beyond those it holds, for the attempts of requests that are open.
 const SHUTDOWN_DESCRIPTORS: usize = 16;
-/// Part of the descriptors, as its divisor, that a process has even where the others leave less: without any it could
-/// not even say that it is not ready.
+/// Divisor of the gateway's descriptors for the least share of a process: without any descriptor it could not even reply
+/// that it is not ready.
 const MIN_SHARE_DIVISOR: usize = 8;
 
-/// What the operators last said of a server.
+/// The last change of a server's cordon. Of two records the greater one holds, in the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CordonRecord {
-    /// Greater than any that the speaker knew of this server.
+    /// Greater than that of any record of this server that the writer knew.
     pub stamp: u64,
-    /// Who heard it: of two with one stamp the later process's holds, everywhere.
+    /// The process that the operator called.
     pub by: Generation,
-    /// When, by the clock that all processes share.
+    /// When the operator called.
     pub at: Micros,
+    /// Whether the server is cordoned, or was uncordoned.
     #[serde(rename = "out")]
     pub cordoned: bool,
 }
 
-/// What one process lets the others know.
+/// What one process lets the others know. The names in JSON are an encoding that processes of other versions read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessRecord {
-    /// Grows with each word that is new here.
+    /// Grows with each cordon record that is new in this process.
     pub version: u64,
+    /// The last cordon record of each server, by its name.
     #[serde(rename = "words")]
     pub cordons: BTreeMap<String, CordonRecord>,
-    /// The processes that it knows of, and the version of each that it has heard.
+    /// The version that this process has merged of each live process.
     #[serde(rename = "heard")]
     pub acknowledged: BTreeMap<Generation, u64>,
-    /// Descriptors that it may come to hold.
+    /// Descriptors that this process may come to hold.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
 }
 
-/// Another process, as it was read. One that lives and has no readable record counts, and has heard nothing.
+/// Another process as it was read. A live one without a readable record counts in the shares, and has acknowledged
+/// nothing.
 #[derive(Clone, Debug)]
 pub struct OtherProcess {
+    /// Its number.
     pub generation: Generation,
+    /// Whether it runs.
     pub is_alive: bool,
+    /// Its last record, if there is a readable one.
     pub record: Option<ProcessRecord>,
 }
 
-/// What this process has of its gateway's limits.
+/// A process's share of its gateway's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessShare {
-    /// Of ceilings and cold budgets: never more than one in all processes together.
+    /// Fraction of ceilings and slow-start budgets. Those of all processes never add up to more than 1.
     pub fraction: f64,
-    /// Processes that live, this one included: memory is parted evenly.
+    /// Live processes including this one, among which memory is divided evenly.
     pub processes: usize,
+    /// File descriptors.
     pub descriptors: usize,
 }
 
+/// A change that an update brings for this process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
+    /// A server is cordoned.
     Cordoned(String),
-    /// Called back at that time: cold from then on.
+    /// A server was uncordoned at that time, and is in slow start from then on.
     Uncordoned(String, Micros),
+    /// This process has another share.
     Share(ProcessShare),
 }
 
+/// One process of a gateway, with what it knows of the others.
 #[derive(Debug)]
 pub struct HotRestart {
     generation: Generation,
@@ -82,9 +94,9 @@
     descriptors: usize,
     version: u64,
     cordons: BTreeMap<String, CordonRecord>,
-    /// The others that live: the version heard of each, whether it has heard of this one, and what it claims.
+    /// The other live processes at the last update.
     live_processes: BTreeMap<Generation, LiveProcess>,
-    /// All that lived when this one came have said that they know of it.
+    /// Whether all processes that were live at one update have acknowledged this one.
     is_settled: bool,
     is_shutting_down: bool,
     held_descriptors: usize,
@@ -93,12 +105,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LiveProcess {
+    /// The version of its record that this process has merged.
     merged_version: u64,
+    /// The version of this process's record that it has merged; nothing where it does not know of this process.
     acknowledged_version: Option<u64>,
     descriptors: usize,
 }
 
 impl HotRestart {
+    /// A process that has seen no other yet. `descriptors` are those of the whole gateway.
     pub fn new(generation: Generation, descriptors: usize) -> Self {
         HotRestart {
             generation,
@@ -113,7 +128,8 @@
         }
     }
 
-    /// The operators' word, heard here. True if it is to be told; what is said already is not new.
+    /// Records that an operator has cordoned or uncordoned a server at a time. False where nothing changes by it: the server
+    /// is in that state, or the bound on cordons is reached.
     pub fn set_cordon(&mut self, server: &str, cordoned: bool, at: Micros) -> bool {
         let known = self.cordons.get(server);
         if known.is_some_and(|cordon| cordon.cordoned == cordoned)
@@ -127,7 +143,8 @@
         true
     }
 
-    /// The others as they are now, and the descriptors held here; says what changes.
+    /// Merges the records of the other processes and divides the limits anew. `held_descriptors` are those that this
+    /// process has open.
     pub fn update(&mut self, others: &[OtherProcess], held_descriptors: usize, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
         self.held_descriptors = held_descriptors;
@@ -161,6 +178,7 @@
         changes
     }
 
+    /// Takes over the cordon records that are newer than those known here.
     fn merge(&mut self, record: &ProcessRecord, changes: &mut Vec<Change>) {
         for (server, cordon) in &record.cordons {
             let known = self.cordons.get(server);
@@ -181,8 +199,8 @@
 
     fn compute_share(&self) -> ProcessShare {
         let processes = self.live_processes.len() + 1;
-        // Danger: two that each take themselves for the gateway admit twice its ceilings, and push a cold server
-        // twice. Who comes waits until the others have said that they take less.
+        // Danger: two processes that each use the whole of a limit admit twice the ceilings and overload servers in slow
+        // start. A new process has nothing until the others have acknowledged it.
         let fraction = if self.is_settled { 1.0 / processes as f64 } else { 0.0 };
         let older_descriptors: usize =
             self.live_processes.range(..self.generation).map(|(_, process)| process.descriptors).sum();
@@ -200,25 +218,27 @@
         }
     }
 
-    /// No more clients come here.
+    /// Lowers this process's share to what it holds, as it accepts no more clients.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// All that live know of this process.
+    /// Whether the other processes have acknowledged this one, so that it has a share.
     pub fn is_settled(&self) -> bool {
         self.is_settled
     }
 
+    /// Whether no other process is live.
     pub fn is_alone(&self) -> bool {
         self.live_processes.is_empty()
     }
 
+    /// The version of this process's record.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether all that live have heard the words up to this version; not known before the first look.
+    /// Whether all live processes have merged this process's record of a version; false before the first update.
     pub fn is_acknowledged(&self, version: u64) -> bool {
         self.share.is_some()
             && self.live_processes.values().all(|process| {
@@ -228,7 +248,7 @@
             })
     }
 
-    /// What the others are to know.
+    /// The record for the other processes.
     pub fn record(&self) -> ProcessRecord {
         let descriptors = self.share.map_or(self.descriptors, |share| share.descriptors);
         ProcessRecord {
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Processes that come, end and are killed, and operators who speak to any of them, on schedules by seed.
+//! Processes that start, shut down and are killed, and operators who cordon servers at any of them, on seeded schedules.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
     core: HotRestart,
     share: ProcessShare,
     held_descriptors: usize,
-    /// What its module has been told.
+    /// The cordons that its dispatcher was given.
     cordoned: BTreeMap<String, bool>,
 }
 
-/// All processes, and the directory that they share: the last record of each, dead or alive.
+/// All processes, and the directory that they share: the last record of each, ended or live.
 #[derive(Default)]
 struct World {
     live: BTreeMap<Generation, Process>,
@@ -58,7 +58,7 @@
                 Change::Share(share) => process.share = share,
             }
         }
-        // It takes what it may.
+        // It opens half of what it may.
         process.held_descriptors = process
             .held_descriptors
             .max(process.share.descriptors / 2)
@@ -106,7 +106,7 @@
                 (2, Some(process)) => world.live.get_mut(&process).expect("it lives").core.begin_shutdown(),
                 (3, Some(process)) if rng.gen() => drop(world.files.insert(process, None)),
                 (3..=5, Some(process)) => {
-                    // As operators do: the next word once the last has been heard, at any process.
+                    // As operators do: the next call once the last has been acknowledged, at any process.
                     world.settle();
                     let (server, cordoned) = (SERVERS[rng.gen_range(0..3)], rng.gen());
                     world.set_cordon(process, server, cordoned);
@@ -155,7 +155,7 @@
     let new = world.start_process();
     world.update(new);
     assert!(world.sees_cordon(new, "s0"));
-    // Called back a moment ago: the new process has to take it for cold.
+    // Uncordoned a moment ago: the new process must start it slowly.
     assert_eq!(world.live[&new].cordoned.get("s1"), Some(&false));
     world.set_cordon(new, "s0", false);
     let third = world.start_process();
@@ -176,7 +176,7 @@
     assert_eq!((world.live[&old].share.fraction, world.live[&new].share.fraction), (0.5, 0.0));
     world.update(new);
     assert_eq!((world.live[&new].share.fraction, world.live[&new].share.descriptors), (0.5, DESCRIPTORS / 2));
-    // The old one ends: what it does not hold any more is the new one's, and all of it once it is gone.
+    // The old process shuts down: the new one gets what the old does not hold, and everything once it has ended.
     world.live.get_mut(&old).expect("it lives").held_descriptors = 30;
     world.live.get_mut(&old).expect("it lives").core.begin_shutdown();
     world.update(old);
--- a/crates/hot-restart/tests/shell.rs
+++ b/crates/hot-restart/tests/shell.rs
@@ -1,9 +1,9 @@
-//! The records in their directory: life, replacement, and leftovers that are cut short or spoilt.
+//! The records in their directory: locks, replacement, and records that are truncated or corrupt.
 
 use std::fs;
 use std::path::Path;
 
-use fernscale_hot_restart::directory::RecordDirectory;
+use fernscale_hot_restart::directory::{RecordDirectory, Records};
 use fernscale_hot_restart::state::{HotRestart, ProcessRecord};
 
 fn record(server: &str) -> ProcessRecord {
@@ -28,17 +28,17 @@
     let new = RecordDirectory::open(shared.path()).expect("opened");
     assert!(new.generation() > old.generation());
     old.write(&record("s0")).expect("written");
-    let (others, errors) = new.read();
+    let Records { others, errors } = new.read();
     assert!(errors.is_empty());
     assert_eq!(others.len(), 1);
     assert!(others[0].is_alive && others[0].generation == old.generation());
     assert_eq!(others[0].record, Some(record("s0")));
     let gone = old.generation();
     drop(old);
-    let (others, _) = new.read();
+    let Records { others, .. } = new.read();
     assert!(!others[0].is_alive && others[0].record.is_some());
     new.clear(gone);
-    assert!(new.read().0.is_empty());
+    assert!(new.read().others.is_empty());
 }
 
 #[test]
@@ -60,7 +60,7 @@
     });
     for bytes in cuts.chain(flips).chain([vec![0xff; 64], vec![b'x'; 2_000_000]]) {
         fs::write(&file, &bytes).expect("written");
-        let (others, errors) = new.read();
+        let Records { others, errors } = new.read();
         assert!(
             others.iter().all(|other| other.record.is_none()),
             "{:?}",
@@ -69,7 +69,7 @@
         assert!(errors.len() == 1 && errors[0].to_string().contains(".json"));
     }
     fs::write(&file, &intact).expect("written");
-    assert_eq!(new.read().0[0].record, Some(record("s0")));
+    assert_eq!(new.read().others[0].record, Some(record("s0")));
 }
 
 #[test]
