--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,19 +1,19 @@
-//! Says whether a configuration would be taken.
+//! `fernscale check`: reads a configuration and reports its problems. It starts nothing.
 
 use std::path::PathBuf;
 
 use fernscale_gateway::program::config::Source;
 
 pub fn check(file: PathBuf) -> Result<(), Vec<String>> {
-    let shown = file.display().to_string();
-    let platform = file.extension().is_some_and(|extension| extension == "json");
-    let source = match platform {
+    let file_name = file.display().to_string();
+    let is_platform_form = file.extension().is_some_and(|extension| extension == "json");
+    let source = match is_platform_form {
         true => Source { installation: None, platform: Some(file) },
         false => Source { installation: Some(file), platform: None },
     };
     let config = source.read()?;
     println!(
-        "{shown}: good; gateway '{}' of {}, {} lanes, {} plans, {} servers known",
+        "{file_name}: good; gateway '{}' of {}, {} lanes, {} plans, {} servers known",
         config.name,
         config.settings.gateway_count,
         config.settings.classes.len(),
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -1,4 +1,5 @@
-//! Asks gateways how the fleet's jobs stand: the one of the configuration, and the voters that it sees.
+//! `fernscale jobs`: the leases of the fleet, as the gateway of the configuration and the acceptors that it sees know
+//! them; and the commands to release a lease or to cordon a gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,137 +27,152 @@
     Uncordon,
 }
 
-type Failed = Vec<String>;
+/// A line for each problem.
+type Problems = Vec<String>;
 
-pub fn run(own: Option<PathBuf>, json: bool, command: Option<Command>) -> Result<(), Failed> {
-    let source = Source::from_environment(own).map_err(|why| vec![why])?;
+pub fn run(installation: Option<PathBuf>, json: bool, command: Option<Command>) -> Result<(), Problems> {
+    let source = Source::from_environment(installation).map_err(|error| vec![error])?;
     let config = source.read()?;
-    if let Some(on @ (Command::Cordon | Command::Uncordon)) = &command {
-        return cordon(&config, matches!(on, Command::Cordon));
+    if let Some(command @ (Command::Cordon | Command::Uncordon)) = &command {
+        return cordon(&config, matches!(command, Command::Cordon));
     }
-    let Fleet { views, unheard, held } = Fleet::ask(&config)?;
+    let Fleet { views, silent_acceptors, held } = Fleet::query(&config)?;
     match command {
         Some(Command::Release { name }) => release(&config, &views, &held, &name),
         _ if json => {
-            println!("{}", shown(&config, &views, &held));
+            println!("{}", to_json(&config, &views, &held));
             Ok(())
         }
         _ => {
-            print(&config, &views, &unheard, &held);
+            print_summary(&config, &views, &silent_acceptors, &held);
             Ok(())
         }
     }
 }
 
-/// A job that is held: by whom, and for how long.
-struct Holding {
-    by: FencingToken,
+/// A lease that has a holder.
+struct GrantedLease {
+    token: FencingToken,
     gateway: Option<Name>,
-    left_ms: u64,
-    /// Voters that say so.
-    voters: usize,
+    remaining_ms: u64,
+    /// Acceptors that report this holder.
+    acceptor_count: usize,
 }
 
+/// What the gateways report.
 struct Fleet {
-    /// The gateway of the configuration first, then the voters.
+    /// The view of the configuration's gateway, then those of the acceptors that have replied.
     views: Vec<(SocketAddr, LeaseView)>,
-    /// Voters that did not answer, or are not there.
-    unheard: Vec<Name>,
-    held: BTreeMap<Name, Holding>,
+    /// Acceptors that are not live, or have not replied.
+    silent_acceptors: Vec<Name>,
+    held: BTreeMap<Name, GrantedLease>,
 }
 
 impl Fleet {
-    fn ask(config: &Config) -> Result<Fleet, Failed> {
-        let settings =
+    fn query(config: &Config) -> Result<Fleet, Problems> {
+        let membership_settings =
             config.membership.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".into()])?;
-        let owner = config.leases.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
-        let keys = &settings.keys;
-        let seen =
-            membership::query_members(settings.listen, keys).map_err(|error| vec![error.to_string()])?;
-        let own = view(settings.listen, keys).map_err(|why| vec![why])?;
-        let (mut views, mut unheard) = (vec![(settings.listen, own)], Vec::new());
-        let me = views[0].1.gateway.clone();
-        for voter in owner.acceptors.names.iter().filter(|voter| **voter != me) {
-            let there = seen.members.iter().filter(|member| member.is_alive());
-            let mut at =
-                there.filter(|member| *member.peer.name == **voter).map(|member| member.peer.address);
+        let leases = config.leases.as_ref().ok_or_else(|| vec!["the configuration has no [owner]".into()])?;
+        let keys = &membership_settings.keys;
+        let membership_view = membership::query_members(membership_settings.listen, keys)
+            .map_err(|error| vec![error.to_string()])?;
+        let local_view = view(membership_settings.listen, keys).map_err(|error| vec![error])?;
+        let (mut views, mut silent_acceptors) = (vec![(membership_settings.listen, local_view)], Vec::new());
+        let local_name = views[0].1.gateway.clone();
+        for acceptor in leases.acceptors.names.iter().filter(|acceptor| **acceptor != local_name) {
+            let live_members = membership_view.members.iter().filter(|member| member.is_alive());
+            let mut at = live_members
+                .filter(|member| *member.peer.name == **acceptor)
+                .map(|member| member.peer.address);
             match at.next_back().map(|at| (at, view(at, keys))) {
                 Some((at, Ok(view))) => views.push((at, view)),
-                _ => unheard.push(voter.clone()),
+                _ => silent_acceptors.push(acceptor.clone()),
             }
         }
-        let runs: BTreeMap<u64, Name> = views
+        let process_names: BTreeMap<u64, Name> = views
             .iter()
             .flat_map(|(_, view)| view.processes.iter().map(|(name, run)| (*run, name.clone())))
             .collect();
-        let mut held: BTreeMap<Name, Holding> = BTreeMap::new();
-        for own in views.iter().flat_map(|(_, view)| &view.held) {
-            let gateway = runs.get(&own.holder.process.0).cloned();
-            let holding = Holding { by: own.holder, gateway, left_ms: own.remaining_ms, voters: 1 };
-            match held.get_mut(&own.lease) {
-                Some(known) if known.by == own.holder => {
-                    known.voters += 1;
-                    known.left_ms = known.left_ms.max(own.remaining_ms);
+        let mut held: BTreeMap<Name, GrantedLease> = BTreeMap::new();
+        for status in views.iter().flat_map(|(_, view)| &view.held) {
+            let gateway = process_names.get(&status.holder.process.0).cloned();
+            let granted = GrantedLease {
+                token: status.holder,
+                gateway,
+                remaining_ms: status.remaining_ms,
+                acceptor_count: 1,
+            };
+            match held.get_mut(&status.lease) {
+                Some(known) if known.token == status.holder => {
+                    known.acceptor_count += 1;
+                    known.remaining_ms = known.remaining_ms.max(status.remaining_ms);
                 }
-                Some(known) if known.by > own.holder => {}
-                _ => drop(held.insert(own.lease.clone(), holding)),
+                Some(known) if known.token > status.holder => {}
+                _ => drop(held.insert(status.lease.clone(), granted)),
             }
         }
-        // What fewer than a majority have promised nobody owns, or they could not all be asked.
-        let enough = majority(owner.acceptors.names.len()).min(owner.acceptors.names.len() - unheard.len());
-        held.retain(|_, holding| holding.voters >= enough.max(1));
-        Ok(Fleet { views, unheard, held })
+        // A lease that fewer than a majority have promised has no holder, unless too few acceptors have replied.
+        let required_promises =
+            majority(leases.acceptors.names.len()).min(leases.acceptors.names.len() - silent_acceptors.len());
+        held.retain(|_, granted| granted.acceptor_count >= required_promises.max(1));
+        Ok(Fleet { views, silent_acceptors, held })
     }
 }
 
-fn asked(to: SocketAddr, keys: &[Key], question: &StatusQuery) -> Result<StatusReply, String> {
-    let question = postcard::to_stdvec(question).map_err(|why| why.to_string())?;
-    let answer = membership::query(to, keys, Channel::Lease, question).map_err(|error| error.to_string())?;
-    let nothing = |_| {
+fn query_leases(to: SocketAddr, keys: &[Key], query: &StatusQuery) -> Result<StatusReply, String> {
+    let query = postcard::to_stdvec(query).map_err(|error| error.to_string())?;
+    let reply = membership::query(to, keys, Channel::Lease, query).map_err(|error| error.to_string())?;
+    let no_reply = |_| {
         format!("the gateway at {to} takes no part in owning jobs: it has no [owner], or has just started")
     };
-    postcard::from_bytes(&answer).map_err(nothing)
+    postcard::from_bytes(&reply).map_err(no_reply)
 }
 
 fn view(to: SocketAddr, keys: &[Key]) -> Result<LeaseView, String> {
-    match asked(to, keys, &StatusQuery::Leases)? {
+    match query_leases(to, keys, &StatusQuery::Leases)? {
         StatusReply::Leases(view) => Ok(view),
         _ => Err(format!("the gateway at {to} answers with something else")),
     }
 }
 
-fn cordon(config: &Config, on: bool) -> Result<(), Failed> {
-    let settings =
+fn cordon(config: &Config, cordoned: bool) -> Result<(), Problems> {
+    let membership_settings =
         config.membership.as_ref().ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
-    let answer = asked(settings.listen, &settings.keys, &StatusQuery::Cordon(on)).map_err(|why| vec![why])?;
-    match answer {
-        StatusReply::Cordoned(now) if now == on => {
+    let reply =
+        query_leases(membership_settings.listen, &membership_settings.keys, &StatusQuery::Cordon(cordoned))
+            .map_err(|error| vec![error])?;
+    match reply {
+        StatusReply::Cordoned(is_cordoned) if is_cordoned == cordoned => {
             println!(
                 "{}",
-                if on { "this gateway owns nothing where another can" } else { "it owns jobs again" }
+                if cordoned { "this gateway owns nothing where another can" } else { "it owns jobs again" }
             );
             Ok(())
         }
-        _ => Err(vec![format!("the gateway at {} answers with something else", settings.listen)]),
+        _ => Err(vec![format!("the gateway at {} answers with something else", membership_settings.listen)]),
     }
 }
 
 fn release(
     config: &Config,
     views: &[(SocketAddr, LeaseView)],
-    held: &BTreeMap<Name, Holding>,
+    held: &BTreeMap<Name, GrantedLease>,
     name: &str,
-) -> Result<(), Failed> {
-    let Some(settings) = &config.membership else { return Ok(()) };
-    let holding = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
-    let seen = membership::query_members(settings.listen, &settings.keys)
+) -> Result<(), Problems> {
+    let Some(membership_settings) = &config.membership else { return Ok(()) };
+    let granted = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
+    let membership_view = membership::query_members(membership_settings.listen, &membership_settings.keys)
         .map_err(|error| vec![error.to_string()])?;
-    let of_members = seen.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
-    let own = (seen.local.instance.0, views[0].0);
-    let at = of_members.chain([own]).find(|(run, _)| *run == holding.by.process.0).map(|(_, at)| at);
+    let of_members =
+        membership_view.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
+    let own = (membership_view.local.instance.0, views[0].0);
+    let at =
+        of_members.chain([own]).find(|(process, _)| *process == granted.token.process.0).map(|(_, at)| at);
     let at =
         at.ok_or_else(|| vec![format!("the owner of '{name}' can't be reached; its lease ends by itself")])?;
-    match asked(at, &settings.keys, &StatusQuery::Release(name.into())).map_err(|why| vec![why])? {
+    match query_leases(at, &membership_settings.keys, &StatusQuery::Release(name.into()))
+        .map_err(|error| vec![error])?
+    {
         StatusReply::Released(true) => {
             println!("'{name}' is given back");
             Ok(())
@@ -165,7 +181,7 @@
     }
 }
 
-fn votes(view: &LeaseView) -> &'static str {
+fn acceptor_state(view: &LeaseView) -> &'static str {
     match view.acceptor {
         None => "is no voter",
         Some(AcceptorState::Voting) => "votes",
@@ -174,37 +190,38 @@
     }
 }
 
-fn shown(
+fn to_json(
     config: &Config,
     views: &[(SocketAddr, LeaseView)],
-    held: &BTreeMap<Name, Holding>,
+    held: &BTreeMap<Name, GrantedLease>,
 ) -> serde_json::Value {
-    let jobs = held.iter().map(|(job, holding)| {
-        json!({ "job": &**job, "owner": holding.gateway.as_deref(), "term": holding.by.term,
-            "run": format!("{:016x}", holding.by.process.0), "left_ms": holding.left_ms })
+    let jobs = held.iter().map(|(lease, granted)| {
+        json!({ "job": &**lease, "owner": granted.gateway.as_deref(), "term": granted.token.term,
+            "run": format!("{:016x}", granted.token.process.0), "left_ms": granted.remaining_ms })
     });
-    let voters = config.leases.iter().flat_map(|owner| &owner.acceptors.names).map(|voter| {
-        let view = views.iter().find(|(_, view)| view.gateway == *voter).map(|(_, view)| votes(view));
-        json!({ "voter": &**voter, "state": view.unwrap_or("is not heard") })
+    let acceptors = config.leases.iter().flat_map(|leases| &leases.acceptors.names).map(|acceptor| {
+        let view =
+            views.iter().find(|(_, view)| view.gateway == *acceptor).map(|(_, view)| acceptor_state(view));
+        json!({ "voter": &**acceptor, "state": view.unwrap_or("is not heard") })
     });
-    let own = views[0].1.leases.iter().map(|own| {
-        json!({ "job": &*own.lease, "place": own.rank, "term": own.held.map(|(fence, ..)| fence.term),
-            "for_ms": own.held.map(|(_, since, _)| since), "refusals": own.rejections, "last": own.last_rejection })
+    let own = views[0].1.leases.iter().map(|status| {
+        json!({ "job": &*status.lease, "place": status.rank, "term": status.held.map(|(token, ..)| token.term),
+            "for_ms": status.held.map(|(_, since, _)| since), "refusals": status.rejections, "last": status.last_rejection })
     });
     json!({ "gateway": &*views[0].1.gateway, "jobs": jobs.collect::<Vec<_>>(),
-        "voters": voters.collect::<Vec<_>>(), "own": own.collect::<Vec<_>>() })
+        "voters": acceptors.collect::<Vec<_>>(), "own": own.collect::<Vec<_>>() })
 }
 
-fn print(
+fn print_summary(
     config: &Config,
     views: &[(SocketAddr, LeaseView)],
-    unheard: &[Name],
-    held: &BTreeMap<Name, Holding>,
+    silent_acceptors: &[Name],
+    held: &BTreeMap<Name, GrantedLease>,
 ) {
-    let all = config.leases.as_ref().map_or(0, |owner| owner.acceptors.names.len());
+    let acceptor_count = config.leases.as_ref().map_or(0, |leases| leases.acceptors.names.len());
     let voting = views.iter().filter(|(_, view)| view.acceptor == Some(AcceptorState::Voting)).count();
-    println!("{} of {all} voters vote, {} jobs have an owner", voting, held.len());
-    if voting < majority(all) {
+    println!("{} of {acceptor_count} voters vote, {} jobs have an owner", voting, held.len());
+    if voting < majority(acceptor_count) {
         println!(
             "no majority votes: nobody can own anything, and each gateway does what it safely can alone"
         );
@@ -213,20 +230,24 @@
         println!("  {} is cordoned: it owns nothing where another can", &*views[0].1.gateway);
     }
     for (at, view) in views.iter().filter(|(_, view)| view.acceptor.is_some()) {
-        println!("  voter {:<20} {:<22} {}", &*view.gateway, at.to_string(), votes(view));
+        println!("  voter {:<20} {:<22} {}", &*view.gateway, at.to_string(), acceptor_state(view));
     }
-    unheard.iter().for_each(|voter| println!("  voter {:<20} is not heard", &**voter));
-    for (job, Holding { by, gateway, left_ms, .. }) in held {
-        let who = gateway.as_deref().unwrap_or("a gateway that is not there");
+    silent_acceptors.iter().for_each(|acceptor| println!("  voter {:<20} is not heard", &**acceptor));
+    for (lease, GrantedLease { token, gateway, remaining_ms, .. }) in held {
+        let holder = gateway.as_deref().unwrap_or("a gateway that is not there");
         println!(
-            "  {:<24} {who:<20} term {}, for {left_ms} ms more, run {:016x}",
-            &**job, by.term, by.process.0
+            "  {:<24} {holder:<20} term {}, for {remaining_ms} ms more, run {:016x}",
+            &**lease, token.term, token.process.0
         );
     }
-    for own in &views[0].1.leases {
+    for status in &views[0].1.leases {
         let since =
-            own.held.map_or(String::new(), |(_, since, _)| format!(", owned for {} s", since / 1_000));
-        let last = own.last_rejection.as_deref().map_or(String::new(), |why| format!(", the last: {why}"));
-        println!("  {:<24} here place {}{since}, {} refusals{last}", &*own.lease, own.rank, own.rejections);
+            status.held.map_or(String::new(), |(_, since, _)| format!(", owned for {} s", since / 1_000));
+        let last =
+            status.last_rejection.as_deref().map_or(String::new(), |error| format!(", the last: {error}"));
+        println!(
+            "  {:<24} here place {}{since}, {} refusals{last}",
+            &*status.lease, status.rank, status.rejections
+        );
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -25,7 +25,8 @@
     command: Option<Command>,
 }
 
-const WRONG_CALL: u8 = 2;
+/// Exit code for a wrong call.
+const EXIT_USAGE: u8 = 2;
 
 const CODES: &str = "\
 Without a command it runs one gateway, as `serve` does. BALANCER_CONFIG may name the platform's configuration in JSON; \
@@ -74,7 +75,7 @@
         json: bool,
     },
     /// Show which gateway uses which servers, as a running gateway sees it, or for a fleet that you think of
-    Subsets(subsets::Asked),
+    Subsets(subsets::SubsetsArguments),
     /// Look into a store, or mend it, while no gateway has it
     Store {
         #[command(subcommand)]
@@ -90,18 +91,18 @@
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
-        Err(told) if !told.use_stderr() => {
-            print!("{told}");
+        Err(help) if !help.use_stderr() => {
+            print!("{help}");
             return ExitCode::SUCCESS;
         }
-        Err(wrong) => {
-            let wrong = wrong.to_string();
-            let wrong = wrong.lines().next().unwrap_or_default().trim_start_matches("error: ");
-            eprintln!("fernscale: {wrong}; see 'fernscale --help'");
-            return ExitCode::from(WRONG_CALL);
+        Err(usage) => {
+            let message = usage.to_string();
+            let message = message.lines().next().unwrap_or_default().trim_start_matches("error: ");
+            eprintln!("fernscale: {message}; see 'fernscale --help'");
+            return ExitCode::from(EXIT_USAGE);
         }
     };
-    let done = match arguments.command {
+    let result = match arguments.command {
         None => serve::serve(arguments.config),
         Some(Command::Serve { config }) => serve::serve(config.or(arguments.config)),
         Some(Command::Members { config, counts, json }) => {
@@ -111,14 +112,14 @@
             jobs::run(config.or(arguments.config), json, command)
         }
         Some(Command::Servers { config, json }) => servers::servers(config.or(arguments.config), json),
-        Some(Command::Subsets(mut asked)) => {
-            asked.config = asked.config.or(arguments.config);
-            subsets::run(asked)
+        Some(Command::Subsets(mut subsets_arguments)) => {
+            subsets_arguments.config = subsets_arguments.config.or(arguments.config);
+            subsets::run(subsets_arguments)
         }
         Some(Command::Store { command }) => store::run(command),
         Some(Command::Check { file }) => check::check(file),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(reasons) => {
             reasons.iter().for_each(|why| eprintln!("fernscale: {why}"));
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,30 +1,30 @@
-//! Asks a running gateway which others it sees.
+//! `fernscale members`: the members of the fleet, or its shared counters, as a running gateway knows them.
 
 use std::path::PathBuf;
 
 use fernscale_gateway::fleet::membership;
 use fernscale_gateway::program::config::Source;
 
-pub fn members(own: Option<PathBuf>, counts: bool, json: bool) -> Result<(), Vec<String>> {
-    let source = Source::from_environment(own).map_err(|why| vec![why])?;
+pub fn members(installation: Option<PathBuf>, counts: bool, json: bool) -> Result<(), Vec<String>> {
+    let source = Source::from_environment(installation).map_err(|error| vec![error])?;
     let config = source.read()?;
     let settings = config.membership.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     if counts {
-        let sums = membership::query_counters(settings.listen, &settings.keys)
+        let totals = membership::query_counters(settings.listen, &settings.keys)
             .map_err(|error| vec![error.to_string()])?;
         if json {
-            println!("{}", serde_json::to_string(&sums).map_err(|why| vec![why.to_string()])?);
+            println!("{}", serde_json::to_string(&totals).map_err(|error| vec![error.to_string()])?);
             return Ok(());
         }
-        for sum in &sums {
-            println!("  {:<40} {:>14.3}, for {} ms more", sum.key, sum.total, sum.expires_in_ms);
+        for counter in &totals {
+            println!("  {:<40} {:>14.3}, for {} ms more", counter.key, counter.total, counter.expires_in_ms);
         }
         return Ok(());
     }
     let view = membership::query_members(settings.listen, &settings.keys)
         .map_err(|error| vec![error.to_string()])?;
     if json {
-        let text = serde_json::to_string(&view).map_err(|why| vec![why.to_string()])?;
+        let text = serde_json::to_string(&view).map_err(|error| vec![error.to_string()])?;
         println!("{text}");
         return Ok(());
     }
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -1,4 +1,4 @@
-//! Asks a running gateway how the servers stand, as the fleet sees them and as it does itself.
+//! `fernscale servers`: the state of outlier detection in a running gateway, for each server.
 
 use std::path::PathBuf;
 
@@ -8,33 +8,33 @@
 use fernscale_outlier_detection::status::{OutlierView, ServerView};
 use serde_json::json;
 
-pub fn servers(own: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
-    let config = Source::from_environment(own).map_err(|why| vec![why])?.read()?;
+pub fn servers(installation: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
+    let config = Source::from_environment(installation).map_err(|error| vec![error])?.read()?;
     if config.outlier_detection.is_none() {
         return Err(vec!["the configuration has no [signals]: each gateway finds out alone".into()]);
     }
     let settings = config.membership.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
-    let at = settings.listen;
-    let answer = membership::query(at, &settings.keys, Channel::OutlierDetection, Vec::new())
+    let gateway = settings.listen;
+    let reply = membership::query(gateway, &settings.keys, Channel::OutlierDetection, Vec::new())
         .map_err(|error| vec![error.to_string()])?;
-    let nothing = |_| vec![format!("the gateway at {at} has no [signals], or has just started")];
-    let view: OutlierView = postcard::from_bytes(&answer).map_err(nothing)?;
+    let no_reply = |_| vec![format!("the gateway at {gateway} has no [signals], or has just started")];
+    let view: OutlierView = postcard::from_bytes(&reply).map_err(no_reply)?;
     if json {
-        println!("{}", shown(&view));
+        println!("{}", to_json(&view));
     } else {
         print(&view);
     }
     Ok(())
 }
 
-fn shown(view: &OutlierView) -> serde_json::Value {
-    let server = |seen: &ServerView| {
-        json!({ "server": seen.server, "standing": seen.status.description(), "against": seen.against,
-            "for_it": seen.in_favor, "by": seen.reporters, "out_ms": seen.ejected_ms, "next": seen.next_trial,
-            "here": seen.observed.map(|level| json!({ "bad_eighths": level.failures, "slow_doublings": level.slowness })) })
+fn to_json(view: &OutlierView) -> serde_json::Value {
+    let server_json = |server: &ServerView| {
+        json!({ "server": server.server, "standing": server.status.description(), "against": server.against,
+            "for_it": server.in_favor, "by": server.reporters, "out_ms": server.ejected_ms, "next": server.next_trial,
+            "here": server.observed.map(|observation| json!({ "bad_eighths": observation.failures, "slow_doublings": observation.slowness })) })
     };
     json!({ "gateway": view.gateway, "out": view.ejected_share, "most_out": view.max_ejected_share,
-        "servers": view.servers.iter().map(server).collect::<Vec<_>>() })
+        "servers": view.servers.iter().map(server_json).collect::<Vec<_>>() })
 }
 
 fn print(view: &OutlierView) {
@@ -45,21 +45,30 @@
         100.0 * view.ejected_share,
         100.0 * view.max_ejected_share
     );
-    for seen in &view.servers {
-        let here = seen.observed.map_or(String::new(), |level| {
-            let slow = if level.slowness > 0 {
-                format!(", {} times as slow", 1u32 << level.slowness)
+    for server in &view.servers {
+        let local_observation = server.observed.map_or(String::new(), |observation| {
+            let slowness = if observation.slowness > 0 {
+                format!(", {} times as slow", 1u32 << observation.slowness)
             } else {
                 String::new()
             };
-            format!(", here {} of 8 trips lost{slow}", level.failures)
+            format!(", here {} of 8 trips lost{slowness}", observation.failures)
         });
-        let said = match seen.reporters {
+        let reporters = match server.reporters {
             0 => String::new(),
-            by => format!(", {by} gateways against it ({:.1} to {:.1})", seen.against, seen.in_favor),
+            count => {
+                format!(", {count} gateways against it ({:.1} to {:.1})", server.against, server.in_favor)
+            }
         };
-        let out = seen.ejected_ms.map_or(String::new(), |ms| format!(", for {:.1} s", ms as f64 / 1e3));
-        let next = seen.next_trial.as_ref().map_or(String::new(), |next| format!(", {next} tries it next"));
-        println!("  {:<24} {}{out}{said}{here}{next}", seen.server, seen.status.description());
+        let ejected = server.ejected_ms.map_or(String::new(), |ms| format!(", for {:.1} s", ms as f64 / 1e3));
+        let next_trial = server
+            .next_trial
+            .as_ref()
+            .map_or(String::new(), |next_trial| format!(", {next_trial} tries it next"));
+        println!(
+            "  {:<24} {}{ejected}{reporters}{local_observation}{next_trial}",
+            server.server,
+            server.status.description()
+        );
     }
 }
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -1,4 +1,4 @@
-//! Shows which gateway uses which servers: today's picture, asked of a running gateway, or that of a fleet one thinks of.
+//! `fernscale subsets`: which gateway uses which servers, as a running gateway knows it, or for a hypothetical fleet.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -14,13 +14,13 @@
 };
 use serde_json::{json, Value};
 
-/// More of either than anybody has.
-const MOST: usize = 5_000;
-/// Figures for 'least' that are shown beside each other, for whoever has to choose one.
-const CHOICES: [usize; 5] = [3, 6, 12, 24, 48];
+/// Most gateways, and most servers, of a hypothetical fleet.
+const MAX_MEMBERS: usize = 5_000;
+/// Values of `--least` that are compared.
+const MIN_SERVERS_CHOICES: [usize; 5] = [3, 6, 12, 24, 48];
 
 #[derive(Args)]
-pub struct Asked {
+pub struct SubsetsArguments {
     /// The installation's own configuration
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
@@ -41,16 +41,17 @@
     svg: Option<PathBuf>,
 }
 
-type Failed = Vec<String>;
+/// A line for each problem.
+type Problems = Vec<String>;
 
-/// A fleet, and how its servers are dealt.
+/// A fleet with the assignment of its servers.
 struct Fleet {
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
     settings: Settings,
-    deal: Assignments,
-    /// The gateway that was asked, if it is one that runs.
-    own: Option<SubsetView>,
+    assignments: Assignments,
+    /// The reply of the gateway that was queried; nothing for a hypothetical fleet.
+    gateway_view: Option<SubsetView>,
 }
 
 impl Fleet {
@@ -58,27 +59,28 @@
         gateways: Vec<Gateway>,
         servers: Vec<Server>,
         settings: Settings,
-        own: Option<SubsetView>,
+        gateway_view: Option<SubsetView>,
     ) -> Fleet {
-        let deal = assign(&gateways, &servers, settings);
-        Fleet { gateways, servers, settings, deal, own }
+        let assignments = assign(&gateways, &servers, settings);
+        Fleet { gateways, servers, settings, assignments, gateway_view }
     }
 
-    fn thought_of(gateways: usize, servers: usize, least: usize) -> Result<Fleet, Failed> {
+    fn hypothetical(gateways: usize, servers: usize, least: usize) -> Result<Fleet, Problems> {
         for (count, what) in [(gateways, "gateways"), (servers, "servers")] {
-            if !(1..=MOST).contains(&count) {
-                return Err(vec![format!("from 1 to {MOST} {what} can be thought of, not {count}")]);
+            if !(1..=MAX_MEMBERS).contains(&count) {
+                return Err(vec![format!("from 1 to {MAX_MEMBERS} {what} can be thought of, not {count}")]);
             }
         }
         let gateway = |at| Gateway { name: format!("gateway-{at}"), load: 1.0, zone: 0 };
         let server = |at| Server { name: format!("server-{at}"), weight: 1.0, zone: 0 };
         let settings = Settings { min_servers: least, prefers_own_zone: false };
-        let (all, taken) = ((0..gateways).map(gateway), (0..servers).map(server));
-        Ok(Fleet::of(all.collect(), taken.collect(), settings, None))
+        let (all, listed_servers) = ((0..gateways).map(gateway), (0..servers).map(server));
+        Ok(Fleet::of(all.collect(), listed_servers.collect(), settings, None))
     }
 
-    fn ask(asked: &Asked) -> Result<Fleet, Failed> {
-        let config = Source::from_environment(asked.config.clone()).map_err(|why| vec![why])?.read()?;
+    fn query(arguments: &SubsetsArguments) -> Result<Fleet, Problems> {
+        let config =
+            Source::from_environment(arguments.config.clone()).map_err(|error| vec![error])?.read()?;
         if config.subsetting.is_none() {
             return Err(vec![
                 "the configuration has no [subsets]: each gateway takes a row by its number".into()
@@ -88,75 +90,87 @@
             vec!["the configuration has no [mesh]: subsets go by number, see --gateways and --servers"
                 .to_string()]
         })?;
-        let at = settings.listen;
-        let answer = membership::query(at, &settings.keys, Channel::Subsetting, Vec::new())
+        let gateway_address = settings.listen;
+        let reply = membership::query(gateway_address, &settings.keys, Channel::Subsetting, Vec::new())
             .map_err(|error| vec![error.to_string()])?;
-        let nothing =
-            |_| vec![format!("the gateway at {at} has no subset: it has no [subsets], or has just started")];
-        let view: SubsetView = postcard::from_bytes(&answer).map_err(nothing)?;
-        let gateways = view.gateways.iter().map(|seen| Gateway {
-            name: seen.name.clone(),
-            load: seen.load,
-            zone: seen.zone,
+        let no_reply = |_| {
+            vec![format!(
+                "the gateway at {gateway_address} has no subset: it has no [subsets], or has just started"
+            )]
+        };
+        let view: SubsetView = postcard::from_bytes(&reply).map_err(no_reply)?;
+        let gateways = view.gateways.iter().map(|gateway| Gateway {
+            name: gateway.name.clone(),
+            load: gateway.load,
+            zone: gateway.zone,
         });
-        let servers = view.servers.iter().map(|taken| Server {
-            name: taken.name.clone(),
-            weight: taken.weight,
-            zone: taken.zone,
+        let servers = view.servers.iter().map(|server| Server {
+            name: server.name.clone(),
+            weight: server.weight,
+            zone: server.zone,
         });
         let settings = Settings {
-            min_servers: asked.least.unwrap_or(view.min_servers as usize),
+            min_servers: arguments.least.unwrap_or(view.min_servers as usize),
             prefers_own_zone: view.prefers_own_zone,
         };
         Ok(Fleet::of(gateways.collect(), servers.collect(), settings, Some(view)))
     }
 
-    /// Part of all pairs that the next change moves: one gateway less, and one server less.
-    fn moves(&self) -> (f64, f64) {
-        let Fleet { gateways, servers, settings, deal: own, .. } = self;
-        let fewer = &gateways[..gateways.len().saturating_sub(1).max(1)];
-        let left = &servers[..servers.len().saturating_sub(1).max(1)];
-        let by = |all: &[Gateway], taken: &[Server]| {
-            moved_share((gateways, servers, own), (all, taken, &assign(all, taken, *settings)))
+    /// Share of all pairs of gateway and server that move when the fleet loses a gateway, and when it loses a server.
+    fn moved_shares(&self) -> (f64, f64) {
+        let Fleet { gateways, servers, settings, assignments: own_assignments, .. } = self;
+        let fewer_gateways = &gateways[..gateways.len().saturating_sub(1).max(1)];
+        let fewer_servers = &servers[..servers.len().saturating_sub(1).max(1)];
+        let moved = |all: &[Gateway], listed_servers: &[Server]| {
+            moved_share(
+                (gateways, servers, own_assignments),
+                (all, listed_servers, &assign(all, listed_servers, *settings)),
+            )
         };
-        (by(fewer, servers), by(gateways, left))
+        (moved(fewer_gateways, servers), moved(gateways, fewer_servers))
     }
 
     fn figures(&self) -> Value {
-        let picture = evenness(&self.gateways, &self.servers, &self.deal);
-        let (by_gateway, by_server) = self.moves();
+        let balance = evenness(&self.gateways, &self.servers, &self.assignments);
+        let (by_gateway, by_server) = self.moved_shares();
         let least = |counts: &mut dyn Iterator<Item = usize>| counts.min().unwrap_or(0);
         json!({
             "gateways": self.gateways.len(), "servers": self.servers.len(), "least": self.settings.min_servers,
-            "pairs": picture.pairs, "all_pairs": self.gateways.len() * self.servers.len(),
-            "busiest": picture.max_load, "idlest": picture.min_load, "uncovered": picture.uncovered,
-            "servers_of_a_gateway": [least(&mut self.deal.by_gateway.iter().map(Vec::len)), picture.max_servers_of_gateway],
-            "most_gateways_of_a_server": picture.max_gateways_of_server,
+            "pairs": balance.pairs, "all_pairs": self.gateways.len() * self.servers.len(),
+            "busiest": balance.max_load, "idlest": balance.min_load, "uncovered": balance.uncovered,
+            "servers_of_a_gateway": [least(&mut self.assignments.by_gateway.iter().map(Vec::len)), balance.max_servers_of_gateway],
+            "most_gateways_of_a_server": balance.max_gateways_of_server,
             "moved_by_a_gateway": by_gateway, "moved_by_a_server": by_server,
         })
     }
 
-    /// A row for each gateway, a column for each server; the darker, the more of the gateway's traffic goes there.
+    /// A drawing with a row for each gateway and a column for each server. A cell is the darker the more of the gateway's
+    /// traffic goes to the server.
     fn svg(&self) -> String {
         const CELL: usize = 6;
         let (width, height) = (CELL * self.servers.len(), CELL * self.gateways.len());
-        let most =
-            self.deal.by_gateway.iter().flatten().map(|part| part.weight).fold(f64::MIN_POSITIVE, f64::max);
+        let max_weight = self
+            .assignments
+            .by_gateway
+            .iter()
+            .flatten()
+            .map(|assigned| assigned.weight)
+            .fold(f64::MIN_POSITIVE, f64::max);
         let mut to = String::new();
         let _ = writeln!(
             to,
             "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {width} {height}\" width=\"{width}\" height=\"{height}\">\n\
              <rect width=\"{width}\" height=\"{height}\" fill=\"#f6f6f2\"/>"
         );
-        for (row, parts) in self.deal.by_gateway.iter().enumerate() {
+        for (row, parts) in self.assignments.by_gateway.iter().enumerate() {
             for part in parts {
-                let dark = 0.15 + 0.85 * part.weight / most;
+                let opacity = 0.15 + 0.85 * part.weight / max_weight;
                 let (x, y) = (CELL * part.server, CELL * row);
                 let (who, whom) =
                     (escaped(&self.gateways[row].name), escaped(&self.servers[part.server].name));
                 let _ = writeln!(
                     to,
-                    "<rect x=\"{x}\" y=\"{y}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"#1d4e5f\" fill-opacity=\"{dark:.2}\">\
+                    "<rect x=\"{x}\" y=\"{y}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"#1d4e5f\" fill-opacity=\"{opacity:.2}\">\
                      <title>{who}: {whom}, {:.1} in 100</title></rect>",
                     100.0 * part.weight
                 );
@@ -166,34 +180,34 @@
     }
 }
 
-/// Names come from a list that others write.
+/// A name as XML text: names come from the endpoint list, which may contain any character.
 fn escaped(name: &str) -> String {
     name.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-pub fn run(asked: Asked) -> Result<(), Failed> {
-    if let Some(least) = asked.least.filter(|least| *least < MIN_SUBSET_SIZE) {
+pub fn run(arguments: SubsetsArguments) -> Result<(), Problems> {
+    if let Some(least) = arguments.least.filter(|least| *least < MIN_SUBSET_SIZE) {
         return Err(vec![format!(
             "--least is {MIN_SUBSET_SIZE} at the least, not {least}: a gateway must survive losing two"
         )]);
     }
-    let usual = Settings::default().min_servers;
-    let fleet = match (asked.gateways, asked.servers) {
+    let default_min_servers = Settings::default().min_servers;
+    let fleet = match (arguments.gateways, arguments.servers) {
         (Some(gateways), Some(servers)) => {
-            Fleet::thought_of(gateways, servers, asked.least.unwrap_or(usual))?
+            Fleet::hypothetical(gateways, servers, arguments.least.unwrap_or(default_min_servers))?
         }
-        _ => Fleet::ask(&asked)?,
+        _ => Fleet::query(&arguments)?,
     };
-    if let Some(file) = &asked.svg {
-        let failed = |why| vec![format!("'{}' can't be written: {why}", file.display())];
+    if let Some(file) = &arguments.svg {
+        let failed = |error| vec![format!("'{}' can't be written: {error}", file.display())];
         std::fs::write(file, fleet.svg()).map_err(failed)?;
     }
-    if fleet.deal.by_gateway.is_empty() || fleet.servers.is_empty() {
+    if fleet.assignments.by_gateway.is_empty() || fleet.servers.is_empty() {
         return Err(vec!["nothing is dealt yet: the fleet has not settled, or no server is known".into()]);
     }
     let mut figures = fleet.figures();
-    if asked.json {
-        if let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.own {
+    if arguments.json {
+        if let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.gateway_view {
             figures["gateway"] = json!(gateway);
             figures["uses"] =
                 uses.iter().map(|(name, share)| json!({ "server": name, "share": share })).collect();
@@ -202,16 +216,16 @@
         println!("{figures}");
         return Ok(());
     }
-    print(&fleet, &figures);
-    if fleet.own.is_none() && asked.least.is_none() {
-        choices(&fleet)?;
+    print_summary(&fleet, &figures);
+    if fleet.gateway_view.is_none() && arguments.least.is_none() {
+        print_choices(&fleet)?;
     }
     Ok(())
 }
 
-fn print(fleet: &Fleet, figures: &Value) {
+fn print_summary(fleet: &Fleet, figures: &Value) {
     let number = |name: &str| figures[name].as_f64().unwrap_or(0.0);
-    let [fewest, most] = [0, 1].map(|at| figures["servers_of_a_gateway"][at].as_u64().unwrap_or(0));
+    let [fewest, greatest] = [0, 1].map(|at| figures["servers_of_a_gateway"][at].as_u64().unwrap_or(0));
     println!(
         "{} gateways share {} servers, {} each at the least: {} pairs instead of {}",
         number("gateways"),
@@ -221,7 +235,7 @@
         number("all_pairs"),
     );
     println!(
-        "  {fewest} to {most} servers a gateway, up to {} gateways a server, {} servers without any",
+        "  {fewest} to {greatest} servers a gateway, up to {} gateways a server, {} servers without any",
         number("most_gateways_of_a_server"),
         number("uncovered"),
     );
@@ -233,7 +247,7 @@
         100.0 * number("moved_by_a_gateway"),
         100.0 * number("moved_by_a_server"),
     );
-    let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.own else { return };
+    let Some(SubsetView { gateway, uses, avoids, .. }) = &fleet.gateway_view else { return };
     let avoided: BTreeSet<&String> = avoids.iter().collect();
     println!("{gateway} uses {} servers now:", uses.len());
     for (name, share) in uses {
@@ -242,11 +256,11 @@
     }
 }
 
-/// What other figures for 'least' would give.
-fn choices(fleet: &Fleet) -> Result<(), Failed> {
+/// Prints what other values of `--least` would give.
+fn print_choices(fleet: &Fleet) -> Result<(), Problems> {
     println!("  least   pairs  up to a gateway  up to a server  busiest  moved by a gateway  by a server");
-    for least in CHOICES {
-        let other = Fleet::thought_of(fleet.gateways.len(), fleet.servers.len(), least)?.figures();
+    for least in MIN_SERVERS_CHOICES {
+        let other = Fleet::hypothetical(fleet.gateways.len(), fleet.servers.len(), least)?.figures();
         let number = |name: &str| other[name].as_f64().unwrap_or(0.0);
         println!(
             "  {least:>5} {:>7} {:>16} {:>15} {:>8.4} {:>18.2}% {:>10.2}%",
