--- a/crates/gateway/src/fleet/leases/messages.rs
+++ b/crates/gateway/src/fleet/leases/messages.rs
@@ -1,102 +1,134 @@
-//! Messages of acceptor and candidate.
+//! Messages of the acceptor and the candidate: those that arrive over membership go to the one that they are for, and the
+//! outputs of both are carried out. What they contain the lease package decides.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use async_channel::Receiver;
-use fernscale_lease::acceptor::{Acceptor, Output};
-use fernscale_lease::candidate::Output as Wants;
+use fernscale_lease::acceptor::{Acceptor, Output as AcceptorOutput};
+use fernscale_lease::candidate::{Event as CandidateEvent, Output as CandidateOutput};
 use fernscale_lease::message::{AcceptorReply, Message};
 use fernscale_lease::{Name, ProcessId};
 use fernscale_membership::payload::{Channel, ReceivedPayload};
+use fernscale_policy::Micros;
 use fernscale_shared_counter::pn_counter::Instance;
 use futures_lite::StreamExt;
 use slog::warn;
 
-use super::Leases;
+use super::log::{log_acceptor_event, log_candidate_event};
+use super::{Core, Leases};
 use crate::transport::clock::boottime;
 
 impl Leases {
-    pub(super) async fn hear(self: Rc<Self>, came: Receiver<ReceivedPayload>) {
-        let mut came = std::pin::pin!(came);
-        while let Some(ReceivedPayload { sender: from, body, .. }) = came.next().await {
-            let Ok(letter) = postcard::from_bytes::<Message>(&body) else {
-                let why = "a letter about jobs that can't be read";
-                warn!(self.host.log(), #"owner.unread", "{}", why; "peer" => &from.name);
+    /// Hands arriving messages to the acceptor and the candidate. Their outputs are carried out by the timer task.
+    pub(super) async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
+        let mut payloads = std::pin::pin!(payloads);
+        while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
+            let Ok(message) = postcard::from_bytes::<Message>(&body) else {
+                let reason = "a letter about jobs that can't be read";
+                warn!(self.host.log(), #"owner.unread", "{}", reason; "peer" => &sender.name);
                 continue;
             };
-            let (now, name, run) = (boottime(), Name::from(from.name), ProcessId(from.instance.0));
-            let core = &mut *self.core.borrow_mut();
-            match letter {
-                Message::Request(ask) => {
-                    if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                        voter.handle_request(now, run, ask);
-                    }
-                }
-                Message::Reply(say @ AcceptorReply::Recovery(_)) => {
-                    if let Some(voter) = &mut core.voter {
-                        voter.handle_peer_reply(&name, say);
-                    }
-                }
-                Message::Reply(say) => core.claimer.handle_reply(now, &name, say),
-                Message::Released { lease: job, token: fence } => {
-                    core.claimer.lease_released(now, &job, fence)
-                }
-                Message::Offer { lease: job } => {
-                    core.roster.offer_received(now, &job, &name, &mut core.claimer)
-                }
-            }
+            let process = ProcessId(sender.instance.0);
+            self.core.borrow_mut().handle_message(&Name::from(sender.name), process, message);
             self.wake.notify(1);
         }
     }
 
-    /// A letter that can't be sent now is as good as lost on the way.
-    fn send(&self, to: &Name, letter: &Message) {
-        let _ = self.mesh.send_to(to, Channel::Lease, postcard::to_stdvec(letter).unwrap_or_default());
+    /// Sends a message to the gateway of a name. One that can't be sent is lost, as on the network.
+    fn send(&self, to: &Name, message: &Message) {
+        let body = postcard::to_stdvec(message).unwrap_or_default();
+        let _ = self.membership.send_to(to, Channel::Lease, body);
+    }
+
+    /// Sends a message to one process of a gateway. One that can't be sent is lost, as on the network.
+    fn send_to_process(&self, to: ProcessId, message: &Message) {
+        let body = postcard::to_stdvec(message).unwrap_or_default();
+        let _ = self.membership.send_to_instance(Instance(to.0), Channel::Lease, body);
     }
 
-    /// Carries out what voter and claimer want.
-    pub(super) fn carry(&self) {
+    /// Carries out the outputs of the acceptor and the candidate until neither has any. Messages between the two of this
+    /// process stay in it. Events of the candidate are logged at the end.
+    pub(super) fn drain_outputs(&self) {
         let now = boottime();
         let mut events = VecDeque::new();
         loop {
             let core = &mut *self.core.borrow_mut();
-            if let Some(output) = core.voter.as_mut().and_then(Acceptor::poll_output) {
-                match output {
-                    Output::Persist { number, change } => self.write(number, &change),
-                    Output::Reply { to, reply: say } if to == core.claimer.process() => {
-                        core.claimer.handle_reply(now, &self.me, say)
-                    }
-                    Output::Reply { to, reply: say } => {
-                        let body = postcard::to_stdvec(&Message::Reply(say)).unwrap_or_default();
-                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
-                    }
-                    Output::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
-                    Output::PeerReply { to, reply: say } => self.send(&to, &Message::Reply(say)),
-                    Output::Event(event) => self.tell_voted(&event),
-                }
-            } else if let Some(wanted) = core.claimer.poll_output() {
-                match wanted {
-                    Wants::Request { to, request: ask } if to == self.me => {
-                        let run = core.claimer.process();
-                        if let Some(voter) = core.voter.as_mut().filter(|_| !core.doubled) {
-                            voter.handle_request(now, run, ask);
-                        }
-                    }
-                    Wants::Request { to, request: ask } => self.send(&to, &Message::Request(ask)),
-                    Wants::Released { to, lease: job, token: fence } => {
-                        self.send(&to, &Message::Released { lease: job, token: fence })
-                    }
-                    Wants::Offer { to, lease: job } => {
-                        let body = postcard::to_stdvec(&Message::Offer { lease: job }).unwrap_or_default();
-                        let _ = self.mesh.send_to_instance(Instance(to.0), Channel::Lease, body);
-                    }
-                    Wants::Event(event) => events.push_back(event),
-                }
+            if let Some(output) = core.acceptor.as_mut().and_then(Acceptor::poll_output) {
+                self.handle_acceptor_output(now, core, output);
+            } else if let Some(output) = core.candidate.poll_output() {
+                self.handle_candidate_output(now, core, output, &mut events);
             } else {
                 break;
             }
         }
-        events.iter().for_each(|event| self.tell_owned(event));
+        events.iter().for_each(|event| log_candidate_event(self.host.log(), event));
+    }
+
+    fn handle_acceptor_output(&self, now: Micros, core: &mut Core, output: AcceptorOutput) {
+        match output {
+            AcceptorOutput::Persist { number, change } => self.persist(number, &change),
+            AcceptorOutput::Reply { to, reply } if to == core.candidate.process() => {
+                core.candidate.handle_reply(now, &self.name, reply)
+            }
+            AcceptorOutput::Reply { to, reply } => self.send_to_process(to, &Message::Reply(reply)),
+            AcceptorOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
+            AcceptorOutput::PeerReply { to, reply } => self.send(&to, &Message::Reply(reply)),
+            AcceptorOutput::Event(event) => log_acceptor_event(self.host.log(), &event),
+        }
+    }
+
+    fn handle_candidate_output(
+        &self,
+        now: Micros,
+        core: &mut Core,
+        output: CandidateOutput,
+        events: &mut VecDeque<CandidateEvent>,
+    ) {
+        match output {
+            CandidateOutput::Request { to, request } if to == self.name => {
+                let process = core.candidate.process();
+                if let Some(acceptor) = core.voting_acceptor() {
+                    acceptor.handle_request(now, process, request);
+                }
+            }
+            CandidateOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
+            CandidateOutput::Released { to, lease, token } => {
+                self.send(&to, &Message::Released { lease, token })
+            }
+            CandidateOutput::Offer { to, lease } => self.send_to_process(to, &Message::Offer { lease }),
+            CandidateOutput::Event(event) => events.push_back(event),
+        }
+    }
+}
+
+impl Core {
+    /// The acceptor, unless another gateway has this one's name: its promises would pass for the other's.
+    fn voting_acceptor(&mut self) -> Option<&mut Acceptor> {
+        if self.name_is_taken {
+            return None;
+        }
+        self.acceptor.as_mut()
+    }
+
+    fn handle_message(&mut self, sender: &Name, process: ProcessId, message: Message) {
+        let now = boottime();
+        match message {
+            Message::Request(request) => {
+                if let Some(acceptor) = self.voting_acceptor() {
+                    acceptor.handle_request(now, process, request);
+                }
+            }
+            Message::Reply(reply @ AcceptorReply::Recovery(_)) => {
+                if let Some(acceptor) = &mut self.acceptor {
+                    acceptor.handle_peer_reply(sender, reply);
+                }
+            }
+            Message::Reply(reply) => self.candidate.handle_reply(now, sender, reply),
+            Message::Released { lease, token } => self.candidate.lease_released(now, &lease, token),
+            Message::Offer { lease } => {
+                self.candidacy.offer_received(now, &lease, sender, &mut self.candidate)
+            }
+        }
     }
 }
--- a/crates/gateway/src/fleet/leases/mod.rs
+++ b/crates/gateway/src/fleet/leases/mod.rs
@@ -1,5 +1,6 @@
-//! Jobs of the fleet: this gateway's part in promising them, if it is a voter, and in owning them. Letters go over the
-//! mesh, promises to the store; who may own what the package `owner` decides.
+//! The leases of the fleet: this gateway's acceptor, where it is in the acceptor set, and its candidate for each lease
+//! that a part of it registers. This module carries messages over membership, writes promises to the store and keeps the
+//! time; it never decides who holds a lease, which is the lease package's work.
 
 mod acceptor_store;
 mod log;
@@ -29,195 +30,213 @@
 use super::membership::Membership;
 use crate::transport::clock::{boottime, micros, real_duration};
 
-use acceptor_store::Write;
+use acceptor_store::PendingWrite;
 
-/// How often is looked at who is there.
-const LOOK: Duration = Duration::from_millis(100);
-/// A look that comes so late says that this process gets little of its machine; and for how long it is then taken for slow.
-const LATE: Duration = Duration::from_millis(400);
-const SLOW_FOR: Micros = 10_000_000;
-/// What an installation says of its jobs.
+/// Interval at which the participants are read from membership.
+const PARTICIPANTS_INTERVAL: Duration = Duration::from_millis(100);
+/// A timer that fires later than this shows that the process gets too little of its machine to hold leases.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(400);
+/// How long a process counts as slow after such a delay, in microseconds.
+const SLOW_DURATION: Micros = 10_000_000;
+
+/// The section `[owner]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The gateways whose promises make an owner, by their names.
+    /// Names of the gateways whose promises grant a lease.
     pub acceptors: AcceptorSet,
+    /// Duration of a lease and the clock drift that it allows for.
     pub terms: LeaseTerms,
-    /// The list of servers is asked for by one.
+    /// Whether one lease holder polls discovery for the whole fleet.
     pub leases_endpoint_list: bool,
-    /// Where a voter keeps its promises, and what is wrong there in trials.
+    /// Directory of the acceptor's store; a gateway outside the acceptor set needs none.
     pub directory: Option<PathBuf>,
+    /// Faults to inject into that store.
     pub store_faults: StoreFaults,
 }
 
+/// What the lease package keeps for this process.
 struct Core {
-    claimer: Candidate,
-    roster: Candidacy,
-    voter: Option<Acceptor>,
-    /// Since when this process is slow, if it is.
+    candidate: Candidate,
+    candidacy: Candidacy,
+    /// Nothing while the store is not open.
+    acceptor: Option<Acceptor>,
+    /// Until when this process counts as slow, in microseconds of `boottime`.
     slow_until: Micros,
-    /// Another gateway goes by this one's name, so that this one's promises would pass for the other's.
-    doubled: bool,
-    /// Its operators want it to own nothing.
+    /// Whether another gateway has this one's name, so that the promises of the two could not be told apart.
+    name_is_taken: bool,
+    /// Whether an operator wants this gateway to hold no lease where another can.
     cordoned: bool,
 }
 
+/// This gateway's acceptor and candidate, with the tasks that serve them.
 pub struct Leases {
-    me: Name,
-    mesh: Rc<Membership>,
+    name: Name,
+    membership: Rc<Membership>,
     host: HostHandle,
     settings: Settings,
     core: RefCell<Core>,
-    durable: RefCell<Option<DurableStore>>,
-    /// Numbers of writes, in their order, and whether each is durable.
-    synced: Sender<Write>,
-    /// How often the store was opened, or has failed.
-    opened: Cell<u64>,
-    disk_failed: Wake,
-    trial: Cell<StoreFaults>,
+    store: RefCell<Option<DurableStore>>,
+    pending_writes: Sender<PendingWrite>,
+    /// Counts openings of the store, so that a late write of an earlier one is left out.
+    store_opening: Cell<u64>,
+    store_failed: Wake,
+    store_faults: Cell<StoreFaults>,
+    /// Ends the sleep of the timer task.
     wake: Wake,
-    ends: Cell<bool>,
+    is_shutting_down: Cell<bool>,
 }
 
 impl Leases {
-    /// Takes part from now on.
-    pub fn start(host: &HostHandle, mesh: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
-        let peer = mesh.local();
-        let (me, run) = (Name::from(peer.name), ProcessId(peer.instance.0));
-        let claimer = Candidate::new(run, &settings.acceptors, settings.terms, rand::random());
-        let roster = Candidacy::new(&me, settings.terms);
-        let core = Core { claimer, roster, voter: None, slow_until: 0, doubled: false, cordoned: false };
-        let (synced, syncs) = async_channel::unbounded();
-        let owners = Rc::new(Leases {
-            me,
-            mesh: mesh.clone(),
+    /// Starts the tasks of the subsystem. They run until this gateway leaves the membership.
+    pub fn start(host: &HostHandle, membership: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
+        let peer = membership.local();
+        let name = Name::from(peer.name);
+        let process = ProcessId(peer.instance.0);
+        let core = Core {
+            candidate: Candidate::new(process, &settings.acceptors, settings.terms, rand::random()),
+            candidacy: Candidacy::new(&name, settings.terms),
+            acceptor: None,
+            slow_until: 0,
+            name_is_taken: false,
+            cordoned: false,
+        };
+        let (pending_writes, writes) = async_channel::unbounded();
+        let leases = Rc::new(Leases {
+            name,
+            membership: membership.clone(),
             host: host.clone(),
             core: RefCell::new(core),
-            durable: RefCell::default(),
-            synced,
-            opened: Cell::new(0),
-            disk_failed: Wake::new(),
-            trial: Cell::new(settings.store_faults),
+            store: RefCell::default(),
+            pending_writes,
+            store_opening: Cell::new(0),
+            store_failed: Wake::new(),
+            store_faults: Cell::new(settings.store_faults),
             wake: Wake::new(),
-            ends: Cell::new(false),
+            is_shutting_down: Cell::new(false),
             settings,
         });
-        let votes = owners.settings.acceptors.names.contains(&owners.me);
-        info!(host.log(), #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => votes,
-            "voters" => owners.settings.acceptors.names.len(), "lease_ms" => owners.settings.terms.duration / 1_000,
-            "run" => format!("{:016x}", run.0));
-        let answers = owners.clone();
-        mesh.set_responder(Channel::Lease, Box::new(move |question| answers.answer(question)));
-        if votes || owners.settings.acceptors.previous_names.contains(&owners.me) {
-            mesh.spawn_until_left(owners.clone().vote());
+        let acceptors = &leases.settings.acceptors;
+        let is_acceptor = acceptors.names.contains(&leases.name);
+        info!(host.log(), #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => is_acceptor,
+            "voters" => acceptors.names.len(), "lease_ms" => leases.settings.terms.duration / 1_000,
+            "run" => format!("{:016x}", process.0));
+        let responder = leases.clone();
+        membership.set_responder(Channel::Lease, Box::new(move |query| responder.reply_to_query(query)));
+        if is_acceptor || acceptors.previous_names.contains(&leases.name) {
+            membership.spawn_until_left(leases.clone().run_acceptor());
         }
-        mesh.spawn_until_left(owners.clone().hear(mesh.subscribe(Channel::Lease)));
-        mesh.spawn_until_left(owners.clone().hear_of_disk(syncs));
-        mesh.spawn_until_left(owners.clone().keep_time());
-        owners
+        let payloads = membership.subscribe(Channel::Lease);
+        membership.spawn_until_left(leases.clone().receive_messages(payloads));
+        membership.spawn_until_left(leases.clone().report_completed_writes(writes));
+        membership.spawn_until_left(leases.clone().run_timer());
+        leases
     }
 
-    // For those who do jobs.
-
-    /// This gateway can do a job from now on. False: something else here does one of that name.
-    pub fn register(&self, job: &Name) -> bool {
-        let fresh = self.core.borrow_mut().roster.add(job);
-        if !fresh {
-            warn!(self.host.log(), #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**job);
+    /// Makes this gateway a candidate for a lease from now on. False, with a log record, where another part of the gateway
+    /// has registered the same name.
+    pub fn register(&self, lease: &Name) -> bool {
+        let is_new = self.core.borrow_mut().candidacy.add(lease);
+        if !is_new {
+            warn!(self.host.log(), #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**lease);
         }
         self.wake.notify(1);
-        fresh
+        is_new
     }
 
-    /// Something to be done for the fleet, with the right to it; nothing where this gateway does not own the job now.
-    pub fn authorize<T>(&self, job: &Name, what: T) -> Option<AuthorizedEffect<T>> {
+    /// Joins an effect with the fencing token under which this gateway may carry it out; nothing where it does not hold
+    /// the lease now.
+    pub fn authorize<T>(&self, lease: &Name, effect: T) -> Option<AuthorizedEffect<T>> {
         let core = self.core.borrow();
-        Some(core.claimer.authorization(boottime(), job)?.authorize(what))
+        Some(core.candidate.authorization(boottime(), lease)?.authorize(effect))
     }
 
-    /// An effect was refused where it was to be taken in, as another owns the job by this fence.
-    pub fn effect_rejected(&self, job: &Name, highest: FencingToken) {
-        self.core.borrow_mut().claimer.effect_rejected(boottime(), job, highest);
-        self.carry();
+    /// Records that the receiver of an effect has rejected it, as it knows of a higher fencing token.
+    pub fn effect_rejected(&self, lease: &Name, highest: FencingToken) {
+        self.core.borrow_mut().candidate.effect_rejected(boottime(), lease, highest);
+        self.drain_outputs();
     }
 
-    /// Another had better do this job: it goes to the next ones, if this gateway owns it.
-    pub fn hand_over(&self, job: &Name) -> bool {
-        let handed = {
+    /// Releases a lease in favour of the next candidates. False where this gateway does not hold it.
+    pub fn hand_over(&self, lease: &Name) -> bool {
+        let released = {
             let core = &mut *self.core.borrow_mut();
-            core.roster.release(boottime(), job, &mut core.claimer)
+            core.candidacy.release(boottime(), lease, &mut core.candidate)
         };
-        self.carry();
-        handed
+        self.drain_outputs();
+        released
     }
 
-    /// This gateway's place in a job's order.
-    pub fn rank(&self, job: &Name) -> usize {
-        self.core.borrow().roster.rank(job)
+    /// This gateway's rank among the candidates for a lease, from 0.
+    pub fn rank(&self, lease: &Name) -> usize {
+        self.core.borrow().candidacy.rank(lease)
     }
 
-    /// This gateway ends: others may have its jobs at once.
+    /// Releases all leases, so that others can hold them at once.
     pub fn shut_down(&self) {
-        if !self.ends.replace(true) {
+        if !self.is_shutting_down.replace(true) {
             let core = &mut *self.core.borrow_mut();
-            core.roster.shut_down(boottime(), &mut core.claimer);
+            core.candidacy.shut_down(boottime(), &mut core.candidate);
         }
-        self.carry();
+        self.drain_outputs();
     }
 
-    // Time.
-
-    async fn keep_time(self: Rc<Self>) {
-        let mut look = boottime();
+    async fn run_timer(self: Rc<Self>) {
+        let mut next_update = boottime();
         loop {
             let woken = self.wake.listen();
-            let due = {
-                let core = self.core.borrow();
-                let voter = core.voter.as_ref().and_then(Acceptor::next_deadline);
-                [voter, core.claimer.next_deadline()].into_iter().flatten().fold(look, Micros::min)
-            };
-            let wait = async {
-                Timer::after(real_duration(due.saturating_sub(boottime()))).await;
+            let deadline = self.core.borrow().next_deadline().map_or(next_update, |at| at.min(next_update));
+            let sleep = async {
+                Timer::after(real_duration(deadline.saturating_sub(boottime()))).await;
             };
-            future::or(wait, woken).await;
+            future::or(sleep, woken).await;
             let now = boottime();
-            if now >= look {
-                self.look(now, now - look);
-                look = now + micros(LOOK);
-            }
-            {
-                let core = &mut *self.core.borrow_mut();
-                if let Some(voter) = &mut core.voter {
-                    voter.handle_timeout(now);
-                }
-                core.claimer.handle_timeout(now);
+            if now >= next_update {
+                self.update_participants(now, now - next_update);
+                next_update = now + micros(PARTICIPANTS_INTERVAL);
             }
-            self.carry();
+            self.core.borrow_mut().handle_timeout(now);
+            self.drain_outputs();
         }
     }
 
-    /// Who is there now, and whether this one had better leave the jobs to others.
-    fn look(&self, now: Micros, late: Micros) {
-        let live = self.mesh.live_peers();
+    /// Reads from membership who takes part, and whether this gateway should leave the leases to others. `delay` is how
+    /// late, in microseconds, the update runs.
+    fn update_participants(&self, now: Micros, delay: Micros) {
+        let live = self.membership.live_peers();
         let core = &mut *self.core.borrow_mut();
-        if late > micros(LATE) {
-            core.slow_until = now + SLOW_FOR;
+        if delay > micros(MAX_TIMER_DELAY) {
+            core.slow_until = now + SLOW_DURATION;
         }
-        let own = self.mesh.local();
-        let doubled = live.iter().any(|peer| peer.name == own.name && peer.address != own.address);
-        if doubled && !core.doubled {
-            let why = "another gateway goes by this one's name, and neither may vote by it";
-            warn!(self.host.log(), #"owner.name-twice", "{}", why; "name" => own.name);
+        let local = self.membership.local();
+        let name_is_taken = live.iter().any(|peer| peer.name == local.name && peer.address != local.address);
+        if name_is_taken && !core.name_is_taken {
+            let reason = "another gateway goes by this one's name, and neither may vote by it";
+            warn!(self.host.log(), #"owner.name-twice", "{}", reason; "name" => local.name);
         }
-        core.doubled = doubled;
+        core.name_is_taken = name_is_taken;
         let unwilling = core.cordoned || now < core.slow_until || self.host.is_shutting_down();
-        let mut all: Vec<Participant> = live
+        let mut participants: Vec<Participant> = live
             .into_iter()
-            .filter(|peer| *peer.name != *self.me)
+            .filter(|peer| *peer.name != *self.name)
             .map(|peer| Participant { name: peer.name.into(), unwilling: false })
             .collect();
-        all.push(Participant { name: self.me.clone(), unwilling });
-        all.sort_by(|one, other| one.name.cmp(&other.name));
-        all.dedup_by(|one, other| one.name == other.name);
-        core.roster.update(now, &all, &mut core.claimer);
+        participants.push(Participant { name: self.name.clone(), unwilling });
+        participants.sort_by(|one, other| one.name.cmp(&other.name));
+        participants.dedup_by(|one, other| one.name == other.name);
+        core.candidacy.update(now, &participants, &mut core.candidate);
+    }
+}
+
+impl Core {
+    fn next_deadline(&self) -> Option<Micros> {
+        let acceptor = self.acceptor.as_ref().and_then(Acceptor::next_deadline);
+        [acceptor, self.candidate.next_deadline()].into_iter().flatten().min()
+    }
+
+    fn handle_timeout(&mut self, now: Micros) {
+        if let Some(acceptor) = &mut self.acceptor {
+            acceptor.handle_timeout(now);
+        }
+        self.candidate.handle_timeout(now);
     }
 }
