--- a/crates/store/src/fault_injection.rs
+++ b/crates/store/src/fault_injection.rs
@@ -24,23 +24,23 @@
 }
 
 impl Faults {
-    fn full() -> io::Error {
+    fn storage_full() -> io::Error {
         io::Error::from(io::ErrorKind::StorageFull)
     }
 
     /// Whether a file may have this length from now on.
-    fn takes(&self, name: &str, length: u64) -> io::Result<()> {
+    fn check_quota(&self, name: &str, length: u64) -> io::Result<()> {
         let mut lengths = self.lengths.borrow_mut();
-        let others: u64 = lengths.iter().filter(|(own, _)| *own != name).map(|(_, length)| length).sum();
+        let others: u64 = lengths.iter().filter(|(other, _)| *other != name).map(|(_, length)| length).sum();
         let known = lengths.get(name).copied().unwrap_or(0);
         if length > known && self.quota_bytes.get().is_some_and(|quota| others + length > quota) {
-            return Err(Faults::full());
+            return Err(Faults::storage_full());
         }
         lengths.insert(name.into(), length);
         Ok(())
     }
 
-    fn syncs(&self) -> io::Result<()> {
+    fn check_sync(&self) -> io::Result<()> {
         if !self.sync_delay.get().is_zero() {
             std::thread::sleep(self.sync_delay.get());
         }
@@ -54,12 +54,12 @@
 #[derive(Debug)]
 pub struct FaultyDirectory<F> {
     inner: F,
-    wrong: Rc<Faults>,
+    faults: Rc<Faults>,
 }
 
 impl<F> FaultyDirectory<F> {
-    pub fn new(inner: F, wrong: &Rc<Faults>) -> Self {
-        FaultyDirectory { inner, wrong: wrong.clone() }
+    pub fn new(inner: F, faults: &Rc<Faults>) -> Self {
+        FaultyDirectory { inner, faults: faults.clone() }
     }
 }
 
@@ -67,7 +67,7 @@
 pub struct FaultyFile<H> {
     inner: H,
     name: String,
-    wrong: Rc<Faults>,
+    faults: Rc<Faults>,
 }
 
 impl<F: Directory> Directory for FaultyDirectory<F> {
@@ -82,22 +82,22 @@
     }
 
     fn open(&mut self, name: &str, create: bool) -> io::Result<Self::Handle> {
-        if create && self.wrong.quota_bytes.get() == Some(0) {
-            return Err(Faults::full());
+        if create && self.faults.quota_bytes.get() == Some(0) {
+            return Err(Faults::storage_full());
         }
         let inner = self.inner.open(name, create)?;
-        self.wrong.lengths.borrow_mut().insert(name.into(), inner.length()?);
-        Ok(FaultyFile { inner, name: name.into(), wrong: self.wrong.clone() })
+        self.faults.lengths.borrow_mut().insert(name.into(), inner.length()?);
+        Ok(FaultyFile { inner, name: name.into(), faults: self.faults.clone() })
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.inner.remove(name)?;
-        self.wrong.lengths.borrow_mut().remove(name);
+        self.faults.lengths.borrow_mut().remove(name);
         Ok(())
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.wrong.syncs()?;
+        self.faults.check_sync()?;
         self.inner.sync_names()
     }
 }
@@ -113,18 +113,18 @@
 
     fn write(&mut self, at: u64, bytes: &[u8]) -> io::Result<()> {
         let length = self.inner.length()?.max(at + bytes.len() as u64);
-        self.wrong.takes(&self.name, length)?;
+        self.faults.check_quota(&self.name, length)?;
         self.inner.write(at, bytes)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.inner.truncate(length)?;
-        self.wrong.lengths.borrow_mut().insert(self.name.clone(), length);
+        self.faults.lengths.borrow_mut().insert(self.name.clone(), length);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.wrong.syncs()?;
+        self.faults.check_sync()?;
         self.inner.sync()
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -16,8 +16,8 @@
 /// Longest content: it bounds what a length that was damaged can make anybody read.
 pub const MAX_CONTENT_BYTES: usize = 64 * 1024 * 1024;
 pub const HEADER_BYTES: usize = 8;
-const CONTENT_HEAD: usize = 8 + 8 + 8 + 4;
-const OPERATION_HEAD: usize = 1 + 8 + 4 + 4;
+const CONTENT_HEADER_BYTES: usize = 8 + 8 + 8 + 4;
+const OPERATION_HEADER_BYTES: usize = 1 + 8 + 4 + 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
@@ -50,9 +50,9 @@
 
 impl<'b> Frame<'b> {
     pub fn operations(&self) -> impl Iterator<Item = Operation<'b>> {
-        let (content, mut at) = (self.content, CONTENT_HEAD);
+        let (content, mut at) = (self.content, CONTENT_HEADER_BYTES);
         std::iter::from_fn(move || {
-            let operation = operation(content, at)?;
+            let operation = decode_operation(content, at)?;
             at = operation.value_offset - HEADER_BYTES + operation.value.len();
             Some(operation)
         })
@@ -68,14 +68,14 @@
 
 impl FrameBuilder {
     /// Adds an operation, and says where its value will stand, from the frame's start.
-    pub fn push(&mut self, kind: OperationKind, ends: u64, key: &[u8], value: &[u8]) -> usize {
+    pub fn push(&mut self, kind: OperationKind, expires_at: u64, key: &[u8], value: &[u8]) -> usize {
         let bytes = &mut self.operations;
         bytes.push(matches!(kind, OperationKind::Delete) as u8);
-        bytes.extend(ends.to_le_bytes());
+        bytes.extend(expires_at.to_le_bytes());
         bytes.extend((key.len() as u32).to_le_bytes());
         bytes.extend((value.len() as u32).to_le_bytes());
         bytes.extend(key);
-        let at = HEADER_BYTES + CONTENT_HEAD + bytes.len();
+        let at = HEADER_BYTES + CONTENT_HEADER_BYTES + bytes.len();
         bytes.extend(value);
         self.count += 1;
         at
@@ -87,74 +87,82 @@
 
     /// Bytes of the frame that it would make.
     pub fn length(&self) -> usize {
-        HEADER_BYTES + CONTENT_HEAD + self.operations.len()
+        HEADER_BYTES + CONTENT_HEADER_BYTES + self.operations.len()
     }
 
-    pub fn frame(&self, segment: u64, place: u64, (number, durable): (u64, u64), time: u64) -> Vec<u8> {
+    pub fn frame(
+        &self,
+        segment: u64,
+        offset: u64,
+        (sequence, durable_sequence): (u64, u64),
+        written_at: u64,
+    ) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.length());
-        bytes.extend(((CONTENT_HEAD + self.operations.len()) as u32).to_le_bytes());
+        bytes.extend(((CONTENT_HEADER_BYTES + self.operations.len()) as u32).to_le_bytes());
         bytes.extend([0; 4]);
-        bytes.extend(number.to_le_bytes());
-        bytes.extend(durable.to_le_bytes());
-        bytes.extend(time.to_le_bytes());
+        bytes.extend(sequence.to_le_bytes());
+        bytes.extend(durable_sequence.to_le_bytes());
+        bytes.extend(written_at.to_le_bytes());
         bytes.extend(self.count.to_le_bytes());
         bytes.extend(&self.operations);
-        let sum = checksum(segment, place, &bytes[HEADER_BYTES..]);
+        let sum = checksum(segment, offset, &bytes[HEADER_BYTES..]);
         bytes[4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
         bytes
     }
 }
 
-fn checksum(segment: u64, place: u64, content: &[u8]) -> u32 {
+fn checksum(segment: u64, offset: u64, content: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&segment.to_le_bytes());
-    sum.update(&place.to_le_bytes());
+    sum.update(&offset.to_le_bytes());
     sum.update(content);
     sum.finalize()
 }
 
-fn number<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
+fn read_bytes<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
     bytes.get(at..at + N)?.try_into().ok()
 }
 
 /// Reads the frame at the front of some bytes, which stand at a place of a segment; nothing if there is none, whole.
-pub fn decode(bytes: &[u8], segment: u64, place: u64) -> Option<Frame<'_>> {
-    let length = u32::from_le_bytes(number(bytes, 0)?) as usize;
-    if !(CONTENT_HEAD..=MAX_CONTENT_BYTES).contains(&length) {
+pub fn decode(bytes: &[u8], segment: u64, offset: u64) -> Option<Frame<'_>> {
+    let length = u32::from_le_bytes(read_bytes(bytes, 0)?) as usize;
+    if !(CONTENT_HEADER_BYTES..=MAX_CONTENT_BYTES).contains(&length) {
         return None;
     }
     let content = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
-    if checksum(segment, place, content) != u32::from_le_bytes(number(bytes, 4)?) {
+    if checksum(segment, offset, content) != u32::from_le_bytes(read_bytes(bytes, 4)?) {
         return None;
     }
-    let (batch, durable) = (u64::from_le_bytes(number(content, 0)?), u64::from_le_bytes(number(content, 8)?));
-    let time = u64::from_le_bytes(number(content, 16)?);
-    let count = u32::from_le_bytes(number(content, 24)?);
-    let mut at = CONTENT_HEAD;
+    let (sequence, durable_sequence) =
+        (u64::from_le_bytes(read_bytes(content, 0)?), u64::from_le_bytes(read_bytes(content, 8)?));
+    let written_at = u64::from_le_bytes(read_bytes(content, 16)?);
+    let count = u32::from_le_bytes(read_bytes(content, 24)?);
+    let mut at = CONTENT_HEADER_BYTES;
     for _ in 0..count {
-        let operation = operation(content, at)?;
+        let operation = decode_operation(content, at)?;
         at = operation.value_offset - HEADER_BYTES + operation.value.len();
     }
     (at == content.len()).then_some(Frame {
-        sequence: batch,
-        durable_sequence: durable,
-        written_at: time,
+        sequence,
+        durable_sequence,
+        written_at,
         length: HEADER_BYTES + length,
         content,
     })
 }
 
 /// The operation that begins at a place of a frame's content.
-fn operation(content: &[u8], at: usize) -> Option<Operation<'_>> {
+fn decode_operation(content: &[u8], at: usize) -> Option<Operation<'_>> {
     let kind = match content.get(at)? {
         0 => OperationKind::Put,
         1 => OperationKind::Delete,
         _ => return None,
     };
-    let ends = u64::from_le_bytes(number(content, at + 1)?);
-    let key = u32::from_le_bytes(number(content, at + 9)?) as usize;
-    let value = u32::from_le_bytes(number(content, at + 13)?) as usize;
-    let (key_at, value_at) = (at + OPERATION_HEAD, at + OPERATION_HEAD + key);
-    let (key, value) = (content.get(key_at..value_at)?, content.get(value_at..value_at + value)?);
-    Some(Operation { kind, expires_at: ends, key, value, value_offset: HEADER_BYTES + value_at })
+    let expires_at = u64::from_le_bytes(read_bytes(content, at + 1)?);
+    let key = u32::from_le_bytes(read_bytes(content, at + 9)?) as usize;
+    let value = u32::from_le_bytes(read_bytes(content, at + 13)?) as usize;
+    let (key_offset, value_offset) = (at + OPERATION_HEADER_BYTES, at + OPERATION_HEADER_BYTES + key);
+    let (key, value) =
+        (content.get(key_offset..value_offset)?, content.get(value_offset..value_offset + value)?);
+    Some(Operation { kind, expires_at, key, value, value_offset: HEADER_BYTES + value_offset })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -13,14 +13,14 @@
 
 const MAGIC: [u8; 8] = *b"fernstor";
 const VERSION: u32 = 1;
-const HEADER: u64 = 16;
+const HEADER_BYTES: u64 = 16;
 /// Longest key, and longest value: a batch of one always fits in a frame.
 pub const MAX_KEY_BYTES: usize = 64 * 1024;
 pub const MAX_VALUE_BYTES: usize = 16 * 1024 * 1024;
 /// Bytes that a key takes in the index beside its own, generously.
-const ENTRY: u64 = 96;
+const ENTRY_OVERHEAD_BYTES: u64 = 96;
 /// A segment is compacted once this part of what is in all of them is of no use any more.
-const WASTE: f64 = 0.5;
+const MAX_WASTE: f64 = 0.5;
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
@@ -33,23 +33,25 @@
     Sync(io::Error),
     #[error("nothing is taken any more since a write could not be made durable")]
     Failed,
-    #[error("segment {segment:x} is damaged at byte {at}, {length} bytes long; the rest opens with salvage")]
-    Damaged { segment: u64, at: u64, length: u64 },
+    #[error(
+        "segment {segment:x} is damaged at byte {offset}, {length} bytes long; the rest opens with salvage"
+    )]
+    Damaged { segment: u64, offset: u64, length: u64 },
     #[error("segment {segment:x} is missing")]
     Missing { segment: u64 },
     #[error("segment {segment:x} is no segment of this version")]
     UnknownFormat { segment: u64 },
-    #[error("the store may hold {most} bytes on disk, and this needs {needed}")]
-    DiskBound { needed: u64, most: u64 },
-    #[error("the index may hold {most} bytes in memory, and this needs {needed}")]
-    IndexBound { needed: u64, most: u64 },
-    #[error("a {what} of {length} bytes is too long; {most} are the most")]
-    TooLong { what: &'static str, length: usize, most: usize },
+    #[error("the store may hold {limit} bytes on disk, and this needs {needed}")]
+    DiskBound { needed: u64, limit: u64 },
+    #[error("the index may hold {limit} bytes in memory, and this needs {needed}")]
+    IndexBound { needed: u64, limit: u64 },
+    #[error("a {what} of {length} bytes is too long; {limit} are the most")]
+    TooLong { what: &'static str, length: usize, limit: usize },
 }
 
-type Done<T> = Result<T, Error>;
+type Result<T> = std::result::Result<T, Error>;
 
-fn at(what: &'static str) -> impl Fn(io::Error) -> Error {
+fn io_error(what: &'static str) -> impl Fn(io::Error) -> Error {
     move |why| Error::Io { what, why }
 }
 
@@ -117,8 +119,8 @@
     }
 
     /// A value that is there until a time, Unix milliseconds; 0: for ever.
-    pub fn put_until(mut self, key: &[u8], value: &[u8], ends: u64) -> Self {
-        self.changes.push((key.into(), Some((value.into(), ends))));
+    pub fn put_until(mut self, key: &[u8], value: &[u8], expires_at: u64) -> Self {
+        self.changes.push((key.into(), Some((value.into(), expires_at))));
         self
     }
 
@@ -129,11 +131,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct ValueLocation {
     segment: u64,
-    at: u64,
+    offset: u64,
     length: u32,
-    ends: u64,
+    expires_at: u64,
 }
 
 struct Segment<H> {
@@ -144,29 +146,29 @@
 }
 
 pub struct Store<F: Directory> {
-    files: F,
+    directory: F,
     options: Options,
     segments: BTreeMap<u64, Segment<F::Handle>>,
-    index: BTreeMap<Box<[u8]>, Place>,
-    memory: u64,
+    index: BTreeMap<Box<[u8]>, ValueLocation>,
+    index_bytes: u64,
     /// Number of the last batch, and of the last that is durable.
-    last: u64,
-    durable: u64,
+    last_sequence: u64,
+    durable_sequence: u64,
     /// When what was written is to be durable at the latest, Unix milliseconds.
-    due: Option<u64>,
+    sync_deadline: Option<u64>,
     /// The latest time known: a clock that goes back brings back nothing that has ended.
-    time: u64,
-    stuck: bool,
+    latest_time: u64,
+    has_failed: bool,
     /// How far the oldest segment has been compacted.
-    cursor: u64,
+    compaction_offset: u64,
 }
 
-fn name(segment: u64) -> String {
+fn segment_file_name(segment: u64) -> String {
     format!("{segment:016x}.log")
 }
 
-fn header() -> [u8; HEADER as usize] {
-    let mut header = [0; HEADER as usize];
+fn segment_header() -> [u8; HEADER_BYTES as usize] {
+    let mut header = [0; HEADER_BYTES as usize];
     header[..8].copy_from_slice(&MAGIC);
     header[8..12].copy_from_slice(&VERSION.to_le_bytes());
     header
@@ -174,12 +176,12 @@
 
 impl<F: Directory> Store<F> {
     /// Opens a store, and an empty one where there is none.
-    pub fn open(mut files: F, options: Options, now: u64) -> Done<(Self, OpenReport)> {
-        files.lock().map_err(|why| match why.kind() {
+    pub fn open(mut directory: F, options: Options, now: u64) -> Result<(Self, OpenReport)> {
+        directory.lock().map_err(|why| match why.kind() {
             io::ErrorKind::WouldBlock => Error::Locked,
             _ => Error::Io { what: "the folder's lock", why },
         })?;
-        let names = files.list().map_err(at("the folder"))?;
+        let names = directory.list().map_err(io_error("the folder"))?;
         let mut numbers: Vec<u64> = names
             .iter()
             .filter_map(|name| {
@@ -189,25 +191,25 @@
             .collect();
         numbers.sort_unstable();
         let mut store = Store {
-            files,
+            directory,
             options,
             segments: BTreeMap::new(),
             index: BTreeMap::new(),
-            memory: 0,
-            last: 0,
-            durable: 0,
-            due: None,
-            time: now,
-            stuck: false,
-            cursor: 0,
+            index_bytes: 0,
+            last_sequence: 0,
+            durable_sequence: 0,
+            sync_deadline: None,
+            latest_time: now,
+            has_failed: false,
+            compaction_offset: 0,
         };
         let mut report = OpenReport::default();
-        for (place, number) in numbers.iter().copied().enumerate() {
-            let expected = place.checked_sub(1).map(|before| numbers[before] + 1);
+        for (offset, number) in numbers.iter().copied().enumerate() {
+            let expected = offset.checked_sub(1).map(|before| numbers[before] + 1);
             if let Some(segment) = expected.filter(|expected| *expected != number && !store.options.salvage) {
                 return Err(Error::Missing { segment });
             }
-            store.recover(number, place + 1 == numbers.len(), &mut report)?;
+            store.recover_segment(number, offset + 1 == numbers.len(), &mut report)?;
         }
         if store.segments.is_empty() {
             // Where all were cut away a number that was used must not come again: places are part of checksums.
@@ -216,81 +218,82 @@
         }
         // What is there now has survived; it must not be lost by the next crash either.
         store.sync()?;
-        (report.keys, store.cursor) = (store.index.len(), HEADER);
+        (report.keys, store.compaction_offset) = (store.index.len(), HEADER_BYTES);
         Ok((store, report))
     }
 
-    fn recover(&mut self, number: u64, last: bool, report: &mut OpenReport) -> Done<()> {
-        let file = self.files.open(&name(number), false).map_err(at("a segment"))?;
-        let length = file.length().map_err(at("a segment's length"))?;
-        if length < HEADER && last {
+    fn recover_segment(&mut self, number: u64, is_newest: bool, report: &mut OpenReport) -> Result<()> {
+        let file = self.directory.open(&segment_file_name(number), false).map_err(io_error("a segment"))?;
+        let length = file.length().map_err(io_error("a segment's length"))?;
+        if length < HEADER_BYTES && is_newest {
             // It was just being made.
             report.truncated = Some((number, 0, length));
             drop(file);
-            return self.files.remove(&name(number)).map_err(at("a torn segment"));
+            return self.directory.remove(&segment_file_name(number)).map_err(io_error("a torn segment"));
         }
         let mut bytes = vec![0; length as usize];
-        file.read(0, &mut bytes).map_err(at("a segment's content"))?;
-        if bytes.get(..HEADER as usize) != Some(&header()) {
-            if last && bytes.iter().all(|byte| *byte == 0) {
+        file.read(0, &mut bytes).map_err(io_error("a segment's content"))?;
+        if bytes.get(..HEADER_BYTES as usize) != Some(&segment_header()) {
+            if is_newest && bytes.iter().all(|byte| *byte == 0) {
                 report.truncated = Some((number, 0, length));
                 drop(file);
-                return self.files.remove(&name(number)).map_err(at("a torn segment"));
+                return self.directory.remove(&segment_file_name(number)).map_err(io_error("a torn segment"));
             }
             if !self.options.salvage {
                 return Err(Error::UnknownFormat { segment: number });
             }
         }
-        let mut place = HEADER.min(length);
+        let mut offset = HEADER_BYTES.min(length);
         let mut end = length;
         self.segments.insert(number, Segment { file, length, live: 0 });
-        while place < length {
-            let read = frame::decode(&bytes[place as usize..], number, place)
-                .filter(|frame| frame.sequence > self.last);
-            if let Some(frame) = read {
-                (self.last, self.time) = (frame.sequence, self.time.max(frame.written_at));
+        while offset < length {
+            let decoded = frame::decode(&bytes[offset as usize..], number, offset)
+                .filter(|frame| frame.sequence > self.last_sequence);
+            if let Some(frame) = decoded {
+                (self.last_sequence, self.latest_time) =
+                    (frame.sequence, self.latest_time.max(frame.written_at));
                 for operation in frame.operations() {
-                    let value = Place {
+                    let value = ValueLocation {
                         segment: number,
-                        at: place + operation.value_offset as u64,
+                        offset: offset + operation.value_offset as u64,
                         length: operation.value.len() as u32,
-                        ends: operation.expires_at,
+                        expires_at: operation.expires_at,
                     };
-                    self.point(operation.key, (operation.kind == OperationKind::Put).then_some(value));
+                    self.update_index(operation.key, (operation.kind == OperationKind::Put).then_some(value));
                 }
                 report.batches += 1;
-                place += frame.length as u64;
+                offset += frame.length as u64;
                 continue;
             }
             // Whole frames behind it tell damage from an end that was being written, if they knew that what is missing
             // was durable: of what was not, a crash may lose any part.
-            let behind = |next: u64| {
+            let frame_at = |next: u64| {
                 let frame = frame::decode(&bytes[next as usize..], number, next)?;
-                (frame.sequence > self.last).then_some((next, frame.durable_sequence))
+                (frame.sequence > self.last_sequence).then_some((next, frame.durable_sequence))
             };
-            let found: Vec<_> = (place + 1..length).filter_map(behind).collect();
+            let found: Vec<_> = (offset + 1..length).filter_map(frame_at).collect();
             let next = found.first().map(|(next, _)| *next);
-            let lost = found.iter().any(|(_, durable)| *durable > self.last);
+            let lost = found.iter().any(|(_, durable)| *durable > self.last_sequence);
             match next {
-                _ if last && !lost => {
-                    report.truncated = Some((number, place, length - place));
-                    end = place;
+                _ if is_newest && !lost => {
+                    report.truncated = Some((number, offset, length - offset));
+                    end = offset;
                     break;
                 }
                 _ if !self.options.salvage => {
-                    let length = next.unwrap_or(length) - place;
-                    return Err(Error::Damaged { segment: number, at: place, length });
+                    let length = next.unwrap_or(length) - offset;
+                    return Err(Error::Damaged { segment: number, offset, length });
                 }
                 next => {
                     let next = next.unwrap_or(length);
-                    report.skipped.push((number, place, next - place));
-                    place = next;
+                    report.skipped.push((number, offset, next - offset));
+                    offset = next;
                 }
             }
         }
         if end < length {
             if let Some(segment) = self.segments.get_mut(&number) {
-                segment.file.truncate(end).map_err(at("the torn end of a segment"))?;
+                segment.file.truncate(end).map_err(io_error("the torn end of a segment"))?;
                 segment.length = end;
             }
         }
@@ -298,10 +301,10 @@
     }
 
     /// Points the index at a value, or at none.
-    fn point(&mut self, key: &[u8], value: Option<Place>) {
-        let weight = |place: &Place| u64::from(place.length) + key.len() as u64;
+    fn update_index(&mut self, key: &[u8], value: Option<ValueLocation>) {
+        let weight = |location: &ValueLocation| u64::from(location.length) + key.len() as u64;
         let old = match value {
-            Some(place) => self.index.insert(key.into(), place),
+            Some(location) => self.index.insert(key.into(), location),
             None => self.index.remove(key),
         };
         if let Some(old) = &old {
@@ -309,25 +312,26 @@
                 segment.live -= weight(old);
             }
         }
-        if let Some(place) = &value {
-            if let Some(segment) = self.segments.get_mut(&place.segment) {
-                segment.live += weight(place);
+        if let Some(location) = &value {
+            if let Some(segment) = self.segments.get_mut(&location.segment) {
+                segment.live += weight(location);
             }
         }
-        let entry = key.len() as u64 + ENTRY;
+        let entry = key.len() as u64 + ENTRY_OVERHEAD_BYTES;
         match (old.is_some(), value.is_some()) {
-            (false, true) => self.memory += entry,
-            (true, false) => self.memory -= entry,
+            (false, true) => self.index_bytes += entry,
+            (true, false) => self.index_bytes -= entry,
             _ => {}
         }
     }
 
-    fn add_segment(&mut self, number: u64) -> Done<()> {
-        let mut file = self.files.open(&name(number), true).map_err(at("a new segment"))?;
-        file.write(0, &header()).map_err(at("a new segment's header"))?;
+    fn add_segment(&mut self, number: u64) -> Result<()> {
+        let mut file =
+            self.directory.open(&segment_file_name(number), true).map_err(io_error("a new segment"))?;
+        file.write(0, &segment_header()).map_err(io_error("a new segment's header"))?;
         file.sync().map_err(Error::Sync)?;
-        self.files.sync_names().map_err(Error::Sync)?;
-        self.segments.insert(number, Segment { file, length: HEADER, live: 0 });
+        self.directory.sync_names().map_err(Error::Sync)?;
+        self.segments.insert(number, Segment { file, length: HEADER_BYTES, live: 0 });
         Ok(())
     }
 
@@ -346,45 +350,46 @@
 
     /// Numbers of the last batch and of the last that is durable.
     pub fn sequences(&self) -> (u64, u64) {
-        (self.last, self.durable)
+        (self.last_sequence, self.durable_sequence)
     }
 
     /// Writes a batch, whole or not at all, and gives its number.
-    pub fn write(&mut self, batch: &Batch, durability: Durability, now: u64) -> Done<u64> {
-        self.time = self.time.max(now);
+    pub fn write(&mut self, batch: &Batch, durability: Durability, now: u64) -> Result<u64> {
+        self.latest_time = self.latest_time.max(now);
         let mut builder = FrameBuilder::default();
-        let mut grows = 0;
+        let mut index_growth = 0;
         for (key, change) in &batch.changes {
             let value = change.as_ref().map_or(&[][..], |(value, _)| value);
-            for (what, length, most) in
+            for (what, length, limit) in
                 [("key", key.len(), MAX_KEY_BYTES), ("value", value.len(), MAX_VALUE_BYTES)]
             {
-                if length > most {
-                    return Err(Error::TooLong { what, length, most });
+                if length > limit {
+                    return Err(Error::TooLong { what, length, limit });
                 }
             }
             let kind = if change.is_some() { OperationKind::Put } else { OperationKind::Delete };
-            builder.push(kind, change.as_ref().map_or(0, |(_, ends)| *ends), key, value);
+            builder.push(kind, change.as_ref().map_or(0, |(_, expires_at)| *expires_at), key, value);
             if change.is_some() && !self.index.contains_key(&key[..]) {
-                grows += key.len() as u64 + ENTRY;
+                index_growth += key.len() as u64 + ENTRY_OVERHEAD_BYTES;
             }
         }
         // What only deletes must be taken at the bounds: it is the way out.
         let deletes = batch.changes.iter().all(|(_, change)| change.is_none());
-        let (needed, most) = (self.memory + grows, self.options.max_index_bytes);
-        if needed > most && grows > 0 {
-            return Err(Error::IndexBound { needed, most });
+        let (needed, limit) = (self.index_bytes + index_growth, self.options.max_index_bytes);
+        if needed > limit && index_growth > 0 {
+            return Err(Error::IndexBound { needed, limit });
         }
-        let (needed, most) = (self.disk_bytes() + builder.length() as u64, self.options.max_disk_bytes);
-        if needed > most && !deletes {
-            return Err(Error::DiskBound { needed, most });
+        let (needed, limit) = (self.disk_bytes() + builder.length() as u64, self.options.max_disk_bytes);
+        if needed > limit && !deletes {
+            return Err(Error::DiskBound { needed, limit });
         }
         let number = self.append(builder)?;
         match durability {
             Durability::Deferred => {}
-            Durability::Within(time) => {
-                let by = self.time.saturating_add(time);
-                self.due = Some(self.due.map_or(by, |due| due.min(by)));
+            Durability::Within(delay) => {
+                let deadline = self.latest_time.saturating_add(delay);
+                self.sync_deadline =
+                    Some(self.sync_deadline.map_or(deadline, |earlier| earlier.min(deadline)));
             }
             Durability::Immediate => self.sync()?,
         }
@@ -392,180 +397,186 @@
     }
 
     /// Appends a frame, and points the index at what is in it.
-    fn append(&mut self, builder: FrameBuilder) -> Done<u64> {
-        if self.stuck {
+    fn append(&mut self, builder: FrameBuilder) -> Result<u64> {
+        if self.has_failed {
             return Err(Error::Failed);
         }
         let length = builder.length();
         if length - frame::HEADER_BYTES > frame::MAX_CONTENT_BYTES {
-            return Err(Error::TooLong { what: "batch", length, most: frame::MAX_CONTENT_BYTES });
+            return Err(Error::TooLong { what: "batch", length, limit: frame::MAX_CONTENT_BYTES });
         }
         let active = self.segments.last_key_value().map(|(number, segment)| (*number, segment.length));
-        let (mut segment, mut place) = active.ok_or(Error::Failed)?;
-        if place > HEADER && place + length as u64 > self.options.max_segment_bytes {
+        let (mut segment, mut offset) = active.ok_or(Error::Failed)?;
+        if offset > HEADER_BYTES && offset + length as u64 > self.options.max_segment_bytes {
             // What stands in the new one must not outlive what stands here.
             self.sync()?;
             segment += 1;
-            self.add_segment(segment).inspect_err(|_| self.stuck = true)?;
-            place = HEADER;
+            self.add_segment(segment).inspect_err(|_| self.has_failed = true)?;
+            offset = HEADER_BYTES;
         }
-        let number = self.last + 1;
-        let bytes = builder.frame(segment, place, (number, self.durable), self.time);
-        let own = self.segments.get_mut(&segment).ok_or(Error::Failed)?;
-        if let Err(why) = own.file.write(place, &bytes) {
+        let number = self.last_sequence + 1;
+        let bytes = builder.frame(segment, offset, (number, self.durable_sequence), self.latest_time);
+        let active_segment = self.segments.get_mut(&segment).ok_or(Error::Failed)?;
+        if let Err(why) = active_segment.file.write(offset, &bytes) {
             // The half that may be there must not be found whole after a crash, when it was said to have failed.
-            if own.file.truncate(place).is_err() {
-                self.stuck = true;
+            if active_segment.file.truncate(offset).is_err() {
+                self.has_failed = true;
             }
             return Err(Error::Io { what: "a batch", why });
         }
-        own.length = place + bytes.len() as u64;
-        self.last = number;
-        let written = frame::decode(&bytes, segment, place).ok_or(Error::Failed)?;
+        active_segment.length = offset + bytes.len() as u64;
+        self.last_sequence = number;
+        let written = frame::decode(&bytes, segment, offset).ok_or(Error::Failed)?;
         for operation in written.operations() {
-            let value = Place {
+            let value = ValueLocation {
                 segment,
-                at: place + operation.value_offset as u64,
+                offset: offset + operation.value_offset as u64,
                 length: operation.value.len() as u32,
-                ends: operation.expires_at,
+                expires_at: operation.expires_at,
             };
-            self.point(operation.key, (operation.kind == OperationKind::Put).then_some(value));
+            self.update_index(operation.key, (operation.kind == OperationKind::Put).then_some(value));
         }
         Ok(number)
     }
 
     /// When `tick` is to be called, for what is to be durable by then.
-    pub fn due(&self) -> Option<u64> {
-        self.due
+    pub fn sync_deadline(&self) -> Option<u64> {
+        self.sync_deadline
     }
 
     /// Makes what is due durable.
-    pub fn tick(&mut self, now: u64) -> Done<()> {
-        self.time = self.time.max(now);
-        match self.due {
-            Some(due) if due <= self.time => self.sync(),
+    pub fn handle_timeout(&mut self, now: u64) -> Result<()> {
+        self.latest_time = self.latest_time.max(now);
+        match self.sync_deadline {
+            Some(due) if due <= self.latest_time => self.sync(),
             _ => Ok(()),
         }
     }
 
     /// Makes all that was written durable. Where that fails nobody knows what the disk has: nothing more is taken.
-    pub fn sync(&mut self) -> Done<()> {
-        if self.stuck {
+    pub fn sync(&mut self) -> Result<()> {
+        if self.has_failed {
             return Err(Error::Failed);
         }
         let Some(mut active) = self.segments.last_entry() else { return Ok(()) };
         if let Err(why) = active.get_mut().file.sync() {
-            self.stuck = true;
+            self.has_failed = true;
             return Err(Error::Sync(why));
         }
-        (self.durable, self.due) = (self.last, None);
+        (self.durable_sequence, self.sync_deadline) = (self.last_sequence, None);
         Ok(())
     }
 
-    fn live(&self, place: &Place, now: u64) -> bool {
-        place.ends == 0 || place.ends > now.max(self.time)
+    fn is_live(&self, location: &ValueLocation, now: u64) -> bool {
+        location.expires_at == 0 || location.expires_at > now.max(self.latest_time)
     }
 
-    fn value(&self, place: &Place) -> Done<Vec<u8>> {
-        let mut value = vec![0; place.length as usize];
-        let segment = self.segments.get(&place.segment).ok_or(Error::Missing { segment: place.segment })?;
-        segment.file.read(place.at, &mut value).map_err(at("a value"))?;
+    fn read_value(&self, location: &ValueLocation) -> Result<Vec<u8>> {
+        let mut value = vec![0; location.length as usize];
+        let segment =
+            self.segments.get(&location.segment).ok_or(Error::Missing { segment: location.segment })?;
+        segment.file.read(location.offset, &mut value).map_err(io_error("a value"))?;
         Ok(value)
     }
 
     /// When a key's value ends; 0: never.
     pub fn expires_at(&self, key: &[u8]) -> Option<u64> {
-        self.index.get(key).map(|place| place.ends)
+        self.index.get(key).map(|location| location.expires_at)
     }
 
-    pub fn get(&self, key: &[u8], now: u64) -> Done<Option<Vec<u8>>> {
-        let place = self.index.get(key).filter(|place| self.live(place, now));
-        place.map(|place| self.value(place)).transpose()
+    pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>> {
+        let location = self.index.get(key).filter(|location| self.is_live(location, now));
+        location.map(|location| self.read_value(location)).transpose()
     }
 
     /// Up to `most` keys and values in order, from behind a key on, whose keys begin with `prefix`.
     pub fn scan(
         &self,
         prefix: &[u8],
-        behind: Option<&[u8]>,
-        most: usize,
+        after: Option<&[u8]>,
+        limit: usize,
         now: u64,
-    ) -> Done<Vec<(Vec<u8>, Vec<u8>)>> {
-        let from = match behind {
-            Some(behind) if behind >= prefix => Bound::Excluded(behind),
+    ) -> Result<Vec<(Vec<u8>, Vec<u8>)>> {
+        let from = match after {
+            Some(after) if after >= prefix => Bound::Excluded(after),
             _ => Bound::Included(prefix),
         };
         let keys = self.index.range::<[u8], _>((from, Bound::Unbounded));
-        let keys =
-            keys.take_while(|(key, _)| key.starts_with(prefix)).filter(|(_, place)| self.live(place, now));
-        keys.take(most).map(|(key, place)| Ok((key.to_vec(), self.value(place)?))).collect()
+        let keys = keys
+            .take_while(|(key, _)| key.starts_with(prefix))
+            .filter(|(_, location)| self.is_live(location, now));
+        keys.take(limit).map(|(key, location)| Ok((key.to_vec(), self.read_value(location)?))).collect()
     }
 
     /// Goes on with compaction for so many bytes, if there is enough to be won. False: there is nothing to do.
-    pub fn compact(&mut self, budget: usize, now: u64) -> Done<bool> {
-        self.time = self.time.max(now);
-        let used: u64 = self.segments.values().map(|segment| segment.live).sum();
-        let all = self.disk_bytes();
+    pub fn compact(&mut self, budget: usize, now: u64) -> Result<bool> {
+        self.latest_time = self.latest_time.max(now);
+        let live_bytes: u64 = self.segments.values().map(|segment| segment.live).sum();
+        let disk_bytes = self.disk_bytes();
         let (oldest, length) = match (self.segments.first_key_value(), self.segments.last_key_value()) {
             (Some((oldest, segment)), Some((active, _))) if oldest != active => (*oldest, segment.length),
             _ => return Ok(false),
         };
-        if self.cursor <= HEADER && (all - used) as f64 <= WASTE * all as f64 {
+        if self.compaction_offset <= HEADER_BYTES
+            && (disk_bytes - live_bytes) as f64 <= MAX_WASTE * disk_bytes as f64
+        {
             return Ok(false);
         }
-        let mut moved = FrameBuilder::default();
-        let until = length.min(self.cursor + budget as u64);
-        while self.cursor < until {
-            let Some(bytes) = self.frame_at(oldest, self.cursor, length)? else {
+        let mut live_frame = FrameBuilder::default();
+        let until = length.min(self.compaction_offset + budget as u64);
+        while self.compaction_offset < until {
+            let Some(bytes) = self.read_frame(oldest, self.compaction_offset, length)? else {
                 // Damage that salvage passed over: what lies behind it is found as it was at the start.
-                self.cursor += 1;
+                self.compaction_offset += 1;
                 continue;
             };
-            let Some(frame) = frame::decode(&bytes, oldest, self.cursor) else {
-                self.cursor += 1;
+            let Some(frame) = frame::decode(&bytes, oldest, self.compaction_offset) else {
+                self.compaction_offset += 1;
                 continue;
             };
             for operation in frame.operations().filter(|operation| operation.kind == OperationKind::Put) {
-                let here = self.cursor + operation.value_offset as u64;
+                let offset = self.compaction_offset + operation.value_offset as u64;
                 let known = self.index.get(operation.key).copied();
-                let Some(place) = known.filter(|place| place.segment == oldest && place.at == here) else {
+                let Some(location) =
+                    known.filter(|location| location.segment == oldest && location.offset == offset)
+                else {
                     continue;
                 };
-                if self.live(&place, now) {
-                    moved.push(OperationKind::Put, operation.expires_at, operation.key, operation.value);
+                if self.is_live(&location, now) {
+                    live_frame.push(OperationKind::Put, operation.expires_at, operation.key, operation.value);
                 } else {
-                    self.point(operation.key, None);
+                    self.update_index(operation.key, None);
                 }
             }
-            self.cursor += frame.length as u64;
+            self.compaction_offset += frame.length as u64;
         }
-        if moved.count() > 0 {
-            self.append(moved)?;
+        if live_frame.count() > 0 {
+            self.append(live_frame)?;
         }
-        if self.cursor >= length {
+        if self.compaction_offset >= length {
             // All that is live in it stands elsewhere too: durable there before it goes here.
             self.sync()?;
             self.segments.remove(&oldest);
-            self.cursor = HEADER;
-            self.files.remove(&name(oldest)).map_err(at("a compacted segment"))?;
-            self.files.sync_names().map_err(at("the folder"))?;
+            self.compaction_offset = HEADER_BYTES;
+            self.directory.remove(&segment_file_name(oldest)).map_err(io_error("a compacted segment"))?;
+            self.directory.sync_names().map_err(io_error("the folder"))?;
         }
         Ok(true)
     }
 
-    fn frame_at(&self, segment: u64, place: u64, length: u64) -> Done<Option<Vec<u8>>> {
-        let Some(own) = self.segments.get(&segment) else { return Ok(None) };
+    fn read_frame(&self, segment: u64, offset: u64, length: u64) -> Result<Option<Vec<u8>>> {
+        let Some(active_segment) = self.segments.get(&segment) else { return Ok(None) };
         let mut head = [0; 4];
-        if place + frame::HEADER_BYTES as u64 > length {
+        if offset + frame::HEADER_BYTES as u64 > length {
             return Ok(None);
         }
-        own.file.read(place, &mut head).map_err(at("a frame's length"))?;
+        active_segment.file.read(offset, &mut head).map_err(io_error("a frame's length"))?;
         let whole = frame::HEADER_BYTES as u64 + u64::from(u32::from_le_bytes(head));
-        if whole > frame::MAX_CONTENT_BYTES as u64 || place + whole > length {
+        if whole > frame::MAX_CONTENT_BYTES as u64 || offset + whole > length {
             return Ok(None);
         }
         let mut bytes = vec![0; whole as usize];
-        own.file.read(place, &mut bytes).map_err(at("a frame"))?;
+        active_segment.file.read(offset, &mut bytes).map_err(io_error("a frame"))?;
         Ok(Some(bytes))
     }
 }
--- a/crates/store/tests/tried.rs
+++ b/crates/store/tests/fault_injection.rs
@@ -1,4 +1,4 @@
-//! A real folder that is full, slow or failing on purpose bites, and what was durable before is there afterwards.
+//! A real directory with injected faults: a quota, slow and failing syncs. What was durable before is kept.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,21 +7,21 @@
 use fernscale_store::files::DiskDirectory;
 use fernscale_store::{Batch, Durability, Options, Store};
 
-fn open(folder: &tempfile::TempDir, wrong: &Rc<Faults>) -> Store<FaultyDirectory<DiskDirectory>> {
-    let files = FaultyDirectory::new(DiskDirectory::new(folder.path()).expect("a folder"), wrong);
+fn open(folder: &tempfile::TempDir, faults: &Rc<Faults>) -> Store<FaultyDirectory<DiskDirectory>> {
+    let files = FaultyDirectory::new(DiskDirectory::new(folder.path()).expect("a folder"), faults);
     Store::open(files, Options::default(), 0).expect("opened").0
 }
 
 #[test]
-fn a_full_folder_takes_no_more_until_there_is_room_and_keeps_what_it_has() {
+fn a_full_directory_rejects_writes_until_there_is_space_and_keeps_its_data() {
     let folder = tempfile::tempdir().expect("a folder");
-    let wrong = Rc::new(Faults::default());
-    let mut store = open(&folder, &wrong);
+    let faults = Rc::new(Faults::default());
+    let mut store = open(&folder, &faults);
     store.write(&Batch::new().put(b"a", b"one"), Durability::Immediate, 0).expect("written");
-    wrong.quota_bytes.set(Some(store.disk_bytes() + 10));
+    faults.quota_bytes.set(Some(store.disk_bytes() + 10));
     let long = [7; 100];
     assert!(store.write(&Batch::new().put(b"b", &long), Durability::Immediate, 0).is_err(), "it is full");
-    wrong.quota_bytes.set(None);
+    faults.quota_bytes.set(None);
     store.write(&Batch::new().put(b"c", &long), Durability::Immediate, 0).expect("there is room again");
     drop(store);
     let store = open(&folder, &Rc::default());
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn a_sync_that_fails_is_no_yes_and_one_that_is_slow_is_waited_for() {
+fn a_failed_sync_is_an_error_and_a_slow_one_is_awaited() {
     let folder = tempfile::tempdir().expect("a folder");
-    let wrong = Rc::new(Faults::default());
-    let mut store = open(&folder, &wrong);
-    wrong.sync_delay.set(Duration::from_millis(60));
-    let began = Instant::now();
+    let faults = Rc::new(Faults::default());
+    let mut store = open(&folder, &faults);
+    faults.sync_delay.set(Duration::from_millis(60));
+    let started = Instant::now();
     store.write(&Batch::new().put(b"a", b"one"), Durability::Immediate, 0).expect("written");
-    assert!(began.elapsed() >= Duration::from_millis(60));
-    wrong.sync_delay.set(Duration::ZERO);
-    wrong.sync_fails.set(true);
+    assert!(started.elapsed() >= Duration::from_millis(60));
+    faults.sync_delay.set(Duration::ZERO);
+    faults.sync_fails.set(true);
     assert!(store.write(&Batch::new().put(b"b", b"two"), Durability::Immediate, 0).is_err());
     drop(store);
-    wrong.sync_fails.set(false);
-    let store = open(&folder, &wrong);
+    faults.sync_fails.set(false);
+    let store = open(&folder, &faults);
     assert_eq!(store.get(b"a", 0).expect("read").as_deref(), Some(&b"one"[..]));
 }
