--- a/crates/store/src/fault_injection.rs
+++ b/crates/store/src/fault_injection.rs
@@ -1,7 +1,6 @@
-//! A folder that is full, slow or failing on purpose, before any other: for trials of what uses the store, without privileges.
-//!
-//! The quota counts what the files of the folder hold, as a file system would. What it stands before does the rest, so that
-//! what is written is really there, and a process that starts again finds it.
+//! A directory that injects faults in front of another one: a quota, slow and failing syncs, for trials without privileges.
+//! It never holds data: what is written is in the inner directory, where a process that starts again finds it. The quota
+//! counts the lengths of the files, as a file system would.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,14 +10,14 @@
 
 use crate::files::{Directory, FileHandle};
 
-/// What is wrong with a folder; it may change while the folder is in use.
+/// The faults of a directory, which may be changed while it is in use.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Bytes that all files together may hold.
+    /// Largest length of all files together, in bytes.
     pub quota_bytes: Cell<Option<u64>>,
-    /// Every sync takes so much longer. The caller waits for it, as it would for a slow disk.
+    /// Every sync takes so much longer, and blocks the calling thread for it.
     pub sync_delay: Cell<Duration>,
-    /// Every sync fails, and nobody knows what of it was done.
+    /// Every sync fails.
     pub sync_fails: Cell<bool>,
     lengths: RefCell<BTreeMap<String, u64>>,
 }
@@ -28,7 +27,7 @@
         io::Error::from(io::ErrorKind::StorageFull)
     }
 
-    /// Whether a file may have this length from now on.
+    /// Records the new length of a file, unless it exceeds the quota.
     fn check_quota(&self, name: &str, length: u64) -> io::Result<()> {
         let mut lengths = self.lengths.borrow_mut();
         let others: u64 = lengths.iter().filter(|(other, _)| *other != name).map(|(_, length)| length).sum();
@@ -44,13 +43,14 @@
         if !self.sync_delay.get().is_zero() {
             std::thread::sleep(self.sync_delay.get());
         }
-        match self.sync_fails.get() {
-            true => Err(io::Error::other("a sync that fails on purpose")),
-            false => Ok(()),
+        if self.sync_fails.get() {
+            return Err(io::Error::other("a sync that fails on purpose"));
         }
+        Ok(())
     }
 }
 
+/// A directory with injected faults.
 #[derive(Debug)]
 pub struct FaultyDirectory<F> {
     inner: F,
@@ -58,11 +58,13 @@
 }
 
 impl<F> FaultyDirectory<F> {
+    /// Injects faults in front of a directory.
     pub fn new(inner: F, faults: &Rc<Faults>) -> Self {
         FaultyDirectory { inner, faults: faults.clone() }
     }
 }
 
+/// An open file with injected faults.
 #[derive(Debug)]
 pub struct FaultyFile<H> {
     inner: H,
@@ -107,14 +109,14 @@
         self.inner.length()
     }
 
-    fn read(&self, at: u64, into: &mut [u8]) -> io::Result<()> {
-        self.inner.read(at, into)
+    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()> {
+        self.inner.read(offset, into)
     }
 
-    fn write(&mut self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        let length = self.inner.length()?.max(at + bytes.len() as u64);
+    fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        let length = self.inner.length()?.max(offset + bytes.len() as u64);
         self.faults.check_quota(&self.name, length)?;
-        self.inner.write(at, bytes)
+        self.inner.write(offset, bytes)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,4 @@
-//! File access, as little as the store needs.
+//! The file access that a store needs, and no more: a trait, and its implementation for the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -7,40 +7,51 @@
 
 use rustix::fs::{flock, FlockOperation};
 
-/// One folder of files. Names have no slashes.
+/// One directory of files. Names have no slashes.
 pub trait Directory {
+    /// An open file.
     type Handle: FileHandle;
-    /// Takes the folder for this process alone; an error of kind `WouldBlock` if another has it.
+    /// Locks the directory for this process; an error of kind `WouldBlock` if another has locked it.
     fn lock(&mut self) -> io::Result<()>;
+    /// The names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// Opens a file to read and append; with `create` it must not be there yet.
+    /// Opens a file to read and write; with `create` it must not exist, without it must.
     fn open(&mut self, name: &str, create: bool) -> io::Result<Self::Handle>;
+    /// Removes a file. An open handle of it stays usable.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names of files durable.
+    /// Makes the creation and removal of files durable.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
+/// An open file. Offsets and lengths are in bytes.
 pub trait FileHandle {
+    /// The length of the file.
     fn length(&self) -> io::Result<u64>;
-    /// Reads all of a range, or fails.
-    fn read(&self, at: u64, into: &mut [u8]) -> io::Result<()>;
-    fn write(&mut self, at: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Fills a buffer from an offset on, or fails.
+    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()>;
+    /// Writes all bytes at an offset, or fails after some of them.
+    fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Sets the length.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Makes what was written durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A directory of the file system.
 #[derive(Debug)]
 pub struct DiskDirectory {
     path: PathBuf,
     lock: Option<File>,
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl DiskDirectory {
-    /// The folder is made if it is not there.
+    /// Creates the directory, with its parents, if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// Those of creating it.
     pub fn new(path: &Path) -> io::Result<DiskDirectory> {
         std::fs::create_dir_all(path)?;
         Ok(DiskDirectory { path: path.into(), lock: None })
@@ -51,13 +62,15 @@
     type Handle = File;
 
     fn lock(&mut self) -> io::Result<()> {
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK))?;
-        // It goes with the process, however that ends.
+        let file =
+            OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
+        // The operating system releases the lock when the process ends.
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
         self.lock = Some(file);
         Ok(())
     }
 
+    /// The names of all files.
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
@@ -84,12 +97,12 @@
         Ok(self.metadata()?.len())
     }
 
-    fn read(&self, at: u64, into: &mut [u8]) -> io::Result<()> {
-        self.read_exact_at(into, at)
+    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()> {
+        self.read_exact_at(into, offset)
     }
 
-    fn write(&mut self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.write_all_at(bytes, at)
+    fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.write_all_at(bytes, offset)
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
--- /dev/null
+++ b/crates/store/src/segment.rs
@@ -0,0 +1,38 @@
+//! One file of the log: its name, its header, and how much of it is live. The frames behind the header are
+//! [`crate::frame`]'s.
+
+const MAGIC: [u8; 8] = *b"fernstor";
+const VERSION: u32 = 1;
+/// Bytes before the first frame: magic, version, and four of zero.
+pub(crate) const HEADER_BYTES: u64 = 16;
+
+pub(crate) struct Segment<H> {
+    pub file: H,
+    /// Bytes with the header.
+    pub length: u64,
+    /// Bytes of the keys and values in it that the index refers to.
+    pub live_bytes: u64,
+}
+
+impl<H> Segment<H> {
+    pub fn new(file: H, length: u64) -> Self {
+        Segment { file, length, live_bytes: 0 }
+    }
+}
+
+pub(crate) fn file_name(segment: u64) -> String {
+    format!("{segment:016x}.log")
+}
+
+/// The number of a segment; none where the file is no segment.
+pub(crate) fn number(file_name: &str) -> Option<u64> {
+    let digits = file_name.strip_suffix(".log").filter(|digits| digits.len() == 16)?;
+    u64::from_str_radix(digits, 16).ok()
+}
+
+pub(crate) fn header() -> [u8; HEADER_BYTES as usize] {
+    let mut header = [0; HEADER_BYTES as usize];
+    header[..8].copy_from_slice(&MAGIC);
+    header[8..12].copy_from_slice(&VERSION.to_le_bytes());
+    header
+}
--- a/crates/store/tests/first_version.rs
+++ b/crates/store/tests/first_version.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use fernscale_store::files::DiskDirectory;
-use fernscale_store::{Batch, Durability, Options, Store};
+use fernscale_store::{Batch, Durability, Options, Sequences, Store};
 
 const NOW: u64 = 1_700_000_000_000;
 const SEGMENTS: usize = 6;
@@ -53,7 +53,7 @@
         std::fs::write(copy.path().join(name), bytes).expect("copied");
     }
     let store = opened(copy.path());
-    assert_eq!((store.sequences(), store.len()), ((12, 12), 15));
+    assert_eq!((store.sequences(), store.len()), (Sequences { last: 12, durable: 12 }, 15));
     let promise =
         |job: u64| store.get(format!("owner/promise/job-{job}").as_bytes(), NOW + 20).expect("read");
     assert_eq!(store.get(b"owner/head", NOW + 20).expect("read"), Some(vec![11; 20]));
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use fernscale_store::frame::{self, FrameBuilder, OperationKind};
-use fernscale_store::{Batch, Durability, Error, Options, Store};
+use fernscale_store::frame::{self, FrameBuilder, FrameHeader, OperationKind};
+use fernscale_store::{Batch, Durability, Error, Options, Sequences, Store};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use simulated_disk::SimulatedDisk;
@@ -116,11 +116,11 @@
     for _ in 0..random.gen_range(10..120) {
         match random.gen_range(0..20) {
             0 => {
-                let durable = store.sequences().1;
+                let durable = store.sequences().durable;
                 drop(store);
                 files.crash(&mut random);
                 store = open(&files, 0).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
-                let (found, last) = (state(&store, 0), store.sequences().0);
+                let (found, last) = (state(&store, 0), store.sequences().last);
                 assert!(last >= durable, "seed {seed}: {durable} were durable, {last} are there");
                 let (_, expected) = states.range(..=last).next_back().expect("the first");
                 assert_eq!(&found, expected, "seed {seed}: not the state after batch {last}");
@@ -221,7 +221,7 @@
         matches!(store.sync(), Err(Error::Failed)),
         "a second sync would report as durable what the disk may have lost"
     );
-    assert_eq!(store.sequences().1, 1);
+    assert_eq!(store.sequences().durable, 1);
 }
 
 #[test]
@@ -232,11 +232,11 @@
     store.write(&put(b"a"), Durability::Within(50), 1000).expect("written");
     store.write(&put(b"b"), Durability::Within(20), 1010).expect("written");
     store.write(&put(b"c"), Durability::Within(500), 1015).expect("written");
-    assert_eq!((store.sync_deadline(), store.sequences()), (Some(1030), (3, 0)));
+    assert_eq!((store.sync_deadline(), store.sequences()), (Some(1030), Sequences { last: 3, durable: 0 }));
     store.handle_timeout(1029).expect("not yet");
-    assert_eq!(store.sequences(), (3, 0));
+    assert_eq!(store.sequences(), Sequences { last: 3, durable: 0 });
     store.handle_timeout(1030).expect("synced");
-    assert_eq!((store.sync_deadline(), store.sequences()), (None, (3, 3)));
+    assert_eq!((store.sync_deadline(), store.sequences()), (None, Sequences { last: 3, durable: 3 }));
     store.write(&put(b"d"), Durability::Within(5), 900).expect("a clock that went back");
     assert_eq!(store.sync_deadline(), Some(1035));
 }
@@ -260,12 +260,10 @@
             );
         }
         let (segment, offset) = (random.gen_range(0..3), random.gen_range(0..100));
-        let encoded = builder.frame(segment, offset, (7, 6), 5);
+        let header = FrameHeader { sequence: 7, durable_sequence: 6, written_at: 5 };
+        let encoded = builder.encode(segment, offset, header);
         let read = frame::decode(&encoded, segment, offset).expect("as it was written");
-        assert_eq!(
-            (read.sequence, read.durable_sequence, read.written_at, read.length),
-            (7, 6, 5, encoded.len())
-        );
+        assert_eq!((read.header, read.length), (header, encoded.len()));
         assert_eq!(read.operations().count(), builder.count() as usize);
         assert_eq!(frame::decode(&encoded, segment, offset + 1), None, "another place");
         assert_eq!(frame::decode(&encoded, segment + 1, offset), None, "another segment");
