--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -117,8 +117,8 @@
     /// Offers the holder of a lease to take it over, as this gateway has a better rank.
     pub fn offer(&mut self, lease: &Name) {
         let Some(pursuit) = self.pursuits.get(lease) else { return };
-        let holder = pursuit.holder.filter(|token| token.process != self.process);
-        if let (State::Waiting { .. }, Some(token)) = (&pursuit.state, holder) {
+        let State::Waiting { .. } = &pursuit.state else { return };
+        if let Some(token) = pursuit.holder.filter(|token| token.process != self.process) {
             self.outputs.push_back(Output::Offer { to: token.process, lease: lease.clone() });
         }
     }
--- a/crates/lease/src/replicated_list/fragment.rs
+++ b/crates/lease/src/replicated_list/fragment.rs
@@ -9,10 +9,10 @@
 const MAX_FRAGMENT_BYTES: usize = 32 * 1024;
 /// Bytes that an entry takes beside its name and its body.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
-/// Fragments of one whole.
+/// Fragments of one transmission.
 pub(super) const MAX_FRAGMENTS: usize = 256;
 
-/// Identifies the whole that a fragment belongs to.
+/// Identifies the transmission that a fragment belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Transmission {
     pub from: Name,
@@ -22,7 +22,7 @@
     pub count: u16,
 }
 
-/// A whole of which some fragments have arrived.
+/// A transmission of which some fragments have arrived.
 #[derive(Clone, Debug)]
 pub(super) struct PartialList {
     transmission: Transmission,
--- a/crates/lease/src/replicated_list/message.rs
+++ b/crates/lease/src/replicated_list/message.rs
@@ -39,15 +39,15 @@
 /// A bounded part of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// The version of the whole.
+    /// The version of the list.
     pub version: Version,
-    /// The whole has what is newer than this index of the same epoch; it is the complete list, if none.
+    /// The fragments have what is newer than this index of the same epoch; the complete list, if none.
     pub since: Option<u64>,
     /// Time since the source was asked, in milliseconds.
     pub age_ms: u32,
     /// Counted from 0.
     pub number: u16,
-    /// Fragments of the whole.
+    /// Fragments that belong together.
     pub count: u16,
     /// The entries of this part.
     pub entries: Vec<Entry>,
--- a/crates/lease/tests/acceptor.rs
+++ b/crates/lease/tests/acceptor.rs
@@ -108,7 +108,8 @@
 fn an_acceptor_that_has_started_withholds_only_the_leases_in_its_store_for_one_duration() {
     let names = [Name::from("a")];
     let set = AcceptorSet::initial(&names).id();
-    let (lease, token) = (Name::from("j"), FencingToken { term: 3, process: ProcessId(7) });
+    let lease = Name::from("j");
+    let token = FencingToken { term: 3, process: ProcessId(7) };
     let promises = BTreeMap::from([(lease.clone(), token)]);
     let durable = DurableState { is_initialized: true, acceptors: set, promises, ..DurableState::default() };
     let mut acceptor =
@@ -148,7 +149,8 @@
             AcceptorRequest::Claim { lease, token, round: 1, acceptors: set },
         );
     }
-    let (mut writes, mut overloaded) = (0, 0);
+    let mut writes = 0;
+    let mut overloaded = 0;
     while let Some(output) = acceptor.poll_output() {
         match output {
             Output::Persist { .. } => writes += 1,
--- a/crates/lease/tests/ranking.rs
+++ b/crates/lease/tests/ranking.rs
@@ -16,13 +16,14 @@
 #[test]
 fn leases_are_spread_evenly_and_few_move_with_a_gateway() {
     let leases = leases(1_000);
-    let (all, fewer) = (participants(30), participants(29));
+    let all = participants(30);
+    let fewer = participants(29);
     let mut each: BTreeMap<Name, usize> = BTreeMap::new();
     let mut moved = 0;
     for lease in &leases {
-        let own = first_ranked(lease, &all).expect("there are some");
-        moved += usize::from(own != first_ranked(lease, &fewer).expect("there are some"));
-        *each.entry(own).or_default() += 1;
+        let first = first_ranked(lease, &all).expect("there are some");
+        moved += usize::from(first != first_ranked(lease, &fewer).expect("there are some"));
+        *each.entry(first).or_default() += 1;
     }
     // A thirtieth of a thousand each, with the variance of a hash.
     assert!(each.len() == 30 && each.values().all(|leases| (15..60).contains(leases)), "{each:?}");
@@ -36,7 +37,7 @@
     let chosen = first_ranked("job", &all).expect("there are some");
     all.iter_mut().find(|own| own.name == chosen).expect("it is there").unwilling = true;
     assert_eq!(rank_of("job", &all, &chosen), Some(4));
-    let places: BTreeSet<_> = all.iter().map(|own| rank_of("job", &all, &own.name)).collect();
-    assert_eq!(places, (0..5).map(Some).collect());
+    let ranks: BTreeSet<_> = all.iter().map(|own| rank_of("job", &all, &own.name)).collect();
+    assert_eq!(ranks, (0..5).map(Some).collect());
     assert_eq!(rank_of("job", &all, "stranger"), None);
 }
--- a/crates/lease/tests/replicated_list.rs
+++ b/crates/lease/tests/replicated_list.rs
@@ -180,8 +180,8 @@
 
     /// Whether all gateways that run have the list of the source.
     fn have_converged(&self) -> bool {
-        let there = self.source.changes.iter().filter(|(_, own)| !own.removed);
-        let expected: BTreeMap<_, _> = there.map(|(_, own)| (own.name.clone(), own.body.clone())).collect();
+        let present = self.source.changes.iter().filter(|(_, own)| !own.removed);
+        let expected: BTreeMap<_, _> = present.map(|(_, own)| (own.name.clone(), own.body.clone())).collect();
         let is_running = |at: &usize| !self.paused.contains(at);
         (0..self.gateways.len()).filter(is_running).all(|at| self.gateways[at].1 == expected)
     }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -117,8 +117,8 @@
         Ok(length)
     }
 
-    /// Examines the bytes from an offset on that is no frame. Frames behind it distinguish damage from an end that was being
-    /// written, if they state that what is missing was durable: of what was not, a crash may lose any part.
+    /// Examines the bytes from an offset where no frame begins. A later frame proves damage if it states that a missing batch
+    /// was durable: of batches that were not, a crash may lose any part.
     fn gap(&self, number: u64, bytes: &[u8], offset: u64) -> Gap {
         let mut gap = Gap { next: None, lost_durable_batch: false };
         for next in offset + 1..bytes.len() as u64 {
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -28,9 +28,11 @@
 fn written() -> (SimulatedDisk, Vec<Map>) {
     let files = SimulatedDisk::default();
     let mut store = open(&files, 1).expect("opened");
-    let (mut states, mut map) = (vec![Map::new()], Map::new());
+    let mut states = vec![Map::new()];
+    let mut map = Map::new();
     for step in 0..14u8 {
-        let (key, value) = (vec![b'k', step % 5], vec![step; 10 + 5 * step as usize]);
+        let key = vec![b'k', step % 5];
+        let value = vec![step; 10 + 5 * step as usize];
         let other = vec![b'k', (step + 2) % 5];
         let batch = Batch::new().put(&key, &value).delete(&other).put(&[b'n', step], b"");
         store.write(&batch, Durability::Immediate, 1).expect("written");
@@ -120,7 +122,8 @@
                 drop(store);
                 files.crash(&mut random);
                 store = open(&files, 0).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
-                let (found, last) = (state(&store, 0), store.sequences().last);
+                let found = state(&store, 0);
+                let last = store.sequences().last;
                 assert!(last >= durable, "seed {seed}: {durable} were durable, {last} are there");
                 let (_, expected) = states.range(..=last).next_back().expect("the first");
                 assert_eq!(&found, expected, "seed {seed}: not the state after batch {last}");
@@ -170,7 +173,8 @@
         store.write(&Batch::new().put(&key, &[step as u8; 50]), Durability::Deferred, 0).expect("written");
     }
     store.write(&Batch::new().delete(&0u32.to_le_bytes()), Durability::Deferred, 0).expect("deleted");
-    let (before, expected) = (store.disk_bytes(), state(&store, 0));
+    let before = store.disk_bytes();
+    let expected = state(&store, 0);
     while store.compact(100, 0).expect("compacted") {}
     assert!(store.disk_bytes() < before / 8, "{before} to {}", store.disk_bytes());
     assert_eq!(state(&store, 0), expected);
@@ -251,7 +255,8 @@
             let bytes = |random: &mut ChaCha8Rng| {
                 (0..random.gen_range(0..20)).map(|_| random.gen()).collect::<Vec<u8>>()
             };
-            let (key, value) = (bytes(&mut random), bytes(&mut random));
+            let key = bytes(&mut random);
+            let value = bytes(&mut random);
             builder.push(
                 if random.gen() { OperationKind::Put } else { OperationKind::Delete },
                 random.gen(),
@@ -259,7 +264,8 @@
                 &value,
             );
         }
-        let (segment, offset) = (random.gen_range(0..3), random.gen_range(0..100));
+        let segment = random.gen_range(0..3);
+        let offset = random.gen_range(0..100);
         let header = FrameHeader { sequence: 7, durable_sequence: 6, written_at: 5 };
         let encoded = builder.encode(segment, offset, header);
         let read = frame::decode(&encoded, segment, offset).expect("as it was written");
@@ -336,8 +342,8 @@
 
 #[test]
 fn a_directory_belongs_to_one_process_and_keeps_its_data() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let files = || fernscale_store::files::DiskDirectory::new(folder.path()).expect("made");
+    let directory = tempfile::tempdir().expect("a directory");
+    let files = || fernscale_store::files::DiskDirectory::new(directory.path()).expect("made");
     let (mut store, _) = Store::open(files(), Options::default(), 0).expect("opened");
     store.write(&Batch::new().put(b"a", b"1"), Durability::Immediate, 0).expect("written");
     assert!(matches!(Store::open(files(), Options::default(), 0), Err(Error::Locked)));
