--- a/crates/membership/src/node/counter_gossip.rs
+++ b/crates/membership/src/node/counter_gossip.rs
@@ -321,9 +321,11 @@
 
     /// All contributions to all counters, for anti-entropy.
     pub fn entries(&self, now: Micros) -> Vec<CounterEntry> {
-        let entries = self.counters.entries(now).map(|(name, expires_in, instance, contribution)| {
-            let expires_in_ms = (expires_in / MILLISECOND) as u32;
-            CounterEntry { key: name.to_string(), instance, contribution, expires_in_ms }
+        let entries = self.counters.entries(now).map(|known| CounterEntry {
+            key: known.name.to_string(),
+            instance: known.instance,
+            contribution: known.contribution,
+            expires_in_ms: (known.expires_in / MILLISECOND) as u32,
         });
         entries.collect()
     }
@@ -331,18 +333,18 @@
     /// The totals of the first counters by key, as many as fit into one message over a stream.
     pub fn totals(&self, now: Micros) -> Vec<CounterTotal> {
         let mut totals: Vec<CounterTotal> = Vec::new();
-        for (name, expires_in, _, contribution) in self.counters.entries(now) {
-            if let Some(last) = totals.last_mut().filter(|last| *last.key == **name) {
-                last.total += contribution.net();
+        for known in self.counters.entries(now) {
+            if let Some(last) = totals.last_mut().filter(|last| *last.key == **known.name) {
+                last.total += known.contribution.net();
                 continue;
             }
             if totals.len() >= MAX_TOTALS {
                 break;
             }
             totals.push(CounterTotal {
-                key: name.to_string(),
-                total: contribution.net(),
-                expires_in_ms: (expires_in / MILLISECOND) as u32,
+                key: known.name.to_string(),
+                total: known.contribution.net(),
+                expires_in_ms: (known.expires_in / MILLISECOND) as u32,
             });
         }
         totals
--- a/crates/shared-counter/src/lib.rs
+++ b/crates/shared-counter/src/lib.rs
@@ -6,6 +6,7 @@
 //! counter: it sees every call and every answer, tells a good counter from one that is lost, emptied or apart, and
 //! answers with the best total there is. `gossip` has words of any kind heard by everybody.
 
+mod expiring_map;
 pub mod gossip;
 pub mod monitor;
 pub mod pn_counter;
--- a/crates/shared-counter/src/pn_counter.rs
+++ b/crates/shared-counter/src/pn_counter.rs
@@ -1,39 +1,44 @@
-//! What each gateway has added to each count: two sums that only grow, of what was added and what was taken off, so that
-//! merging is taking the larger of each. A message that is lost, late, doubled or out of order changes nothing for good.
+//! PN-counters: what each instance has added to and taken off each counter, as two sums that only grow (Shapiro et al., 2011).
+//! Merging takes the larger of each, so that loss, delay, duplication and reordering of messages do no lasting harm. It sends
+//! nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
+use crate::expiring_map::{Expiring, ExpiringMap};
 use crate::Micros;
 
-/// One run of one gateway's process: drawn anew at each start, so that what an earlier run added stays its own.
+/// One process of one gateway. It is drawn at random at each start, so that what an earlier process added stays its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance(pub u64);
 
-/// What one instance has added to one count.
+/// What one instance has added to one counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Contribution {
+    /// The sum of what was added; never negative.
     pub increments: f64,
+    /// The sum of what was taken off; never negative.
     pub decrements: f64,
 }
 
 impl Contribution {
+    /// What was added less what was taken off.
     pub fn net(&self) -> f64 {
         self.increments - self.decrements
     }
 
     fn add(&mut self, amount: f64) {
         if amount >= 0.0 {
-            self.increments += amount
+            self.increments += amount;
         } else {
-            self.decrements -= amount
+            self.decrements -= amount;
         }
     }
 
-    /// Takes the larger of each, and says whether that changed anything.
-    fn join(&mut self, other: Contribution) -> bool {
+    /// Takes the larger of each sum, and returns whether that changed anything.
+    fn merge(&mut self, other: Contribution) -> bool {
         let before = *self;
         self.increments = self.increments.max(other.increments);
         self.decrements = self.decrements.max(other.decrements);
@@ -45,80 +50,87 @@
     }
 }
 
-/// Sums beyond this are nobody's: a counter takes no amount over a billion, and a name lives a minute.
+/// Sums above this are corrupt: the counter takes no amount above a billion, and a key lives a minute.
 const MAX_SUM: f64 = 1e15;
-/// Instances that may have parts in one count. Each start of a gateway is one; more in a minute than this are no fleet.
+/// Instances that contribute to one counter. Each start of a gateway is one; no fleet has more within a key's lifetime.
 const MAX_CONTRIBUTORS: usize = 4_096;
-/// Bytes of a name, as of the counter.
+/// Bytes of a counter's key, as the counter itself limits them.
 pub const MAX_NAME_BYTES: usize = 64;
 
-#[derive(Clone, Debug)]
-struct Counter {
-    expires_at: Micros,
-    contributions: BTreeMap<Instance, Contribution>,
-}
+type Contributions = BTreeMap<Instance, Contribution>;
 
-/// A part that is another one now, by the name as it is kept.
+/// A contribution has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
+    /// The counter's key.
     pub name: Arc<str>,
-    /// Nothing was known of this instance's part before.
+    /// Whether the instance had not contributed to the counter before, as far as was known.
     pub is_new: bool,
 }
 
-/// The counts that are known, up to a bound: at it, a new one is not taken, and nothing is known of it here.
+/// One contribution to one counter.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KnownContribution<'a> {
+    /// The counter's key.
+    pub name: &'a Arc<str>,
+    /// How long the counter still lives.
+    pub expires_in: Micros,
+    /// Who contributed.
+    pub instance: Instance,
+    /// What it contributed.
+    pub contribution: Contribution,
+}
+
+/// The counters that are known, up to a bound at which a further one is ignored.
 #[derive(Clone, Debug)]
 pub struct PnCounters {
-    counters: BTreeMap<Arc<str>, Counter>,
-    /// Names by when they end.
-    expirations: BTreeMap<(Micros, Arc<str>), ()>,
+    counters: ExpiringMap<Contributions>,
     max_counters: usize,
 }
 
 impl PnCounters {
+    /// No counters yet, and never more than the bound.
     pub fn new(max_counters: usize) -> Self {
-        PnCounters { counters: BTreeMap::new(), expirations: BTreeMap::new(), max_counters }
+        PnCounters { counters: ExpiringMap::new(), max_counters }
     }
 
+    /// Number of counters that are known.
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
+    /// Whether no counter is known.
     pub fn is_empty(&self) -> bool {
-        self.counters.is_empty()
+        self.len() == 0
     }
 
-    /// Forgets what has ended.
+    /// Removes the counters that have expired.
     pub fn remove_expired(&mut self, now: Micros) {
-        while let Some(((expires_at, _), ())) = self.expirations.first_key_value() {
-            if *expires_at > now {
-                return;
-            }
-            if let Some(((_, name), ())) = self.expirations.pop_first() {
-                self.counters.remove(&name);
-            }
-        }
+        self.counters.remove_expired(now);
     }
 
-    fn counter(&mut self, now: Micros, name: &str, lifetime: Micros) -> Option<(Arc<str>, &mut Counter)> {
+    /// A counter's contributions by its shared key; a new one if the counter is valid and there is room.
+    fn contributions(
+        &mut self,
+        now: Micros,
+        name: &str,
+        lifetime: Micros,
+    ) -> Option<(Arc<str>, &mut Contributions)> {
         self.remove_expired(now);
         if !self.counters.contains_key(name) {
-            if self.counters.len() >= self.max_counters
-                || name.len() > MAX_NAME_BYTES
-                || name.is_empty()
-                || lifetime == 0
-            {
+            let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && lifetime > 0;
+            if !is_valid || self.counters.len() >= self.max_counters {
                 return None;
             }
-            let (name, expires_at): (Arc<str>, _) = (name.into(), now.saturating_add(lifetime));
-            self.expirations.insert((expires_at, name.clone()), ());
-            self.counters.insert(name, Counter { expires_at, contributions: BTreeMap::new() });
+            self.counters.insert(now, name, lifetime, Contributions::new());
         }
-        let known = self.counters.get_key_value(name).map(|(known, _)| known.clone())?;
-        self.counters.get_mut(name).map(|counter| (known, counter))
+        let key = self.counters.shared_key(name)?;
+        let counter = self.counters.get_mut(name)?;
+        Some((key, &mut counter.value))
     }
 
-    /// An instance adds an amount of its own; nothing happens at the bound.
+    /// An instance adds an amount of its own, or takes it off if it is negative. Nothing changes if the amount is not
+    /// finite, or if the counter is new and invalid or beyond the bound.
     pub fn add(
         &mut self,
         now: Micros,
@@ -130,13 +142,13 @@
         if !amount.is_finite() {
             return None;
         }
-        let (name, counter) = self.counter(now, name, lifetime)?;
-        let is_new = !counter.contributions.contains_key(&instance);
-        counter.contributions.entry(instance).or_default().add(amount);
+        let (name, contributions) = self.contributions(now, name, lifetime)?;
+        let is_new = !contributions.contains_key(&instance);
+        contributions.entry(instance).or_default().add(amount);
         Some(Change { name, is_new })
     }
 
-    /// Merges what was told of an instance's part, and says what that changed, if anything.
+    /// Merges what another gateway reports of an instance's contribution, and returns the change if there is one.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -148,52 +160,52 @@
         if !contribution.is_valid() {
             return None;
         }
-        let (name, counter) = self.counter(now, name, lifetime)?;
-        let is_new = !counter.contributions.contains_key(&instance);
-        if counter.contributions.len() >= MAX_CONTRIBUTORS && is_new {
+        let (name, contributions) = self.contributions(now, name, lifetime)?;
+        let is_new = !contributions.contains_key(&instance);
+        if is_new && contributions.len() >= MAX_CONTRIBUTORS {
             return None;
         }
-        counter
-            .contributions
-            .entry(instance)
-            .or_default()
-            .join(contribution)
-            .then_some(Change { name, is_new })
+        let has_changed = contributions.entry(instance).or_default().merge(contribution);
+        has_changed.then_some(Change { name, is_new })
     }
 
+    /// What an instance has contributed to a counter.
     pub fn contribution(&self, name: &str, instance: Instance) -> Option<Contribution> {
-        self.counters.get(name)?.contributions.get(&instance).copied()
+        self.counters.get(name)?.value.get(&instance).copied()
     }
 
-    /// The instances that have a part in a count.
+    /// The instances that have contributed to a counter, in their order.
     pub fn contributors(&self, name: &str) -> impl Iterator<Item = Instance> + '_ {
-        self.counters.get(name).into_iter().flat_map(|counter| counter.contributions.keys().copied())
+        self.counters.get(name).into_iter().flat_map(|counter| counter.value.keys().copied())
     }
 
-    /// The counts that an instance has a part in.
+    /// The keys of the counters that an instance has contributed to, in their order.
     pub fn names_of_instance(&self, instance: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
-        let its =
-            self.counters.iter().filter(move |(_, counter)| counter.contributions.contains_key(&instance));
-        its.map(|(name, _)| name.clone())
+        let contributed =
+            self.counters.iter().filter(move |(_, counter)| counter.value.contains_key(&instance));
+        contributed.map(|(name, _)| name.clone())
     }
 
-    /// What all together have added, as far as is known here.
+    /// The sum of all contributions to a counter that has not expired.
     pub fn total(&self, now: Micros, name: &str) -> Option<f64> {
         let counter = self.counters.get(name).filter(|counter| counter.expires_at > now)?;
-        Some(counter.contributions.values().map(Contribution::net).sum())
+        Some(counter.value.values().map(Contribution::net).sum())
     }
 
-    /// How long a name still lives.
+    /// How long a counter still lives.
     pub fn expires_in(&self, now: Micros, name: &str) -> Option<Micros> {
         self.counters.get(name).map(|counter| counter.expires_at.saturating_sub(now))
     }
 
-    /// All parts of all counts, with the life that is left.
-    pub fn entries(&self, now: Micros) -> impl Iterator<Item = (&Arc<str>, Micros, Instance, Contribution)> {
+    /// All contributions to all counters that have not expired, in the order of keys and instances.
+    pub fn entries(&self, now: Micros) -> impl Iterator<Item = KnownContribution<'_>> {
         let live = self.counters.iter().filter(move |(_, counter)| counter.expires_at > now);
-        live.flat_map(move |(name, counter)| {
-            counter.contributions.iter().map(move |(instance, contribution)| {
-                (name, counter.expires_at - now, *instance, *contribution)
+        live.flat_map(move |(name, Expiring { expires_at, value })| {
+            value.iter().map(move |(instance, contribution)| KnownContribution {
+                name,
+                expires_in: expires_at - now,
+                instance: *instance,
+                contribution: *contribution,
             })
         })
     }
