--- a/crates/membership/src/node/counter_gossip.rs
+++ b/crates/membership/src/node/counter_gossip.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fernscale_shared_counter::pn_counter::{Change, Instance, PnCounters, MAX_NAME_BYTES};
+use fernscale_shared_counter::pn_counter::{Change, Instance, PnCounters, MAX_KEY_BYTES};
 use fernscale_shared_counter::{Micros, MILLISECOND};
 
 use super::datagram_batch::{BatchFull, DatagramBatch};
@@ -31,7 +31,7 @@
 /// Contributions that wait to be sent. At the bound a further one is dropped, and anti-entropy brings it.
 const MAX_PENDING_UPDATES: usize = 32_768;
 /// Totals in one message over a stream: each takes its key and less than twenty bytes.
-const MAX_TOTALS: usize = MAX_STREAM_BYTES / (MAX_NAME_BYTES + 20);
+const MAX_TOTALS: usize = MAX_STREAM_BYTES / (MAX_KEY_BYTES + 20);
 
 /// A contribution that is to be sent.
 #[derive(Clone, Copy)]
@@ -115,7 +115,7 @@
             self.dropped_updates += 1;
             return;
         };
-        let contribution = ContributionKey { counter: change.name.clone(), instance: self.local };
+        let contribution = ContributionKey { counter: change.key.clone(), instance: self.local };
         self.recent_changes.record(now, contribution);
         self.enqueue_change(change, self.local, members);
     }
@@ -131,7 +131,7 @@
             let merged = self.counters.merge(now, &entry.key, entry.instance, entry.contribution, lifetime);
             let Some(change) = merged else { continue };
             if change.is_new {
-                self.enqueue_orphans_of(now, &change.name, members);
+                self.enqueue_orphans_of(now, &change.key, members);
             }
             self.enqueue_change(change, entry.instance, members);
         }
@@ -145,7 +145,7 @@
         } else {
             FORWARDED_CHANGE_TRANSMISSIONS
         };
-        let key = ContributionKey { counter: change.name, instance };
+        let key = ContributionKey { counter: change.key, instance };
         self.enqueue(key, change.is_new, transmissions);
     }
 
@@ -197,7 +197,7 @@
 
     /// A node is gone and can send nothing any more: the contributors of its counters send each other what they know of it.
     pub fn enqueue_contributions_of(&mut self, now: Micros, gone: Instance) {
-        let counters: Vec<Arc<str>> = self.counters.names_of_instance(gone).collect();
+        let counters: Vec<Arc<str>> = self.counters.keys_of_instance(gone).collect();
         for counter in counters {
             if self.counters.contribution(&counter, self.local).is_some() {
                 self.enqueue_orphan(now, ContributionKey { counter, instance: gone });
@@ -322,7 +322,7 @@
     /// All contributions to all counters, for anti-entropy.
     pub fn entries(&self, now: Micros) -> Vec<CounterEntry> {
         let entries = self.counters.entries(now).map(|known| CounterEntry {
-            key: known.name.to_string(),
+            key: known.key.to_string(),
             instance: known.instance,
             contribution: known.contribution,
             expires_in_ms: (known.expires_in / MILLISECOND) as u32,
@@ -334,7 +334,7 @@
     pub fn totals(&self, now: Micros) -> Vec<CounterTotal> {
         let mut totals: Vec<CounterTotal> = Vec::new();
         for known in self.counters.entries(now) {
-            if let Some(last) = totals.last_mut().filter(|last| *last.key == **known.name) {
+            if let Some(last) = totals.last_mut().filter(|last| *last.key == **known.key) {
                 last.total += known.contribution.net();
                 continue;
             }
@@ -342,7 +342,7 @@
                 break;
             }
             totals.push(CounterTotal {
-                key: known.name.to_string(),
+                key: known.key.to_string(),
                 total: known.contribution.net(),
                 expires_in_ms: (known.expires_in / MILLISECOND) as u32,
             });
--- a/crates/shared-counter/src/monitor.rs
+++ b/crates/shared-counter/src/monitor.rs
@@ -147,7 +147,7 @@
     pub fn add(
         &mut self,
         now: Micros,
-        name: &str,
+        key: &str,
         amount: f64,
         lifetime: Micros,
         gossip: Option<GossipTotal>,
@@ -155,7 +155,7 @@
         self.counters.remove_expired(now);
         let is_lost = self.health == CounterHealth::Lost;
         let next_query = self.last_query + LOST_QUERY_INTERVAL;
-        let Some(counter) = self.track(now, name, lifetime) else { return AddStep::Forward(amount) };
+        let Some(counter) = self.track(now, key, lifetime) else { return AddStep::Forward(amount) };
         let substitute = gossip.filter(|gossip| gossip.is_complete && is_lost);
         if let Some(gossip) = substitute.filter(|_| now < next_query) {
             // Other gateways learn of it by gossip; the counter gets it with the next call.
@@ -170,40 +170,40 @@
     }
 
     /// The counter of a key, unless there are too many or it expires at once.
-    fn track(&mut self, now: Micros, name: &str, lifetime: Micros) -> Option<&mut TrackedCounter> {
-        if !self.counters.contains_key(name) {
+    fn track(&mut self, now: Micros, key: &str, lifetime: Micros) -> Option<&mut TrackedCounter> {
+        if !self.counters.contains_key(key) {
             if self.counters.len() >= MAX_COUNTERS {
                 return None;
             }
-            self.counters.insert(now, name, lifetime, TrackedCounter::default());
+            self.counters.insert(now, key, lifetime, TrackedCounter::default());
         }
-        let counter = self.counters.get_mut(name).filter(|counter| counter.expires_at > now)?;
+        let counter = self.counters.get_mut(key).filter(|counter| counter.expires_at > now)?;
         Some(&mut counter.value)
     }
 
-    fn tracked(&mut self, name: &str) -> Option<&mut TrackedCounter> {
-        self.counters.get_mut(name).map(|counter| &mut counter.value)
+    fn tracked(&mut self, key: &str) -> Option<&mut TrackedCounter> {
+        self.counters.get_mut(key).map(|counter| &mut counter.value)
     }
 
     /// A call has ended, with the time that it took. Calls for one key end in the order in which they were made.
     pub fn call_completed(
         &mut self,
         now: Micros,
-        name: &str,
+        key: &str,
         outcome: CallOutcome,
         latency: Micros,
         gossip: Option<GossipTotal>,
     ) -> CounterReply {
-        let call = self.tracked(name).and_then(TrackedCounter::end_call);
+        let call = self.tracked(key).and_then(TrackedCounter::end_call);
         let amount = call.map_or(0.0, |call| call.amount);
         match outcome {
             CallOutcome::Total(total) => self.record_reply(now, total, latency, amount, gossip),
             CallOutcome::NotApplied | CallOutcome::Unknown => self.record_failure(now),
         }
         let total = match outcome {
-            CallOutcome::Total(total) => call.map_or(total, |call| self.settle(now, name, call, total)),
+            CallOutcome::Total(total) => call.map_or(total, |call| self.settle(now, key, call, total)),
             CallOutcome::NotApplied | CallOutcome::Unknown => {
-                return self.settle_failure(name, outcome, call, gossip);
+                return self.settle_failure(key, outcome, call, gossip);
             }
         };
         CounterReply::Total(gossip.map_or(total, |gossip| total.max(gossip.total)))
@@ -212,14 +212,14 @@
     /// The reply to a call that brought no total: that of gossip, if it is complete.
     fn settle_failure(
         &mut self,
-        name: &str,
+        key: &str,
         outcome: CallOutcome,
         call: Option<Call>,
         gossip: Option<GossipTotal>,
     ) -> CounterReply {
         let substitute = gossip.filter(|gossip| gossip.is_complete);
         let is_unknown = outcome == CallOutcome::Unknown;
-        if let Some((counter, call)) = self.tracked(name).zip(call) {
+        if let Some((counter, call)) = self.tracked(key).zip(call) {
             if is_unknown {
                 counter.outcome_unknown(call);
             } else if substitute.is_none() {
@@ -295,9 +295,9 @@
     }
 
     /// Settles a call that brought a total, and returns the total with what is known to be missing in it.
-    fn settle(&mut self, now: Micros, name: &str, call: Call, total: f64) -> f64 {
-        let Some(key) = self.counters.shared_key(name) else { return total };
-        let Some(counter) = self.counters.get_mut(name).map(|counter| &mut counter.value) else {
+    fn settle(&mut self, now: Micros, key: &str, call: Call, total: f64) -> f64 {
+        let Some(shared_key) = self.counters.shared_key(key) else { return total };
+        let Some(counter) = self.counters.get_mut(key).map(|counter| &mut counter.value) else {
             return total;
         };
         counter.confirm(call);
@@ -309,9 +309,9 @@
                 while suspicions.front().is_some_and(|(at, _)| at + CONFIRMATION_TIME < now) {
                     suspicions.pop_front();
                 }
-                let is_confirmed = is_repeated || suspicions.iter().any(|(_, other)| *other != key);
+                let is_confirmed = is_repeated || suspicions.iter().any(|(_, other)| *other != shared_key);
                 if is_large {
-                    suspicions.push_back((now, key));
+                    suspicions.push_back((now, shared_key));
                 }
                 if !(is_large && persists && is_confirmed) {
                     return counter.at_least_confirmed(total);
--- a/crates/shared-counter/src/pn_counter.rs
+++ b/crates/shared-counter/src/pn_counter.rs
@@ -55,7 +55,7 @@
 /// Instances that contribute to one counter. Each start of a gateway is one; no fleet has more within a key's lifetime.
 const MAX_CONTRIBUTORS: usize = 4_096;
 /// Bytes of a counter's key, as the counter itself limits them.
-pub const MAX_NAME_BYTES: usize = 64;
+pub const MAX_KEY_BYTES: usize = 64;
 
 type Contributions = BTreeMap<Instance, Contribution>;
 
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The counter's key.
-    pub name: Arc<str>,
+    pub key: Arc<str>,
     /// Whether the instance had not contributed to the counter before, as far as was known.
     pub is_new: bool,
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownContribution<'a> {
     /// The counter's key.
-    pub name: &'a Arc<str>,
+    pub key: &'a Arc<str>,
     /// How long the counter still lives.
     pub expires_in: Micros,
     /// Who contributed.
@@ -113,20 +113,20 @@
     fn contributions(
         &mut self,
         now: Micros,
-        name: &str,
+        key: &str,
         lifetime: Micros,
     ) -> Option<(Arc<str>, &mut Contributions)> {
         self.remove_expired(now);
-        if !self.counters.contains_key(name) {
-            let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && lifetime > 0;
+        if !self.counters.contains_key(key) {
+            let is_valid = !key.is_empty() && key.len() <= MAX_KEY_BYTES && lifetime > 0;
             if !is_valid || self.counters.len() >= self.max_counters {
                 return None;
             }
-            self.counters.insert(now, name, lifetime, Contributions::new());
+            self.counters.insert(now, key, lifetime, Contributions::new());
         }
-        let key = self.counters.shared_key(name)?;
-        let counter = self.counters.get_mut(name)?;
-        Some((key, &mut counter.value))
+        let shared_key = self.counters.shared_key(key)?;
+        let counter = self.counters.get_mut(key)?;
+        Some((shared_key, &mut counter.value))
     }
 
     /// An instance adds an amount of its own, or takes it off if it is negative. Nothing changes if the amount is not
@@ -135,24 +135,24 @@
         &mut self,
         now: Micros,
         instance: Instance,
-        name: &str,
+        key: &str,
         amount: f64,
         lifetime: Micros,
     ) -> Option<Change> {
         if !amount.is_finite() {
             return None;
         }
-        let (name, contributions) = self.contributions(now, name, lifetime)?;
+        let (key, contributions) = self.contributions(now, key, lifetime)?;
         let is_new = !contributions.contains_key(&instance);
         contributions.entry(instance).or_default().add(amount);
-        Some(Change { name, is_new })
+        Some(Change { key, is_new })
     }
 
     /// Merges what another gateway reports of an instance's contribution, and returns the change if there is one.
     pub fn merge(
         &mut self,
         now: Micros,
-        name: &str,
+        key: &str,
         instance: Instance,
         contribution: Contribution,
         lifetime: Micros,
@@ -160,49 +160,49 @@
         if !contribution.is_valid() {
             return None;
         }
-        let (name, contributions) = self.contributions(now, name, lifetime)?;
+        let (key, contributions) = self.contributions(now, key, lifetime)?;
         let is_new = !contributions.contains_key(&instance);
         if is_new && contributions.len() >= MAX_CONTRIBUTORS {
             return None;
         }
         let has_changed = contributions.entry(instance).or_default().merge(contribution);
-        has_changed.then_some(Change { name, is_new })
+        has_changed.then_some(Change { key, is_new })
     }
 
     /// What an instance has contributed to a counter.
-    pub fn contribution(&self, name: &str, instance: Instance) -> Option<Contribution> {
-        self.counters.get(name)?.value.get(&instance).copied()
+    pub fn contribution(&self, key: &str, instance: Instance) -> Option<Contribution> {
+        self.counters.get(key)?.value.get(&instance).copied()
     }
 
     /// The instances that have contributed to a counter, in their order.
-    pub fn contributors(&self, name: &str) -> impl Iterator<Item = Instance> + '_ {
-        self.counters.get(name).into_iter().flat_map(|counter| counter.value.keys().copied())
+    pub fn contributors(&self, key: &str) -> impl Iterator<Item = Instance> + '_ {
+        self.counters.get(key).into_iter().flat_map(|counter| counter.value.keys().copied())
     }
 
     /// The keys of the counters that an instance has contributed to, in their order.
-    pub fn names_of_instance(&self, instance: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
+    pub fn keys_of_instance(&self, instance: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
         let contributed =
             self.counters.iter().filter(move |(_, counter)| counter.value.contains_key(&instance));
-        contributed.map(|(name, _)| name.clone())
+        contributed.map(|(key, _)| key.clone())
     }
 
     /// The sum of all contributions to a counter that has not expired.
-    pub fn total(&self, now: Micros, name: &str) -> Option<f64> {
-        let counter = self.counters.get(name).filter(|counter| counter.expires_at > now)?;
+    pub fn total(&self, now: Micros, key: &str) -> Option<f64> {
+        let counter = self.counters.get(key).filter(|counter| counter.expires_at > now)?;
         Some(counter.value.values().map(Contribution::net).sum())
     }
 
     /// How long a counter still lives.
-    pub fn expires_in(&self, now: Micros, name: &str) -> Option<Micros> {
-        self.counters.get(name).map(|counter| counter.expires_at.saturating_sub(now))
+    pub fn expires_in(&self, now: Micros, key: &str) -> Option<Micros> {
+        self.counters.get(key).map(|counter| counter.expires_at.saturating_sub(now))
     }
 
     /// All contributions to all counters that have not expired, in the order of keys and instances.
     pub fn entries(&self, now: Micros) -> impl Iterator<Item = KnownContribution<'_>> {
         let live = self.counters.iter().filter(move |(_, counter)| counter.expires_at > now);
-        live.flat_map(move |(name, Expiring { expires_at, value })| {
+        live.flat_map(move |(key, Expiring { expires_at, value })| {
             value.iter().map(move |(instance, contribution)| KnownContribution {
-                name,
+                key,
                 expires_in: expires_at - now,
                 instance: *instance,
                 contribution: *contribution,
--- a/crates/shared-counter/tests/recorded_run.rs
+++ b/crates/shared-counter/tests/recorded_run.rs
@@ -257,7 +257,7 @@
         hash.write(counters.expires_in(now, name).unwrap_or(0));
         hash.write(counters.len() as u64);
         hash.write(counters.contributors(name).map(|instance| instance.0 + 1).sum());
-        hash.write(counters.names_of_instance(instance).count() as u64);
+        hash.write(counters.keys_of_instance(instance).count() as u64);
         hash.write_float(counters.contribution(name, instance).map_or(-1.0, |part| part.net()));
     }
     assert_eq!(hash.0, 5_247_414_556_932_025_641);
