--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -5,20 +5,20 @@
 use crate::{HealthLevel, Micros, SECOND};
 
 /// Time in which a word loses half of its weight.
-const HALF: Micros = 3 * SECOND;
+const HALF_LIFE: Micros = 3 * SECOND;
 /// Weight below which a word says nothing any more.
-const NOTHING: f64 = 0.05;
+const MIN_WEIGHT: f64 = 0.05;
 /// What must speak against a server, all together: two words that rest on some trips, from two gateways at the least.
-const ENOUGH: f64 = 1.4;
-const GATEWAYS: usize = 2;
+const MIN_EVIDENCE_AGAINST: f64 = 1.4;
+const MIN_REPORTERS: usize = 2;
 /// And the part of all trips that must be bad. They are counted together: where each gateway has met a server once, half of them say
 /// that one that loses half is good.
-const SHARE: f64 = 0.2;
+const MIN_SHARE_AGAINST: f64 = 0.2;
 /// What must be known of a server that was left, and the part that may be bad, for it to be well.
-const KNOWN: f64 = 1.0;
-const WELL: f64 = 0.15;
+const MIN_EVIDENCE_OF_RECOVERY: f64 = 1.0;
+const MAX_SHARE_AGAINST_RECOVERED: f64 = 0.15;
 /// Servers that a gateway is judged by, at the least: with fewer it may be right alone.
-const JUDGED: usize = 3;
+const MIN_JUDGED_SERVERS: usize = 3;
 
 /// A word, with how long ago it was heard.
 #[derive(Clone, Debug)]
@@ -29,18 +29,18 @@
     pub zone: &'w str,
     pub health: HealthLevel,
     /// How many it speaks for.
-    pub for_all: f64,
+    pub represents: f64,
     pub age: Micros,
 }
 
 impl BelievedReport<'_> {
     /// Trips behind it, as far as they still count.
     fn weight(&self) -> f64 {
-        let weight = self.health.confidence() * 0.5f64.powf(self.age as f64 / HALF as f64);
-        if weight < NOTHING {
+        let weight = self.health.confidence() * 0.5f64.powf(self.age as f64 / HALF_LIFE as f64);
+        if weight < MIN_WEIGHT {
             0.0
         } else {
-            weight * self.for_all
+            weight * self.represents
         }
     }
 }
@@ -51,8 +51,8 @@
     pub against: f64,
     pub in_favor: f64,
     /// What those say who are sure, one way and the other.
-    pub surely_bad: f64,
-    pub surely_good: f64,
+    pub confident_against: f64,
+    pub confident_in_favor: f64,
     /// Gateways that speak against it.
     pub reporters: BTreeSet<u64>,
     /// And where they stand.
@@ -63,19 +63,22 @@
     pub fn is_outlier(&self) -> bool {
         let sum = self.against + self.in_favor;
         // Where as many are sure that it is good, it is the way to it that is bad.
-        let of_ways = self.surely_good > self.surely_bad;
-        self.against >= ENOUGH && self.reporters.len() >= GATEWAYS && self.against >= SHARE * sum && !of_ways
+        let of_ways = self.confident_in_favor > self.confident_against;
+        self.against >= MIN_EVIDENCE_AGAINST
+            && self.reporters.len() >= MIN_REPORTERS
+            && self.against >= MIN_SHARE_AGAINST * sum
+            && !of_ways
     }
 
     /// Gateways of more than one place speak against it. Danger: a zone that is cut off sees the rest die, and all of it agrees.
-    pub fn is_known_apart(&self) -> bool {
+    pub fn is_seen_from_several_zones(&self) -> bool {
         self.zones.len() > 1
     }
 
     /// Of one that was left: what has been met there since speaks for it.
     pub fn is_healthy(&self) -> bool {
         let sum = self.against + self.in_favor;
-        sum >= KNOWN && self.against < WELL * sum
+        sum >= MIN_EVIDENCE_OF_RECOVERY && self.against < MAX_SHARE_AGAINST_RECOVERED * sum
     }
 
     /// The more, the surer it is bad.
@@ -86,46 +89,50 @@
 
 /// How far each gateway is believed: not at all where half of what it says is contradicted by the others together. Danger: one
 /// with a bad link of its own says of all servers that they are bad, and is surest of it.
-fn believed(words: &[BelievedReport]) -> BTreeMap<u64, f64> {
+fn credibility(reports: &[BelievedReport]) -> BTreeMap<u64, f64> {
     let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-    for word in words {
-        let (against, for_it) = sums.entry(word.server).or_default();
-        *(if word.health.is_outlier() { against } else { for_it }) += word.weight();
+    for report in reports {
+        let (against, for_it) = sums.entry(report.server).or_default();
+        *(if report.health.is_outlier() { against } else { for_it }) += report.weight();
     }
     let mut judged: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
-    for word in words.iter().filter(|word| word.weight() > 0.0) {
-        let (mut against, mut for_it) = sums[word.server];
-        *(if word.health.is_outlier() { &mut against } else { &mut for_it }) -= word.weight();
-        let (judged, wrong) = judged.entry(word.instance).or_default();
+    for report in reports.iter().filter(|report| report.weight() > 0.0) {
+        let (mut against, mut for_it) = sums[report.server];
+        *(if report.health.is_outlier() { &mut against } else { &mut for_it }) -= report.weight();
+        let (judged, wrong) = judged.entry(report.instance).or_default();
         if against.max(for_it) >= 1.0 && (against - for_it).abs() > 0.5 {
             *judged += 1;
-            *wrong += usize::from((against > for_it) != word.health.is_outlier());
+            *wrong += usize::from((against > for_it) != report.health.is_outlier());
         }
     }
     let weight = |(judged, wrong): (usize, usize)| match judged {
-        few if few < JUDGED => 1.0,
+        few if few < MIN_JUDGED_SERVERS => 1.0,
         judged => (1.0 - 2.0 * wrong as f64 / judged as f64).max(0.0),
     };
     judged.into_iter().map(|(run, counts)| (run, weight(counts))).collect()
 }
 
 /// The case of each server that somebody speaks of.
-pub fn evaluate<'w>(words: &[BelievedReport<'w>]) -> BTreeMap<&'w str, Evidence> {
-    let believed = believed(words);
+pub fn evaluate<'w>(reports: &[BelievedReport<'w>]) -> BTreeMap<&'w str, Evidence> {
+    let credibility = credibility(reports);
     let mut cases: BTreeMap<&str, Evidence> = BTreeMap::new();
-    for word in words {
-        let weight = word.weight() * believed.get(&word.instance).copied().unwrap_or(1.0);
+    for report in reports {
+        let weight = report.weight() * credibility.get(&report.instance).copied().unwrap_or(1.0);
         if weight <= 0.0 {
             continue;
         }
-        let case = cases.entry(word.server).or_default();
-        case.against += weight * word.health.severity();
-        case.in_favor += weight * (1.0 - word.health.severity());
-        let sure = if word.health.is_outlier() { &mut case.surely_bad } else { &mut case.surely_good };
-        *sure += if word.health.is_confident() { weight } else { 0.0 };
-        if word.health.is_outlier() {
-            case.reporters.insert(word.instance);
-            case.zones.insert(word.zone.into());
+        let case = cases.entry(report.server).or_default();
+        case.against += weight * report.health.severity();
+        case.in_favor += weight * (1.0 - report.health.severity());
+        let sure = if report.health.is_outlier() {
+            &mut case.confident_against
+        } else {
+            &mut case.confident_in_favor
+        };
+        *sure += if report.health.is_confident() { weight } else { 0.0 };
+        if report.health.is_outlier() {
+            case.reporters.insert(report.instance);
+            case.zones.insert(report.zone.into());
         }
     }
     cases
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -40,8 +40,8 @@
 }
 
 impl HealthLevel {
-    const WORST: u8 = 8;
-    const MOST_SEEN: u8 = 16;
+    const MAX_LEVEL: u8 = 8;
+    const MAX_SAMPLES: u8 = 16;
 
     /// A quarter of the trips lost, or four times as slow as usual: nobody would send there by choice.
     pub fn is_outlier(self) -> bool {
@@ -53,7 +53,7 @@
         if self.slowness >= 2 {
             1.0
         } else {
-            f64::from(self.failures.min(HealthLevel::WORST)) / f64::from(HealthLevel::WORST)
+            f64::from(self.failures.min(HealthLevel::MAX_LEVEL)) / f64::from(HealthLevel::MAX_LEVEL)
         }
     }
 
@@ -97,9 +97,9 @@
     }
     fn is_plausible(&self) -> bool {
         let HealthLevel { failures: bad, slowness: slow, samples: seen } = self.health;
-        bad <= HealthLevel::WORST
-            && slow <= HealthLevel::WORST
-            && seen <= HealthLevel::MOST_SEEN
+        bad <= HealthLevel::MAX_LEVEL
+            && slow <= HealthLevel::MAX_LEVEL
+            && seen <= HealthLevel::MAX_SAMPLES
             && (1..=MAX_NAME_BYTES).contains(&self.server.len())
             && self.zone.len() <= MAX_NAME_BYTES
             && self.represents >= 1
@@ -109,13 +109,13 @@
 pub type Message = gossip::GossipMessage<ServerReport>;
 
 /// The same as a fraction.
-pub(crate) fn chance(one: &str, other: &str, turn: u64) -> f64 {
-    (drawn(one, other, turn) >> 11) as f64 / (1u64 << 53) as f64
+pub(crate) fn stable_fraction(one: &str, other: &str, interval: u64) -> f64 {
+    (stable_hash(one, other, interval) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// A number drawn by names and a turn, the same at every gateway.
-pub(crate) fn drawn(one: &str, other: &str, turn: u64) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(0x7369_676e, turn);
+pub(crate) fn stable_hash(one: &str, other: &str, interval: u64) -> u64 {
+    let mut hasher = SipHasher13::new_with_keys(0x7369_676e, interval);
     hasher.write(one.as_bytes());
     hasher.write_u8(0);
     hasher.write(other.as_bytes());
--- a/crates/outlier-detection/src/observation.rs
+++ b/crates/outlier-detection/src/observation.rs
@@ -4,15 +4,15 @@
 
 /// Time in which a trip counts half. Danger: what was met before a server went bad speaks for it; in a large fleet each gateway has met
 /// it some times, and all together would outvote what is so now.
-const HALF: Micros = SECOND;
+const HALF_LIFE: Micros = SECOND;
 /// More trips than these count as these: how a busy gateway was served a second ago must not hide how it is now.
-const MOST: f64 = 4.0;
+const MAX_WEIGHT: f64 = 4.0;
 /// What is left of a trip that long ago is nothing.
-const NOTHING: f64 = 0.3;
+const MIN_WEIGHT: f64 = 0.3;
 /// Weight of the newest in the usual time of a lane.
-const NEWEST: f64 = 0.02;
+const LATENCY_SMOOTHING: f64 = 0.02;
 /// A time beyond so many usual ones counts as that: one monster does not make a slow server.
-const MONSTER: f64 = 32.0;
+const MAX_SLOWDOWN: f64 = 32.0;
 
 /// How a trip ended, as its server had a part in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,48 +26,50 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Observation {
     answered: f64,
-    bad: f64,
+    failed: f64,
     /// Doublings of the usual time, summed over what was answered.
-    slow: f64,
-    at: Micros,
+    log_slowdown: f64,
+    updated_at: Micros,
 }
 
 impl Observation {
-    fn fade(&mut self, now: Micros) {
-        let kept = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF as f64);
-        (self.answered, self.bad, self.slow, self.at) =
-            (self.answered * kept, self.bad * kept, self.slow * kept, now);
+    fn decay(&mut self, now: Micros) {
+        let factor = 0.5f64.powf(now.saturating_sub(self.updated_at) as f64 / HALF_LIFE as f64);
+        (self.answered, self.failed, self.log_slowdown, self.updated_at) =
+            (self.answered * factor, self.failed * factor, self.log_slowdown * factor, now);
     }
 
     pub fn record(&mut self, now: Micros, end: AttemptEnd) {
-        self.fade(now);
-        let over = (self.answered + self.bad) / MOST;
+        self.decay(now);
+        let over = (self.answered + self.failed) / MAX_WEIGHT;
         if over > 1.0 {
-            (self.answered, self.bad, self.slow) = (self.answered / over, self.bad / over, self.slow / over);
+            (self.answered, self.failed, self.log_slowdown) =
+                (self.answered / over, self.failed / over, self.log_slowdown / over);
         }
         match end {
             AttemptEnd::Answered { times } => {
                 self.answered += 1.0;
-                self.slow += times.clamp(1.0, MONSTER).log2();
+                self.log_slowdown += times.clamp(1.0, MAX_SLOWDOWN).log2();
             }
-            AttemptEnd::Failed => self.bad += 1.0,
+            AttemptEnd::Failed => self.failed += 1.0,
         }
     }
 
     /// As it is told; nothing where too little is left of it.
     pub fn health(&self, now: Micros) -> Option<HealthLevel> {
         let mut own = *self;
-        own.fade(now);
-        let seen = own.answered + own.bad;
-        if seen < NOTHING {
+        own.decay(now);
+        let seen = own.answered + own.failed;
+        if seen < MIN_WEIGHT {
             return None;
         }
-        let bad = (8.0 * own.bad / seen).round() as u8;
-        let slow = if own.answered > 0.0 { (own.slow / own.answered).floor() as u8 } else { 0 };
-        let seen = (1.0 + seen.max(1.0).log2()).floor().min(f64::from(HealthLevel::MOST_SEEN)) as u8;
+        let failed = (8.0 * own.failed / seen).round() as u8;
+        let log_slowdown =
+            if own.answered > 0.0 { (own.log_slowdown / own.answered).floor() as u8 } else { 0 };
+        let seen = (1.0 + seen.max(1.0).log2()).floor().min(f64::from(HealthLevel::MAX_SAMPLES)) as u8;
         Some(HealthLevel {
-            failures: bad.min(HealthLevel::WORST),
-            slowness: slow.min(HealthLevel::WORST),
+            failures: failed.min(HealthLevel::MAX_LEVEL),
+            slowness: log_slowdown.min(HealthLevel::MAX_LEVEL),
             samples: seen,
         })
     }
@@ -75,22 +77,22 @@
 
 /// What lanes usually take here, over all servers.
 #[derive(Clone, Debug, Default)]
-pub struct UsualTimes(Vec<f64>);
+pub struct UsualLatencies(Vec<f64>);
 
-impl UsualTimes {
+impl UsualLatencies {
     /// How many times the usual an answer took; and it is learnt from.
-    pub fn slowdown(&mut self, lane: usize, took: Micros) -> f64 {
-        let took = took.max(1) as f64;
-        if self.0.len() <= lane {
-            self.0.resize(lane + 1, 0.0);
+    pub fn slowdown(&mut self, request_class: usize, latency: Micros) -> f64 {
+        let latency = latency.max(1) as f64;
+        if self.0.len() <= request_class {
+            self.0.resize(request_class + 1, 0.0);
         }
-        let usual = &mut self.0[lane];
+        let usual = &mut self.0[request_class];
         if *usual == 0.0 {
-            *usual = took;
+            *usual = latency;
         }
-        let times = took / *usual;
+        let times = latency / *usual;
         // By ratios, so that few slow ones don't make the usual slow.
-        *usual *= times.clamp(1.0 / MONSTER, MONSTER).powf(NEWEST);
+        *usual *= times.clamp(1.0 / MAX_SLOWDOWN, MAX_SLOWDOWN).powf(LATENCY_SMOOTHING);
         times
     }
 }
--- a/crates/outlier-detection/src/trial_permit.rs
+++ b/crates/outlier-detection/src/trial_permit.rs
@@ -2,12 +2,12 @@
 //! it, and the next steps in where no word comes from it. No two need agree: by any views each gateway's chance to come first is
 //! that of all others, so that over time the fleet does one thing a turn, whoever sees whom.
 
-use crate::{drawn, Micros, SECOND};
+use crate::{stable_hash, Micros, SECOND};
 
 /// The time of one turn, by the clock that all share: a server that is well again is used again within some of them.
 pub const INTERVAL: Micros = SECOND;
 /// How many may step in within a turn, one after the other.
-const STEPS: u64 = 3;
+const STEPS_PER_INTERVAL: u64 = 3;
 
 /// When a turn began, and its number.
 pub fn current_interval(shared: Micros) -> (Micros, u64) {
@@ -18,15 +18,15 @@
 /// there are before it. `near`: those who stand where the thing is come first.
 pub fn is_granted(
     shared: Micros,
-    me: &str,
-    thing: &str,
+    local: &str,
+    server: &str,
     others: &[&str],
-    near: impl Fn(&str) -> bool,
+    is_near: impl Fn(&str) -> bool,
 ) -> bool {
     let (began, number) = current_interval(shared);
-    let step = (shared - began) * STEPS / INTERVAL;
-    let place = |name: &str| (!near(name), drawn(name, thing, number));
-    let own = place(me);
-    let before = others.iter().filter(|other| **other != me && place(other) < own).count() as u64;
+    let step = (shared - began) * STEPS_PER_INTERVAL / INTERVAL;
+    let rank = |name: &str| (!is_near(name), stable_hash(name, server, number));
+    let own = rank(local);
+    let before = others.iter().filter(|other| **other != local && rank(other) < own).count() as u64;
     before <= step
 }
--- a/crates/outlier-detection/tests/recorded_run.rs
+++ b/crates/outlier-detection/tests/recorded_run.rs
@@ -73,7 +73,7 @@
         let phase = now / (5 * SECOND) % 8;
         let failing: f64 = match (server, phase) {
             (1, 1) | (2, 1..=2) | (3..=6, 3) => 0.7,
-            (7, 2..=3) if gateway % self.zones == 0 => 0.9,
+            (7, 2..=3) if gateway.is_multiple_of(self.zones) => 0.9,
             (8, 5) if gateway == 4 => 1.0,
             (9, 1 | 3 | 5 | 7) => 0.5,
             _ => 0.002,
