--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -1,40 +1,42 @@
-//! Whom to believe: from the words of several gateways about several servers, which servers are bad.
+//! The weighing of reports: which servers are outliers by the reports of several gateways, and how far each gateway is
+//! credible. Pure functions of the reports that count; which those are is the detector's.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{HealthLevel, Micros, SECOND};
 
-/// Time in which a word loses half of its weight.
+/// The time in which a report loses half of its weight.
 const HALF_LIFE: Micros = 3 * SECOND;
-/// Weight below which a word says nothing any more.
+/// Reports with less weight are ignored.
 const MIN_WEIGHT: f64 = 0.05;
-/// What must speak against a server, all together: two words that rest on some trips, from two gateways at the least.
+/// The weight against an outlier: two reports that rest on some attempts, from two gateways at the least.
 const MIN_EVIDENCE_AGAINST: f64 = 1.4;
 const MIN_REPORTERS: usize = 2;
-/// And the part of all trips that must be bad. They are counted together: where each gateway has met a server once, half of them say
-/// that one that loses half is good.
+/// The share of all weight that is against an outlier. Where each gateway has made one attempt, half of them report well of a
+/// server that loses half.
 const MIN_SHARE_AGAINST: f64 = 0.2;
-/// What must be known of a server that was left, and the part that may be bad, for it to be well.
+/// The weight of reports on an ejected server, and the share against it, with which it has recovered.
 const MIN_EVIDENCE_OF_RECOVERY: f64 = 1.0;
 const MAX_SHARE_AGAINST_RECOVERED: f64 = 0.15;
-/// Servers that a gateway is judged by, at the least: with fewer it may be right alone.
+/// Servers by which a gateway's credibility is judged. With fewer it may be right alone.
 const MIN_JUDGED_SERVERS: usize = 3;
 
-/// A word, with how long ago it was heard.
+/// A report that counts.
 #[derive(Clone, Debug)]
-pub struct BelievedReport<'w> {
+pub(crate) struct BelievedReport<'r> {
     pub instance: u64,
-    pub server: &'w str,
-    /// Where its gateway stands.
-    pub zone: &'w str,
+    pub server: &'r str,
+    /// The zone of the reporting gateway.
+    pub zone: &'r str,
     pub health: HealthLevel,
-    /// How many it speaks for.
+    /// Number of gateways that it stands for.
     pub represents: f64,
+    /// Time since it was received.
     pub age: Micros,
 }
 
 impl BelievedReport<'_> {
-    /// Trips behind it, as far as they still count.
+    /// The attempts behind it, as far as they still count.
     fn weight(&self) -> f64 {
         let weight = self.health.confidence() * 0.5f64.powf(self.age as f64 / HALF_LIFE as f64);
         if weight < MIN_WEIGHT {
@@ -45,95 +47,134 @@
     }
 }
 
-/// What speaks against a server, and for it.
+/// The evidence on one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Evidence {
+pub(crate) struct Evidence {
     pub against: f64,
     pub in_favor: f64,
-    /// What those say who are sure, one way and the other.
-    pub confident_against: f64,
-    pub confident_in_favor: f64,
-    /// Gateways that speak against it.
+    /// The weight of confident reports, either way.
+    confident_against: f64,
+    confident_in_favor: f64,
+    /// Instances that report it as an outlier.
     pub reporters: BTreeSet<u64>,
-    /// And where they stand.
-    pub zones: BTreeSet<String>,
+    /// Zones of those gateways.
+    zones: BTreeSet<String>,
 }
 
 impl Evidence {
     pub fn is_outlier(&self) -> bool {
-        let sum = self.against + self.in_favor;
-        // Where as many are sure that it is good, it is the way to it that is bad.
-        let of_ways = self.confident_in_favor > self.confident_against;
+        let total = self.against + self.in_favor;
+        // Where more are confident that it is healthy, the network path to it is at fault.
+        let is_path_fault = self.confident_in_favor > self.confident_against;
         self.against >= MIN_EVIDENCE_AGAINST
             && self.reporters.len() >= MIN_REPORTERS
-            && self.against >= MIN_SHARE_AGAINST * sum
-            && !of_ways
+            && self.against >= MIN_SHARE_AGAINST * total
+            && !is_path_fault
     }
 
-    /// Gateways of more than one place speak against it. Danger: a zone that is cut off sees the rest die, and all of it agrees.
+    /// Whether gateways of several zones report it.
+    ///
+    /// Danger: all gateways of a zone that is cut off agree that the servers of the others are dead.
     pub fn is_seen_from_several_zones(&self) -> bool {
         self.zones.len() > 1
     }
 
-    /// Of one that was left: what has been met there since speaks for it.
+    /// Whether an ejected server has recovered, by what was observed since.
     pub fn is_healthy(&self) -> bool {
-        let sum = self.against + self.in_favor;
-        sum >= MIN_EVIDENCE_OF_RECOVERY && self.against < MAX_SHARE_AGAINST_RECOVERED * sum
+        let total = self.against + self.in_favor;
+        total >= MIN_EVIDENCE_OF_RECOVERY && self.against < MAX_SHARE_AGAINST_RECOVERED * total
     }
 
-    /// The more, the surer it is bad.
+    /// The share of the weight that is against it.
     pub fn severity(&self) -> f64 {
         self.against / (self.against + self.in_favor).max(f64::MIN_POSITIVE)
     }
+
+    fn add(&mut self, report: &BelievedReport, weight: f64) {
+        let severity = report.health.severity();
+        self.against += weight * severity;
+        self.in_favor += weight * (1.0 - severity);
+        let confident_weight = if report.health.is_confident() { weight } else { 0.0 };
+        if report.health.is_outlier() {
+            self.confident_against += confident_weight;
+            self.reporters.insert(report.instance);
+            self.zones.insert(report.zone.into());
+        } else {
+            self.confident_in_favor += confident_weight;
+        }
+    }
+}
+
+/// The weight of reports on one server, by what they say.
+#[derive(Clone, Copy, Default)]
+struct Votes {
+    against: f64,
+    in_favor: f64,
+}
+
+impl Votes {
+    fn side_of(&mut self, report: &BelievedReport) -> &mut f64 {
+        if report.health.is_outlier() {
+            &mut self.against
+        } else {
+            &mut self.in_favor
+        }
+    }
+
+    /// Whether it is an outlier, if the votes are clear.
+    fn verdict(&self) -> Option<bool> {
+        let is_clear = self.against.max(self.in_favor) >= 1.0 && (self.against - self.in_favor).abs() > 0.5;
+        is_clear.then_some(self.against > self.in_favor)
+    }
+}
+
+/// How often a gateway's reports were judged by those of the others.
+#[derive(Clone, Copy, Default)]
+struct TrackRecord {
+    judged: usize,
+    contradicted: usize,
+}
+
+impl TrackRecord {
+    /// From 1, fully credible, to 0 where half of the reports are contradicted.
+    fn credibility(self) -> f64 {
+        if self.judged < MIN_JUDGED_SERVERS {
+            return 1.0;
+        }
+        (1.0 - 2.0 * self.contradicted as f64 / self.judged as f64).max(0.0)
+    }
 }
 
-/// How far each gateway is believed: not at all where half of what it says is contradicted by the others together. Danger: one
-/// with a bad link of its own says of all servers that they are bad, and is surest of it.
+/// The credibility of each gateway, by how often the others together contradict it.
+///
+/// Danger: a gateway with a bad network path of its own reports all servers as outliers, and confidently.
 fn credibility(reports: &[BelievedReport]) -> BTreeMap<u64, f64> {
-    let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+    let mut votes: BTreeMap<&str, Votes> = BTreeMap::new();
     for report in reports {
-        let (against, for_it) = sums.entry(report.server).or_default();
-        *(if report.health.is_outlier() { against } else { for_it }) += report.weight();
+        *votes.entry(report.server).or_default().side_of(report) += report.weight();
     }
-    let mut judged: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
+    let mut records: BTreeMap<u64, TrackRecord> = BTreeMap::new();
     for report in reports.iter().filter(|report| report.weight() > 0.0) {
-        let (mut against, mut for_it) = sums[report.server];
-        *(if report.health.is_outlier() { &mut against } else { &mut for_it }) -= report.weight();
-        let (judged, wrong) = judged.entry(report.instance).or_default();
-        if against.max(for_it) >= 1.0 && (against - for_it).abs() > 0.5 {
-            *judged += 1;
-            *wrong += usize::from((against > for_it) != report.health.is_outlier());
+        let mut others = votes[report.server];
+        *others.side_of(report) -= report.weight();
+        let record = records.entry(report.instance).or_default();
+        if let Some(is_outlier) = others.verdict() {
+            record.judged += 1;
+            record.contradicted += usize::from(is_outlier != report.health.is_outlier());
         }
     }
-    let weight = |(judged, wrong): (usize, usize)| match judged {
-        few if few < MIN_JUDGED_SERVERS => 1.0,
-        judged => (1.0 - 2.0 * wrong as f64 / judged as f64).max(0.0),
-    };
-    judged.into_iter().map(|(run, counts)| (run, weight(counts))).collect()
+    records.into_iter().map(|(instance, record)| (instance, record.credibility())).collect()
 }
 
-/// The case of each server that somebody speaks of.
-pub fn evaluate<'w>(reports: &[BelievedReport<'w>]) -> BTreeMap<&'w str, Evidence> {
+/// The evidence on each server that is reported.
+pub(crate) fn evaluate<'r>(reports: &[BelievedReport<'r>]) -> BTreeMap<&'r str, Evidence> {
     let credibility = credibility(reports);
-    let mut cases: BTreeMap<&str, Evidence> = BTreeMap::new();
+    let mut evidence: BTreeMap<&str, Evidence> = BTreeMap::new();
     for report in reports {
         let weight = report.weight() * credibility.get(&report.instance).copied().unwrap_or(1.0);
-        if weight <= 0.0 {
-            continue;
-        }
-        let case = cases.entry(report.server).or_default();
-        case.against += weight * report.health.severity();
-        case.in_favor += weight * (1.0 - report.health.severity());
-        let sure = if report.health.is_outlier() {
-            &mut case.confident_against
-        } else {
-            &mut case.confident_in_favor
-        };
-        *sure += if report.health.is_confident() { weight } else { 0.0 };
-        if report.health.is_outlier() {
-            case.reporters.insert(report.instance);
-            case.zones.insert(report.zone.into());
+        if weight > 0.0 {
+            evidence.entry(report.server).or_default().add(report, weight);
         }
     }
-    cases
+    evidence
 }
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,18 +1,21 @@
-//! What one gateway learns of a server serves all, and all together never do too much.
+//! Outlier detection that gateways share: what one learns of a server serves all, and together they never eject too much.
 //!
-//! Each gateway keeps what it has met at each server of late (`observation`), and says so when that changes: a word, told by rumour.
-//! While all is well nobody says anything. From the words of all it is judged whether a server is bad for all, for the own
-//! zone, or for nobody else (`evidence`): one gateway's word moves nobody, and whoever is mostly contradicted loses its weight. Those
-//! that are bad are left out of use, never more of them than a share of the capacity (`detector`), and tried again by turns, one
-//! gateway at a time, whose word serves all (`trial_permit`).
+//! Each gateway observes its own attempts at each server and reports changes by gossip; while all servers are healthy nothing
+//! is reported. From the reports of all, each gateway determines whether a server is an outlier for all zones, for its own
+//! zone, or for nobody else: one gateway's report decides nothing, and a gateway that the others mostly contradict loses its
+//! weight. Outliers are ejected, never more of them than a share of the capacity, and tried again by one gateway at a time,
+//! whose report serves all.
 //!
-//! No clock, socket or thread: the caller hands in the time, what came and who is there.
+//! [`detector`] is the state machine, without clock, socket or thread: the caller passes the time, the messages and the live
+//! members.
+
+#![warn(missing_docs)]
 
 pub mod detector;
-pub mod evidence;
-pub mod observation;
+mod evidence;
+mod observation;
 pub mod status;
-pub mod trial_permit;
+mod trial_permit;
 
 use std::hash::Hasher;
 
@@ -20,22 +23,22 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// Whole microseconds, of a clock that only rises; where it is said, of the clock that all gateways share.
+/// Whole microseconds of a monotonic clock, or of the clock that all gateways share where that is said.
 pub type Micros = u64;
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// The longest name of a server, and of a zone.
+/// Bytes of the name of a server, and of a zone, at the most.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// How a server has done at one gateway, as it is told.
+/// The health of a server at one gateway, as it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthLevel {
-    /// Trips lost or turned away, in eighths of all.
+    /// Attempts that failed, in eighths of all.
     pub failures: u8,
-    /// Doublings of the usual time.
+    /// Doublings of the usual latency.
     pub slowness: u8,
-    /// Trips that this rests on: 0 none, 1 one, 2 two or three, and so on by doublings.
+    /// Attempts that this rests on: 0 none, 1 one, 2 two or three, and so on by doublings.
     pub samples: u8,
 }
 
@@ -43,12 +46,12 @@
     const MAX_LEVEL: u8 = 8;
     const MAX_SAMPLES: u8 = 16;
 
-    /// A quarter of the trips lost, or four times as slow as usual: nobody would send there by choice.
+    /// Whether a quarter of the attempts failed, or they took four times the usual latency.
     pub fn is_outlier(self) -> bool {
         self.failures >= 2 || self.slowness >= 2
     }
 
-    /// The part of what it rests on that speaks against the server.
+    /// The share of the attempts that counts against the server, from 0 to 1.
     pub fn severity(self) -> f64 {
         if self.slowness >= 2 {
             1.0
@@ -57,29 +60,33 @@
         }
     }
 
-    /// The trips that it rests on, as far as more of them make it surer.
+    /// The weight of the attempts that it rests on, as far as more of them make it surer.
     pub fn confidence(self) -> f64 {
         [0.0, 0.5, 1.0, 2.0][usize::from(self.samples.min(3))]
     }
 
-    /// It rests on enough to be surely so where it was met.
+    /// Whether it rests on enough attempts to hold where it was observed.
     pub fn is_confident(self) -> bool {
         self.samples >= 3
     }
 }
 
-/// What a run of a gateway says of a server.
+/// What one process of a gateway reports on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
+    /// The reporting process.
     pub instance: u64,
+    /// The server's name in the endpoint list.
     pub server: String,
-    /// When the server started, as far as the list says; 0 where that is long past.
+    /// When the server started, in microseconds of the shared clock, as far as the list says; 0 where that is long past.
     pub started_at: u64,
+    /// Rises with each report of the process.
     pub version: u32,
-    /// Where the gateway stands; empty, nobody says.
+    /// The zone of the gateway; empty if unknown.
     pub zone: String,
+    /// What was observed.
     pub health: HealthLevel,
-    /// So many others have met the like and say nothing, as few of those who know better need to speak.
+    /// Number of gateways that it stands for, with this one: of those that observe the like only few report.
     pub represents: u16,
 }
 
@@ -89,31 +96,34 @@
     fn key(&self) -> (String, u64) {
         (self.server.clone(), self.instance)
     }
+
     fn version(&self) -> u64 {
         self.version.into()
     }
+
     fn origin(&self) -> u64 {
         self.instance
     }
+
     fn is_plausible(&self) -> bool {
-        let HealthLevel { failures: bad, slowness: slow, samples: seen } = self.health;
-        bad <= HealthLevel::MAX_LEVEL
-            && slow <= HealthLevel::MAX_LEVEL
-            && seen <= HealthLevel::MAX_SAMPLES
+        self.health.failures <= HealthLevel::MAX_LEVEL
+            && self.health.slowness <= HealthLevel::MAX_LEVEL
+            && self.health.samples <= HealthLevel::MAX_SAMPLES
             && (1..=MAX_NAME_BYTES).contains(&self.server.len())
             && self.zone.len() <= MAX_NAME_BYTES
             && self.represents >= 1
     }
 }
 
+/// A message between two gateways.
 pub type Message = gossip::GossipMessage<ServerReport>;
 
-/// The same as a fraction.
+/// [`stable_hash`] as a fraction of 1.
 pub(crate) fn stable_fraction(one: &str, other: &str, interval: u64) -> f64 {
     (stable_hash(one, other, interval) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A number drawn by names and a turn, the same at every gateway.
+/// A hash of two names and the number of an interval that is the same at every gateway.
 pub(crate) fn stable_hash(one: &str, other: &str, interval: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7369_676e, interval);
     hasher.write(one.as_bytes());
--- a/crates/outlier-detection/src/status.rs
+++ b/crates/outlier-detection/src/status.rs
@@ -1,25 +1,29 @@
-//! What operators are told of servers, as the fleet sees them and as one gateway does.
+//! The view of outlier detection that operators are shown, by one gateway. Data only; its encoding is the order of fields and
+//! variants.
 
 use serde::{Deserialize, Serialize};
 
 use crate::HealthLevel;
 
-/// Why a server is where it is.
+/// Whether a server is used, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerStatus {
     /// In use.
     Healthy,
-    /// Bad here, though others do not say so.
+    /// In use, and an outlier for this gateway alone.
     OutlierHere,
+    /// Ejected by the reports of this gateway's zone.
     EjectedForZone,
+    /// Ejected by the reports of all zones.
     EjectedForAll,
-    /// It is as bad as those out of use, but no more may be out at once.
+    /// An outlier in use, as no more capacity may be ejected.
     Spared,
-    /// Well again, and used again after a drawn while.
+    /// Ejected and recovered; in use again soon.
     Returning,
 }
 
 impl ServerStatus {
+    /// The words that operators are shown.
     pub fn description(self) -> &'static str {
         match self {
             ServerStatus::Healthy => "fine",
@@ -35,25 +39,33 @@
 /// One server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerView {
+    /// Its name in the endpoint list.
     pub server: String,
+    /// Whether it is used, and why.
     pub status: ServerStatus,
-    /// What this gateway has met there of late.
+    /// What this gateway observes there.
     pub observed: Option<HealthLevel>,
-    /// What speaks against it and for it, by all that is believed, and how many gateways speak against it.
+    /// The weight of the reports against it.
     pub against: f64,
+    /// The weight of the reports in favor of it.
     pub in_favor: f64,
+    /// Number of gateways that report it as an outlier.
     pub reporters: u32,
-    /// For how long it has been out of use.
+    /// Milliseconds since its ejection.
     pub ejected_ms: Option<u64>,
-    /// Who comes first to try it in this turn.
+    /// The gateway that may first try it in this interval.
     pub next_trial: Option<String>,
 }
 
+/// All servers, as one gateway sees them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutlierView {
+    /// The gateway's name.
     pub gateway: String,
-    /// Of the capacity, the share that is out of use by choice, and the most that may be.
+    /// The share of the capacity that is ejected.
     pub ejected_share: f64,
+    /// The share of the capacity that may be ejected.
     pub max_ejected_share: f64,
+    /// The servers of the endpoint list, in its order.
     pub servers: Vec<ServerView>,
 }
