--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -83,27 +83,28 @@
 }
 
 /// What a gateway counts for where shares are fitted: one without any load is dealt servers by a trace of it.
-fn load(gateway: &Gateway) -> f64 {
-    const TRACE: f64 = 1e-6;
+fn effective_load(gateway: &Gateway) -> f64 {
+    const MIN_LOAD: f64 = 1e-6;
     if gateway.load.is_finite() {
-        gateway.load.max(TRACE)
+        gateway.load.max(MIN_LOAD)
     } else {
-        TRACE
+        MIN_LOAD
     }
 }
 
 /// Servers in the order of a gateway's own, by which it takes them beside what it is dealt.
-fn order_of<'n>(gateway: &str, servers: impl Iterator<Item = &'n str>) -> Vec<&'n str> {
-    let own = key(gateway);
-    let mut all: Vec<(u64, &str)> = servers.map(|server| (mixed(own, key(server)), server)).collect();
+fn preference_order<'n>(gateway: &str, servers: impl Iterator<Item = &'n str>) -> Vec<&'n str> {
+    let own = name_hash(gateway);
+    let mut all: Vec<(u64, &str)> =
+        servers.map(|server| (pair_hash(own, name_hash(server)), server)).collect();
     all.sort_unstable();
     all.into_iter().map(|(_, server)| server).collect()
 }
 
 /// What the draw of a name's rounding is mixed with, so that it has nothing to do with that of its pairs.
-const NEEDS: u64 = 0x6e65_6564_7321_7321;
+const ROUNDING_SALT: u64 = 0x6e65_6564_7321_7321;
 
-fn key(name: &str) -> u64 {
+fn name_hash(name: &str) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7375_6273, 0x6574);
     hasher.write(name.as_bytes());
     hasher.finish()
@@ -111,7 +112,7 @@
 
 /// A number for a pair of keys that are spread already, as good as a hash of both names and much quicker (the finalizer of
 /// splitmix64, Steele, Lea and Flood, 2014).
-fn mixed(one: u64, other: u64) -> u64 {
+fn pair_hash(one: u64, other: u64) -> u64 {
     let mut number = one ^ other.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -133,10 +134,10 @@
 }
 
 /// Looks at a deal from the servers' side.
-pub fn evenness(gateways: &[Gateway], servers: &[Server], deal: &Assignments) -> Evenness {
+pub fn evenness(gateways: &[Gateway], servers: &[Server], assignments: &Assignments) -> Evenness {
     let mut got = vec![0.0; servers.len()];
     let mut users = vec![0usize; servers.len()];
-    for (gateway, parts) in gateways.iter().zip(&deal.by_gateway) {
+    for (gateway, parts) in gateways.iter().zip(&assignments.by_gateway) {
         for part in parts {
             got[part.server] += gateway.load.max(0.0) * part.weight;
             users[part.server] += 1;
@@ -155,9 +156,9 @@
         max_load: beside.iter().copied().fold(0.0, f64::max),
         min_load: beside.iter().copied().fold(f64::INFINITY, f64::min),
         mean_deviation: beside.iter().map(|one| (one - 1.0).abs()).sum::<f64>() / count,
-        pairs: deal.by_gateway.iter().map(Vec::len).sum(),
+        pairs: assignments.by_gateway.iter().map(Vec::len).sum(),
         uncovered: there.iter().filter(|at| users[**at] == 0).count(),
-        max_servers_of_gateway: deal.by_gateway.iter().map(Vec::len).max().unwrap_or(0),
+        max_servers_of_gateway: assignments.by_gateway.iter().map(Vec::len).max().unwrap_or(0),
         max_gateways_of_server: users.iter().copied().max().unwrap_or(0),
     }
 }
@@ -168,12 +169,12 @@
     after: (&[Gateway], &[Server], &Assignments),
 ) -> f64 {
     fn named<'n>(
-        (gateways, servers, deal): (&'n [Gateway], &'n [Server], &Assignments),
+        (gateways, servers, assignments): (&'n [Gateway], &'n [Server], &Assignments),
     ) -> BTreeSet<(&'n str, &'n str)> {
         let of = |(gateway, parts): (&'n Gateway, &Vec<Assignment>)| -> Vec<(&'n str, &'n str)> {
             parts.iter().map(|part| (&*gateway.name, &*servers[part.server].name)).collect()
         };
-        gateways.iter().zip(&deal.by_gateway).flat_map(of).collect()
+        gateways.iter().zip(&assignments.by_gateway).flat_map(of).collect()
     }
     let (before, after) = (named(before), named(after));
     let either = before.union(&after).count().max(1);
@@ -191,9 +192,9 @@
         servers.iter().enumerate().map(|(at, server)| (&*server.name, at)).collect();
     let mut got = vec![0.0; servers.len()];
     for (at, gateway) in gateways.iter().enumerate() {
-        let (all, seen, deal) = view(at);
+        let (all, seen, assignments) = view(at);
         let Some(own) = all.iter().position(|one| one.name == gateway.name) else { continue };
-        let there: Vec<(usize, f64)> = deal.by_gateway[own]
+        let there: Vec<(usize, f64)> = assignments.by_gateway[own]
             .iter()
             .filter_map(|part| Some((*place.get(&*seen[part.server].name)?, part.weight)))
             .collect();
--- a/crates/subsetting/src/load_reports.rs
+++ b/crates/subsetting/src/load_reports.rs
@@ -15,7 +15,7 @@
 
 /// A fleet that starts together has all words to tell: up to three notes to each, of as many words as go on one datagram. There are
 /// as many words as members of the mesh at the most.
-const MANNER: GossipConfig = GossipConfig {
+const GOSSIP: GossipConfig = GossipConfig {
     interval: SECOND / 2,
     full_sync_interval: 10 * SECOND,
     reports_per_message: 20,
@@ -24,14 +24,14 @@
     retention: 60 * SECOND,
 };
 /// Time in which what a gateway carries is averaged: shorter, a burst would deal the servers anew.
-const AVERAGE: Micros = 4 * SECOND;
+const AVERAGING_TIME: Micros = 4 * SECOND;
 /// Trips a second of the first step, and what each step has more than the one before.
-const FIRST: f64 = 0.05;
-const STEP: f64 = 1.25;
+const FIRST_STEP_RATE: f64 = 0.05;
+const STEP_RATIO: f64 = 1.25;
 /// So far from its step, in steps, a load is told anew: at half, one on the edge between two would be told all the time.
-const LEFT: f64 = 0.8;
+const HYSTERESIS_STEPS: f64 = 0.8;
 /// The highest step, some 10^9 trips a second: a word beyond it is nonsense.
-const HIGHEST: u8 = 108;
+const MAX_STEP: u8 = 108;
 /// The longest name of a gateway, and of a zone.
 pub const MAX_NAME_BYTES: usize = 128;
 
@@ -62,7 +62,7 @@
         self.instance
     }
     fn is_plausible(&self) -> bool {
-        self.step <= HIGHEST
+        self.step <= MAX_STEP
             && (1..=MAX_NAME_BYTES).contains(&self.name.len())
             && self.zone.len() <= MAX_NAME_BYTES
     }
@@ -81,104 +81,109 @@
 }
 
 pub struct LoadReports {
-    me: LoadReport,
-    words: Gossip<LoadReport>,
+    local: LoadReport,
+    gossip: Gossip<LoadReport>,
     /// Trips a second of late, and how much of the time that is averaged over has gone by.
-    average: f64,
-    filled: f64,
-    counted: Micros,
+    mean_rate: f64,
+    averaged_fraction: f64,
+    last_recorded: Micros,
 }
 
 impl LoadReports {
-    pub fn new(me: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
-        let words = Gossip::new(me.instance, MANNER, seed, now);
-        let me = LoadReport {
-            name: me.name,
-            instance: me.instance,
+    pub fn new(local: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
+        let gossip = Gossip::new(local.instance, GOSSIP, seed, now);
+        let local = LoadReport {
+            name: local.name,
+            instance: local.instance,
             version: 1,
             step: 0,
             zone: zone.into(),
             is_leaving: false,
         };
-        let mut loads = LoadReports { me, words, average: 0.0, filled: 0.0, counted: now };
-        loads.says(now);
+        let mut loads =
+            LoadReports { local, gossip, mean_rate: 0.0, averaged_fraction: 0.0, last_recorded: now };
+        loads.publish(now);
         loads
     }
 
     /// So many trips were sent since the last call.
-    pub fn record_attempts(&mut self, now: Micros, trips: u64) {
-        let time = now.saturating_sub(self.counted);
+    pub fn record_attempts(&mut self, now: Micros, attempts: u64) {
+        let time = now.saturating_sub(self.last_recorded);
         if time == 0 {
             return;
         }
-        self.counted = now;
-        let kept = (-(time as f64) / AVERAGE as f64).exp();
-        let rate = trips as f64 * SECOND as f64 / time as f64;
-        self.average = self.average * kept + rate * (1.0 - kept);
-        self.filled = self.filled * kept + (1.0 - kept);
+        self.last_recorded = now;
+        let kept = (-(time as f64) / AVERAGING_TIME as f64).exp();
+        let rate = attempts as f64 * SECOND as f64 / time as f64;
+        self.mean_rate = self.mean_rate * kept + rate * (1.0 - kept);
+        self.averaged_fraction = self.averaged_fraction * kept + (1.0 - kept);
         // Soon after the start the mean of the little time there was is what is known, else each step would be passed by one.
-        let average = self.average / self.filled;
-        let at = if average < FIRST { 0.0 } else { 1.0 + (average / FIRST).ln() / STEP.ln() };
-        if (at - f64::from(self.me.step)).abs() > LEFT {
-            self.me.step = at.round().clamp(0.0, f64::from(HIGHEST)) as u8;
-            self.says(now);
+        let mean_rate = self.mean_rate / self.averaged_fraction;
+        let at = if mean_rate < FIRST_STEP_RATE {
+            0.0
+        } else {
+            1.0 + (mean_rate / FIRST_STEP_RATE).ln() / STEP_RATIO.ln()
+        };
+        if (at - f64::from(self.local.step)).abs() > HYSTERESIS_STEPS {
+            self.local.step = at.round().clamp(0.0, f64::from(MAX_STEP)) as u8;
+            self.publish(now);
         }
     }
 
     /// This gateway ends: that is told at once.
     pub fn leave(&mut self, now: Micros, live: &[LivePeer]) {
-        if !self.me.is_leaving {
-            self.me.is_leaving = true;
-            self.says(now);
-            self.words.schedule_round(now);
-            self.words.handle_timeout(now, live);
+        if !self.local.is_leaving {
+            self.local.is_leaving = true;
+            self.publish(now);
+            self.gossip.schedule_round(now);
+            self.gossip.handle_timeout(now, live);
         }
     }
 
-    fn says(&mut self, now: Micros) {
-        self.me.version += 1;
-        self.words.publish(now, self.me.clone());
+    fn publish(&mut self, now: Micros) {
+        self.local.version += 1;
+        self.gossip.publish(now, self.local.clone());
     }
 
     /// A note has come from the gateway of a name.
-    pub fn handle_message(&mut self, now: Micros, from: &str, note: Message) {
-        self.words.handle_message(now, from, note);
+    pub fn handle_message(&mut self, now: Micros, from: &str, message: Message) {
+        self.gossip.handle_message(now, from, message);
     }
 
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> Micros {
-        self.words.next_deadline()
+        self.gossip.next_deadline()
     }
 
     /// `live`: the others that the mesh takes for live.
     pub fn handle_timeout(&mut self, now: Micros, live: &[LivePeer]) {
-        self.words.handle_timeout(now, live);
+        self.gossip.handle_timeout(now, live);
     }
 
     /// The next note that is to be sent, and to whom.
     pub fn poll_message(&mut self) -> Option<(String, Message)> {
-        self.words.poll_message()
+        self.gossip.poll_message()
     }
 
     /// This gateway and the live others, each name once, with what they say. Two runs of one name, as in an upgrade or by mistake,
     /// are one gateway that carries what both do.
     pub fn gateway_loads(&self, live: &[LivePeer]) -> Vec<GatewayLoad> {
-        let own = LivePeer { name: self.me.name.clone(), instance: self.me.instance };
+        let own = LivePeer { name: self.local.name.clone(), instance: self.local.instance };
         let mut known: BTreeMap<&str, GatewayLoad> = BTreeMap::new();
         for LivePeer { name, instance: run } in live.iter().chain([&own]) {
-            let word = self.words.report(run).filter(|word| word.name == *name);
-            let load = word.map(|word| load_of(word.step));
-            let zone = word.map_or(String::new(), |word| word.zone.clone());
-            let leaves = word.is_some_and(|word| word.is_leaving);
-            let fresh = GatewayLoad { name: name.clone(), load, zone, is_leaving: leaves };
+            let report = self.gossip.report(run).filter(|report| report.name == *name);
+            let load = report.map(|report| rate_of_step(report.step));
+            let zone = report.map_or(String::new(), |report| report.zone.clone());
+            let leaves = report.is_some_and(|report| report.is_leaving);
+            let this = GatewayLoad { name: name.clone(), load, zone, is_leaving: leaves };
             match known.get_mut(&**name) {
-                None => drop(known.insert(name, fresh)),
+                None => drop(known.insert(name, this)),
                 Some(other) => {
                     other.load =
-                        other.load.zip(fresh.load).map(|(one, two)| one + two).or(fresh.load).or(other.load);
-                    other.is_leaving &= fresh.is_leaving;
+                        other.load.zip(this.load).map(|(one, two)| one + two).or(this.load).or(other.load);
+                    other.is_leaving &= this.is_leaving;
                     if other.zone.is_empty() {
-                        other.zone = fresh.zone;
+                        other.zone = this.zone;
                     }
                 }
             }
@@ -188,9 +193,9 @@
 }
 
 /// Trips a second of a step.
-fn load_of(step: u8) -> f64 {
+fn rate_of_step(step: u8) -> f64 {
     match step {
         0 => 0.0,
-        step => FIRST * STEP.powi(i32::from(step) - 1),
+        step => FIRST_STEP_RATE * STEP_RATIO.powi(i32::from(step) - 1),
     }
 }
