--- a/crates/subsetting/src/baselines.rs
+++ b/crates/subsetting/src/baselines.rs
@@ -1,40 +1,42 @@
-//! Other ways to deal, weighed and kept to be measured beside the one that is used: rows by hash, and dealing in rounds.
+//! Other ways of subsetting, kept for comparison in measurements. No gateway uses them.
 
-use crate::{name_hash, pair_hash, Assignment, Assignments, Gateway, Server};
+use crate::hashing::{name_hash, pair_hash};
+use crate::{Assignment, Assignments, Gateway, Server};
 
 fn by_weight(servers: &[Server], subset: Vec<usize>) -> Vec<Assignment> {
-    let sum: f64 = subset.iter().map(|at| servers[*at].weight).sum();
+    let sum: f64 = subset.iter().map(|server| servers[*server].weight).sum();
     subset.into_iter().map(|server| Assignment { server, weight: servers[server].weight / sum }).collect()
 }
 
-/// Everybody uses every server, by weight.
+/// No subsetting: every gateway uses every server, by weight.
 pub fn all_servers(gateways: &[Gateway], servers: &[Server]) -> Assignments {
-    Assignments {
-        by_gateway: gateways.iter().map(|_| by_weight(servers, (0..servers.len()).collect())).collect(),
-    }
+    let all = || by_weight(servers, (0..servers.len()).collect());
+    Assignments { by_gateway: gateways.iter().map(|_| all()).collect() }
 }
 
-/// Servers in a row by hash; each gateway takes so many from its own place on, which is its number among all.
+/// Contiguous subsets: servers in a ring by hash, of which each gateway takes so many from a position that follows from its
+/// number among all.
 pub fn contiguous(gateways: &[Gateway], servers: &[Server], max_servers: usize) -> Assignments {
-    let mut row: Vec<usize> = (0..servers.len()).collect();
-    row.sort_by_key(|at| name_hash(&servers[*at].name));
-    let take = |(number, _): (usize, &Gateway)| {
-        let from = number * row.len() / gateways.len().max(1);
-        let taken = (0..max_servers.min(row.len())).map(|step| row[(from + step) % row.len()]);
-        by_weight(servers, taken.collect())
+    let mut ring: Vec<usize> = (0..servers.len()).collect();
+    ring.sort_by_key(|server| name_hash(&servers[*server].name));
+    let subset = |number: usize| {
+        let start = number * ring.len() / gateways.len().max(1);
+        let positions = 0..max_servers.min(ring.len());
+        by_weight(servers, positions.map(|offset| ring[(start + offset) % ring.len()]).collect())
     };
-    Assignments { by_gateway: gateways.iter().enumerate().map(take).collect() }
+    Assignments { by_gateway: (0..gateways.len()).map(subset).collect() }
 }
 
-/// Rounds: in each the servers are shuffled alike for all, and dealt to the gateways of the round by number, so many each.
+/// Round-robin subsets: the servers are shuffled once a round, alike for all, and divided among the gateways of the round.
 pub fn round_robin(gateways: &[Gateway], servers: &[Server], max_servers: usize) -> Assignments {
-    let max_servers = max_servers.min(servers.len()).max(1);
-    let gateways_per_round = (servers.len() / max_servers).max(1);
-    let take = |(number, _): (usize, &Gateway)| {
-        let (round, place) = (number / gateways_per_round, number % gateways_per_round);
-        let mut order: Vec<usize> = (0..servers.len()).collect();
-        order.sort_by_key(|at| pair_hash(name_hash(&servers[*at].name), round as u64));
-        by_weight(servers, order.into_iter().skip(place * max_servers).take(max_servers).collect())
+    let size = max_servers.min(servers.len()).max(1);
+    let gateways_per_round = (servers.len() / size).max(1);
+    let subset = |number: usize| {
+        let round = number / gateways_per_round;
+        let position = number % gateways_per_round;
+        let mut shuffled: Vec<usize> = (0..servers.len()).collect();
+        shuffled.sort_by_key(|server| pair_hash(name_hash(&servers[*server].name), round as u64));
+        by_weight(servers, shuffled.into_iter().skip(position * size).take(size).collect())
     };
-    Assignments { by_gateway: gateways.iter().enumerate().map(take).collect() }
+    Assignments { by_gateway: (0..gateways.len()).map(subset).collect() }
 }
--- a/crates/subsetting/src/zones.rs
+++ b/crates/subsetting/src/zones.rs
@@ -1,63 +1,68 @@
-//! How much of each zone's load its own servers bear, and where the rest goes.
+//! The division of traffic between zones: how much of each zone's load its own servers take, and where the rest goes. Which
+//! servers of a zone get it is decided elsewhere.
 
 use std::collections::BTreeMap;
 
 use crate::{effective_load, Gateway, Server};
 
-/// Of the traffic of a zone's gateways, the share that goes to the servers of one.
+/// The traffic of one zone's gateways to one zone's servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFlow {
+    /// The gateways' zone.
     pub from: u32,
+    /// The servers' zone.
     pub to: u32,
+    /// The share of the gateways' traffic, from 0 to 1.
     pub share: f64,
 }
 
-/// A share so small is not worth a connection of its own.
+/// Shares up to this are not worth connections of their own.
 const MIN_FLOW_SHARE: f64 = 1e-3;
 
-/// The flows between zones: each server is to get its part of all by weight, so that a zone's servers have room for as much of
-/// all as they weigh. The own zone comes first as far as it has room; the rest goes where room is left, in proportion to it.
-/// `apart`: without it zones make no difference.
+/// The flows between zones, in the order of both.
+///
+/// Each server is to get its part of all load by weight, so that a zone's capacity is the sum of its servers' parts. With
+/// `prefers_own_zone` a zone's load first takes its own capacity; the rest goes to the remaining capacity of all zones,
+/// in proportion. Without it zones make no difference. No flows if no server is usable.
 pub fn zone_flows(gateways: &[Gateway], servers: &[Server], prefers_own_zone: bool) -> Vec<ZoneFlow> {
     let mut loads: BTreeMap<u32, f64> = BTreeMap::new();
-    let mut capacities: BTreeMap<u32, f64> = BTreeMap::new();
     for gateway in gateways {
         *loads.entry(gateway.zone).or_default() += effective_load(gateway);
     }
-    for server in servers.iter().filter(|server| server.weight > 0.0 && server.weight.is_finite()) {
-        *capacities.entry(server.zone).or_default() += server.weight;
-    }
-    let (total_load, total_weight): (f64, f64) = (loads.values().sum(), capacities.values().sum());
-    if total_weight <= 0.0 {
-        return Vec::new();
-    }
-    capacities.values_mut().for_each(|capacity| *capacity *= total_load / total_weight);
-    let kept_load = |zone: &u32| {
-        if prefers_own_zone {
-            capacities.get(zone).copied().unwrap_or(0.0).min(loads[zone])
-        } else {
-            0.0
-        }
+    let total_load: f64 = loads.values().sum();
+    let capacities = zone_capacities(servers, total_load);
+    let local_load = |zone: &u32| match (prefers_own_zone, loads.get(zone)) {
+        (true, Some(load)) => capacities.get(zone).copied().unwrap_or(0.0).min(*load),
+        _ => 0.0,
     };
-    let remaining: BTreeMap<u32, f64> = capacities
-        .iter()
-        .map(|(zone, capacity)| {
-            (*zone, capacity - if loads.contains_key(zone) { kept_load(zone) } else { 0.0 })
-        })
-        .collect();
+    let remaining: BTreeMap<u32, f64> =
+        capacities.iter().map(|(zone, capacity)| (*zone, capacity - local_load(zone))).collect();
     let total_remaining: f64 = remaining.values().sum();
     let mut flows = Vec::new();
-    for (zone, load) in &loads {
-        let kept = kept_load(zone);
+    for (from, load) in &loads {
+        let local = local_load(from);
         for (to, capacity) in &capacities {
-            let mut share = if to == zone { kept / load } else { 0.0 };
+            let mut share = if to == from { local / load } else { 0.0 };
             if total_remaining > 0.0 {
-                share += (load - kept) / load * remaining[to] / total_remaining;
+                share += (load - local) / load * remaining[to] / total_remaining;
             }
             if share > MIN_FLOW_SHARE || *capacity >= total_load {
-                flows.push(ZoneFlow { from: *zone, to: *to, share });
+                flows.push(ZoneFlow { from: *from, to: *to, share });
             }
         }
     }
     flows
 }
+
+/// The part of all load that the servers of each zone are to get.
+fn zone_capacities(servers: &[Server], total_load: f64) -> BTreeMap<u32, f64> {
+    let mut capacities: BTreeMap<u32, f64> = BTreeMap::new();
+    for server in servers.iter().filter(|server| server.is_usable()) {
+        *capacities.entry(server.zone).or_default() += server.weight;
+    }
+    let total_weight: f64 = capacities.values().sum();
+    for capacity in capacities.values_mut() {
+        *capacity *= total_load / total_weight;
+    }
+    capacities
+}
