--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -16,6 +16,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
+use fernscale_shared_counter::gossip::FANOUT;
 use fernscale_shared_counter::pn_counter::PnCounters;
 use fernscale_shared_counter::{Micros, MILLISECOND};
 use rand::{Rng, SeedableRng};
@@ -28,7 +29,7 @@
 use self::member_updates::MemberUpdateQueue;
 use self::members::{Addition, Applied, MemberTable, StateChange};
 pub use self::members::{Member, MAX_MEMBERS};
-use self::scaling::{GOSSIP_FANOUT, MIN_REFUTATION_TIME, PROBE_PERIOD};
+use self::scaling::{MIN_REFUTATION_TIME, PROBE_PERIOD};
 use crate::packet::{
     CounterEntry, CounterTotal, MemberState, MemberUpdate, Packet, PacketBody, MAX_DATAGRAM_BYTES,
 };
@@ -38,7 +39,7 @@
 /// How often counter contributions are sent while there are any to send.
 const GOSSIP_INTERVAL: Micros = 50 * MILLISECOND;
 /// Members that learn of it directly when this node leaves.
-const LEAVE_FANOUT: usize = 2 * GOSSIP_FANOUT;
+const LEAVE_FANOUT: usize = 2 * FANOUT;
 /// Members with which a leaving node exchanges its complete state: datagrams may be lost, and nobody could repeat them.
 const LEAVE_EXCHANGES: usize = 2;
 
@@ -290,7 +291,7 @@
         for (to, batch) in round.direct {
             self.send_batch(to, batch);
         }
-        for to in self.members.sample_live(&mut self.rng, GOSSIP_FANOUT, None) {
+        for to in self.members.sample_live(&mut self.rng, FANOUT, None) {
             self.send_batch(to, round.random.clone());
         }
     }
@@ -343,7 +344,7 @@
         }
         self.incarnation = claim.incarnation.saturating_add(1);
         self.counter_gossip.resend_all(now.saturating_sub(self.members.detection_delay()));
-        self.send_own_state(MemberState::Alive, GOSSIP_FANOUT);
+        self.send_own_state(MemberState::Alive, FANOUT);
     }
 
     fn after_change(&mut self, now: Micros, change: StateChange) {
--- a/crates/membership/src/node/members.rs
+++ b/crates/membership/src/node/members.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use fernscale_shared_counter::pn_counter::Instance;
-use fernscale_shared_counter::{Micros, SECOND};
+use fernscale_shared_counter::{gossip, Micros, SECOND};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
@@ -143,7 +143,7 @@
     }
 
     pub fn transmission_limit(&self) -> u32 {
-        scaling::transmission_limit(self.members.len())
+        gossip::transmission_limit(self.members.len())
     }
 
     pub fn heard_from(&mut self, now: Micros, instance: Instance) {
--- a/crates/membership/src/node/scaling.rs
+++ b/crates/membership/src/node/scaling.rs
@@ -1,20 +1,15 @@
-//! How time-outs and numbers of transmissions grow with the number of members, as SWIM has it: with its logarithm. Pure
-//! functions; no state.
+//! How the time-outs of the failure detector grow with the number of members: with its logarithm, as in SWIM. Pure functions
+//! without state.
 
 use fernscale_shared_counter::{Micros, MILLISECOND};
 
 /// One member is probed in each period.
 pub(super) const PROBE_PERIOD: Micros = 200 * MILLISECOND;
-/// Random members that each gossip goes to.
-pub(super) const GOSSIP_FANOUT: usize = 3;
 /// Probe periods that a suspicion lasts, for each doubling of the members: a refutation travels as far as the suspicion.
 const SUSPICION_PERIODS_PER_DOUBLING: u64 = 3;
 const MIN_SUSPICION_PERIODS: u64 = 5;
 /// The least time that a refutation takes to arrive here: the suspected member learns of the suspicion from gossip.
 pub(super) const MIN_REFUTATION_TIME: Micros = PROBE_PERIOD * MIN_SUSPICION_PERIODS;
-/// Transmissions of one update for each doubling of the members. The few members that it misses learn it by anti-entropy.
-const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
-
 /// How long a suspicion stands before the member is declared dead, with so many other members known.
 pub(super) fn suspicion_timeout(other_members: usize) -> Micros {
     let doublings = u64::from(u64::BITS - (other_members as u64 + 1).leading_zeros());
@@ -25,9 +20,3 @@
 pub(super) fn detection_delay(other_members: usize) -> Micros {
     suspicion_timeout(other_members) + MIN_REFUTATION_TIME
 }
-
-/// How often an update is sent so that it reaches nearly every member.
-pub(super) fn transmission_limit(other_members: usize) -> u32 {
-    let members = other_members as u32 + 2;
-    (TRANSMISSIONS_PER_DOUBLING * (u32::BITS - members.leading_zeros())).div_ceil(GOSSIP_FANOUT as u32) + 1
-}
--- a/crates/shared-counter/src/gossip.rs
+++ b/crates/shared-counter/src/gossip.rs
@@ -11,8 +11,8 @@
 
 use crate::Micros;
 
-/// Random gateways that each round's reports go to.
-const FANOUT: usize = 3;
+/// Random gateways that each round of gossip goes to.
+pub const FANOUT: usize = 3;
 /// Transmissions of each report by each gateway that has it, for each doubling of the gateways.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
 /// Rounds in which a new gateway requests all reports of another.
@@ -246,8 +246,9 @@
     }
 }
 
-/// How often a report is sent so that it reaches nearly every gateway; full transmissions reach the rest.
-fn transmission_limit(other_gateways: usize) -> u32 {
+/// How often each gateway sends an item of gossip so that it reaches nearly every other, in rounds to [`FANOUT`] of them. It
+/// grows with the logarithm of their number, as in SWIM (Das, Gupta, Motivala, 2002); complete exchanges reach the rest.
+pub fn transmission_limit(other_gateways: usize) -> u32 {
     let gateways = other_gateways as u32 + 2;
     (TRANSMISSIONS_PER_DOUBLING * (u32::BITS - gateways.leading_zeros())).div_ceil(FANOUT as u32) + 1
 }
