--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,148 +1,135 @@
-//! One gateway's part: what it has met, what it says, what it makes of others' words, and which servers it leaves out of use.
+//! The outlier detector of one gateway: what it observed, what it reports, how it judges the reports of all, and which servers
+//! it ejects. It neither sends messages nor chooses servers for requests.
+
+mod ejections;
+mod reporting;
+mod view;
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use fernscale_shared_counter::gossip::{Gossip, GossipConfig, LivePeer, Report};
+
+use self::ejections::{EjectionScope, Ejections, Outlier};
+use self::reporting::{ObservedServer, DISSENTING_REPORTERS};
 use crate::evidence::{evaluate, BelievedReport, Evidence};
-use crate::observation::{AttemptEnd, Observation, UsualTimes};
-use crate::status::{OutlierView, ServerStatus, ServerView};
-use crate::trial_permit;
-use crate::{chance, drawn, HealthLevel, Message, Micros, ServerReport, MILLISECOND, SECOND};
-use fernscale_shared_counter::gossip::{Gossip, GossipConfig, LivePeer};
+use crate::observation::{AttemptEnd, Observation, UsualLatencies};
+use crate::trial_permit::{self, Interval};
+use crate::{Message, Micros, ServerReport, MILLISECOND, SECOND};
+
+pub use self::ejections::MAX_EJECTED_SHARE;
 
-/// Words go out fast, as each tenth of a second is some trips hurt at a bad server; with at most some ten words for each server
-/// of a large list that somebody speaks of.
-const MANNER: GossipConfig = GossipConfig {
+const GOSSIP: GossipConfig = GossipConfig {
     interval: 100 * MILLISECOND,
     full_sync_interval: 20 * SECOND,
     reports_per_message: 10,
     messages_per_peer: 2,
+    // Some ten for each server of a large list that is reported at all.
     max_reports: 16_384,
     retention: 30 * SECOND,
 };
-/// The share of the capacity that may be out of use by choice. Danger: gateways that eject half of the servers fell the rest.
-pub const MAX_EJECTED_SHARE: f64 = 0.25;
-/// So soon after the first word against it nothing is done about a server: whoever knows better is heard first.
-const CONTEST: Micros = 500 * MILLISECOND;
-/// Those who know better that are to speak, of all who do: more say no more.
-const SPEAKERS: f64 = 8.0;
-/// The least time between two words of one gateway about one server.
-const SPACED: Micros = 200 * MILLISECOND;
-/// How long whoever has spoken need not speak again, while nothing has changed.
-const SPOKEN: Micros = 3 * SECOND;
-/// What was said of a server until so long after it was left is no word of how it is since; and one of which nobody says anything
-/// for so long is used again, as nobody can try it.
-const OVER: Micros = SECOND;
-const FORGOTTEN: Micros = 15 * SECOND;
-/// The least time out of use, doubled with each time that a server was bad again soon, up to eight times; and how soon that is.
-/// Danger: one that is good and bad by turns is left and taken by all with each of them.
-const LEAST_OUT: Micros = 2 * SECOND;
-const MOST_DOUBLED: u32 = 3;
-const SOON_AGAIN: Micros = 30 * SECOND;
-/// Those who come back to a server come at drawn times within this.
-const RETURN: Micros = 2 * SECOND;
-/// Servers whose sights are kept.
-const MOST_SIGHTS: usize = 16_384;
+/// A server is not ejected so soon after the first report against it, so that gateways that observe otherwise report first.
+const OBJECTION_TIME: Micros = 500 * MILLISECOND;
+/// Reports on a server that arrived until so long after its ejection may rest on what was observed before.
+const DRAIN_TIME: Micros = SECOND;
+/// Without any report an ejected server is used again after so long, as nobody can try it.
+const SILENCE_LIMIT: Micros = 15 * SECOND;
+/// Servers that are observed.
+const MAX_OBSERVED_SERVERS: usize = 16_384;
 
-/// A server of the list, as it is now.
+/// The server and the instance that reports on it.
+type ReportKey = (String, u64);
+
+/// A server of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
+    /// Its name in the list.
     pub name: String,
+    /// Its capacity relative to other servers.
     pub weight: f64,
-    /// By its name; empty, nobody says.
+    /// The name of its zone; empty if unknown.
     pub zone: String,
+    /// When it started, in microseconds of the shared clock, as far as the list says; 0 where that is long past.
     pub started: u64,
 }
 
-/// Who this gateway is.
+/// This gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalGateway {
+    /// Its configured name.
     pub name: String,
+    /// Its process.
     pub instance: u64,
+    /// The name of its zone; empty if unknown.
     pub zone: String,
 }
 
-/// How a trip to a server ended.
+/// How an attempt at a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// Answered after so long.
     Answered(Micros),
-    /// Answered with so much that its time says nothing.
+    /// Answered with so much data that the latency says nothing.
     Forwarded,
-    /// Lost, or failed. Not one that was turned away: where all have too much to do, none is bad.
+    /// Lost or failed. Not one that the server rejected: where all are overloaded, none is an outlier.
     Failed,
 }
 
-#[derive(Clone, Debug, Default)]
-struct Own {
-    sight: Observation,
-    started: u64,
-    /// What was said last, and when.
-    said: Option<(HealthLevel, Micros)>,
-}
-
-#[derive(Clone, Debug)]
-struct Out {
-    since: Micros,
-    standing: ServerStatus,
-    /// From when on it may be used again, once it is well.
-    back: Option<Micros>,
+/// A server is to be ejected or used again.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EjectionChange {
+    /// Its name in the list.
+    pub server: String,
+    /// Whether no attempt is to go there.
+    pub ejected: bool,
 }
 
-/// How often a server was bad again soon, and when it came back last.
-#[derive(Clone, Copy, Debug, Default)]
-struct Before {
-    times: u32,
-    back: Micros,
+/// Which reports an assessment rests on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reporters {
+    All,
+    OwnZone,
 }
 
+/// The outlier detector of one gateway.
 pub struct OutlierDetector {
-    me: LocalGateway,
-    rumour: Gossip<ServerReport>,
-    version: u32,
-    usual: UsualTimes,
-    own: BTreeMap<String, Own>,
-    /// When each word was heard first.
-    heard: BTreeMap<(String, u64), Micros>,
-    /// Since when somebody speaks against a server.
-    accused: BTreeMap<String, Micros>,
-    out: BTreeMap<String, Out>,
-    spared: BTreeSet<String>,
-    before: BTreeMap<String, Before>,
-    /// The turn in which this gateway has tried a server, and which it may try now.
-    tried: BTreeMap<String, u64>,
-    tries: BTreeSet<String>,
-    barred: BTreeSet<String>,
+    local: LocalGateway,
+    gossip: Gossip<ServerReport>,
+    last_version: u32,
+    usual_latencies: UsualLatencies,
+    observed: BTreeMap<String, ObservedServer>,
+    /// When each report was received first.
+    received_at: BTreeMap<ReportKey, Micros>,
+    /// Since when there are reports against a server.
+    suspected_since: BTreeMap<String, Micros>,
+    ejections: Ejections,
+    /// The number of the interval in which this gateway last tried an ejected server.
+    last_trials: BTreeMap<String, u64>,
+    /// Ejected servers that this gateway may try now.
+    trial_permits: BTreeSet<String>,
+    /// Ejected servers without those that may be tried, as the caller knows them.
+    reported_ejections: BTreeSet<String>,
     servers: Vec<Server>,
     zones: BTreeMap<u64, String>,
     live: Vec<LivePeer>,
-    /// Gateways that use a server, in the mean.
+    /// The mean number of gateways that use a server.
     observers: f64,
 }
 
-/// What is to change for one server.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EjectionChange {
-    pub server: String,
-    /// No trip is to go there.
-    pub ejected: bool,
-}
-
 impl OutlierDetector {
-    pub fn new(me: LocalGateway, seed: u64, now: Micros) -> Self {
+    /// A detector that has observed nothing. The seed determines when and to whom gossip goes.
+    pub fn new(local: LocalGateway, seed: u64, now: Micros) -> Self {
         OutlierDetector {
-            rumour: Gossip::new(me.instance, MANNER, seed, now),
-            me,
-            version: 0,
-            usual: UsualTimes::default(),
-            own: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            accused: BTreeMap::new(),
-            out: BTreeMap::new(),
-            spared: BTreeSet::new(),
-            before: BTreeMap::new(),
-            tried: BTreeMap::new(),
-            tries: BTreeSet::new(),
-            barred: BTreeSet::new(),
+            gossip: Gossip::new(local.instance, GOSSIP, seed, now),
+            local,
+            last_version: 0,
+            usual_latencies: UsualLatencies::default(),
+            observed: BTreeMap::new(),
+            received_at: BTreeMap::new(),
+            suspected_since: BTreeMap::new(),
+            ejections: Ejections::default(),
+            last_trials: BTreeMap::new(),
+            trial_permits: BTreeSet::new(),
+            reported_ejections: BTreeSet::new(),
             servers: Vec::new(),
             zones: BTreeMap::new(),
             live: Vec::new(),
@@ -150,122 +137,71 @@
         }
     }
 
-    /// A trip to a server has ended. What says nothing of the server, as a trip that was given up for another reason, is not told
-    /// here.
-    pub fn attempt_completed(&mut self, now: Micros, server: &str, lane: usize, met: AttemptResult) {
-        let end = match met {
-            AttemptResult::Answered(took) => AttemptEnd::Answered { times: self.usual.slowdown(lane, took) },
-            AttemptResult::Forwarded => AttemptEnd::Answered { times: 1.0 },
+    /// An attempt at a server has ended. One whose end says nothing of the server, such as a cancelled one, is not reported
+    /// here. Request classes are numbered from 0, each with its own usual latency.
+    pub fn attempt_completed(
+        &mut self,
+        now: Micros,
+        server: &str,
+        request_class: usize,
+        result: AttemptResult,
+    ) {
+        let end = match result {
+            AttemptResult::Answered(latency) => {
+                AttemptEnd::Answered { slowdown: self.usual_latencies.slowdown(request_class, latency) }
+            }
+            AttemptResult::Forwarded => AttemptEnd::Answered { slowdown: 1.0 },
             AttemptResult::Failed => AttemptEnd::Failed,
         };
-        if self.own.len() >= MOST_SIGHTS && !self.own.contains_key(server) {
+        if self.observed.len() >= MAX_OBSERVED_SERVERS && !self.observed.contains_key(server) {
             return;
         }
-        let out = self.out.contains_key(server);
-        let own = self.own.entry(server.into()).or_default();
-        if out && self.tried.contains_key(server) {
-            // What a try shows goes before what was met there earlier.
-            own.sight = Observation::default();
-            own.said = None;
+        let is_trial = self.ejections.contains(server) && self.last_trials.contains_key(server);
+        let observed = self.observed.entry(server.into()).or_default();
+        if is_trial {
+            // What a trial shows replaces what was observed before the ejection.
+            observed.observation = Observation::default();
+            observed.last_report = None;
         }
-        own.sight.record(now, end);
-        self.look_at_own(now, server, self.speaks(now, server));
+        observed.observation.record(now, end);
+        self.report_observation(now, server, self.dissents_for(now, server));
     }
 
-    /// A trip goes to a server. True: it was this gateway's turn to try it, which is over with that.
+    /// An attempt goes to a server. Returns whether it used up this gateway's permit to try an ejected one.
     pub fn may_forward(&mut self, shared: Micros, server: &str) -> bool {
-        let tries = self.tries.remove(server);
-        if tries {
-            self.tried.insert(server.into(), trial_permit::current_interval(shared).1);
-            self.barred.insert(server.into());
+        let was_permitted = self.trial_permits.remove(server);
+        if was_permitted {
+            self.last_trials.insert(server.into(), Interval::at(shared).number);
+            self.reported_ejections.insert(server.into());
         }
-        tries
+        was_permitted
     }
 
-    /// A note has come from the gateway of a name.
-    pub fn handle_message(&mut self, now: Micros, from: &str, note: Message, observers: f64) {
-        let new = self.rumour.handle_message(now, from, note);
+    /// A message has arrived from the gateway of a name. `observers` is the mean number of gateways that use a server.
+    pub fn handle_message(&mut self, now: Micros, from: &str, message: Message, observers: f64) {
+        let new = self.gossip.handle_message(now, from, message);
         self.observers = observers.max(1.0);
         for key in new {
-            if self.rumour.report(&key).is_some_and(|word| word.health.is_outlier()) {
-                self.accuse(now, &key.0);
-            }
-            self.heard.insert(key, now);
-        }
-    }
-
-    /// Somebody speaks against a server. What was met there before says nothing for it: all who know better speak by what they
-    /// meet from now on.
-    fn accuse(&mut self, now: Micros, server: &str) {
-        if self.accused.contains_key(server) {
-            return;
-        }
-        self.accused.insert(server.into(), now);
-        if let Some(own) = self.own.get_mut(server).filter(|own| own.said.is_none()) {
-            own.sight = Observation::default();
-        }
-    }
-
-    /// For how many this gateway speaks where it knows better, if it is among the few who do; others each time.
-    fn speaks(&self, now: Micros, server: &str) -> Option<u16> {
-        let share = (SPEAKERS / self.observers).min(1.0);
-        let drawn = self.accused.contains_key(server) && chance(&self.me.name, server, now / SPOKEN) < share;
-        drawn.then_some((1.0 / share) as u16)
-    }
-
-    /// Says how a server does here, if that has changed; or, asked to speak for so many, if it was not said of late.
-    fn look_at_own(&mut self, now: Micros, server: &str, asked: Option<u16>) {
-        let Some(own) = self.own.get_mut(server) else { return };
-        let Some(level) = own.sight.health(now) else { return };
-        let said = own.said.filter(|(_, at)| now < at + SPOKEN);
-        // One that is good and bad from one trip to the next is not spoken of with each.
-        if said.is_some_and(|(_, at)| now < at + SPACED) {
-            return;
-        }
-        let changed = match said {
-            None => level.is_outlier() || asked.is_some(),
-            Some((said, _)) => {
-                // What rests on more is said again, as it weighs more.
-                said.is_outlier() != level.is_outlier()
-                    || level.is_outlier() && level.samples > said.samples && said.samples < 2
+            if self.gossip.report(&key).is_some_and(|report| report.health.is_outlier()) {
+                self.suspect(now, &key.0);
             }
-        };
-        let of_try = self.tried.contains_key(server) && self.out.contains_key(server) && own.said.is_none();
-        if !changed && !of_try {
-            return;
+            self.received_at.insert(key, now);
         }
-        own.said = Some((level, now));
-        if level.is_outlier() && !self.accused.contains_key(server) {
-            self.accused.insert(server.into(), now);
-        }
-        let started = own.started;
-        self.version += 1;
-        let word = ServerReport {
-            instance: self.me.instance,
-            server: server.into(),
-            started_at: started,
-            version: self.version,
-            zone: self.me.zone.clone(),
-            health: level,
-            represents: if level.is_outlier() { 1 } else { asked.unwrap_or(1).max(1) },
-        };
-        self.heard.insert((server.into(), self.me.instance), now);
-        self.rumour.publish(now, word);
-        self.rumour.schedule_round(now);
     }
 
-    /// When `tick` is to be called next.
+    /// When `handle_timeout` is to be called next.
     pub fn next_deadline(&self) -> Micros {
-        self.rumour.next_deadline()
+        self.gossip.next_deadline()
     }
 
-    /// The next note that is to be sent, and to whom.
+    /// The next message that is to be sent, with the name of the gateway that it goes to.
     pub fn poll_message(&mut self) -> Option<(String, Message)> {
-        self.rumour.poll_message()
+        self.gossip.poll_message()
     }
 
-    /// Looks at everything anew. `live`: the others that the mesh takes for live; `shared`: the time of the clock that all share.
-    /// What is to change for the module.
+    /// Assesses all servers of the list, and returns what is to change.
+    ///
+    /// `shared` is the time of the clock that all gateways share, `live` are the other gateways that are live members.
     pub fn handle_timeout(
         &mut self,
         now: Micros,
@@ -274,242 +210,166 @@
         servers: Vec<Server>,
     ) -> Vec<EjectionChange> {
         self.live = live.to_vec();
-        self.rumour.handle_timeout(now, live);
+        self.gossip.handle_timeout(now, live);
+        self.set_servers(now, servers);
+        self.zones = self.gossip.reports().map(|report| (report.instance, report.zone.clone())).collect();
+        self.update_ejections(now);
+        self.update_trial_permits(now, shared);
+        let ejected: BTreeSet<String> =
+            self.ejected().filter(|name| !self.trial_permits.contains(*name)).map(String::from).collect();
+        let changed = ejected.symmetric_difference(&self.reported_ejections);
+        let changes = changed
+            .map(|server| EjectionChange { server: server.clone(), ejected: ejected.contains(server) })
+            .collect();
+        self.reported_ejections = ejected;
+        changes
+    }
+
+    /// Servers that are ejected, in the order of their names.
+    pub fn ejected(&self) -> impl Iterator<Item = &str> {
+        self.ejections.names()
+    }
+
+    fn set_servers(&mut self, now: Micros, servers: Vec<Server>) {
         for server in &servers {
-            let own = self.own.entry(server.name.clone()).or_default();
-            if own.started != server.started {
-                // It begins anew, and so does what is thought of it.
-                *own = Own { started: server.started, ..Own::default() };
-                self.out.remove(&server.name);
-                self.before.remove(&server.name);
+            let observed = self.observed.entry(server.name.clone()).or_default();
+            if observed.started_at != server.started {
+                // It has started again, so that nothing known before holds.
+                *observed = ObservedServer { started_at: server.started, ..ObservedServer::default() };
+                self.ejections.forget(&server.name);
             }
         }
         self.servers = servers;
-        let there: BTreeSet<&str> = self.servers.iter().map(|server| &*server.name).collect();
-        self.own.retain(|name, _| there.contains(&**name));
-        self.out.retain(|name, _| there.contains(&**name));
-        self.before.retain(|name, before| there.contains(&**name) && now < before.back + SOON_AGAIN);
-        self.judge(now);
-        self.try_some(now, shared);
-        let barred: BTreeSet<String> =
-            self.out.keys().filter(|name| !self.tries.contains(*name)).cloned().collect();
-        let changes = barred.symmetric_difference(&self.barred);
-        let changes = changes
-            .map(|server| EjectionChange { server: server.clone(), ejected: barred.contains(server) })
-            .collect();
-        self.barred = barred;
-        changes
+        let listed: BTreeSet<&str> = self.servers.iter().map(|server| &*server.name).collect();
+        self.observed.retain(|name, _| listed.contains(&**name));
+        self.ejections.retain_listed(now, &listed);
     }
 
-    /// What speaks against servers and for them, by the words that count now: of live runs, about servers as they started last.
-    /// `near`: of the own zone's gateways alone.
-    fn cases(&self, now: Micros, near: bool) -> BTreeMap<String, Evidence> {
+    /// The evidence on each server by the reports that count: of live instances, about servers since their last start.
+    fn evidence(&self, now: Micros, reporters: Reporters) -> BTreeMap<String, Evidence> {
         let live: BTreeSet<u64> =
-            self.live.iter().map(|live| live.instance).chain([self.me.instance]).collect();
+            self.live.iter().map(|peer| peer.instance).chain([self.local.instance]).collect();
         let started: BTreeMap<&str, u64> =
             self.servers.iter().map(|server| (&*server.name, server.started)).collect();
-        let counts = |word: &&ServerReport| {
-            live.contains(&word.instance)
-                && (!near || word.zone == self.me.zone)
-                && started.get(&*word.server).is_some_and(|own| word.started_at >= *own)
+        let counts = |report: &&ServerReport| {
+            live.contains(&report.instance)
+                && (reporters == Reporters::All || report.zone == self.local.zone)
+                && started.get(&*report.server).is_some_and(|started| report.started_at >= *started)
         };
-        let mut words: Vec<BelievedReport> = Vec::new();
-        for word in self.rumour.reports().filter(counts) {
-            let at = self.heard.get(&rumour_key(word)).copied().unwrap_or(0);
-            let age = now.saturating_sub(at);
-            // Of one that was left only counts what was met since.
-            if self.out.get(&word.server).is_some_and(|out| at < out.since + OVER) {
-                continue;
-            }
-            let (run, zone, level) = (word.instance, &*word.zone, word.health);
-            // Nobody speaks for more than there are.
-            let for_all = f64::from(word.represents).min((self.live.len() as f64 + 1.0) / SPEAKERS).max(1.0);
-            words.push(BelievedReport {
-                instance: run,
-                server: &word.server,
-                zone,
-                health: level,
-                for_all,
-                age,
-            });
-        }
-        evaluate(&words).into_iter().map(|(server, case)| (server.to_string(), case)).collect()
+        let reports: Vec<BelievedReport> =
+            self.gossip.reports().filter(counts).filter_map(|report| self.believed(now, report)).collect();
+        let evidence = evaluate(&reports).into_iter();
+        evidence.map(|(server, evidence)| (server.to_string(), evidence)).collect()
     }
 
-    fn judge(&mut self, now: Micros) {
-        self.zones = self.rumour.reports().map(|word| (word.instance, word.zone.clone())).collect();
-        let (for_all, for_zone) = (self.cases(now, false), self.cases(now, true));
-        let alone = self.me.zone.is_empty();
-        // Who is bad, and how surely; worst first.
-        let mut bad: Vec<(f64, u64, String, ServerStatus)> = Vec::new();
-        for server in &self.servers {
-            let contested = self.accused.get(&server.name).is_some_and(|since| now < since + CONTEST);
-            let (all, zone) = (for_all.get(&server.name), for_zone.get(&server.name).filter(|_| !alone));
-            let was_out = self.out.contains_key(&server.name);
-            let is_bad =
-                |case: &&Evidence| if was_out { !case.is_healthy() } else { case.is_outlier() && !contested };
-            if let Some(known) = self.out.get(&server.name).filter(|_| all.is_none()) {
-                // Nothing has been said since: it stays as it is for a while.
-                if now < known.since + FORGOTTEN {
-                    bad.push((1.0, drawn(&server.name, "", 0), server.name.clone(), known.standing));
-                    continue;
-                }
-            }
-            let apart = |case: &&Evidence| alone || was_out || case.is_known_apart();
-            let found = all.filter(is_bad).filter(apart).map(|case| (case, ServerStatus::EjectedForAll));
-            let found =
-                found.or_else(|| zone.filter(is_bad).map(|case| (case, ServerStatus::EjectedForZone)));
-            if let Some((case, standing)) = found {
-                bad.push((case.severity(), drawn(&server.name, "", 0), server.name.clone(), standing));
-            }
+    /// A report as evidence, unless it may rest on what was observed before the server's ejection.
+    fn believed<'r>(&self, now: Micros, report: &'r ServerReport) -> Option<BelievedReport<'r>> {
+        let received_at = self.received_at.get(&report.key()).copied().unwrap_or(0);
+        let ejected_since = self.ejections.since(&report.server);
+        if ejected_since.is_some_and(|since| received_at < since + DRAIN_TIME) {
+            return None;
         }
-        bad.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
-        let weight: BTreeMap<&str, f64> =
-            self.servers.iter().map(|server| (&*server.name, server.weight)).collect();
-        let sum: f64 = weight.values().sum();
-        // One of three or more may always be out: with so few a share of them is none.
-        let most = (MAX_EJECTED_SHARE * sum).max(if weight.len() >= 3 {
-            weight.values().copied().fold(0.0, f64::max)
-        } else {
-            0.0
+        // No gateway represents more than there are.
+        let max_represented = (self.live.len() as f64 + 1.0) / DISSENTING_REPORTERS;
+        Some(BelievedReport {
+            instance: report.instance,
+            server: &report.server,
+            zone: &report.zone,
+            health: report.health,
+            represents: f64::from(report.represents).min(max_represented).max(1.0),
+            age: now.saturating_sub(received_at),
+        })
+    }
+
+    fn update_ejections(&mut self, now: Micros) {
+        let by_all = self.evidence(now, Reporters::All);
+        let by_own_zone = self.evidence(now, Reporters::OwnZone);
+        let outliers = self.servers.iter().filter_map(|server| {
+            self.assess(now, server, by_all.get(&server.name), by_own_zone.get(&server.name))
         });
-        // Those that are well again and not back yet are out as well.
-        let returning = self.out.keys().filter(|name| !bad.iter().any(|(.., other, _)| other == *name));
-        let (mut out, mut now_bad) = (returning.map(|name| weight[&**name]).sum::<f64>(), BTreeMap::new());
-        self.spared.clear();
-        for (_, _, name, standing) in bad {
-            let own = weight[&*name];
-            if out + own <= most + 1e-9 {
-                out += own;
-                now_bad.insert(name, standing);
-            } else {
-                self.spared.insert(name);
-            }
-        }
-        for (name, standing) in &now_bad {
-            match self.out.get_mut(name) {
-                Some(known) => (known.standing, known.back) = (*standing, None),
-                None => {
-                    let before = self.before.entry(name.clone()).or_default();
-                    before.times = if before.back > 0 { (before.times + 1).min(MOST_DOUBLED) } else { 0 };
-                    self.out.insert(name.clone(), Out { since: now, standing: *standing, back: None });
-                }
+        let outliers: Vec<Outlier> = outliers.collect();
+        let returned = self.ejections.update(now, &self.local.name, &self.servers, outliers);
+        for name in returned {
+            self.last_trials.remove(&name);
+            // What was observed before the ejection says nothing any more.
+            if let Some(observed) = self.observed.get_mut(&name) {
+                let started_at = observed.started_at;
+                *observed = ObservedServer { started_at, ..ObservedServer::default() };
             }
         }
-        let spared = self.spared.clone();
-        for (name, known) in self.out.iter_mut().filter(|(name, _)| !now_bad.contains_key(*name)) {
-            let times = self.before.get(name).map_or(0, |before| before.times);
-            let least = known.since + (LEAST_OUT << times);
-            // One that is spared is needed at once; the others come back at drawn times, not all together.
-            let drawn = drawn(&self.me.name, name, known.since) % RETURN;
-            match spared.contains(name) {
-                true => known.back = Some(now),
-                false => drop(known.back.get_or_insert(least.max(now) + drawn)),
+        self.suspected_since.retain(|name, since| by_all.contains_key(name) || now < *since + OBJECTION_TIME);
+        let known: BTreeSet<ReportKey> = self.gossip.reports().map(Report::key).collect();
+        self.received_at.retain(|key, _| known.contains(key));
+    }
+
+    /// Whether a server is an outlier, or still one if it is ejected.
+    fn assess(
+        &self,
+        now: Micros,
+        server: &Server,
+        by_all: Option<&Evidence>,
+        by_own_zone: Option<&Evidence>,
+    ) -> Option<Outlier> {
+        let outlier = |severity, scope| Outlier { server: server.name.clone(), severity, scope };
+        let ejected = self.ejections.get(&server.name);
+        if let Some(ejection) = ejected.filter(|_| by_all.is_none()) {
+            // There are no reports since: it stays ejected for a while.
+            if now < ejection.since + SILENCE_LIMIT {
+                return Some(outlier(1.0, ejection.scope));
             }
         }
-        let back: Vec<String> = self
-            .out
-            .iter()
-            .filter(|(_, known)| known.back.is_some_and(|at| now >= at))
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in back {
-            self.out.remove(&name);
-            self.tried.remove(&name);
-            let before = self.before.entry(name.clone()).or_default();
-            before.back = now;
-            // What was met there before it was left says nothing of it any more.
-            if let Some(own) = self.own.get_mut(&name) {
-                *own = Own { started: own.started, ..Own::default() };
+        let is_ejected = ejected.is_some();
+        let suspected_since = self.suspected_since.get(&server.name);
+        let may_be_contested = suspected_since.is_some_and(|since| now < since + OBJECTION_TIME);
+        let is_outlier = |evidence: &&Evidence| {
+            if is_ejected {
+                !evidence.is_healthy()
+            } else {
+                evidence.is_outlier() && !may_be_contested
             }
+        };
+        let has_no_zone = self.local.zone.is_empty();
+        let holds_for_all =
+            |evidence: &&Evidence| has_no_zone || is_ejected || evidence.is_seen_from_several_zones();
+        if let Some(evidence) = by_all.filter(is_outlier).filter(holds_for_all) {
+            return Some(outlier(evidence.severity(), EjectionScope::AllZones));
         }
-        let spoken: BTreeSet<&String> = for_all.keys().collect();
-        self.accused.retain(|name, since| spoken.contains(name) || now < *since + CONTEST);
-        let known: BTreeSet<(String, u64)> = self.rumour.reports().map(rumour_key).collect();
-        self.heard.retain(|key, _| known.contains(key));
+        let evidence = by_own_zone.filter(|_| !has_no_zone).filter(is_outlier)?;
+        Some(outlier(evidence.severity(), EjectionScope::OwnZone))
     }
 
-    /// Which of the servers that are out it is this gateway's turn to try.
-    fn try_some(&mut self, now: Micros, shared: Micros) {
-        let (began, number) = trial_permit::current_interval(shared);
-        let names: Vec<&str> = self.live.iter().map(|live| &*live.name).collect();
-        let zones: BTreeMap<&str, &str> = self
-            .live
-            .iter()
-            .filter_map(|live| Some((&*live.name, &**self.zones.get(&live.instance)?)))
-            .collect();
-        let mut tries = BTreeSet::new();
-        for server in &self.servers {
-            let Some(_) = self.out.get(&server.name) else { continue };
-            let tried = self.tried.get(&server.name) == Some(&number);
-            let near = |name: &str| {
-                let zone = if name == self.me.name { Some(&*self.me.zone) } else { zones.get(name).copied() };
-                !server.zone.is_empty() && zone == Some(&*server.zone)
+    /// Determines which ejected servers this gateway may try now.
+    fn update_trial_permits(&mut self, now: Micros, shared: Micros) {
+        let interval = Interval::at(shared);
+        let interval_began = now.saturating_sub(shared - interval.started_at);
+        let others: Vec<&str> = self.live.iter().map(|peer| &*peer.name).collect();
+        let zones = self.zones_by_gateway();
+        let permits = self.servers.iter().filter(|server| {
+            let was_tried = self.last_trials.get(&server.name) == Some(&interval.number);
+            let is_near = |gateway: &str| {
+                !server.zone.is_empty() && zones.get(gateway).is_some_and(|zone| *zone == server.zone)
             };
-            // Whoever has tried it in this turn has said so.
-            let told = self.told_since(&server.name, now.saturating_sub(shared - began));
-            if !tried && !told && trial_permit::is_granted(shared, &self.me.name, &server.name, &names, near)
-            {
-                tries.insert(server.name.clone());
-            }
-        }
-        self.tries = tries;
-    }
-
-    /// Another has spoken of a server since then.
-    fn told_since(&self, server: &str, since: Micros) -> bool {
-        let (from, to) = ((server.to_string(), 0), (server.to_string(), u64::MAX));
-        self.heard.range(from..=to).any(|((_, run), at)| *run != self.me.instance && *at >= since)
+            self.ejections.contains(&server.name)
+                && !was_tried
+                // A gateway that has tried it in this interval has reported that.
+                && !self.is_reported_since(&server.name, interval_began)
+                && trial_permit::is_granted(shared, &self.local.name, &server.name, &others, is_near)
+        });
+        self.trial_permits = permits.map(|server| server.name.clone()).collect();
     }
 
-    /// Servers that are left out of use.
-    pub fn ejected(&self) -> impl Iterator<Item = &str> {
-        self.out.keys().map(|name| &**name)
+    /// The zones of this gateway and of live ones, as far as they are known.
+    fn zones_by_gateway(&self) -> BTreeMap<&str, &str> {
+        let zone_of = |peer: &LivePeer| self.zones.get(&peer.instance).map(String::as_str);
+        let others = self.live.iter().filter_map(|peer| Some((&*peer.name, zone_of(peer)?)));
+        others.chain([(&*self.local.name, &*self.local.zone)]).collect()
     }
 
-    /// For operators.
-    pub fn status(&self, now: Micros, shared: Micros) -> OutlierView {
-        let cases = self.cases(now, false);
-        let sum: f64 = self.servers.iter().map(|server| server.weight).sum();
-        let mut names: Vec<&str> = self.live.iter().map(|live| &*live.name).collect();
-        names.push(&self.me.name);
-        let number = trial_permit::current_interval(shared).1;
-        let mut out = 0.0;
-        let servers = self.servers.iter().map(|server| {
-            let here = self.own.get(&server.name).and_then(|own| own.sight.health(now));
-            let known = self.out.get(&server.name);
-            out += known.map_or(0.0, |_| server.weight);
-            let standing = match known {
-                Some(Out { back: Some(_), .. }) => ServerStatus::Returning,
-                Some(known) => known.standing,
-                None if self.spared.contains(&server.name) => ServerStatus::Spared,
-                None if here.is_some_and(HealthLevel::is_outlier) => ServerStatus::OutlierHere,
-                None => ServerStatus::Healthy,
-            };
-            let case = cases.get(&server.name).cloned().unwrap_or_default();
-            let first = names.iter().min_by_key(|name| drawn(name, &server.name, number));
-            ServerView {
-                server: server.name.clone(),
-                status: standing,
-                observed: here,
-                against: case.against,
-                in_favor: case.in_favor,
-                reporters: case.reporters.len() as u32,
-                ejected_ms: known.map(|known| now.saturating_sub(known.since) / MILLISECOND),
-                next_trial: known.and(first).map(|name| name.to_string()),
-            }
-        });
-        let servers = servers.collect();
-        let out = if sum > 0.0 { out / sum } else { 0.0 };
-        OutlierView {
-            gateway: self.me.name.clone(),
-            ejected_share: out,
-            max_ejected_share: MAX_EJECTED_SHARE,
-            servers,
-        }
+    /// Whether another gateway has reported on a server since then.
+    fn is_reported_since(&self, server: &str, since: Micros) -> bool {
+        let first = (server.to_string(), 0);
+        let last = (server.to_string(), u64::MAX);
+        let mut reports = self.received_at.range(first..=last);
+        reports.any(|((_, instance), at)| *instance != self.local.instance && *at >= since)
     }
 }
-
-fn rumour_key(word: &ServerReport) -> (String, u64) {
-    (word.server.clone(), word.instance)
-}
--- a/crates/subsetting/src/zones.rs
+++ b/crates/subsetting/src/zones.rs
@@ -1,55 +1,68 @@
-//! How much of each zone's load its own servers bear, and where the rest goes.
+//! The division of traffic between zones: how much of each zone's load its own servers take, and where the rest goes. Which
+//! servers of a zone get it is decided elsewhere.
 
 use std::collections::BTreeMap;
 
-use crate::{load, Gateway, Server};
+use crate::{effective_load, Gateway, Server};
 
-/// Of the traffic of a zone's gateways, the share that goes to the servers of one.
+/// The traffic of one zone's gateways to one zone's servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFlow {
+    /// The gateways' zone.
     pub from: u32,
+    /// The servers' zone.
     pub to: u32,
+    /// The share of the gateways' traffic, from 0 to 1.
     pub share: f64,
 }
 
-/// A share so small is not worth a connection of its own.
-const LEAST: f64 = 1e-3;
+/// Shares up to this are not worth connections of their own.
+const MIN_FLOW_SHARE: f64 = 1e-3;
 
-/// The flows between zones: each server is to get its part of all by weight, so that a zone's servers have room for as much of
-/// all as they weigh. The own zone comes first as far as it has room; the rest goes where room is left, in proportion to it.
-/// `apart`: without it zones make no difference.
-pub fn zone_flows(gateways: &[Gateway], servers: &[Server], apart: bool) -> Vec<ZoneFlow> {
+/// The flows between zones, in the order of both.
+///
+/// Each server is to get its part of all load by weight, so that a zone's capacity is the sum of its servers' parts. With
+/// `prefers_own_zone` a zone's load first takes its own capacity; the rest goes to the remaining capacity of all zones,
+/// in proportion. Without it zones make no difference. No flows if no server is usable.
+pub fn zone_flows(gateways: &[Gateway], servers: &[Server], prefers_own_zone: bool) -> Vec<ZoneFlow> {
     let mut loads: BTreeMap<u32, f64> = BTreeMap::new();
-    let mut rooms: BTreeMap<u32, f64> = BTreeMap::new();
     for gateway in gateways {
-        *loads.entry(gateway.zone).or_default() += load(gateway);
+        *loads.entry(gateway.zone).or_default() += effective_load(gateway);
     }
-    for server in servers.iter().filter(|server| server.weight > 0.0 && server.weight.is_finite()) {
-        *rooms.entry(server.zone).or_default() += server.weight;
-    }
-    let (all, weight): (f64, f64) = (loads.values().sum(), rooms.values().sum());
-    if weight <= 0.0 {
-        return Vec::new();
-    }
-    rooms.values_mut().for_each(|room| *room *= all / weight);
-    let own = |zone: &u32| if apart { rooms.get(zone).copied().unwrap_or(0.0).min(loads[zone]) } else { 0.0 };
-    let left: BTreeMap<u32, f64> = rooms
-        .iter()
-        .map(|(zone, room)| (*zone, room - if loads.contains_key(zone) { own(zone) } else { 0.0 }))
-        .collect();
-    let over: f64 = left.values().sum();
+    let total_load: f64 = loads.values().sum();
+    let capacities = zone_capacities(servers, total_load);
+    let local_load = |zone: &u32| match (prefers_own_zone, loads.get(zone)) {
+        (true, Some(load)) => capacities.get(zone).copied().unwrap_or(0.0).min(*load),
+        _ => 0.0,
+    };
+    let remaining: BTreeMap<u32, f64> =
+        capacities.iter().map(|(zone, capacity)| (*zone, capacity - local_load(zone))).collect();
+    let total_remaining: f64 = remaining.values().sum();
     let mut flows = Vec::new();
-    for (zone, carried) in &loads {
-        let stays = own(zone);
-        for (to, room) in &rooms {
-            let mut share = if to == zone { stays / carried } else { 0.0 };
-            if over > 0.0 {
-                share += (carried - stays) / carried * left[to] / over;
+    for (from, load) in &loads {
+        let local = local_load(from);
+        for (to, capacity) in &capacities {
+            let mut share = if to == from { local / load } else { 0.0 };
+            if total_remaining > 0.0 {
+                share += (load - local) / load * remaining[to] / total_remaining;
             }
-            if share > LEAST || *room >= all {
-                flows.push(ZoneFlow { from: *zone, to: *to, share });
+            if share > MIN_FLOW_SHARE || *capacity >= total_load {
+                flows.push(ZoneFlow { from: *from, to: *to, share });
             }
         }
     }
     flows
 }
+
+/// The part of all load that the servers of each zone are to get.
+fn zone_capacities(servers: &[Server], total_load: f64) -> BTreeMap<u32, f64> {
+    let mut capacities: BTreeMap<u32, f64> = BTreeMap::new();
+    for server in servers.iter().filter(|server| server.is_usable()) {
+        *capacities.entry(server.zone).or_default() += server.weight;
+    }
+    let total_weight: f64 = capacities.values().sum();
+    for capacity in capacities.values_mut() {
+        *capacity *= total_load / total_weight;
+    }
+    capacities
+}
