--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -215,3 +215,28 @@
         })
         .collect()
 }
+
+/// The updates of the shared counter among some actions: key and amount.
+pub fn counter_updates(actions: &[Action]) -> Vec<(String, f64)> {
+    let added = |actions: &Action| match actions {
+        Action::UpdateCounter(name, amount) => Some((name.clone(), *amount)),
+        _ => None,
+    };
+    actions.iter().filter_map(added).collect()
+}
+
+/// Completes all attempts that were forwarded, each after its server's time; how many they were.
+pub fn complete_all(fixture: &mut Fixture, took: impl Fn(&Id) -> Micros) -> usize {
+    let sent = sends(&fixture.take_actions());
+    for (id, server) in &sent {
+        fixture.end(id, 0, server, Outcome::Ok, took(server));
+    }
+    sent.len()
+}
+
+/// The requests rejected by some actions.
+pub fn rejected_requests(actions: &[Action]) -> Vec<Id> {
+    let rejected =
+        |actions: &Action| if let Action::Reject(id, _) = actions { Some(id.clone()) } else { None };
+    actions.iter().filter_map(rejected).collect()
+}
