--- a/crates/policy/tests/concurrency_quota.rs
+++ b/crates/policy/tests/concurrency_quota.rs
@@ -30,7 +30,7 @@
         4,
     );
     let mut counts = HashMap::<String, f64>::new();
-    // The calls that take trips off are lost for half a second, as where the counter's connection breaks under them.
+    // The updates that take requests off are lost for half a second, as where the counter's connection breaks.
     let mut served = |fixture: &mut Fixture, lost: bool| {
         fixture.request("c", 1_000 * MS);
         let mut done = false;
@@ -59,7 +59,7 @@
     assert_eq!(good, 20);
 }
 
-/// Plan with so many trips out at once, and no other quota.
+/// A plan with so many requests in flight at once, and no other quota.
 fn capped(max_concurrency: u32) -> Plan {
     Plan { rate: 0.0, burst: 0.0, max_concurrency, ..wide() }
 }
@@ -71,7 +71,7 @@
     let first = counter_updates(&fixture.take_actions()).pop().expect("a call with the transaction");
     fixture.gateway.counter_replied(&first.0, Outcome::Ok, 1.0, MS);
     assert_eq!(sends(&fixture.take_actions()).len(), 1);
-    // Nothing comes or goes for two names: the one trip must stand in each all the same.
+    // Nothing comes or ends for two windows: the one request must be counted in each all the same.
     for _ in 0..2 {
         let mut told = Vec::new();
         for _ in 0..500 {
@@ -113,7 +113,7 @@
     fixture.gateway.counter_replied(&name, Outcome::Ok, 5.0, MS);
     assert_eq!(rejected_requests(&fixture.take_actions()), [asked]);
     fixture.gateway.counter_replied(&name, Outcome::Ok, 4.0, MS);
-    // Later the counter turns the call away: all that is known is that others had four out.
+    // Later the counter rejects the call: all that is known is that others had four in flight.
     fixture.pass(3_000 * MS);
     let asked = fixture.request("c", 2_000 * MS);
     let name = counter_updates(&fixture.take_actions()).pop().expect("a call").0;
@@ -143,7 +143,7 @@
     let name = counter_updates(&ask(&mut fixture, "a")).pop().expect("a call").0;
     fixture.gateway.counter_replied(&name, Outcome::Ok, 2.0, MS);
     assert_eq!(sends(&fixture.take_actions()).len(), 1);
-    // A moment later the counter has no time for a call: the two that were out may be three by now.
+    // A moment later the counter has no time for a call: the two that were in flight may be three by now.
     fixture.pass(300 * MS);
     let name = counter_updates(&ask(&mut fixture, "b")).pop().expect("a call").0;
     fixture.gateway.counter_replied(&name, Outcome::Overloaded, 0.0, MS);
--- a/crates/policy/tests/operations.rs
+++ b/crates/policy/tests/operations.rs
@@ -1,11 +1,11 @@
-//! What operators do: servers taken out of use and called back, and a process that takes another's place.
+//! What operators do: servers cordoned and uncordoned, and a process that takes over from another.
 
 mod common;
 
 use common::*;
 use fernscale_policy::*;
 
-/// Asks so often, 20 ms apart, answers all, and counts what went to this server.
+/// Sends so many requests, 20 ms apart, completes all, and counts what went to this server.
 fn sent_to(fixture: &mut Fixture, server: &str, asks: usize) -> usize {
     let mut sent = 0;
     for _ in 0..asks {
@@ -56,7 +56,7 @@
     let now = fixture.now();
     fixture.gateway.uncordon(&id("s1"), now);
     assert_eq!(sent_to(&mut fixture, "s1", 1), 1);
-    // The list, late, goes on to say that it has run for long.
+    // The list, late, still says that it has run for long.
     fixture.gateway.endpoints_updated(false, &[listed("s1", 1, EndpointState::Ready, None)]);
     let cold = sent_to(&mut fixture, "s1", 99);
     assert!((1..usual * 2 / 3).contains(&cold), "{cold} sent while cold, {usual} before");
@@ -118,7 +118,7 @@
         10_000,
         false,
     );
-    // Of two gateways that share the customer this one has a half: ten at once, and ten a second.
+    // Of two gateways that share the tenant this one has a half: ten at once, and ten a second.
     let most = 10 + 10 * 10;
     assert!((60..=most).contains(&sent), "{sent} sent, {most} may be");
     let both = overlap(plan, [&[(0, 1.0)], &[(0, 1.0)]], 10_000, false);
@@ -168,7 +168,7 @@
     assert!(sent_to(&mut fixture, "s2", 40) > 5);
     fixture.gateway.set_ejected(&id("s2"), true);
     assert_eq!(sent_to(&mut fixture, "s2", 40), 0);
-    // A new list does not undo others' word, and one that nobody knows is no harm.
+    // A new list does not undo an ejection by peers, and that of an unknown server does no harm.
     fixture.gateway.endpoints_updated(
         true,
         &[0, 1, 2, 3].map(|at| listed(&format!("s{at}"), at % 2, EndpointState::Ready, None)),
@@ -177,7 +177,7 @@
     assert_eq!(sent_to(&mut fixture, "s2", 40), 0);
     fixture.gateway.set_ejected(&id("s2"), false);
     assert!(sent_to(&mut fixture, "s2", 40) > 5);
-    // Where all of them are barred nobody is left: those who bar see to it that some are not.
+    // Where all of them are ejected none is left: those who eject see to it that some are not.
     (0..4).for_each(|at| fixture.gateway.set_ejected(&id(format!("s{at}")), at != 1));
     assert!(sent_to(&mut fixture, "s1", 40) > 30);
 }
@@ -197,7 +197,7 @@
     for (whole, changes) in lists {
         beds[0].gateway.endpoints_updated(true, &whole);
         beds[1].gateway.endpoints_updated(false, &changes);
-        // Those that the beds began with have gone with the first whole list.
+        // Those that the fixtures began with have gone with the first full list.
         beds[1].gateway.endpoints_updated(
             false,
             &(0..4).map(|at| listed(&format!("s{at}"), 0, EndpointState::Removed, None)).collect::<Vec<_>>(),
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -13,13 +13,13 @@
     let mut fixture =
         Fixture::new(settings(Idempotency::Idempotent, Plan { ceiling: Some(ceiling), ..wide() }), 2);
     fixture.pass(1_000 * MS);
-    // Two servers with two places each; what is asked beyond that waits, and time passes.
+    // Two servers with two slots each; what comes beyond that waits, and time passes.
     (0..4).for_each(|_| drop(fixture.request("c", 2_000 * MS)));
     let sent = sends(&fixture.take_actions());
     fixture.pass(200 * MS);
     (0..2).for_each(|_| drop(fixture.request("c", 2_000 * MS)));
     fixture.pass(200 * MS);
-    // All leave at one instant: those that waited, and what the refilled part lets in.
+    // All are forwarded at one instant: those that waited, and what the refilled part admits.
     fixture.take_actions();
     sent.iter().for_each(|(id, server)| fixture.end(id, 0, server, Outcome::Ok, 100 * MS));
     let mut left = complete_all(&mut fixture, |_| 50 * MS);
@@ -35,11 +35,11 @@
     let plan = Plan { rate: 10.0, burst: 6.0, excess_cost: 1.0, priority_factor: 1.0, ..Plan::default() };
     let mut fixture = Fixture::new(settings(Idempotency::Idempotent, plan), 12);
     (0..20).for_each(|_| drop(fixture.request("c", 2_000 * MS)));
-    // The even share of a customer of two gateways that no total is known of yet.
+    // The even share of a tenant of two gateways that no total is known of yet.
     assert_eq!(sends(&fixture.take_actions()).len(), 3);
 }
 
-/// What a fleet did: units sent, those of them beyond the quotas, calls in the last second, those turned away.
+/// What a fleet did: units forwarded, those of them beyond the quotas, calls in the last second, those rejected.
 struct TenSeconds {
     left: usize,
     beyond: usize,
@@ -99,7 +99,7 @@
                     let total = counts.entry(name.clone()).or_insert(0.0);
                     *total += if room > 0 { amount } else { 0.0 };
                     let outcome = if room > 0 { Outcome::Ok } else { Outcome::Overloaded };
-                    // The last of a turn have waited in line.
+                    // The last of an iteration have waited in line.
                     let took = if room * 4 > counter / 100 { 2 * MS } else { 8 * MS };
                     room = room.saturating_sub(1);
                     fixture.gateway.counter_replied(&name, outcome, *total, took);
@@ -116,13 +116,13 @@
 fn a_hundred_gateways_keep_one_tenant_to_its_quota() {
     let plan = Plan { rate: 4.0, burst: 16.0, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() };
     let left = fleet(100, plan, 10_000, 1, 12).left;
-    // Ten seconds at thrice the quota, and a store that was full: 56 may pass, of 120.
+    // Ten seconds at three times the quota, and a bucket that was full: 56 may pass, of 120.
     assert!((28..=72).contains(&left), "{left} units left, 56 are inside the quota");
 }
 
 #[test]
 fn sparse_tenants_of_a_hundred_gateways_get_their_quotas_and_little_more() {
-    // Each asks six times its quota, and comes to a gateway once in half a minute.
+    // Each is offered six times its quota, and comes to a gateway once in half a minute.
     let plan = Plan { rate: 0.5, burst: 2.0, priority_factor: 1.0, excess_cost: 1.0, ..Plan::default() };
     let TenSeconds { left, beyond, .. } = fleet(100, plan, 10_000, 20, 60);
     assert!(left - beyond >= 105, "{} units sent inside the quotas, 140 may be", left - beyond);
@@ -165,7 +165,7 @@
             sent.iter().for_each(|(id, server)| fixture.end(id, 0, server, Outcome::Ok, 100 * MS));
             (!sent.is_empty(), counter_updates(&actions))
         };
-        // The counter answers the first call and is asked no more than it bears: of most there is no word.
+        // The counter replies to the first call and gets no more than it bears: for most there is no total.
         let (_, first) = ask(&mut fixture, "c0");
         fixture.gateway.counter_replied(&first[0].0, Outcome::Ok, 1.0, MS);
         fixture.take_actions();
@@ -174,7 +174,7 @@
         let seen: Vec<(bool, bool)> = (0..20).map(|at| twice(format!("d{at}"))).collect();
         assert!(seen.iter().all(|(first, _)| *first), "the first passes at {over_cost}: {seen:?}");
         assert!(seen.iter().all(|(_, again)| *again == passes), "at {over_cost}: {seen:?}");
-        // While the counter is away it tells of nobody, and whoever comes again is no more suspect than before.
+        // While the counter is away there are no totals, and a tenant that comes again is no more suspect than before.
         fixture.pass(3_000 * MS);
         let mut away = |fixture: &mut Fixture| {
             let (sent, calls) = ask(fixture, "e");
--- a/crates/policy/tests/rejections.rs
+++ b/crates/policy/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! Each reason for giving a transaction up, brought about, and told as what it is.
+//! Each reason for rejecting or failing a request, brought about and reported.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const LEFT: Micros = 300 * MS;
 
-/// Why the only transaction that was given up was.
+/// The reasons of the requests that were rejected or failed.
 fn refused(fixture: &Fixture) -> Vec<RejectReason> {
     fixture.host.0.borrow().refused.iter().map(|(_, why)| *why).collect()
 }
@@ -64,7 +64,7 @@
     assert_eq!(refused(&fixture), [RejectReason::AttemptUnfinished]);
 }
 
-/// A transaction whose attempts end like this, each at once: why it is given up in the end.
+/// The reasons for a request whose attempts end like this, each at once.
 fn after_attempts(settings: Settings, outcome: Outcome) -> Vec<RejectReason> {
     let mut fixture = Fixture::new(settings, 8);
     let asked = fixture.request("c", 1_000 * MS);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -56,7 +56,7 @@
     trips: Vec<Trip>,
     answers: u32,
     cancelled: Vec<usize>,
-    /// Its client has left.
+    /// Its client has disconnected.
     left: bool,
 }
 
@@ -66,7 +66,7 @@
     now: Micros,
     asked: BTreeMap<Id, Asked>,
     servers: BTreeMap<Id, (u32, bool)>,
-    /// Every first trip of a customer through this gateway: when.
+    /// When each first attempt for a tenant was made through this gateway.
     firsts: BTreeMap<u8, Vec<Micros>>,
     counts: Vec<String>,
 }
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// Rule 1: nothing is still owed past its hard stop.
+    /// Rule 1: every request is answered by its deadline.
     fn overdue(&self) -> Result<(), String> {
         match self.asked.values().any(|asked| asked.answers == 0 && self.now > asked.stop) {
             true => Err("rule 1: no answer by the hard stop".into()),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Rule 5: within any stretch of time, first trips stay under this gateway's even half of the ceiling.
+    /// Rule 5: within any stretch of time, first attempts stay under this gateway's even half of the ceiling.
     fn ceilings(&self, ceiling: Ceiling) -> Result<(), String> {
         for firsts in self.firsts.values() {
             for (at, from) in firsts.iter().enumerate() {
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -37,7 +37,7 @@
         fixture.gateway.request_received(asked);
         fixture.take_actions()
     };
-    // Two places and two to wait in.
+    // Two slots and a queue of two.
     assert_eq!(sends(&ask("a", 0)).len() + sends(&ask("b", 0)).len(), 2);
     assert_eq!(sends(&[ask("cheap", 0), ask("cheaper", 0)].concat()), []);
     assert_eq!(rejected_requests(&ask("dear", 1)), [id("cheaper")]);
@@ -64,7 +64,7 @@
         }
         fixture.pass(50 * MS);
     }
-    // A warm one gets ten a second from here: three times a fifth of that, and half of it for safety.
+    // A warm server gets ten a second from here: three times a fifth of that, and half of it for safety.
     assert!((1..=3).contains(&pushed), "{pushed} sent to a cold server within a second");
 }
 
@@ -73,7 +73,7 @@
     let mut fixture = Fixture::new(settings(Idempotency::Idempotent, wide()), 4);
     let mut failing = 0;
     for round in 0..60 {
-        // More than the others have places for; the failing one always has room.
+        // More than the others have slots for; the failing one always has capacity.
         (0..8).for_each(|_| drop(fixture.request("c", 3_000 * MS)));
         let sent = sends(&fixture.take_actions());
         for (id, server) in sent.iter().filter(|(_, server)| &**server == "s0") {
@@ -118,7 +118,7 @@
             fixture.pass(100 * MS);
         }
     }
-    // A warm one gets 125 a second: three times a fifth of that.
+    // A warm server gets 125 a second: three times a fifth of that.
     assert!((10..=75).contains(&pushed), "{pushed} sent to a cold server by a hundred gateways in a second");
 }
 
@@ -168,7 +168,7 @@
         sent
     };
     (0..20).for_each(|_| assert!(second(&mut fixture) > 30));
-    // One of four is replaced every two seconds, and none lives to be warm.
+    // One of four is replaced every two seconds, and none becomes warm.
     let mut last = 0;
     for at in 0..60 {
         if at % 2 == 0 {
--- a/crates/policy/tests/subsets.rs
+++ b/crates/policy/tests/subsets.rs
@@ -84,7 +84,7 @@
     assert!(most <= Some(60), "{most:?} calls in half a second");
 }
 
-/// The servers that a gateway sends to, each being asked for more than they have places for.
+/// The servers that a gateway forwards to, each offered more than it has slots for.
 fn used(fixture: &mut Fixture) -> std::collections::BTreeSet<Id> {
     (0..100).for_each(|_| drop(fixture.request("c", 300 * MS)));
     let sent: Vec<_> = sends(&fixture.take_actions());
--- a/crates/simulator-adapter/tests/batches.rs
+++ b/crates/simulator-adapter/tests/batches.rs
@@ -4,14 +4,14 @@
 
 use common::{replies, run};
 
-const BORN: &str = "born who=gateway-0 prng=7 balancers=1 me=0 discovery=pushed lanes.count=1 \
+const START: &str = "born who=gateway-0 prng=7 balancers=1 me=0 discovery=pushed lanes.count=1 \
     lanes.0.effect=read_like lanes.0.onTimeMs=750.0 lanes.0.value=2.0 tiersOfService.count=1 \
     tiersOfService.0.unitsPerS=5.0 tiersOfService.0.burst=5.0 tiersOfService.0.excessCost=1.0 \
     ceilings.sendCap=3 rules.coldFrom=0.2 rules.warmUpMs=9000.0 future.setting=x";
 const LIST: &str = "directory list=0 membersList=1\n\
     row server=10.0.0.1:80 regionPart=0 hw=0 cluster=0 condition=in_service rating=1\n\
     membership who=gateway-0 form=C revision=1 list=0";
-const ASK: &str =
+const REQUEST: &str =
     "ask who=gateway-0 tid=a fromNo=0 weight=1 service=0 contract=0 caller=u:1 doors=1 ttlMs=900.5";
 
 fn batch(turn: u32, at: f64, events: &[&str]) -> String {
@@ -25,10 +25,11 @@
 }
 
 #[test]
-fn a_transaction_is_sent_and_a_served_one_stays_answered() {
+fn a_request_is_forwarded_and_an_answered_one_stays_answered() {
     let returned = "returned who=gateway-0 tid=a go=0 server=10.0.0.1:80 delaySeenMs=20 rc=S doneFlag=1";
     let dropped = "dropped who=gateway-0 tid=a";
-    let out = replies(&(batch(1, 1000.0, &[BORN, LIST, ASK]) + &batch(2, 1020.25, &[returned, dropped])));
+    let out =
+        replies(&(batch(1, 1000.0, &[START, LIST, REQUEST]) + &batch(2, 1020.25, &[returned, dropped])));
     assert!(out.contains("issue who=gateway-0 tid=a limitMs=890.500 server=10.0.0.1:80\n"), "{out}");
     assert!(!out.contains("decline") && !out.contains("fail"), "{out}");
 }
@@ -36,14 +37,18 @@
 #[test]
 fn a_restart_within_a_batch_forgets_all_and_lists_resolve_in_order() {
     let other = LIST.replace("10.0.0.1", "10.0.0.2");
-    let asked_anew = ASK.replace("tid=a", "tid=b");
-    let out = replies(&batch(1, 1000.0, &[BORN, LIST, ASK, "stop who=gateway-0", BORN, &other, &asked_anew]));
+    let other_request = REQUEST.replace("tid=a", "tid=b");
+    let out = replies(&batch(
+        1,
+        1000.0,
+        &[START, LIST, REQUEST, "stop who=gateway-0", START, &other, &other_request],
+    ));
     assert!(out.contains("tid=a limitMs=890.500 server=10.0.0.1:80\n"), "{out}");
     assert!(out.contains("tid=b limitMs=890.500 server=10.0.0.2:80\n"), "{out}");
 }
 
 #[test]
-fn what_cannot_be_understood_is_named_and_ends_the_run() {
+fn a_line_that_is_not_understood_is_named_and_ends_the_process() {
     let bad = [
         "ask who=gateway-0 tid=a weight=many service=0 ttlMs=5",
         "returned who=gateway-0 tid=a go=0 server=s rc=Q",
@@ -52,7 +57,7 @@
         "nonsense here",
     ];
     for line in bad {
-        let output = run(&batch(1, 1.0, &[BORN, LIST, line]));
+        let output = run(&batch(1, 1.0, &[START, LIST, line]));
         assert_eq!(output.status.code(), Some(2), "{line}");
         assert!(String::from_utf8_lossy(&output.stderr).contains(line), "{line}");
     }
