--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -14,9 +14,9 @@
 pub struct Request {
     /// Names the request among those in flight at this gateway.
     pub id: Id,
-    /// Index into [`Settings::classes`].
+    /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// Index into [`Settings::plans`].
+    /// Index into [`Settings::plans`](crate::Settings::plans).
     pub plan: usize,
     /// The tenant whose quota it uses.
     pub tenant: Id,
@@ -93,14 +93,14 @@
     pub load: LoadReport,
 }
 
-/// Where an endpoint stands in its life.
+/// Whether an endpoint takes new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// It takes new attempts.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It completes its attempts and takes no new ones.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     Removed,
 }
 
@@ -115,7 +115,7 @@
     pub hardware_type: u32,
     /// Index of its cell (a rack).
     pub cell: u32,
-    /// Where it stands in its life.
+    /// Whether it takes new attempts.
     pub state: EndpointState,
     /// Its capacity beside the others', as far as the list knows.
     pub weight: f64,
--- a/crates/policy/src/quota/fraction.rs
+++ b/crates/policy/src/quota/fraction.rs
@@ -17,7 +17,7 @@
 const MAX_DECAYS_BETWEEN_TOTALS: f64 = 2.0;
 
 /// What a tenant may have been offered within a decay time, in refills of that time, before its bucket is empty: it may
-/// use its burst besides.
+/// use its burst on top of the refill.
 const CAPACITY_IN_REFILLS: f64 = 2.2;
 
 /// The fraction and what it is computed from.
--- a/crates/policy/src/rejection.rs
+++ b/crates/policy/src/rejection.rs
@@ -28,7 +28,7 @@
 }
 
 impl RejectReason {
-    /// The name by which records tell it.
+    /// The name of the reason in operators' records; it never changes.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::OverQuota => "over-quota",
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the decision module, and in [`platform`] their reader; nothing here changes after the start.
+//! The settings of the decision module, and their reader; nothing here changes after the start.
 
 mod error;
 mod fields;
@@ -94,7 +94,7 @@
     pub max_attempts: u32,
     /// Attempts in flight can be cancelled.
     pub can_cancel: bool,
-    /// The longest Retry-After that a rejection may carry; 0 where clients are told none.
+    /// The longest Retry-After that a rejection may carry; 0 where rejections carry none.
     pub max_retry_after: Micros,
     /// The gateways share a counter.
     pub has_shared_counter: bool,
