--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -9,5 +9,5 @@
     let source = Source::from_environment(installation).map_err(|error| vec![error])?;
     let config = source.read()?;
     let log = log::start(&config.name, config.logging);
-    run::run(source, config, log).map_err(|error| vec![error])
+    run::run(source, config, log).map_err(|error| vec![error.to_string()])
 }
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -11,16 +11,18 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use super::file::{self, InstallationConfig, MIN_DESCRIPTORS};
+pub use super::file::{self, InstallationConfig, MIN_DESCRIPTORS};
 use super::log::LogSettings;
 use crate::fleet::{durable_store, leases, membership, outlier_detection, subsetting, trial_leases};
 use crate::protocol::catalog::{self, EndpointUpdate, KnownEndpoints, SlicedReader};
 use crate::transport::clock::{yield_between_slices, ClockFault};
 
+pub use super::config_error::ConfigError;
+
 /// Environment variable with the path of the platform's file.
 const PLATFORM_FILE_VARIABLE: &str = "BALANCER_CONFIG";
 /// Environment variable with the address for operators, for a file without one.
-const OPERATOR_VARIABLE: &str = "BALANCER_OPERATOR";
+pub(super) const OPERATOR_VARIABLE: &str = "BALANCER_OPERATOR";
 /// Environment variable with the number of the descriptor of an inherited listening socket.
 pub const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_PASSED_SOCKET";
 
@@ -183,27 +185,18 @@
     format!("'{}': {what}", path.display())
 }
 
-/// Reads a configuration from a text in the platform's form.
-///
-/// # Errors
-/// The first problem that was found.
-pub fn read(text: &str) -> Result<Config, String> {
-    let config: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    from_value(&config, InstallationConfig::default())
-}
-
 /// The top level of the platform's form.
 struct PlatformForm<'c>(&'c Value);
 
 impl PlatformForm<'_> {
-    fn text(&self, name: &str) -> Result<&str, String> {
+    fn text(&self, name: &str) -> Result<&str, ConfigError> {
         let text = self.0.get(name).and_then(Value::as_str);
-        text.ok_or_else(|| format!("'{name}' is missing, or no text"))
+        text.ok_or_else(|| ConfigError::MissingText { key: name.into() })
     }
 
-    fn address(&self, name: &str) -> Result<SocketAddr, String> {
+    fn address(&self, name: &str) -> Result<SocketAddr, ConfigError> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("'{name}' is '{text}', which is no address of a socket"))
+        text.parse().map_err(|_| ConfigError::InvalidAddress { key: name.into(), found: text.into() })
     }
 
     fn limit(&self, name: &str, default: u64) -> usize {
@@ -212,24 +205,23 @@
     }
 
     /// The settings under flat names, with the seed of the random generator.
-    fn flat_settings(&self) -> Result<FlatFields, String> {
+    fn flat_settings(&self) -> Result<FlatFields, ConfigError> {
         let seed = self.text("seed")?;
-        let seed = u64::from_str_radix(seed, 16)
-            .map_err(|_| format!("'seed' is '{seed}', which is no hex number"))?;
+        let seed =
+            u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidSeed { found: seed.into() })?;
         let mut flat = FlatFields(HashMap::from([("prng".into(), seed.to_string())]));
         let settings = self.0.get("settings").filter(|settings| settings.is_object());
-        flat.flatten("", settings.ok_or("'settings' is missing, or no object")?);
+        flat.flatten("", settings.ok_or(ConfigError::MissingSettings)?);
         Ok(flat)
     }
 
     /// Address for operators: that of the form, else that of the environment, else none.
-    fn operator_address(&self) -> Result<Option<SocketAddr>, String> {
+    fn operator_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         if self.0.get("operator").is_some() {
             return self.address("operator").map(Some);
         }
         let Ok(text) = std::env::var(OPERATOR_VARIABLE) else { return Ok(None) };
-        let invalid = |_| format!("{OPERATOR_VARIABLE} is '{text}', which is no address of a socket");
-        text.parse().map(Some).map_err(invalid)
+        text.parse().map(Some).map_err(|_| ConfigError::InvalidOperatorVariable { found: text })
     }
 
     /// The fields that a running gateway can't take from a new configuration.
@@ -241,12 +233,11 @@
 }
 
 /// The descriptor of the listening socket that the environment names, if it does.
-fn inherited_socket() -> Result<Option<RawFd>, String> {
+fn inherited_socket() -> Result<Option<RawFd>, ConfigError> {
     let Ok(text) = std::env::var(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
     // The first three are the standard streams.
     let number = text.parse().ok().filter(|number| *number > 2);
-    let invalid = || format!("{INHERITED_SOCKET_VARIABLE} is '{text}', which is no descriptor of a socket");
-    number.map(Some).ok_or_else(invalid)
+    number.map(Some).ok_or(ConfigError::InvalidSocketVariable { found: text })
 }
 
 /// Checks what the sections of an installation's file need of each other and of the platform's form.
@@ -255,10 +246,10 @@
     form: &PlatformForm,
     platform_settings: &PlatformSettings,
     settings: &Settings,
-) -> Result<(), String> {
+) -> Result<(), ConfigError> {
     if let Some(leases) = &installation.leases {
         if installation.membership.is_none() {
-            return Err("[owner] needs [mesh], by which gateways speak with each other".into());
+            return Err(ConfigError::NeedsMembership { section: "owner" });
         }
         check_leases(leases, form, settings)?;
     }
@@ -266,46 +257,45 @@
     let detection_zone = installation.outlier_detection.as_ref().and_then(|settings| settings.zone.as_ref());
     for (section, zone) in [("subsets", subsetting_zone), ("signals", detection_zone)] {
         if let Some(zone) = zone.filter(|zone| !platform_settings.zones.contains(zone)) {
-            return Err(format!("'{section}.zone' is '{zone}', which is none of the zones"));
+            return Err(ConfigError::UnknownZone { section, zone: zone.clone() });
         }
     }
     if installation.outlier_detection.is_some() && installation.membership.is_none() {
-        return Err("[signals] needs [mesh], by which gateways speak with each other".into());
+        return Err(ConfigError::NeedsMembership { section: "signals" });
     }
     Ok(())
 }
 
-fn check_leases(leases: &leases::Settings, form: &PlatformForm, settings: &Settings) -> Result<(), String> {
+fn check_leases(
+    leases: &leases::Settings,
+    form: &PlatformForm,
+    settings: &Settings,
+) -> Result<(), ConfigError> {
     if leases.leases_endpoint_list && settings.list_poll_interval.unwrap_or(0) == 0 {
-        return Err(
-            "'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'".into()
-        );
+        return Err(ConfigError::ListNeedsPolling);
     }
     let mut acceptors = leases.acceptors.names.iter().chain(&leases.acceptors.previous_names);
     let name = form.text("name").unwrap_or_default();
     if acceptors.any(|acceptor| **acceptor == *name) && leases.directory.is_none() {
-        let name = form.text("name")?;
-        return Err(format!("'{name}' is among 'owner.voters': it needs [store], where promises are kept"));
+        return Err(ConfigError::AcceptorNeedsStore { name: form.text("name")?.into() });
     }
     Ok(())
 }
 
-fn from_value(config: &Value, installation: InstallationConfig) -> Result<Config, String> {
+fn from_value(config: &Value, installation: InstallationConfig) -> Result<Config, ConfigError> {
     let form = PlatformForm(config);
     let flat = form.flat_settings()?;
-    let platform_settings = settings::platform_settings(&flat)?;
-    let settings = settings::policy_settings(&flat)?;
+    let platform_settings = settings::platform_settings(&flat).map_err(ConfigError::Settings)?;
+    let settings = settings::policy_settings(&flat).map_err(ConfigError::Settings)?;
     if settings.classes.is_empty() || settings.plans.is_empty() {
-        return Err("'settings' has no 'lanes' or no 'tiersOfService'".into());
+        return Err(ConfigError::NothingToServe);
     }
     let operator = form.operator_address()?;
     let inherited_socket = inherited_socket()?;
     check_fleet_sections(&installation, &form, &platform_settings, &settings)?;
     let max_descriptors = form.limit("sockets", DEFAULT_DESCRIPTORS);
     if max_descriptors < MIN_DESCRIPTORS as usize {
-        return Err(format!(
-            "'limits.sockets={max_descriptors}' is below {MIN_DESCRIPTORS}: nobody could be let in"
-        ));
+        return Err(ConfigError::TooFewDescriptors { found: max_descriptors, minimum: MIN_DESCRIPTORS });
     }
     let known = config.get("known").filter(|known| !known.is_null());
     Ok(Config {
@@ -330,7 +320,7 @@
         known: known
             .map(|known| catalog::endpoint_update(known, &platform_settings))
             .transpose()
-            .map_err(|error| error.reason)?,
+            .map_err(|error| ConfigError::KnownEndpoints(error.reason))?,
         platform_settings,
     })
 }
--- a/crates/gateway/src/program/listener.rs
+++ b/crates/gateway/src/program/listener.rs
@@ -1,13 +1,14 @@
 //! The listening sockets of a gateway: binding them, and taking over one from the process before.
 
-use std::fmt::Display;
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{BorrowedFd, FromRawFd, OwnedFd, RawFd};
 
 use async_io::Async;
 use rustix::event::{self, PollFd, PollFlags, Timespec};
 
-use super::config::{Config, INHERITED_SOCKET_VARIABLE};
+use super::config::Config;
+use super::start_error::StartError;
 
 /// Connections that may wait to be accepted. Danger: beyond it the system drops a client's attempt to connect, which the
 /// client repeats only a second later.
@@ -21,7 +22,7 @@
 
 impl Listeners {
     /// Takes the inherited socket for clients, if there is one, and binds the others.
-    pub(super) fn bind(config: &Config) -> Result<Self, String> {
+    pub(super) fn bind(config: &Config) -> Result<Self, StartError> {
         let clients = match config.inherited_socket {
             Some(descriptor) => inherited_listener(descriptor)?,
             None => listen(config.listen)?,
@@ -31,30 +32,28 @@
     }
 }
 
-fn listen(address: SocketAddr) -> Result<Async<TcpListener>, String> {
-    let failed = |error: &dyn Display| format!("can't listen on {address}: {error}");
-    let listener = Async::<TcpListener>::bind(address).map_err(|error| failed(&error))?;
-    rustix::net::listen(&listener, ACCEPT_BACKLOG).map_err(|error| failed(&error))?;
+fn listen(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
+    let listener =
+        Async::<TcpListener>::bind(address).map_err(|error| StartError::Listen { address, error })?;
+    rustix::net::listen(&listener, ACCEPT_BACKLOG)
+        .map_err(|error| StartError::Listen { address, error: error.into() })?;
     Ok(listener)
 }
 
 /// The listening socket that this process was started with.
-fn inherited_listener(number: RawFd) -> Result<Async<TcpListener>, String> {
-    let failed = |reason: &dyn Display| {
-        format!(
-            "{INHERITED_SOCKET_VARIABLE} names descriptor {number}, which is no listening socket: {reason}"
-        )
-    };
+fn inherited_listener(descriptor: RawFd) -> Result<Async<TcpListener>, StartError> {
+    let failed = |reason| StartError::InheritedSocket { descriptor, reason };
     // SAFETY: the descriptor is borrowed for one query, which fails where it is not open.
-    let descriptor = unsafe { BorrowedFd::borrow_raw(number) };
-    let is_listening = rustix::net::sockopt::socket_acceptconn(descriptor).map_err(|error| failed(&error))?;
+    let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
+    let is_listening =
+        rustix::net::sockopt::socket_acceptconn(borrowed).map_err(|error| failed(error.into()))?;
     if !is_listening {
-        return Err(failed(&"it does not listen"));
+        return Err(failed(io::Error::other("it does not listen")));
     }
     // SAFETY: the descriptor is open and listens. This process has opened no listener yet, so nothing else here owns it,
     // and it is taken once.
-    let socket = unsafe { OwnedFd::from_raw_fd(number) };
-    Async::new(TcpListener::from(socket)).map_err(|error| failed(&error))
+    let socket = unsafe { OwnedFd::from_raw_fd(descriptor) };
+    Async::new(TcpListener::from(socket)).map_err(failed)
 }
 
 /// Whether a connection waits to be accepted.
--- a/crates/gateway/src/program/mod.rs
+++ b/crates/gateway/src/program/mod.rs
@@ -1,6 +1,7 @@
 //! The program: its configuration, how it starts and ends, and its log.
 
 pub mod config;
+mod config_error;
 pub mod file;
 mod fleet;
 mod listener;
@@ -10,3 +11,4 @@
 mod reload;
 pub mod run;
 mod shutdown;
+mod start_error;
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -35,6 +35,8 @@
 use crate::transport::clock::{Clock, ClockFault};
 use crate::transport::limits::{Limits, OPERATORS};
 
+pub use super::start_error::StartError;
+
 /// Descriptors for membership: a socket, a listener, exchanges both ways.
 const MEMBERSHIP_DESCRIPTORS: usize = 16;
 /// Descriptors for the leases: the store's files, messages too long for a datagram.
@@ -49,7 +51,7 @@
 ///
 /// # Errors
 /// What keeps the gateway from starting: an address that can't be bound, or an inherited socket that is none.
-pub fn run(source: Source, config: Config, log: Logger) -> Result<(), String> {
+pub fn run(source: Source, config: Config, log: Logger) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     let main = executor.clone();
     async_io::block_on(main.run(gateway(source, config, log, executor)))
@@ -60,10 +62,9 @@
     config: Config,
     log: Logger,
     executor: Rc<LocalExecutor<'static>>,
-) -> Result<(), String> {
+) -> Result<(), StartError> {
     install_clock_fault(config.clock_fault, &log);
-    let mut signals =
-        Signals::new([Signal::Term, Signal::Hup]).map_err(|error| format!("no signals: {error}"))?;
+    let mut signals = Signals::new([Signal::Term, Signal::Hup]).map_err(StartError::Signals)?;
     let listeners = Listeners::bind(&config)?;
     info!(log, #"gateway.starts", "starts"; "listen" => config.listen.to_string(), "sockets" => config.max_descriptors,
         "memory_mb" => config.memory_mb,
@@ -156,7 +157,7 @@
     config: Config,
     clients: &Rc<Async<TcpListener>>,
     operators: Option<Async<TcpListener>>,
-) -> Result<Mailboxes, String> {
+) -> Result<Mailboxes, StartError> {
     let executor = &shared.executor;
     let (events, event_mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
     let (discovery_orders, discovery_mailbox) = async_channel::bounded(MAX_QUEUED_ORDERS);
@@ -198,7 +199,7 @@
     shared: &Rc<Shared>,
     config: &Config,
     endpoint_list: EndpointListConfig<Event, discovery::Order>,
-) -> Result<(), String> {
+) -> Result<(), StartError> {
     let gateway_count = config.settings.gateway_count;
     let local_gateway = || LocalGateway {
         name: config.name.clone(),
@@ -232,7 +233,7 @@
             );
             shared.executor.spawn(start).detach();
         }
-        Err(error) => return Err(format!("can't speak with gateways on {}: {error}", settings.listen)),
+        Err(error) => return Err(StartError::Membership { address: settings.listen, error }),
     }
     Ok(())
 }
