--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration files: what is taken, what is refused, and how that is told.
+//! The command line and the configuration files: what is accepted, what is rejected, and how problems are reported.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -32,16 +32,16 @@
     String::from_utf8_lossy(&output.stderr).lines().map(String::from).collect()
 }
 
-fn written(folder: &Path, name: &str, text: &str) -> PathBuf {
+fn write_file(folder: &Path, name: &str, text: &str) -> PathBuf {
     let file = folder.join(name);
     std::fs::write(&file, text).expect("written");
     file
 }
 
-/// The problems that `check` tells of a text, each from its place on.
+/// The problems that `check` reports of a text, each from its position on.
 fn problems(text: &str) -> Vec<String> {
     let folder = tempfile::tempdir().expect("a folder");
-    let file = written(folder.path(), "fernscale.toml", text);
+    let file = write_file(folder.path(), "fernscale.toml", text);
     let output = fernscale(&["check", &file.display().to_string()]);
     assert_eq!(output.status.code(), Some(if output.stderr.is_empty() { 0 } else { 1 }));
     let place = |line: &String| line.split_once("': ").expect("a place").1.to_string();
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn a_good_file_is_taken() {
+fn a_valid_file_is_accepted() {
     assert_eq!(problems(GOOD), Vec::<String>::new());
 }
 
 #[test]
-fn every_problem_is_told_with_its_place() {
+fn every_problem_is_reported_with_its_position() {
     let text = GOOD.replace("listen", "lisen").replace("400ms", "400").replace("burst = 10", "burst = -1");
     let told = problems(&text);
     let begins = [
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn values_that_contradict_each_other_are_told() {
+fn contradicting_values_are_reported() {
     for (from, to, meant) in [
         ("hard-stop = \"1s 500ms\"", "hard-stop = \"100ms\"", "before the agreed time"),
         ("repeat = \"redoable\"", "repeat = \"labelled\"", "'lane[0].memory' is missing"),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn exit_codes_are_those_that_are_told() {
+fn exit_codes_are_the_documented_ones() {
     assert_eq!(fernscale(&["--version"]).status.code(), Some(0));
     assert_eq!(fernscale(&["--help"]).status.code(), Some(0));
     assert_eq!(fernscale(&["check", "/nowhere/at/all.toml"]).status.code(), Some(1));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn the_picture_of_a_fleet_that_one_thinks_of_is_shown_and_drawn() {
+fn a_hypothetical_fleet_is_printed_and_drawn() {
     let folder = tempfile::tempdir().expect("a folder");
     let svg = folder.path().join("who-uses-whom.svg");
     let drawn = svg.display().to_string();
@@ -152,14 +152,14 @@
     assert_eq!(alone.status.code(), Some(2));
 }
 
-/// What the platform says wins over the file, key by key; the log is JSON with stable event names.
+/// The platform's values win over those of the file, key by key; the log is JSON with stable event names.
 #[test]
-fn the_platform_wins_where_both_speak() {
+fn the_platform_file_wins_over_the_installation_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let own = format!("{GOOD}[log]\nform = \"json\"\n");
-    let own = written(folder.path(), "fernscale.toml", &own);
+    let own = write_file(folder.path(), "fernscale.toml", &own);
     let over = json!({ "name": "other", "limits": { "sockets": 300 }, "seed": "12" });
-    let platform = written(folder.path(), "platform.json", &over.to_string());
+    let platform = write_file(folder.path(), "platform.json", &over.to_string());
     let mut gateway = Command::new(env!("CARGO_BIN_EXE_fernscale"));
     gateway.arg("--config").arg(&own).env("BALANCER_CONFIG", &platform).stderr(Stdio::piped());
     let mut gateway = gateway.spawn().expect("it starts");
@@ -173,7 +173,7 @@
 
 /// Settings of the platform that can't be served end the program with one line that names key and value, before it listens.
 #[test]
-fn settings_that_can_not_be_served_are_told_in_one_line_with_key_and_value() {
+fn unsupported_settings_are_reported_in_one_line_with_key_and_value() {
     let example = include_str!("../../../examples/config.json");
     let folder = tempfile::tempdir().expect("a folder");
     for (place, value, told) in [
@@ -205,7 +205,7 @@
             };
         }
         *at = value;
-        let file = written(folder.path(), "config.json", &config.to_string());
+        let file = write_file(folder.path(), "config.json", &config.to_string());
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
         let output = command.env("BALANCER_CONFIG", &file).output().expect("it runs");
         assert_eq!(output.status.code(), Some(1), "{place}");
--- a/crates/cli/tests/mesh.rs
+++ b/crates/cli/tests/mesh.rs
@@ -1,4 +1,5 @@
-//! Gateways that speak with each other, as processes: who is seen, who is believed, and how keys are changed.
+//! Membership of gateways that run as processes: which members are live, which messages are accepted, and how keys are
+//! rotated.
 
 mod fleet;
 
@@ -11,9 +12,9 @@
 use fleet::{config, free};
 use serde_json::Value;
 
-const SOON: Duration = Duration::from_secs(10);
-const OLD: &str = "00112233445566778899aabbccddeeff";
-const NEW: &str = "ffeeddccbbaa99887766554433221100";
+const TIMEOUT: Duration = Duration::from_secs(10);
+const OLD_KEY: &str = "00112233445566778899aabbccddeeff";
+const NEW_KEY: &str = "ffeeddccbbaa99887766554433221100";
 
 struct Gateway {
     process: Child,
@@ -45,14 +46,14 @@
         Gateway { process, file, listen, mesh, seed, name: name.into(), _folder: folder }
     }
 
-    fn members(&self, more: &[&str]) -> Output {
+    fn members(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
-        command.args(["members", "--config"]).arg(&self.file).args(more).env_remove("BALANCER_CONFIG");
+        command.args(["members", "--config"]).arg(&self.file).args(arguments).env_remove("BALANCER_CONFIG");
         command.output().expect("it runs")
     }
 
-    /// The names of others that it takes for live, sorted.
-    fn sees(&self) -> Vec<String> {
+    /// Names of the other gateways that it takes for live, sorted.
+    fn live_members(&self) -> Vec<String> {
         let view: Value = serde_json::from_slice(&self.members(&["--json"]).stdout).unwrap_or_default();
         let members = view["members"].as_array().cloned().unwrap_or_default();
         let live = members.iter().filter(|member| member["state"] == "Alive");
@@ -62,32 +63,37 @@
         names
     }
 
-    fn comes_to_see(&self, names: &[&str]) {
-        let began = Instant::now();
-        while self.sees() != names {
-            assert!(began.elapsed() < SOON, "{} sees {:?}, not {names:?}", self.name, self.sees());
+    fn wait_until_live(&self, names: &[&str]) {
+        let started_at = Instant::now();
+        while self.live_members() != names {
+            assert!(
+                started_at.elapsed() < TIMEOUT,
+                "{} sees {:?}, not {names:?}",
+                self.name,
+                self.live_members()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn comes_to_tell(&self, words: &str) {
-        let began = Instant::now();
+    fn wait_until_printed(&self, words: &str) {
+        let started_at = Instant::now();
         loop {
-            let told = String::from_utf8_lossy(&self.members(&[]).stdout).into_owned();
-            if told.contains(words) {
+            let printed = String::from_utf8_lossy(&self.members(&[]).stdout).into_owned();
+            if printed.contains(words) {
                 return;
             }
-            assert!(began.elapsed() < SOON, "{told}");
+            assert!(started_at.elapsed() < TIMEOUT, "{printed}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Another ring of keys, by a new configuration.
-    fn turn(&self, keys: &[&str]) {
-        self.turn_to(&config(&self.name, self.listen, self.mesh, self.seed, keys, ""));
+    /// Replaces the keys by a new configuration.
+    fn set_keys(&self, keys: &[&str]) {
+        self.reload(&config(&self.name, self.listen, self.mesh, self.seed, keys, ""));
     }
 
-    fn turn_to(&self, text: &str) {
+    fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).expect("written");
         let signal = Command::new("kill").args(["-HUP", &self.process.id().to_string()]).status();
         assert!(signal.expect("sent").success());
@@ -96,41 +102,41 @@
 }
 
 #[test]
-fn gateways_find_each_other_and_notice_who_goes() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let second = Gateway::start("b", Some(&first), &[OLD]);
-    let third = Gateway::start("c", Some(&first), &[OLD]);
-    first.comes_to_see(&["b", "c"]);
-    second.comes_to_see(&["a", "c"]);
-    third.comes_to_see(&["a", "b"]);
-    first.comes_to_tell("3 of 3 gateways");
+fn gateways_find_each_other_and_notice_one_that_dies() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
+    let third = Gateway::start("c", Some(&first), &[OLD_KEY]);
+    first.wait_until_live(&["b", "c"]);
+    second.wait_until_live(&["a", "c"]);
+    third.wait_until_live(&["a", "b"]);
+    first.wait_until_printed("3 of 3 gateways");
     drop(third);
-    first.comes_to_tell("2 of 3 gateways");
-    first.comes_to_tell("dead");
+    first.wait_until_printed("2 of 3 gateways");
+    first.wait_until_printed("dead");
 }
 
 #[test]
-fn a_clock_that_steps_too_far_is_not_believed_until_it_is_right_again() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let second = Gateway::start("b", Some(&first), &[OLD]);
-    first.comes_to_see(&["b"]);
-    let right = config("b", second.listen, second.mesh, second.seed, &[OLD], "");
-    second.turn_to(&format!("{right}\n[trials]\nclock-ahead = \"20s\"\n"));
-    first.comes_to_see(&[]);
-    second.turn_to(&right);
-    first.comes_to_see(&["b"]);
-    // Some seconds off are as clocks are.
-    second.turn_to(&format!("{right}\n[trials]\nclock-behind = \"5s\"\n"));
+fn messages_by_a_clock_that_is_too_far_off_are_rejected_until_it_is_corrected() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
+    first.wait_until_live(&["b"]);
+    let correct = config("b", second.listen, second.mesh, second.seed, &[OLD_KEY], "");
+    second.reload(&format!("{correct}\n[trials]\nclock-ahead = \"20s\"\n"));
+    first.wait_until_live(&[]);
+    second.reload(&correct);
+    first.wait_until_live(&["b"]);
+    // Clocks may be some seconds off.
+    second.reload(&format!("{correct}\n[trials]\nclock-behind = \"5s\"\n"));
     std::thread::sleep(Duration::from_secs(2));
-    first.comes_to_see(&["b"]);
+    first.wait_until_live(&["b"]);
 }
 
 #[test]
-fn others_are_told_the_address_that_is_advertised_and_may_find_it_there() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let (real, told) = (free(), free());
-    // What is sent to the address told is passed on to the real one, and nothing else knows that.
-    let forward = UdpSocket::bind(told).expect("a socket");
+fn the_advertised_address_is_the_one_that_others_know_and_use() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let (real, advertised) = (free(), free());
+    // What is sent to the advertised address is forwarded to the real one, which nothing else knows.
+    let forward = UdpSocket::bind(advertised).expect("a socket");
     std::thread::spawn(move || {
         let mut bytes = [0; 2_000];
         while let Ok((length, _)) = forward.recv_from(&mut bytes) {
@@ -139,9 +145,9 @@
     });
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fernscale.toml");
-    let text = config("b", free(), real, first.mesh, &[OLD], "");
+    let text = config("b", free(), real, first.mesh, &[OLD_KEY], "");
     let listen = format!("listen = \"{real}\"");
-    std::fs::write(&file, text.replace(&listen, &format!("{listen}\nadvertise = \"{told}\"")))
+    std::fs::write(&file, text.replace(&listen, &format!("{listen}\nadvertise = \"{advertised}\"")))
         .expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
     command.arg("--config").arg(&file).env_remove("BALANCER_CONFIG").stderr(Stdio::null());
@@ -155,33 +161,33 @@
         name: "b".into(),
         _folder: folder,
     };
-    first.comes_to_see(&["b"]);
+    first.wait_until_live(&["b"]);
     let view = String::from_utf8_lossy(&first.members(&["--json"]).stdout).into_owned();
-    assert!(view.contains(&told.to_string()) && !view.contains(&real.to_string()), "{view}");
-    second.comes_to_see(&["a"]);
+    assert!(view.contains(&advertised.to_string()) && !view.contains(&real.to_string()), "{view}");
+    second.wait_until_live(&["a"]);
 }
 
 #[test]
-fn a_stranger_learns_nothing_and_changes_nothing() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let second = Gateway::start("b", Some(&first), &[OLD]);
-    let stranger = Gateway::start("x", Some(&first), &[NEW]);
-    first.comes_to_see(&["b"]);
-    second.comes_to_see(&["a"]);
+fn a_gateway_with_another_key_learns_nothing_and_changes_nothing() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
+    let stranger = Gateway::start("x", Some(&first), &[NEW_KEY]);
+    first.wait_until_live(&["b"]);
+    second.wait_until_live(&["a"]);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!((first.sees(), stranger.sees()), (vec!["b".to_string()], Vec::new()));
-    // It can't even ask who is there.
-    std::fs::write(&stranger.file, config("x", stranger.listen, first.mesh, first.mesh, &[NEW], ""))
+    assert_eq!((first.live_members(), stranger.live_members()), (vec!["b".to_string()], Vec::new()));
+    // It can't query the members either.
+    std::fs::write(&stranger.file, config("x", stranger.listen, first.mesh, first.mesh, &[NEW_KEY], ""))
         .expect("written");
-    let asked = stranger.members(&[]);
-    assert_eq!((asked.status.code(), asked.stdout.len()), (Some(1), 0));
+    let reply = stranger.members(&[]);
+    assert_eq!((reply.status.code(), reply.stdout.len()), (Some(1), 0));
 }
 
 #[test]
-fn a_flood_of_forged_datagrams_keeps_nobody_from_being_seen() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let second = Gateway::start("b", Some(&first), &[OLD]);
-    first.comes_to_see(&["b"]);
+fn members_stay_live_during_a_flood_of_forged_datagrams() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
+    first.wait_until_live(&["b"]);
     let socket = UdpSocket::bind((first.mesh.ip(), 0)).expect("a socket");
     let mut forged = [7u8; 600];
     forged[0] = 1;
@@ -195,32 +201,32 @@
                 std::thread::sleep(Duration::from_millis(5));
             }
         });
-        // A busy machine may lose good datagrams among so many for a moment, but not for good.
+        // A busy machine may lose valid datagrams among so many for a moment, but not for long.
         std::thread::sleep(Duration::from_millis(1500));
-        let seen = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            first.comes_to_see(&["b"]);
-            second.comes_to_see(&["a"]);
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            first.wait_until_live(&["b"]);
+            second.wait_until_live(&["a"]);
         }));
         ends.store(true, Ordering::Relaxed);
-        assert!(seen.is_ok(), "not seen while the flood lasts");
+        assert!(result.is_ok(), "not seen while the flood lasts");
     });
 }
 
 #[test]
-fn keys_are_changed_while_all_goes_on() {
-    let first = Gateway::start("a", None, &[OLD]);
-    let second = Gateway::start("b", Some(&first), &[OLD]);
-    first.comes_to_see(&["b"]);
-    for keys in [&[OLD, NEW][..], &[NEW, OLD], &[NEW]] {
+fn keys_are_rotated_while_membership_goes_on() {
+    let first = Gateway::start("a", None, &[OLD_KEY]);
+    let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
+    first.wait_until_live(&["b"]);
+    for keys in [&[OLD_KEY, NEW_KEY][..], &[NEW_KEY, OLD_KEY], &[NEW_KEY]] {
         for gateway in [&first, &second] {
-            gateway.turn(keys);
-            first.comes_to_see(&["b"]);
-            second.comes_to_see(&["a"]);
+            gateway.set_keys(keys);
+            first.wait_until_live(&["b"]);
+            second.wait_until_live(&["a"]);
         }
     }
-    let third = Gateway::start("c", Some(&first), &[NEW]);
-    third.comes_to_see(&["a", "b"]);
-    let late = Gateway::start("d", Some(&first), &[OLD]);
+    let third = Gateway::start("c", Some(&first), &[NEW_KEY]);
+    third.wait_until_live(&["a", "b"]);
+    let late = Gateway::start("d", Some(&first), &[OLD_KEY]);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(late.sees(), Vec::<String>::new());
+    assert_eq!(late.live_members(), Vec::<String>::new());
 }
--- a/crates/cli/tests/owners.rs
+++ b/crates/cli/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Jobs of the fleet, as processes: who owns them, what operators see and do, and configurations that make no sense.
+//! Leases of gateways that run as processes: their holders, what operators see and do, and invalid configurations.
 
 mod fleet;
 
@@ -11,18 +11,18 @@
 use fleet::{config, free};
 use serde_json::Value;
 
-const SOON: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Takes in every effect, for as long as the test runs.
-fn effects() -> SocketAddr {
+/// A recorder that accepts every effect, as long as the test runs.
+fn effects_recorder() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                let mut answers = stream.try_clone().expect("a stream");
+                let mut replies = stream.try_clone().expect("a stream");
                 for _ in BufReader::new(stream).lines().map_while(Result::ok) {
-                    if answers.write_all(b"{\"taken\":1}\n").is_err() {
+                    if replies.write_all(b"{\"taken\":1}\n").is_err() {
                         return;
                     }
                 }
@@ -38,7 +38,7 @@
     name: String,
     listen: SocketAddr,
     seed: SocketAddr,
-    effects: SocketAddr,
+    effects_recorder: SocketAddr,
     process: Child,
     file: PathBuf,
     mesh: SocketAddr,
@@ -53,136 +53,138 @@
 }
 
 impl Gateway {
-    fn start(name: &str, seed: Option<SocketAddr>, effects: SocketAddr) -> Gateway {
+    fn start(name: &str, seed: Option<SocketAddr>, effects_recorder: SocketAddr) -> Gateway {
         let (listen, mesh) = (free(), free());
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("fernscale.toml");
         let (name, seed) = (name.to_string(), seed.unwrap_or(mesh));
         let process = Command::new("true").spawn().expect("a process");
-        let mut own = Gateway { name, listen, seed, effects, process, file, mesh, _folder: folder };
-        own.again("voters = [\"a\", \"b\", \"c\"]");
-        own
+        let mut gateway =
+            Gateway { name, listen, seed, effects_recorder, process, file, mesh, _folder: folder };
+        gateway.restart_with("voters = [\"a\", \"b\", \"c\"]");
+        gateway
     }
 
-    /// Ends it, and starts it with these voters.
-    fn again(&mut self, voters: &str) {
+    /// Kills the process and starts it again with these acceptors.
+    fn restart_with(&mut self, acceptors: &str) {
         let _ = self.process.kill();
         let _ = self.process.wait();
         let store = self.file.with_file_name("store");
-        let more = format!(
-            "[store]\nfolder = \"{}\"\n[owner]\n{voters}\nlease = \"600ms\"\n\
+        let section = format!(
+            "[store]\nfolder = \"{}\"\n[owner]\n{acceptors}\nlease = \"600ms\"\n\
              [trials]\njobs = [\"bills\"]\neffects = \"{}\"\n",
             store.display(),
-            self.effects
+            self.effects_recorder
         );
-        let text = config(&self.name, self.listen, self.mesh, self.seed, KEYS, &more);
+        let text = config(&self.name, self.listen, self.mesh, self.seed, KEYS, &section);
         std::fs::write(&self.file, text).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
         command.arg("--config").arg(&self.file).env_remove("BALANCER_CONFIG").stderr(Stdio::null());
         self.process = command.spawn().expect("it starts");
     }
 
-    fn jobs(&self, more: &[&str]) -> Output {
+    fn jobs(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
-        command.args(["jobs", "--config"]).arg(&self.file).args(more).env_remove("BALANCER_CONFIG");
+        command.args(["jobs", "--config"]).arg(&self.file).args(arguments).env_remove("BALANCER_CONFIG");
         command.output().expect("it runs")
     }
 
-    fn shown(&self) -> Value {
+    fn status(&self) -> Value {
         serde_json::from_slice(&self.jobs(&["--json"]).stdout).unwrap_or_default()
     }
 
-    /// Who owns the job, by which term, once so many vote and it is as wanted.
-    fn owner_once(&self, votes: usize, wanted: impl Fn(&str, u64) -> bool) -> (String, u64) {
-        let began = Instant::now();
+    /// The holder of the lease and its term, once so many acceptors vote and the holder is an expected one.
+    fn holder_once(&self, voting_acceptors: usize, is_expected: impl Fn(&str, u64) -> bool) -> (String, u64) {
+        let started_at = Instant::now();
         loop {
-            let shown = self.shown();
-            let voters = shown["voters"].as_array().cloned().unwrap_or_default();
-            let voting = voters.iter().filter(|voter| voter["state"] == "votes").count();
-            let owner = shown["jobs"][0]["owner"].as_str().zip(shown["jobs"][0]["term"].as_u64());
-            if let Some((owner, term)) = owner.filter(|(owner, term)| voting == votes && wanted(owner, *term))
+            let status = self.status();
+            let acceptors = status["voters"].as_array().cloned().unwrap_or_default();
+            let voting = acceptors.iter().filter(|acceptor| acceptor["state"] == "votes").count();
+            let holder = status["jobs"][0]["owner"].as_str().zip(status["jobs"][0]["term"].as_u64());
+            if let Some((holder, term)) =
+                holder.filter(|(holder, term)| voting == voting_acceptors && is_expected(holder, *term))
             {
-                return (owner.to_string(), term);
+                return (holder.to_string(), term);
             }
-            assert!(began.elapsed() < SOON, "{shown}");
+            assert!(started_at.elapsed() < TIMEOUT, "{status}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
 #[test]
-fn a_job_has_one_owner_whom_operators_see_release_and_lose() {
-    let effects = effects();
-    let first = Gateway::start("a", None, effects);
-    let mut all = vec![first];
+fn a_lease_has_one_holder_that_operators_see_release_and_cordon_until_it_dies() {
+    let effects_recorder = effects_recorder();
+    let first = Gateway::start("a", None, effects_recorder);
+    let mut gateways = vec![first];
     for name in ["b", "c"] {
-        let next = Gateway::start(name, Some(all[0].mesh), effects);
-        all.push(next);
+        let next = Gateway::start(name, Some(gateways[0].mesh), effects_recorder);
+        gateways.push(next);
     }
-    let (owner, term) = all[0].owner_once(3, |_, _| true);
-    let told = String::from_utf8_lossy(&all[1].jobs(&[]).stdout).into_owned();
-    assert!(told.contains("3 of 3 voters vote") && told.contains("bills"), "{told}");
-    let released = all[0].jobs(&["release", "bills"]);
+    let (holder, term) = gateways[0].holder_once(3, |_, _| true);
+    let printed = String::from_utf8_lossy(&gateways[1].jobs(&[]).stdout).into_owned();
+    assert!(printed.contains("3 of 3 voters vote") && printed.contains("bills"), "{printed}");
+    let released = gateways[0].jobs(&["release", "bills"]);
     assert!(released.status.success(), "{released:?}");
-    let (next, later) = all[0].owner_once(3, |now, _| now != owner);
+    let (next, later) = gateways[0].holder_once(3, |now, _| now != holder);
     assert!(later > term);
-    // Whoever has it is to be worked on, and called back after that.
+    // The holder is cordoned, and uncordoned after that.
     let at = ["a", "b", "c"].iter().position(|name| *name == next).expect("one of them");
-    assert!(all[at].jobs(&["cordon"]).status.success());
-    let (other, later) = all[0].owner_once(3, |now, term| now != next && term > later);
-    assert!(String::from_utf8_lossy(&all[at].jobs(&[]).stdout).contains("is cordoned"));
-    assert!(all[at].jobs(&["uncordon"]).status.success());
+    assert!(gateways[at].jobs(&["cordon"]).status.success());
+    let (other, later) = gateways[0].holder_once(3, |now, term| now != next && term > later);
+    assert!(String::from_utf8_lossy(&gateways[at].jobs(&[]).stdout).contains("is cordoned"));
+    assert!(gateways[at].jobs(&["uncordon"]).status.success());
     let next = other;
-    let unknown = all[0].jobs(&["release", "nothing"]);
+    let unknown = gateways[0].jobs(&["release", "nothing"]);
     assert_eq!(unknown.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("nobody owns 'nothing' now"));
-    // Whoever has it is killed.
+    // The holder is killed.
     let at = ["a", "b", "c"].iter().position(|name| *name == next).expect("one of them");
-    drop(all.remove(at));
-    let (_, last) = all[0].owner_once(2, |now, _| now != next);
-    assert!(last > later);
-    drop(all.remove(1));
-    let began = Instant::now();
+    drop(gateways.remove(at));
+    let (_, last_term) = gateways[0].holder_once(2, |now, _| now != next);
+    assert!(last_term > later);
+    drop(gateways.remove(1));
+    let started_at = Instant::now();
     loop {
-        let told = String::from_utf8_lossy(&all[0].jobs(&[]).stdout).into_owned();
-        if told.contains("no majority votes") && told.contains("0 jobs have an owner") {
+        let printed = String::from_utf8_lossy(&gateways[0].jobs(&[]).stdout).into_owned();
+        if printed.contains("no majority votes") && printed.contains("0 jobs have an owner") {
             break;
         }
-        assert!(began.elapsed() < SOON, "{told}");
+        assert!(started_at.elapsed() < TIMEOUT, "{printed}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn a_voter_gives_way_to_another_and_terms_rise_over_it() {
-    let effects = effects();
-    let mut all = vec![Gateway::start("a", None, effects)];
+fn an_acceptor_is_replaced_by_another_and_terms_keep_rising() {
+    let effects_recorder = effects_recorder();
+    let mut gateways = vec![Gateway::start("a", None, effects_recorder)];
     for name in ["b", "c"] {
-        let next = Gateway::start(name, Some(all[0].mesh), effects);
-        all.push(next);
+        let next = Gateway::start(name, Some(gateways[0].mesh), effects_recorder);
+        gateways.push(next);
     }
-    let (_, term) = all[0].owner_once(3, |_, _| true);
+    let (_, term) = gateways[0].holder_once(3, |_, _| true);
     let changed = "voters = [\"b\", \"c\", \"d\"]\nchange = 1\nvoters-before = [\"a\", \"b\", \"c\"]";
-    let mut next = Gateway::start("d", Some(all[1].mesh), effects);
-    next.again(changed);
-    all.push(next);
-    // One by one, as their operators do. The seed of the others is the last.
+    let mut next = Gateway::start("d", Some(gateways[1].mesh), effects_recorder);
+    next.restart_with(changed);
+    gateways.push(next);
+    // One by one, as operators do. The seed of the others is the last.
     for at in [1, 2, 0] {
-        all[at].again(changed);
+        gateways[at].restart_with(changed);
         std::thread::sleep(Duration::from_millis(300));
     }
-    let (_, later) = all[1].owner_once(3, |_, _| true);
+    let (_, later) = gateways[1].holder_once(3, |_, _| true);
     assert!(later > term, "{later} after {term}");
-    let told = String::from_utf8_lossy(&all[0].jobs(&[]).stdout).into_owned();
-    assert!(told.contains("3 of 3 voters vote") && !told.contains("voter a"), "{told}");
+    let printed = String::from_utf8_lossy(&gateways[0].jobs(&[]).stdout).into_owned();
+    assert!(printed.contains("3 of 3 voters vote") && !printed.contains("voter a"), "{printed}");
 }
 
 #[test]
-fn what_is_wrong_with_jobs_in_a_configuration_is_named_with_its_place() {
+fn problems_of_the_lease_sections_are_named() {
     let folder = tempfile::tempdir().expect("a folder");
     let address = free();
     let store = "[store]\nfolder = \"s\"\n";
-    for (more, says) in [
+    for (section, expected) in [
         ("[owner]\nvoters = [\"a\", \"b\"]", "names 2 gateways; name 1, 3, 5 or 7"),
         ("[owner]\nvoters = [\"a\", \"b\", \"b\"]", "names 'b' twice"),
         ("[owner]\nvoters = [\"a\"]\nlease = \"1ms\"", "lease"),
@@ -195,15 +197,15 @@
         ("[store]\n", "folder"),
     ] {
         let file = folder.path().join("fernscale.toml");
-        std::fs::write(&file, config("a", address, address, address, KEYS, more)).expect("written");
+        std::fs::write(&file, config("a", address, address, address, KEYS, section)).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
         let checked = command.arg("check").arg(&file).output().expect("it runs");
-        let told = String::from_utf8_lossy(&checked.stderr).into_owned();
-        assert!(checked.status.code() == Some(1) && told.contains(says), "{more}: {told}");
+        let printed = String::from_utf8_lossy(&checked.stderr).into_owned();
+        assert!(checked.status.code() == Some(1) && printed.contains(expected), "{section}: {printed}");
     }
     let file = folder.path().join("fernscale.toml");
-    let good = format!("{store}[owner]\nvoters = [\"a\", \"b\", \"c\"]\nlease = \"3s\"\ndrift = 0.01\n");
-    std::fs::write(&file, config("a", address, address, address, KEYS, &good)).expect("written");
+    let valid = format!("{store}[owner]\nvoters = [\"a\", \"b\", \"c\"]\nlease = \"3s\"\ndrift = 0.01\n");
+    std::fs::write(&file, config("a", address, address, address, KEYS, &valid)).expect("written");
     let checked = Command::new(env!("CARGO_BIN_EXE_fernscale")).arg("check").arg(&file).output();
     assert!(checked.expect("it runs").status.success());
 }
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -1,4 +1,4 @@
-//! `fernscale store`: what operators do with a store, and what they are told.
+//! `fernscale store`: its commands on intact, torn and damaged stores, and what they print.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -7,13 +7,13 @@
     Command::new(env!("CARGO_BIN_EXE_fernscale")).arg("store").args(arguments).output().expect("it runs")
 }
 
-fn good(arguments: &[&str]) -> String {
+fn succeeds(arguments: &[&str]) -> String {
     let output = store(arguments);
     assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).expect("text")
 }
 
-fn refused(arguments: &[&str]) -> String {
+fn fails(arguments: &[&str]) -> String {
     let output = store(arguments);
     assert_eq!(output.status.code(), Some(1), "{arguments:?}");
     String::from_utf8(output.stderr).expect("text")
@@ -27,36 +27,36 @@
 }
 
 #[test]
-fn what_is_put_is_there_until_it_is_deleted() {
+fn a_value_is_readable_until_it_is_deleted() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path().join("store").display().to_string();
-    assert!(refused(&["get", &at, "a"]).contains("is no folder"));
-    good(&["put", &at, "a", "one"]);
-    good(&["put", &at, "b", "two \"quoted\""]);
-    good(&["put", &at, "a", "three"]);
-    assert_eq!(good(&["get", &at, "a"]), "three\n");
-    let dump = good(&["dump", &at]);
+    assert!(fails(&["get", &at, "a"]).contains("is no folder"));
+    succeeds(&["put", &at, "a", "one"]);
+    succeeds(&["put", &at, "b", "two \"quoted\""]);
+    succeeds(&["put", &at, "a", "three"]);
+    assert_eq!(succeeds(&["get", &at, "a"]), "three\n");
+    let dump = succeeds(&["dump", &at]);
     assert_eq!(
         dump,
         "{\"key\":\"a\",\"value\":\"three\"}\n{\"key\":\"b\",\"value\":\"two \\\"quoted\\\"\"}\n"
     );
-    assert_eq!(good(&["dump", &at, "--prefix", "b"]).lines().count(), 1);
-    assert!(good(&["verify", &at]).contains("good; 3 batches, 2 keys"));
-    good(&["delete", &at, "a"]);
-    assert!(refused(&["get", &at, "a"]).contains("no key 'a'"));
+    assert_eq!(succeeds(&["dump", &at, "--prefix", "b"]).lines().count(), 1);
+    assert!(succeeds(&["verify", &at]).contains("good; 3 batches, 2 keys"));
+    succeeds(&["delete", &at, "a"]);
+    assert!(fails(&["get", &at, "a"]).contains("no key 'a'"));
     let copy = folder.path().join("copy").display().to_string();
-    good(&["snapshot", &at, &copy]);
-    assert_eq!(good(&["dump", &copy]), good(&["dump", &at]));
-    assert!(refused(&["snapshot", &at, &copy]).contains("is not empty"));
+    succeeds(&["snapshot", &at, &copy]);
+    assert_eq!(succeeds(&["dump", &copy]), succeeds(&["dump", &at]));
+    assert!(fails(&["snapshot", &at, &copy]).contains("is not empty"));
 }
 
 #[test]
-fn a_torn_end_is_told_and_damage_opens_by_salvage_only() {
+fn a_torn_end_is_reported_and_a_damaged_store_opens_by_salvage_only() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("store");
     let at = path.display().to_string();
     for key in ["a", "b", "c"] {
-        good(&["put", &at, key, "value"]);
+        succeeds(&["put", &at, key, "value"]);
     }
     let file = segment(&path);
     let whole = std::fs::read(&file).expect("read");
@@ -67,9 +67,9 @@
     let mut spoilt = whole;
     spoilt[40] ^= 0xff;
     std::fs::write(&file, spoilt).expect("spoilt");
-    let why = refused(&["verify", &at]);
+    let why = fails(&["verify", &at]);
     assert!(why.contains("segment 1 is damaged at byte 16"), "{why}");
     let rest = folder.path().join("rest").display().to_string();
-    good(&["salvage", &at, &rest]);
-    assert_eq!(good(&["dump", &rest]).lines().count(), 2);
+    succeeds(&["salvage", &at, &rest]);
+    assert_eq!(succeeds(&["dump", &rest]).lines().count(), 2);
 }
