--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -305,7 +305,7 @@
     /// Applies what another node claims of a member. That one is dead counts as a suspicion until a suspicion has stood
     /// here long enough to be refuted.
     ///
-    /// Danger: a node that can be heard by nobody takes all others for dead, and once it is heard all would believe it.
+    /// Danger: a node whose messages reach nobody takes all others for dead, and once they arrive all would believe it.
     fn apply_gossip(&mut self, now: Micros, mut update: MemberUpdate) {
         if update.state == MemberState::Dead && self.may_refute(now, &update.peer) {
             update.state = MemberState::Suspect;
--- a/crates/membership/src/node/failure_detector.rs
+++ b/crates/membership/src/node/failure_detector.rs
@@ -19,7 +19,7 @@
 const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
 /// Members that are asked to ping one that did not acknowledge. All of their links must be bad to miss a live one.
 const INDIRECT_PROBES: usize = 3;
-/// Suspects that are pinged in each period, besides the probed member.
+/// Suspects that are pinged in each period, in addition to the probed member.
 const SUSPECTS_PER_PERIOD: usize = 3;
 /// Members that are asked to ping each of those suspects.
 const INDIRECT_PROBES_OF_SUSPECT: usize = 2;
--- a/crates/membership/src/node/members.rs
+++ b/crates/membership/src/node/members.rs
@@ -24,7 +24,7 @@
 pub struct Member {
     /// Who it is.
     pub peer: Peer,
-    /// The highest incarnation that was heard of.
+    /// The highest incarnation that is known.
     pub incarnation: u32,
     /// What it is taken for.
     pub state: MemberState,
--- a/crates/membership/src/node/payloads.rs
+++ b/crates/membership/src/node/payloads.rs
@@ -12,7 +12,7 @@
 use crate::peer::Peer;
 
 impl Node {
-    /// Sends to the live gateway of this name: if several have it, to the one that was heard last.
+    /// Sends to the live gateway of this name: if several have it, to the one that last sent a message.
     ///
     /// # Errors
     /// No live gateway has the name, the body is longer than its channel allows, or this node has left.
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -164,7 +164,7 @@
     pub peer: Peer,
     /// What it is taken for.
     pub state: MemberState,
-    /// The highest incarnation that the node heard of.
+    /// The highest incarnation that the node knows of.
     pub incarnation: u32,
     /// Milliseconds since a message of its own last arrived.
     #[serde(rename = "heard_ms")]
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -228,7 +228,7 @@
         Ok((header.sender, content))
     }
 
-    /// The history of a sender that was heard now.
+    /// The history of a sender whose message arrives now.
     fn history_of(&mut self, sender: Instance, now: Micros) -> Result<&mut SenderHistory, OpenError> {
         if !self.senders.contains_key(&sender) {
             self.make_room(now)?;
--- a/crates/subsetting/tests/assignment.rs
+++ b/crates/subsetting/tests/assignment.rs
@@ -190,23 +190,23 @@
 fn assignments_do_not_depend_on_earlier_ones() {
     let mut assigner = Assigner::default();
     let (mut gateways_seen, mut servers_seen) = (gateways(60), servers(50));
-    for turn in 0..120usize {
-        let at = turn * 7 % 40;
-        match turn % 6 {
+    for step in 0..120usize {
+        let at = step * 7 % 40;
+        match step % 6 {
             0 => drop(gateways_seen.remove(at)),
             1 => drop(servers_seen.remove(at)),
             2 => gateways_seen.push(Gateway {
-                name: format!("gateway-new-{turn}"),
+                name: format!("gateway-new-{step}"),
                 load: 1.0,
-                zone: turn as u32 % 2,
+                zone: step as u32 % 2,
             }),
             3 => servers_seen.push(Server {
-                name: format!("box-new-{turn}"),
+                name: format!("box-new-{step}"),
                 weight: 2.0,
-                zone: turn as u32 % 2,
+                zone: step as u32 % 2,
             }),
-            4 => gateways_seen[at].load = [0.2, 1.0, 3.0][turn % 3],
-            _ => servers_seen[at].weight = [1.0, 4.0, 0.0][turn % 3],
+            4 => gateways_seen[at].load = [0.2, 1.0, 3.0][step % 3],
+            _ => servers_seen[at].weight = [1.0, 4.0, 0.0][step % 3],
         }
         let (repeated, fresh) = (
             assigner.assign(&gateways_seen, &servers_seen, SETTINGS),
@@ -216,16 +216,16 @@
             let used = |assigned: &[Assignment]| {
                 assigned.iter().map(|assignment| assignment.server).collect::<Vec<_>>()
             };
-            assert_eq!(used(repeated), used(fresh), "after {turn} changes");
+            assert_eq!(used(repeated), used(fresh), "after {step} changes");
             for (repeated, fresh) in repeated.iter().zip(fresh) {
                 assert!(
                     (repeated.weight - fresh.weight).abs() < 0.03 * fresh.weight + 1e-6,
-                    "{turn}: {repeated:?}, {fresh:?}"
+                    "{step}: {repeated:?}, {fresh:?}"
                 );
             }
         }
         let even = evenness(&gateways_seen, &servers_seen, &repeated);
-        assert!(even.max_load < 1.15 && even.uncovered == 0, "{turn}: {even:?}");
+        assert!(even.max_load < 1.15 && even.uncovered == 0, "{step}: {even:?}");
     }
 }
 
