--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -285,8 +285,8 @@
 fn from_value(config: &Value, installation: InstallationConfig) -> Result<Config, ConfigError> {
     let form = PlatformForm(config);
     let flat = form.flat_settings()?;
-    let platform_settings = settings::platform_settings(&flat).map_err(ConfigError::Settings)?;
-    let settings = settings::policy_settings(&flat).map_err(ConfigError::Settings)?;
+    let platform_settings = settings::platform_settings(&flat)?;
+    let settings = settings::policy_settings(&flat)?;
     if settings.classes.is_empty() || settings.plans.is_empty() {
         return Err(ConfigError::NothingToServe);
     }
--- a/crates/gateway/src/program/config_error.rs
+++ b/crates/gateway/src/program/config_error.rs
@@ -1,11 +1,12 @@
 //! What can be wrong with a configuration as a whole, after its files have been read.
 
+use fernscale_policy::settings::SettingsError;
 use thiserror::Error;
 
 use super::config::{INHERITED_SOCKET_VARIABLE, OPERATOR_VARIABLE};
 
 /// The first problem of a configuration. Keys are those of the platform's form.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
     /// A key that must have a text has none.
     #[error("'{key}' is missing, or no text")]
@@ -42,9 +43,9 @@
     /// The settings are missing.
     #[error("'settings' is missing, or no object")]
     MissingSettings,
-    /// A setting is missing or invalid; the text names its key and value.
-    #[error("{0}")]
-    Settings(String),
+    /// A setting is missing or invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     /// The settings have no request class or no plan.
     #[error("'settings' has no 'lanes' or no 'tiersOfService'")]
     NothingToServe,
