--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of a connection means for what was asked on it. Nowhere else is this decided.
+//! What the end of a connection means for the attempt, health check or counter call on it. Nowhere else is this decided.
 
 use fernscale_outlier_detection::detector::AttemptResult;
 use fernscale_policy::{Micros, Outcome};
@@ -6,27 +6,32 @@
 use crate::protocol::call::ServerReply;
 use crate::transport::ending::ConnectionEnd;
 
-/// What the counter says to a call.
+/// The counter's answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterTotal {
+    /// The update was applied, and this is the total.
     Total(f64),
+    /// The counter is overloaded, and nothing was applied.
     Full,
+    /// The counter rejected the call, and nothing was applied.
     Error,
 }
 
-/// The connection ended before the answer had come.
+/// The connection ended before the reply had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
     pub how: ConnectionEnd,
-    /// The last byte had been written: what was asked may have run.
+    /// The last byte of the command had been written: the server may have executed it.
     pub written: bool,
 }
 
 impl AttemptFailure {
+    /// The command had not been written to its last byte: the server can't have executed it.
     pub fn unsent(how: ConnectionEnd) -> Self {
         AttemptFailure { how, written: false }
     }
 
+    /// The command had been written to its last byte.
     pub fn unanswered(how: ConnectionEnd) -> Self {
         AttemptFailure { how, written: true }
     }
@@ -45,7 +50,7 @@
                 ConnectionEnd::Closed | ConnectionEnd::Broken | ConnectionEnd::Idle | ConnectionEnd::Stopping,
                 true,
             ) => Outcome::Reset,
-            // A connection that was never there has nothing written to it, nor has one that nothing was to begin on.
+            // Nothing can have been written on a connection that was never made, or on which nothing was to begin.
             (
                 ConnectionEnd::Refused
                 | ConnectionEnd::NeverUp
@@ -57,6 +62,7 @@
     }
 }
 
+/// The outcome of an attempt, for the engine.
 pub fn of_attempt<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
     match end {
         Ok((ServerReply::Completed { .. } | ServerReply::Streamed { .. }, _)) => Outcome::Ok,
@@ -66,8 +72,8 @@
     }
 }
 
-/// What a trip that elapsed so long says of its server to other gateways; nothing where it is not the server's doing, or all may have
-/// too much to do.
+/// What an attempt that took so long tells outlier detection of its server: nothing where its end is not the server's doing, or may
+/// come from overload.
 pub fn observed_result<T>(
     elapsed: Micros,
     end: &Result<(ServerReply, T), AttemptFailure>,
@@ -82,6 +88,7 @@
     }
 }
 
+/// The outcome of a health check, for the engine.
 pub fn of_health_check<T>(end: &Result<T, AttemptFailure>) -> Outcome {
     end.as_ref().map_or_else(|failure| failure.outcome(), |_| Outcome::Ok)
 }
--- a/crates/gateway/src/rejection.rs
+++ b/crates/gateway/src/rejection.rs
@@ -1,24 +1,24 @@
-//! Why a request is refused before the decision module hears of it: for the records of operators.
+//! Why a request is rejected before the decision engine gets it, for the records that operators read.
 
 use slog::{debug, Logger};
 
-/// The reason of a refusal at the client's connection.
+/// The reason of a rejection before the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlyRejection {
-    /// The connection came when all places for connections were taken: there was only room to turn it away.
+    /// The connection came when all slots were taken, and has only one of those for rejected clients.
     NoConnectionSlot,
-    /// As many requests, or as many bytes of requests, are held as the memory allows.
+    /// As many requests, or as many bytes of requests, are in flight as the memory allows.
     NoRequestSlot,
     /// The memory for what clients send is used up.
     NoMemory,
-    /// The gateway ends, and has read new requests long enough.
+    /// The gateway shuts down, and has accepted new requests for long enough.
     ShuttingDown,
-    /// Another request that goes by this id has no answer yet.
+    /// Another request with this id is not answered yet.
     IdInUse,
 }
 
 impl EarlyRejection {
-    /// The name by which records tell it.
+    /// The name in records.
     pub fn name(self) -> &'static str {
         match self {
             EarlyRejection::NoConnectionSlot => "no-connection-place",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Writes the record of it; without an id where the request could not be read.
+    /// Writes the record of a rejection; without an id where the request could not be read.
     pub fn record(self, log: &Logger, id: Option<&str>) {
         debug!(log, #"request.refused", "not taken"; "id" => id.unwrap_or(""), "why" => self.name());
     }
