--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -7,9 +7,10 @@
 pub fn check(file: PathBuf) -> Result<(), Vec<String>> {
     let file_name = file.display().to_string();
     let is_platform_form = file.extension().is_some_and(|extension| extension == "json");
-    let source = match is_platform_form {
-        true => Source { installation: None, platform: Some(file) },
-        false => Source { installation: Some(file), platform: None },
+    let source = if is_platform_form {
+        Source { installation: None, platform: Some(file) }
+    } else {
+        Source { installation: Some(file), platform: None }
     };
     let config = source.read()?;
     println!(
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -43,7 +43,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = write_file(folder.path(), "fernscale.toml", text);
     let output = fernscale(&["check", &file.display().to_string()]);
-    assert_eq!(output.status.code(), Some(if output.stderr.is_empty() { 0 } else { 1 }));
+    assert_eq!(output.status.code(), Some(i32::from(!output.stderr.is_empty())));
     let place = |line: &String| line.split_once("': ").expect("a place").1.to_string();
     errors(&output).iter().map(place).collect()
 }
--- a/crates/cli/tests/large_fleet.rs
+++ b/crates/cli/tests/large_fleet.rs
@@ -38,7 +38,7 @@
 /// These tests measure time, and are played one after another.
 fn alone() -> MutexGuard<'static, ()> {
     static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(|failed| failed.into_inner())
+    ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// One listener that stands for all servers of a fleet, each at an address of its own.
--- a/crates/cli/tests/sockets/end_to_end.rs
+++ b/crates/cli/tests/sockets/end_to_end.rs
@@ -294,7 +294,7 @@
     thread::sleep(Duration::from_millis(50));
     assert_eq!(late.ask(&call("t2", "read", 1_200)), "t2");
     assert_eq!(late.read(), "");
-    assert_eq!((busy.read(), busy.read()), ("t1".into(), "".into()));
+    assert_eq!((busy.read(), busy.read()), ("t1".into(), String::new()));
     assert_eq!(gateway.code(Duration::from_secs(3)), Some(0));
 }
 
@@ -308,7 +308,7 @@
             thread::spawn(move || {
                 let bytes = ping();
                 let mut at = 0;
-                while client.stream.write_all(&bytes[at..at + 1]).is_ok() {
+                while client.stream.write_all(&bytes[at..=at]).is_ok() {
                     at = (at + 1) % bytes.len();
                 }
             })
@@ -443,7 +443,7 @@
     let (_taken, address) = listen();
     let good = config(address, address, "null", 1024);
     assert!(refused("{").contains("EOF"));
-    assert!(refused("[]").contains("'"));
+    assert!(refused("[]").contains('\''));
     assert!(refused(&good).contains("can't listen"));
     for (part, other, about) in [
         (r#""seed":"8c1f30d27a5be964""#, r#""seed":"xyz""#, "'seed'"),
--- a/crates/cli/tests/sockets/operator.rs
+++ b/crates/cli/tests/sockets/operator.rs
@@ -110,7 +110,7 @@
     let gateway = Gateway::start(&[&one, &other]);
     let mut client = gateway.client();
     let mut ask = |from: usize| {
-        (from..from + 20).for_each(|at| drop(client.ask(&call(&format!("t{at}"), "read", 1_200))))
+        (from..from + 20).for_each(|at| drop(client.ask(&call(&format!("t{at}"), "read", 1_200))));
     };
     ask(0);
     assert!(one.calls() > 0 && other.calls() > 0);
--- a/crates/gateway/src/dispatcher/events.rs
+++ b/crates/gateway/src/dispatcher/events.rs
@@ -24,7 +24,7 @@
             Event::RequestReceived(received) => self.request_received(received),
             Event::ClientDisconnected(id, ticket) => self.client_disconnected(&id, ticket),
             Event::ResponseStarted { request, attempt, flow } => {
-                self.response_started(&request, attempt, flow)
+                self.response_started(&request, attempt, flow);
             }
             Event::AttemptCompleted(completed) => self.attempt_completed(completed),
             Event::HealthCheckCompleted { server, end } => {
--- a/crates/gateway/src/fleet/endpoint_list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -109,7 +109,7 @@
         while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
             match postcard::from_bytes::<ListMessage>(&body) {
                 Ok(message) => {
-                    self.replica.borrow_mut().handle_message(boottime(), &sender.name.into(), message)
+                    self.replica.borrow_mut().handle_message(boottime(), &sender.name.into(), message);
                 }
                 Err(_) => {
                     let reason = "a note about the list that can't be read";
--- a/crates/gateway/src/fleet/leases/log.rs
+++ b/crates/gateway/src/fleet/leases/log.rs
@@ -9,16 +9,16 @@
 pub(super) fn log_acceptor_event(log: &Logger, event: &AcceptorEvent) {
     match event {
         AcceptorEvent::StartedVoting { recovered } => {
-            info!(log, #"owner.votes", "promises jobs from now on"; "anew" => recovered)
+            info!(log, #"owner.votes", "promises jobs from now on"; "anew" => recovered);
         }
         AcceptorEvent::Retired => info!(log, #"owner.retired", "is no voter any more"),
         AcceptorEvent::DifferentAcceptors(set) => warn!(log, #"owner.other-voters",
             "the folder counts by other voters than the configuration; nothing is promised"; "change" => set.epoch),
         AcceptorEvent::LostPromises => {
-            warn!(log, #"owner.forgot", "the folder lacks promises; waits to be let in anew")
+            warn!(log, #"owner.forgot", "the folder lacks promises; waits to be let in anew");
         }
         AcceptorEvent::StorageFailed => {
-            warn!(log, #"owner.broken", "promises can't be made durable; the store is opened anew")
+            warn!(log, #"owner.broken", "promises can't be made durable; the store is opened anew");
         }
     }
 }
--- a/crates/gateway/src/fleet/leases/messages.rs
+++ b/crates/gateway/src/fleet/leases/messages.rs
@@ -69,7 +69,7 @@
         match output {
             AcceptorOutput::Persist { number, change } => self.persist(number, &change),
             AcceptorOutput::Reply { to, reply } if to == core.candidate.process() => {
-                core.candidate.handle_reply(now, &self.name, reply)
+                core.candidate.handle_reply(now, &self.name, reply);
             }
             AcceptorOutput::Reply { to, reply } => self.send_to_process(to, &Message::Reply(reply)),
             AcceptorOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
@@ -94,7 +94,7 @@
             }
             CandidateOutput::Request { to, request } => self.send(&to, &Message::Request(request)),
             CandidateOutput::Released { to, lease, token } => {
-                self.send(&to, &Message::Released { lease, token })
+                self.send(&to, &Message::Released { lease, token });
             }
             CandidateOutput::Offer { to, lease } => self.send_to_process(to, &Message::Offer { lease }),
             CandidateOutput::Event(event) => events.push_back(event),
@@ -127,7 +127,7 @@
             Message::Reply(reply) => self.candidate.handle_reply(now, sender, reply),
             Message::Released { lease, token } => self.candidate.lease_released(now, &lease, token),
             Message::Offer { lease } => {
-                self.candidacy.offer_received(now, &lease, sender, &mut self.candidate)
+                self.candidacy.offer_received(now, &lease, sender, &mut self.candidate);
             }
         }
     }
--- a/crates/gateway/src/fleet/membership/exchanges.rs
+++ b/crates/gateway/src/fleet/membership/exchanges.rs
@@ -134,7 +134,7 @@
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), bytes);
         match opened {
             Ok((sealed_by, StreamMessage::FullState(state))) if sealed_by == state.sender.instance => {
-                self.merge_full_state(state)
+                self.merge_full_state(state);
             }
             _ => {}
         }
--- a/crates/gateway/src/fleet/membership/log.rs
+++ b/crates/gateway/src/fleet/membership/log.rs
@@ -14,19 +14,19 @@
     let name_and_address = |peer: &Peer| format!("{} at {}", peer.name, peer.address);
     match event {
         Event::Joined(peer) => {
-            info!(log, #"mesh.joined", "a gateway is there"; "peer" => name_and_address(peer), "run" => process_id(peer))
+            info!(log, #"mesh.joined", "a gateway is there"; "peer" => name_and_address(peer), "run" => process_id(peer));
         }
         Event::Suspected(peer) => {
-            info!(log, #"mesh.suspected", "a gateway does not answer"; "peer" => name_and_address(peer), "run" => process_id(peer))
+            info!(log, #"mesh.suspected", "a gateway does not answer"; "peer" => name_and_address(peer), "run" => process_id(peer));
         }
         Event::Refuted(peer) => {
-            info!(log, #"mesh.cleared", "a gateway is there after all"; "peer" => name_and_address(peer), "run" => process_id(peer))
+            info!(log, #"mesh.cleared", "a gateway is there after all"; "peer" => name_and_address(peer), "run" => process_id(peer));
         }
         Event::Died(peer) => {
-            warn!(log, #"mesh.gone", "a gateway is taken for gone"; "peer" => name_and_address(peer), "run" => process_id(peer))
+            warn!(log, #"mesh.gone", "a gateway is taken for gone"; "peer" => name_and_address(peer), "run" => process_id(peer));
         }
         Event::Left(peer) => {
-            info!(log, #"mesh.left", "a gateway has left"; "peer" => name_and_address(peer), "run" => process_id(peer))
+            info!(log, #"mesh.left", "a gateway has left"; "peer" => name_and_address(peer), "run" => process_id(peer));
         }
         Event::DuplicateName(one, other) => warn!(log, #"mesh.name-twice", "two gateways go by one name";
             "peer" => name_and_address(one), "other" => name_and_address(other)),
--- a/crates/gateway/src/program/file/service_sections.rs
+++ b/crates/gateway/src/program/file/service_sections.rs
@@ -57,7 +57,7 @@
     let name = server.required("name", Section::text).map(|name| name.value);
     let address = server.required("address", Section::address).map(|address| address.value.to_string());
     let weight = server.number("weight", 0.001..=1000.0).map_or(1.0, |weight| weight.value);
-    let cell = server.count("cell", 0..=u32::MAX as u64).map_or(0, |cell| cell.value);
+    let cell = server.count("cell", 0..=u64::from(u32::MAX)).map_or(0, |cell| cell.value);
     let zone = listed_name(server, "zone", zones);
     let hardware_type = listed_name(server, "kind", hardware_types);
     json!({ "name": name, "address": address, "zone": zone, "type": hardware_type, "group": cell, "weight": weight,
@@ -122,7 +122,7 @@
     } else {
         units(plan, "burst")
     };
-    let max_in_flight = plan.count("most-out", 0..=u32::MAX as u64);
+    let max_in_flight = plan.count("most-out", 0..=u64::from(u32::MAX));
     let priority_weight = plan.number("price", 0.0..=1e6).map_or(1.0, |price| price.value);
     let excess_weight = plan.number("over-worth", 0.0..=1e6).map_or(0.0, |worth| worth.value);
     let excess_cost = plan.number("over-cost", 0.0..=1e6).map_or(1.0, |cost| cost.value);
--- a/crates/gateway/src/program/log.rs
+++ b/crates/gateway/src/program/log.rs
@@ -126,8 +126,8 @@
             *window = EventWindow { began_at: now, passed: 0, left_out: 0 };
         }
         let is_admitted = window.passed < self.max_per_second;
-        window.passed += is_admitted as u32;
-        window.left_out += !is_admitted as u32;
+        window.passed += u32::from(is_admitted);
+        window.left_out += u32::from(!is_admitted);
         Admission { is_admitted, left_out }
     }
 }
--- a/crates/gateway/src/program/reader.rs
+++ b/crates/gateway/src/program/reader.rs
@@ -186,7 +186,7 @@
     pub fn time(&mut self, key: &'static str, allowed: RangeInclusive<Micros>) -> Option<Located<Micros>> {
         let found = self.with_unit(key, "a time as in \"250ms\"")?;
         match humantime::parse_duration(&found.value).map(|time| time.as_micros()) {
-            Ok(time) if (*allowed.start() as u128..=*allowed.end() as u128).contains(&time) => {
+            Ok(time) if (u128::from(*allowed.start())..=u128::from(*allowed.end())).contains(&time) => {
                 Some(Located::new(time as Micros, found.offset))
             }
             Ok(_) => {
@@ -270,14 +270,14 @@
             return None;
         };
         let mut names: Vec<Located<String>> = Vec::new();
-        for item in items.iter() {
+        for item in items {
             let offset = item.span().start;
             match item.get_ref() {
                 DeValue::String(name) if names.iter().any(|known| known.value == **name) => {
                     self.problem(offset, format!("'{}' names '{name}' twice", self.qualified_name(key)));
                 }
                 DeValue::String(name) if !name.is_empty() => {
-                    names.push(Located::new(name.to_string(), offset))
+                    names.push(Located::new(name.to_string(), offset));
                 }
                 other => self.wrong_type(key, other, offset, "a list of names"),
             }
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -327,7 +327,7 @@
             match told.recv().await.expect("the actor runs") {
                 Event::EndpointsUpdated(members) => all.push((members.index, Instant::now())),
                 Event::EndpointsUnavailable => {
-                    orders.send(discovery::Order::Follow(true)).await.expect("the actor runs")
+                    orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
                 }
                 _ => {}
             }
@@ -487,7 +487,7 @@
             loop {
                 match told.recv().await.expect("the actor runs") {
                     Event::EndpointsDraining(servers) => {
-                        leaving.extend(servers.iter().map(|id| id.to_string()))
+                        leaving.extend(servers.iter().map(std::string::ToString::to_string));
                     }
                     Event::EndpointsUnavailable => {
                         failed += 1;
@@ -499,7 +499,10 @@
             }
         };
         let (leaving, failed, index) = async_io::block_on(shared.executor.run(all));
-        assert_eq!((leaving, failed, index), (left.iter().map(|name| name.to_string()).collect(), 1, 6));
+        assert_eq!(
+            (leaving, failed, index),
+            (left.iter().map(std::string::ToString::to_string).collect(), 1, 6)
+        );
         let since: Vec<String> = asked.iter().take(2).map(|(_, path)| path).collect();
         assert!(since.iter().all(|path| path.starts_with("/catalog/members?since=3&")), "{since:?}");
     }
@@ -822,13 +825,12 @@
         let ends = thread::spawn(move || {
             thread::sleep(Duration::from_millis(300));
             let at = Instant::now();
-            match reset {
-                true => drop(other),
-                false => {
-                    other.shutdown(std::net::Shutdown::Write).expect("shut");
-                    // Kept open.
-                    std::mem::forget(other);
-                }
+            if reset {
+                drop(other)
+            } else {
+                other.shutdown(std::net::Shutdown::Write).expect("shut");
+                // Kept open.
+                std::mem::forget(other);
             }
             at
         });
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -56,7 +56,7 @@
         r#"{"index":4,"snapshot":true,"endpoints":{}}"#.into(),
         "[1]".into(),
         "{".into(),
-        "".into(),
+        String::new(),
     ];
     // A list that comes again, and one behind another list, meets entries that are known by their texts.
     let mut known = KnownEndpoints::default();
@@ -69,7 +69,7 @@
             }
             // What an answer without entries has for an index is of no use.
             (Err(one), Err(other)) => {
-                assert_eq!((&one.reason, &one.draining), (&other.reason, &other.draining), "{body}")
+                assert_eq!((&one.reason, &one.draining), (&other.reason, &other.draining), "{body}");
             }
             _ => assert_eq!(sliced, whole, "{body}"),
         }
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -174,7 +174,7 @@
 }
 
 fn outside() -> PlatformSettings {
-    let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
     PlatformSettings {
         class_names: names(&["lookup", "order"]),
         plan_names: names(&["team"]),
--- a/crates/lab/src/checkers/membership.rs
+++ b/crates/lab/src/checkers/membership.rs
@@ -234,7 +234,7 @@
                 self.state(at, *gateway, State::Away);
             }
             Event::ShutdownRequested { gateway } | Event::Ended { gateway } => {
-                self.state(at, *gateway, State::Away)
+                self.state(at, *gateway, State::Away);
             }
             Event::ClockStepped { gateway, ahead } => {
                 self.clocks[*gateway as usize] = *ahead;
--- a/crates/lab/src/checkers/subsetting.rs
+++ b/crates/lab/src/checkers/subsetting.rs
@@ -101,7 +101,7 @@
         self.turn(at);
         match event {
             Event::RequestCreated { .. } if self.began.is_none() => {
-                (self.began, self.window) = (Some(at), at)
+                (self.began, self.window) = (Some(at), at);
             }
             Event::ServerStarted { name, started, cold, .. } => {
                 let warm = started.map_or(0, |started| started + cold.warm_up);
--- a/crates/lab/src/lease_simulation.rs
+++ b/crates/lab/src/lease_simulation.rs
@@ -168,7 +168,7 @@
                     match other {
                         Message::Reply(say) => claimer.handle_reply(now, &name, say),
                         Message::Released { lease: job, token: fence } => {
-                            claimer.lease_released(now, &job, fence)
+                            claimer.lease_released(now, &job, fence);
                         }
                         Message::Offer { lease: job } => roster.offer_received(now, &job, &name, claimer),
                         Message::Request(_) => {}
@@ -209,10 +209,10 @@
             match wanted {
                 Wants::Request { to, request: ask } => self.send(at, self.at(&to), Message::Request(ask)),
                 Wants::Released { to, lease: job, token: fence } => {
-                    self.send(at, self.at(&to), Message::Released { lease: job, token: fence })
+                    self.send(at, self.at(&to), Message::Released { lease: job, token: fence });
                 }
                 Wants::Offer { to, lease: job } => {
-                    self.send(at, to.0 as usize, Message::Offer { lease: job })
+                    self.send(at, to.0 as usize, Message::Offer { lease: job });
                 }
                 Wants::Event(_) => {}
             }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -32,6 +32,6 @@
 pub fn seed_of(seed: u64, name: &str) -> u64 {
     // Each byte moves all bits: two names of one run must not draw alike.
     name.bytes().fold(seed ^ 0x9e37_79b9_7f4a_7c15, |mixed, byte| {
-        (mixed ^ byte as u64).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(29)
+        (mixed ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(29)
     })
 }
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -214,7 +214,7 @@
             plan,
             wait_ms: lane.deadline as f64 / MILLISECOND as f64,
             key: ask.key.map(|key| format!("{key:016x}")),
-            units: ask.units as f64,
+            units: f64::from(ask.units),
             spread: ask.gateway_spread,
             first: ask.first_gateway,
             repeat: ask.attempt > 0,
@@ -228,10 +228,10 @@
                 Ok(connected) => connected,
                 Err(_) => {
                     self.leave(gateway);
-                    if !written_once {
-                        self.unsent(&ask);
-                    } else {
+                    if written_once {
                         self.ended(&ask, None, true);
+                    } else {
+                        self.unsent(&ask);
                     }
                     return;
                 }
--- a/crates/lab/src/live/faults.rs
+++ b/crates/lab/src/live/faults.rs
@@ -149,7 +149,7 @@
                     a_second: harm.a_second,
                     silent: harm.silent,
                     usual: usual.clone(),
-                    seed: seed_of(self.scenario.seed, "hostile") + gateway.number as u64,
+                    seed: seed_of(self.scenario.seed, "hostile") + u64::from(gateway.number),
                     slack: self.scenario.slack.time.0,
                 };
                 let (number, to) = (gateway.number, gateway.places.listen);
@@ -332,15 +332,15 @@
         match how {
             BoxIll::Drain => {
                 self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
-                host.with(|model| model.drain());
+                host.with(super::super::model::server::Server::drain);
                 let Some(time) = for_ else { return };
                 sleep(time).await;
                 self.list.list.borrow_mut().set_status(&host.name, Status::InService);
-                host.with(|model| model.serve_again());
+                host.with(super::super::model::server::Server::serve_again);
             }
             BoxIll::Replace => {
                 self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
-                host.with(|model| model.drain());
+                host.with(super::super::model::server::Server::drain);
                 self.replaced.set(self.replaced.get() + 1);
                 let name = format!("box-{place}-{}", self.replaced.get());
                 match self.new_box(place, &name, Some(self.world.now()), &[]) {
@@ -391,9 +391,9 @@
             CounterIll::Refuse => counter.shut(),
             CounterIll::Kill => {
                 counter.shut();
-                counter.each(|model| model.empty());
+                counter.each(super::super::model::counter::Counter::empty);
             }
-            CounterIll::Empty => counter.each(|model| model.empty()),
+            CounterIll::Empty => counter.each(super::super::model::counter::Counter::empty),
             CounterIll::Swap => counter.swap(),
             CounterIll::Split => counter.split(&fault.which),
             _ => {}
--- a/crates/lab/src/live/gateway.rs
+++ b/crates/lab/src/live/gateway.rs
@@ -137,7 +137,7 @@
             self.number,
             &self.places,
             list,
-            seed_of(scenario.seed, "gateway") + starts as u64,
+            seed_of(scenario.seed, "gateway") + u64::from(starts),
         );
         let file = self.folder.join(format!("gateway-{}.json", self.number));
         std::fs::write(&file, serde_json::to_string_pretty(&config)?)?;
--- a/crates/lab/src/live/misbehaving_client.rs
+++ b/crates/lab/src/live/misbehaving_client.rs
@@ -101,7 +101,7 @@
             });
         }
     };
-    future::or(silence, noise).await
+    future::or(silence, noise).await;
 }
 
 /// What one such client got; nothing where it could not even connect.
--- a/crates/lab/src/live/play.rs
+++ b/crates/lab/src/live/play.rs
@@ -150,12 +150,11 @@
         for _ in 0..if scenario.fleet.mesh { count } else { 0 } {
             listens.push(world.reserve().map_err(failed("an address for a gateway"))?);
         }
-        let between = match scenario.fleet.mesh {
-            true => {
-                let between = InterGatewayLinks::start(&world, &listens, seed_of(scenario.seed, "between"));
-                Some(between.map_err(failed("the links between gateways"))?)
-            }
-            false => None,
+        let between = if scenario.fleet.mesh {
+            let between = InterGatewayLinks::start(&world, &listens, seed_of(scenario.seed, "between"));
+            Some(between.map_err(failed("the links between gateways"))?)
+        } else {
+            None
         };
         let settle_in = scenario.settle_in.0;
         head.subsets = scenario.fleet.subsets.as_ref().map(|_| subsetting::SubsettingBounds { settle_in });
@@ -208,15 +207,13 @@
             })
             .collect();
         for number in 0..count {
-            let passed = match scenario.passed(number) {
-                true => {
-                    let listener =
-                        TcpListener::bind((world.host(), 0)).map_err(failed("a socket to pass on"))?;
-                    rustix::net::listen(&listener, AWAITING)
-                        .map_err(|why| failed("a socket to pass on")(why.into()))?;
-                    Some(listener)
-                }
-                false => None,
+            let passed = if scenario.passed(number) {
+                let listener = TcpListener::bind((world.host(), 0)).map_err(failed("a socket to pass on"))?;
+                rustix::net::listen(&listener, AWAITING)
+                    .map_err(|why| failed("a socket to pass on")(why.into()))?;
+                Some(listener)
+            } else {
+                None
             };
             let listen = match &passed {
                 Some(listener) => listener.local_addr(),
@@ -301,7 +298,7 @@
         let memory = [KeyScope::All, KeyScope::Zone, KeyScope::Cell].map(|group| (group, memory(group)));
         let (spec, now) = (self.scenario.box_spec(), self.world.now());
         let age = if started.is_some() { 0 } else { spec.cold.warm_up };
-        let (power, cold) = (spec.cores as f64 * spec.speed, spec.cold);
+        let (power, cold) = (f64::from(spec.cores) * spec.speed, spec.cold);
         let model = Server::new(spec, age, now, memory, seed_of(self.scenario.seed, name));
         let doors: Vec<SocketAddr> = match at {
             [] => (0..self.scenario.fleet.gateways).map(|_| SocketAddr::new(self.world.host(), 0)).collect(),
@@ -317,7 +314,7 @@
             let mut address = host.address(if common { 0 } else { gateway });
             if self.scenario.relayed(gateway, LinkEnd::Boxes) {
                 let link = Link::Server(gateway, name.to_string());
-                let seed = seed_of(self.scenario.seed, name) + gateway as u64;
+                let seed = seed_of(self.scenario.seed, name) + u64::from(gateway);
                 let known =
                     self.relays.borrow().iter().find(|(own, _)| *own == link).map(|(_, relay)| relay.clone());
                 let relay = match known {
@@ -537,7 +534,7 @@
                 "peak_mb": peak as f64 / 1024.0, "starts": starts, "crashes": crashes },
             "boxes": {
                 "trips": ledger.attempt_count(),
-                "fell": sum(&|host| host.with(|model| model.collapsed()) as u64),
+                "fell": sum(&|host| u64::from(host.with(|model| model.collapsed()))),
                 "most_connections": every.iter().map(|host| host.most_open.get()).max(),
                 "connections_opened": sum(&|host| host.opened.get()),
                 "misworded": misworded,
@@ -562,7 +559,7 @@
             })),
             "lab": { "behind": report::quantiles(&behind), "turns": report::quantiles(&turns.borrow()),
                 "cpu_share": own as f64 / played as f64, "events": self.world.court.borrow().recorded,
-                "descriptors": std::fs::read_dir("/proc/self/fd").map_or(0, |files| files.count()) },
+                "descriptors": std::fs::read_dir("/proc/self/fd").map_or(0, std::iter::Iterator::count) },
         });
         for (key, value) in own.as_object().into_iter().flatten() {
             report[key] = value.clone();
@@ -578,20 +575,22 @@
         let late = behind.value_at_quantile(0.99);
         let held = turns.borrow().value_at_quantile(0.99);
         report["void"] = match () {
-            _ if asked == 0 => "nothing was asked".into(),
-            _ if late > most => {
+            () if asked == 0 => "nothing was asked".into(),
+            () if late > most => {
                 let (late, most) = (late as f64 / 1000.0, most as f64 / 1000.0);
                 format!("the load was {late:.1} ms late at p99, {most:.1} allowed: this machine could not play it").into()
             }
             // What the gateways say to each other goes through the lab: it must not be what makes them doubt each other.
-            _ if self.between.is_some() && held > TURNS => {
+            () if self.between.is_some() && held > TURNS => {
                 format!("the lab was {:.1} ms late with its own turns at p99", held as f64 / 1000.0).into()
             }
-            _ if self.world.court.borrow().write_error.is_some() => "the history could not be written".into(),
-            _ if misworded > 0 => {
+            () if self.world.court.borrow().write_error.is_some() => {
+                "the history could not be written".into()
+            }
+            () if misworded > 0 => {
                 format!("{misworded} commands reached boxes in a form that no client sent").into()
             }
-            _ => Value::Null,
+            () => Value::Null,
         };
         report
     }
--- a/crates/lab/src/live/route.rs
+++ b/crates/lab/src/live/route.rs
@@ -224,7 +224,7 @@
             RouteFault::Double(share) => Some(*share),
             _ => None,
         };
-        let copies = 1 + self.strikes(chance, twice) as usize;
+        let copies = 1 + usize::from(self.strikes(chance, twice));
         let mut one = || {
             let mut at = due + self.delay(chance, true);
             for standing in self.ills.borrow_mut().iter_mut() {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -375,10 +375,10 @@
     }
     // A broken rule is one on any machine; claims on a void run say nothing.
     Ok(match () {
-        _ if report["rules"]["broken"] != 0 => ExitCode::from(NOT_HELD),
-        _ if !report["void"].is_null() => ExitCode::from(VOID),
-        _ if report::holds(&report) => ExitCode::SUCCESS,
-        _ => ExitCode::from(NOT_HELD),
+        () if report["rules"]["broken"] != 0 => ExitCode::from(NOT_HELD),
+        () if !report["void"].is_null() => ExitCode::from(VOID),
+        () if report::holds(&report) => ExitCode::SUCCESS,
+        () => ExitCode::from(NOT_HELD),
     })
 }
 
@@ -463,7 +463,7 @@
             let mut failed = 0;
             for play_ in 0..plays {
                 bar.set_message(format!("seed {}: {} faults, play {play_}", own.seed, scenario.faults.len()));
-                failed += play(scenario, options).is_ok_and(|report| !report::holds(&report)) as u32;
+                failed += u32::from(play(scenario, options).is_ok_and(|report| !report::holds(&report)));
                 if failed >= enough {
                     break;
                 }
@@ -601,7 +601,7 @@
         let mut hosts = Vec::new();
         for number in 0..asked.boxes {
             let name = format!("box-{number}");
-            let model = Server::new(spec.clone(), 0, 0, unshared_memories(), number as u64);
+            let model = Server::new(spec.clone(), 0, 0, unshared_memories(), u64::from(number));
             let at = SocketAddr::from(([127, 0, 0, 1], FIRST_BOX + number));
             hosts.push(servers::Host::start(&world, &name, model, &lanes, false, &[at]).map_err(told)?);
             list.addresses.borrow_mut().insert((0, name.clone()), at);
--- a/crates/lab/src/membership_simulation.rs
+++ b/crates/lab/src/membership_simulation.rs
@@ -243,7 +243,7 @@
                         }
                         continue;
                     }
-                    let copies = 1 + self.chance.gen_bool(self.weather.doubled) as u32;
+                    let copies = 1 + u32::from(self.chance.gen_bool(self.weather.doubled));
                     for _ in 0..copies {
                         if !self.chance.gen_bool(self.weather.loss) {
                             let due = self.now + self.delay();
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -141,7 +141,7 @@
         let mut from = 1;
         let states = groups.into_iter().map(|customers| {
             let state = State { from, surge: 1.0, moved: 0, next: 0, customers };
-            from += if state.customers.once { 0 } else { state.customers.count as u64 };
+            from += if state.customers.once { 0 } else { u64::from(state.customers.count) };
             state
         });
         let groups = states.collect();
@@ -175,8 +175,8 @@
     /// Transactions a second that a group asks.
     fn rate(&self, group: usize) -> f64 {
         let State { customers, surge, .. } = &self.groups[group];
-        let mean = (customers.units.0 + customers.units.1) as f64 / 2.0;
-        customers.count as f64 * customers.load * self.plans[customers.plan].rate * surge / mean
+        let mean = f64::from(customers.units.0 + customers.units.1) / 2.0;
+        f64::from(customers.count) * customers.load * self.plans[customers.plan].rate * surge / mean
     }
 
     fn gap(&mut self, group: usize) -> Micros {
@@ -243,7 +243,7 @@
             self.next_once += 1;
             self.next_once
         } else {
-            from + self.chance.gen_range(0..customers.count as u64)
+            from + self.chance.gen_range(0..u64::from(customers.count))
         };
         let spread = customers.spread.clamp(1, self.gateways);
         // Customers stand on the ring of gateways where their numbers put them.
@@ -256,7 +256,7 @@
         };
         let lane = self.lane(&customers.lanes);
         let units = self.chance.gen_range(customers.units.0..=customers.units.1);
-        let mean = self.classes[lane].work as f64 * units as f64;
+        let mean = self.classes[lane].work as f64 * f64::from(units);
         let drawn = 0.25 + 0.75 * -(1.0 - self.chance.gen::<f64>()).ln();
         let labelled = self.classes[lane].idempotency == Idempotency::Keyed;
         let id = self.next_id;
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -263,7 +263,7 @@
         while self.pushed.front().is_some_and(|(at, _)| at + window <= now) {
             self.push -= self.pushed.pop_front().map_or(0, |(_, work)| work);
         }
-        let can = self.capacity(now) * self.spec.cores as f64 * self.spec.speed * window as f64;
+        let can = self.capacity(now) * f64::from(self.spec.cores) * self.spec.speed * window as f64;
         if self.push as f64 > multiple * can {
             self.collapsed = true;
             self.take_down();
@@ -339,7 +339,7 @@
 
     /// In flight, waiting, share of cores at work.
     pub fn load(&self) -> (u32, usize, f64) {
-        (self.busy_cores, self.waiting.len(), self.busy_cores as f64 / self.spec.cores as f64)
+        (self.busy_cores, self.waiting.len(), f64::from(self.busy_cores) / f64::from(self.spec.cores))
     }
 }
 
--- a/crates/lab/src/quota_simulation.rs
+++ b/crates/lab/src/quota_simulation.rs
@@ -133,22 +133,22 @@
         }
         let seen = store.offered.iter().filter(|(at, _)| at + LATE <= ask.at);
         let offered = seen.map(|(_, units)| units).sum::<f64>();
-        store.offered.push_back((ask.at, ask.units as f64));
+        store.offered.push_back((ask.at, f64::from(ask.units)));
         let fraction = ((rate * PERIOD as f64 / SECOND as f64 + level) / offered.max(1.0)).min(1.0);
         store.draw += fraction;
         let passes = store.draw >= 1.0;
         store.draw -= f64::from(u8::from(passes));
-        (store.level >= ask.units as f64, passes)
+        (store.level >= f64::from(ask.units), passes)
     }
 
     fn worth(&self, ask: &ClientRequest) -> f64 {
-        self.lanes[ask.class].priority_weight * self.plans[ask.plan].price * ask.units as f64
+        self.lanes[ask.class].priority_weight * self.plans[ask.plan].price * f64::from(ask.units)
     }
 
     /// A transaction has been sent on, or refused.
     fn decided(&mut self, ask: &ClientRequest, inside_when_asked: bool, passed: bool, now: Micros) {
         let store = self.store(ask, now);
-        let units = ask.units as f64;
+        let units = f64::from(ask.units);
         let inside = store.level >= units;
         if passed && inside {
             store.level -= units;
@@ -300,7 +300,7 @@
                     class: ask.class,
                     plan: ask.plan,
                     tenant: Id::from(format!("{:x}", ask.tenant)),
-                    units: ask.units as f64,
+                    units: f64::from(ask.units),
                     first_gateway: ask.first_gateway,
                     gateway_spread: ask.gateway_spread,
                     time_left: self.truth.lanes[ask.class].deadline,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -48,7 +48,7 @@
 
 impl Counts {
     fn add(&mut self, fate: Fate, late: bool) {
-        self.sent += (fate != Fate::Unsent) as u64;
+        self.sent += u64::from(fate != Fate::Unsent);
         let of = match fate {
             Fate::Unsent => &mut self.unsent,
             Fate::Completed => &mut self.settled,
@@ -59,7 +59,7 @@
             Fate::Open | Fate::Lost => &mut self.lost,
         };
         *of += 1;
-        self.late += late as u64;
+        self.late += u64::from(late);
     }
 
     fn shown(&self) -> Value {
@@ -88,12 +88,12 @@
     fn add(&mut self, inside: bool, settled: bool, nacked: bool, units: f64) {
         if inside {
             self.inside += 1;
-            self.inside_settled += settled as u64;
-            self.inside_nacked += nacked as u64;
+            self.inside_settled += u64::from(settled);
+            self.inside_nacked += u64::from(nacked);
             self.units_inside += units;
         } else {
             self.beyond += 1;
-            self.beyond_settled += settled as u64;
+            self.beyond_settled += u64::from(settled);
         }
         self.units_settled += if settled { units } else { 0.0 };
     }
@@ -124,7 +124,7 @@
             continue;
         }
         counts.add(fate, fate == Fate::Completed && late(ask.id));
-        tries += (ask.attempt > 0) as u64;
+        tries += u64::from(ask.attempt > 0);
         let origin =
             origins.entry(ask.origin).or_insert((ask.group, ask.tenant, inside, ask.units, Vec::new()));
         origin.4.push(fate);
@@ -145,7 +145,7 @@
         let nacked = !settled && fates.contains(&Fate::Rejected);
         let always = !beyond.contains(customer);
         for own in [&mut groups[*group], &mut all].into_iter().chain(always.then_some(&mut within)) {
-            own.add(*inside, settled, nacked, *units as f64);
+            own.add(*inside, settled, nacked, f64::from(*units));
         }
     }
     let mut windows = worst_windows(ledger, scenario, from);
@@ -168,7 +168,7 @@
     let mut settled: BTreeMap<(usize, u64), Vec<(Micros, f64)>> = BTreeMap::new();
     for (ask, _, fate, _) in ledger.fates() {
         if fate == Fate::Completed && ask.at >= from {
-            settled.entry((ask.group, ask.tenant)).or_default().push((ask.at, ask.units as f64));
+            settled.entry((ask.group, ask.tenant)).or_default().push((ask.at, f64::from(ask.units)));
         }
     }
     let mut worst: BTreeMap<String, f64> = BTreeMap::new();
--- a/crates/lab/src/request_ledger.rs
+++ b/crates/lab/src/request_ledger.rs
@@ -318,9 +318,9 @@
         let (level, at) = self.quotas.entry(ask.tenant).or_insert((plan.burst, ask.at));
         let gone = ask.at.saturating_sub(*at) as f64 / SECOND as f64;
         (*level, *at) = ((*level + gone * plan.rate).min(plan.burst), ask.at);
-        let inside = *level >= ask.units as f64;
+        let inside = *level >= f64::from(ask.units);
         if inside {
-            *level -= ask.units as f64;
+            *level -= f64::from(ask.units);
         }
         inside
     }
@@ -596,8 +596,11 @@
 
     fn ceiling_kept(&mut self, arrival: &Arrival) {
         let Some(transaction) = self.transactions.get(&arrival.id) else { return };
-        let (customer, units, plan) =
-            (transaction.ask.tenant, transaction.ask.units as f64, &self.terms.plans[transaction.ask.plan]);
+        let (customer, units, plan) = (
+            transaction.ask.tenant,
+            f64::from(transaction.ask.units),
+            &self.terms.plans[transaction.ask.plan],
+        );
         let Some((rate, burst)) = plan.ceiling else { return };
         let at = arrival.at;
         let (level, since) = self.ceilings.entry(customer).or_insert((burst, at));
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -136,7 +136,7 @@
             use BetweenIll::{Corrupt, Double, Lose, Overtake};
             matches!(fault.how, Lose | Double | Overtake | Corrupt) && !(0.0..=1.0).contains(&fault.amount)
         };
-        if fault.between.as_ref().filter(share).is_some() {
+        if fault.between.as_ref().as_ref().is_some_and(share) {
             return Some("'amount' is a share here, from 0 to 1".into());
         }
         if fault.between.as_ref().is_some_and(|fault| fault.how == BetweenIll::Throttle && fault.amount < 1.0)
--- a/crates/lab/src/scenario/lower.rs
+++ b/crates/lab/src/scenario/lower.rs
@@ -97,7 +97,7 @@
     }
 
     pub fn largest(&self) -> f64 {
-        self.customers.iter().map(|customers| customers.units.1).max().unwrap_or(1) as f64
+        f64::from(self.customers.iter().map(|customers| customers.units.1).max().unwrap_or(1))
     }
 
     /// Whether anything is broken on this kind of link, so that it goes by a relay.
--- a/crates/lab/tests/fault_schedules.rs
+++ b/crates/lab/tests/fault_schedules.rs
@@ -76,7 +76,7 @@
         assert_eq!(toml::to_string(&read).expect("written"), text, "seed {seed}");
         assert_eq!(toml::to_string(&draw(&base, &menu, seed)).expect("written"), text, "seed {seed}");
         assert_eq!(storm.faults.len(), 12);
-        kinds.extend(storm.faults.iter().map(|fault| fault.kind()));
+        kinds.extend(storm.faults.iter().map(fernscale_lab::scenario::Fault::kind));
         for fault in &storm.faults {
             let ends = fault.at.0 + fault.for_.map_or(0, |time| time.0);
             assert!(fault.at >= Time(2 * SECOND) && ends <= 30 * SECOND, "seed {seed}: {fault:?}");
--- a/crates/lab/tests/membership.rs
+++ b/crates/lab/tests/membership.rs
@@ -76,7 +76,7 @@
 
 fn views(mesh: &SimulatedFleet) -> Vec<Vec<String>> {
     let view = |at| {
-        let members = mesh.node(at).into_iter().flat_map(|node| node.live_members());
+        let members = mesh.node(at).into_iter().flat_map(fernscale_membership::node::Node::live_members);
         members.map(|member| format!("{} {:?}", member.peer.name, member.state)).collect()
     };
     (0..mesh.count()).map(view).collect()
--- a/crates/lab/tests/outlier_detection.rs
+++ b/crates/lab/tests/outlier_detection.rs
@@ -89,10 +89,9 @@
 #[test]
 fn a_zone_that_is_cut_off_moves_nobody_in_the_others() {
     let mut fleet = Fleet::of(18, 24, 3);
-    fleet.does = Box::new(|_, gateway, server| match gateway % 3 == 0 && server % 3 != 0 {
-        true => Does::Fails(1.0),
-        false => Does::Well,
-    });
+    fleet.does = Box::new(
+        |_, gateway, server| if gateway % 3 == 0 && server % 3 != 0 { Does::Fails(1.0) } else { Does::Well },
+    );
     // The gateways of that zone still talk with the others: they see the rest of the servers die, and say so.
     for _ in 0..50 {
         fleet.pass(SECOND / 5);
--- a/crates/lab/tests/request_ledger.rs
+++ b/crates/lab/tests/request_ledger.rs
@@ -215,7 +215,7 @@
         }
         arrive(&mut ledger, 1, "a", 10);
         arrive(&mut ledger, 1, "b", 20);
-        assert_eq!(broken(&ledger), [0, !held as u64, 0, 0, 0, 0]);
+        assert_eq!(broken(&ledger), [0, u64::from(!held), 0, 0, 0, 0]);
     }
 }
 
--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -223,7 +223,7 @@
             AcceptorRequest::Release { lease, token } => self.handle_release(&lease, token),
             AcceptorRequest::Recover(request) => self.handle_recovery_request(request),
             AcceptorRequest::WriteCount { acceptor, write_count, incarnation } => {
-                self.handle_write_count(&acceptor, write_count, incarnation)
+                self.handle_write_count(&acceptor, write_count, incarnation);
             }
         }
     }
@@ -360,7 +360,7 @@
                 }
             }
             DeferredAction::SendPeerReply { to, reply } => {
-                self.outputs.push_back(Output::PeerReply { to, reply })
+                self.outputs.push_back(Output::PeerReply { to, reply });
             }
             DeferredAction::StopPreviousEpoch => self.previous_epoch_stopped(),
             DeferredAction::RestartRecovery => self.restart_recovery(now),
--- a/crates/lease/tests/candidacy.rs
+++ b/crates/lease/tests/candidacy.rs
@@ -131,17 +131,17 @@
             while let Some(output) = self.acceptors[at].1.poll_output() {
                 match output {
                     AcceptorOutput::Persist { number, .. } => {
-                        self.acceptors[at].1.write_completed(self.now, number, true)
+                        self.acceptors[at].1.write_completed(self.now, number, true);
                     }
                     AcceptorOutput::Reply { to, reply } => {
                         let to = gateway_of(&self.gateways, to);
                         self.in_transit.extend(to.map(|to| (own.clone(), to, Message::Reply(reply))));
                     }
                     AcceptorOutput::Request { to, request } => {
-                        self.in_transit.push_back((own.clone(), to, Message::Request(request)))
+                        self.in_transit.push_back((own.clone(), to, Message::Request(request)));
                     }
                     AcceptorOutput::PeerReply { to, reply } => {
-                        self.in_transit.push_back((own.clone(), to, Message::Reply(reply)))
+                        self.in_transit.push_back((own.clone(), to, Message::Reply(reply)));
                     }
                     AcceptorOutput::Event(_) => {}
                 }
@@ -156,10 +156,10 @@
         for (own, output) in outputs {
             match output {
                 CandidateOutput::Request { to, request } => {
-                    self.in_transit.push_back((own, to, Message::Request(request)))
+                    self.in_transit.push_back((own, to, Message::Request(request)));
                 }
                 CandidateOutput::Released { to, lease, token } => {
-                    self.in_transit.push_back((own, to, Message::Released { lease, token }))
+                    self.in_transit.push_back((own, to, Message::Released { lease, token }));
                 }
                 CandidateOutput::Offer { to, lease } => {
                     let to = gateway_of(&self.gateways, to);
--- a/crates/lease/tests/replicated_list.rs
+++ b/crates/lease/tests/replicated_list.rs
@@ -107,7 +107,7 @@
         if from == to || side(from) != side(to) || self.random.below(100) < self.loss_percent {
             return;
         }
-        for _ in 0..1 + u64::from(self.random.below(10) == 0) {
+        for _ in 0..=u64::from(self.random.below(10) == 0) {
             self.sequence += 1;
             let at = self.now + 1 + self.random.below(self.max_delay);
             self.in_transit.insert((at, self.sequence), (from, to, message.clone()));
--- a/crates/lease/tests/simulation/mod.rs
+++ b/crates/lease/tests/simulation/mod.rs
@@ -150,10 +150,10 @@
                 }
                 AcceptorOutput::Reply { to, reply } => self.send(Message::Reply(to, name, reply)),
                 AcceptorOutput::Request { to, request } => {
-                    self.send(Message::Request(self.index_of(&to), ProcessId(at as u64), request))
+                    self.send(Message::Request(self.index_of(&to), ProcessId(at as u64), request));
                 }
                 AcceptorOutput::PeerReply { to, reply } => {
-                    self.send(Message::PeerReply(self.index_of(&to), name, reply))
+                    self.send(Message::PeerReply(self.index_of(&to), name, reply));
                 }
                 AcceptorOutput::Event(event) => self.events.push((self.now, event)),
             }
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -93,7 +93,7 @@
         FullState {
             sender: self.members.local().clone(),
             incarnation: self.incarnation,
-            updates: present.map(|member| member.update()).collect(),
+            updates: present.map(super::members::Member::update).collect(),
             counters: self.counter_gossip.entries(now),
         }
     }
--- a/crates/policy/src/settings/fields.rs
+++ b/crates/policy/src/settings/fields.rs
@@ -79,8 +79,8 @@
     /// A flag; false where it is absent.
     fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.field(key) {
-            None | Some("0") | Some("false") => Ok(false),
-            Some("1") | Some("true") => Ok(true),
+            None | Some("0" | "false") => Ok(false),
+            Some("1" | "true") => Ok(true),
             Some(other) => Err(SettingsError::NotAFlag { key: key.into(), found: other.into() }),
         }
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -141,9 +141,10 @@
 
     /// Rule 1: every request is answered by its deadline.
     fn overdue(&self) -> Result<(), String> {
-        match self.asked.values().any(|asked| asked.answers == 0 && self.now > asked.stop) {
-            true => Err("rule 1: no answer by the hard stop".into()),
-            false => Ok(()),
+        if self.asked.values().any(|asked| asked.answers == 0 && self.now > asked.stop) {
+            Err("rule 1: no answer by the hard stop".into())
+        } else {
+            Ok(())
         }
     }
 
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -146,7 +146,7 @@
     let asked = fixture.request("c", 60_000 * MS);
     let first = sends(&fixture.take_actions())[0].1.clone();
     let other = if &*first == "s0" { "s1" } else { "s0" };
-    let near = if &*first == "s0" { 0 } else { 1 };
+    let near = u32::from(&*first != "s0");
     fixture.gateway.endpoints_updated(false, &[listed("s9", near, EndpointState::Ready, None)]);
     fixture.end(&asked, 0, &first, Outcome::TimedOut, 100 * MS);
     assert_eq!(sends(&fixture.take_actions()), [(asked.clone(), id("s9"))]);
--- a/crates/shared-counter/tests/monitor.rs
+++ b/crates/shared-counter/tests/monitor.rs
@@ -105,12 +105,12 @@
     for total in 1..=3 {
         // What certainly was not added goes with the next call.
         assert_eq!(
-            monitor.add(now, "a", 1.0, LIFETIME, gossip(total as f64)),
-            AddStep::Forward(total as f64)
+            monitor.add(now, "a", 1.0, LIFETIME, gossip(f64::from(total))),
+            AddStep::Forward(f64::from(total))
         );
         assert_eq!(
-            monitor.call_completed(now, "a", CallOutcome::NotApplied, LATENCY, gossip(total as f64)),
-            CounterReply::Total(total as f64)
+            monitor.call_completed(now, "a", CallOutcome::NotApplied, LATENCY, gossip(f64::from(total))),
+            CounterReply::Total(f64::from(total))
         );
         now += MILLISECOND;
     }
@@ -148,13 +148,13 @@
         monitor.health()
     };
     assert_eq!(call(1.0, LATENCY), CounterHealth::Healthy);
-    let slow_replies: Vec<_> = (2..8).map(|total| call(total as f64, 60 * MILLISECOND)).collect();
+    let slow_replies: Vec<_> = (2..8).map(|total| call(f64::from(total), 60 * MILLISECOND)).collect();
     assert_eq!(
         (slow_replies[0], slow_replies[5]),
         (CounterHealth::Healthy, CounterHealth::Slow),
         "one reply may be late by chance"
     );
-    let quick_replies: Vec<_> = (8..40).map(|total| call(total as f64, LATENCY)).collect();
+    let quick_replies: Vec<_> = (8..40).map(|total| call(f64::from(total), LATENCY)).collect();
     assert_eq!(quick_replies[31], CounterHealth::Healthy);
     let stale_replies: Vec<_> = (0..3).map(|_| call(0.5, LATENCY)).collect();
     assert_eq!(stale_replies, [CounterHealth::Healthy, CounterHealth::Healthy, CounterHealth::Stale]);
--- a/crates/shared-counter/tests/pn_counter.rs
+++ b/crates/shared-counter/tests/pn_counter.rs
@@ -9,7 +9,7 @@
 /// Merging has the same result in any order, and repetition changes nothing.
 fn merging_commutes(parts: Vec<(u8, u8, u8)>, again: Vec<u8>) -> bool {
     let part = |(of, plus, minus): (u8, u8, u8)| {
-        (Instance(of as u64 % 3), Contribution { increments: plus.into(), decrements: minus.into() })
+        (Instance(u64::from(of) % 3), Contribution { increments: plus.into(), decrements: minus.into() })
     };
     let (mut one, mut other) = (PnCounters::new(10), PnCounters::new(10));
     for (of, part) in parts.iter().copied().map(part) {
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -99,7 +99,7 @@
     /// Adds an operation. `expires_at` is in Unix milliseconds; 0: never.
     pub fn push(&mut self, kind: OperationKind, expires_at: u64, key: &[u8], value: &[u8]) {
         let bytes = &mut self.operations;
-        bytes.push(matches!(kind, OperationKind::Delete) as u8);
+        bytes.push(u8::from(matches!(kind, OperationKind::Delete)));
         bytes.extend(expires_at.to_le_bytes());
         bytes.extend((key.len() as u32).to_le_bytes());
         bytes.extend((value.len() as u32).to_le_bytes());
