--- a/crates/gateway/src/fleet/leases/mod.rs
+++ b/crates/gateway/src/fleet/leases/mod.rs
@@ -62,7 +62,7 @@
     acceptor: Option<Acceptor>,
     /// Until when this process counts as slow, in microseconds of `boottime`.
     slow_until: Micros,
-    /// Whether another gateway has this one's name, so that the promises of the two could not be told apart.
+    /// Whether another gateway has this one's name, so that the promises of the two could not be distinguished.
     name_is_taken: bool,
     /// Whether an operator wants this gateway to hold no lease where another can.
     cordoned: bool,
--- a/crates/gateway/src/fleet/membership/mod.rs
+++ b/crates/gateway/src/fleet/membership/mod.rs
@@ -173,7 +173,7 @@
 
     /// Whether no exchange that this gateway has begun is still open, so that what it knows has reached the others as far
     /// as it can tell.
-    pub fn is_fully_told(&self) -> bool {
+    pub fn has_completed_exchanges(&self) -> bool {
         self.begun_exchanges.get() == 0
     }
 
--- a/crates/gateway/src/program/shutdown.rs
+++ b/crates/gateway/src/program/shutdown.rs
@@ -45,7 +45,7 @@
                 membership.leave();
             }
         }
-        let has_left = shared.membership.get().is_none_or(|membership| membership.is_fully_told())
+        let has_left = shared.membership.get().is_none_or(|membership| membership.has_completed_exchanges())
             || elapsed >= STILL_COMING + MEMBERSHIP_LEAVE_TIMEOUT;
         // Danger: a wait between this look at the listener and the end of the process would drop a connection that
         // arrives meanwhile.
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -143,7 +143,7 @@
         true
     }
 
-    /// Merges the records of the other processes and divides the limits anew. `held_descriptors` are those that this
+    /// Merges the records of the other processes and divides the limits again. `held_descriptors` are those that this
     /// process has open.
     pub fn update(&mut self, others: &[OtherProcess], held_descriptors: usize, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
