--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
 //! The actor round the decision engine.
 //!
 //! It owns the [`Engine`] and what the engine's decisions act on: the requests in flight, the table of servers, the timers
-//! and the calls to the shared counter. It hands the engine one event after another ([`events`]) and performs the actions that
-//! the engine queues ([`actions`]). It decides nothing itself, and does no I/O: connections are the business of
+//! and the calls to the shared counter. It hands the engine one event after another (`events`) and performs the actions that
+//! the engine queues (`actions`). It decides nothing itself, and does no I/O: connections are the business of
 //! [`upstream`](crate::upstream) and [`downstream`](crate::downstream).
 
 mod action_queue;
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -826,7 +826,7 @@
             thread::sleep(Duration::from_millis(300));
             let at = Instant::now();
             if reset {
-                drop(other)
+                drop(other);
             } else {
                 other.shutdown(std::net::Shutdown::Write).expect("shut");
                 // Kept open.
--- a/crates/lab/tests/module_imports.rs
+++ b/crates/lab/tests/module_imports.rs
@@ -11,6 +11,7 @@
     "cli",
     "hot-restart",
     "lease",
+    "membership",
     "outlier-detection",
     "policy",
     "shared-counter",
