--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -22,8 +22,6 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-pub use self::CounterUpdate as Add;
-
 /// Calls without an answer, expired ones too.
 const MAX_UNANSWERED: usize = 4_096;
 /// Bytes of answers that are not read yet: each answer is a short line or number.
--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -35,7 +35,7 @@
 
 impl DrainingEndpoints {
     /// Applies a list. Servers that it has in service against something newer become draining in it.
-    pub fn read(&mut self, update: &mut EndpointUpdate) {
+    pub fn apply(&mut self, update: &mut EndpointUpdate) {
         if update.moved || update.index < self.index {
             // Another sequence of versions. That it still lists a server says nothing newer than that the server drains.
             for departure in self.departures.values_mut() {
@@ -75,7 +75,7 @@
     }
 
     /// Takes servers out of service that a rejected response names as draining.
-    pub fn leave(&mut self, servers: &[Id]) {
+    pub fn mark_draining(&mut self, servers: &[Id]) {
         for id in servers {
             if self.in_service.contains_key(id) {
                 self.depart(id, None);
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -21,9 +21,7 @@
 use crate::protocol::catalog::{EndpointUpdate, KnownEndpoints, ListError, SlicedReader};
 use crate::shared::{Event, Shared};
 use crate::transport::clock::yield_between_slices;
-use crate::transport::loop_timer::Turn as LoopIteration;
-
-pub use self::DiscoveryActor as List;
+use crate::transport::loop_timer::LoopIteration;
 
 /// How long after the start a gateway that knows servers from before waits for discovery before it is ready without it.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
@@ -33,15 +31,15 @@
 /// An order to the actor. It ends the request under way.
 pub enum Order {
     /// Watch the list, or stop watching.
-    Follow(bool),
+    Watch(bool),
     /// Poll the complete list once.
-    Fetch,
+    Poll,
     /// Discovery has another address from now on.
-    Move(SocketAddr),
+    ChangeAddress(SocketAddr),
     /// From now on one gateway polls for all: nothing is watched here, and only what the fleet orders is requested.
-    ByFleet,
+    LedByFleet,
     /// Request what is newer than this version, or the complete list, and give the response as it is; none where there is none.
-    Ask(Option<u64>, Sender<Option<Value>>),
+    Request(Option<u64>, Sender<Option<Value>>),
 }
 
 /// The actor. [`DiscoveryActor::run`] serves it.
@@ -119,24 +117,24 @@
 
     async fn handle_order(&mut self, order: Order) {
         match order {
-            Order::Follow(on) => self.is_watching = on && !self.is_led_by_fleet,
-            Order::ByFleet => {
+            Order::Watch(on) => self.is_watching = on && !self.is_led_by_fleet,
+            Order::LedByFleet => {
                 self.is_led_by_fleet = true;
                 self.is_watching = false;
             }
-            Order::Ask(since, reply) => {
+            Order::Request(since, reply) => {
                 let response = self.request_json(since).await;
                 if let Err(error) = &response {
                     warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => error.to_string());
                 }
                 drop(reply.send(response.ok()).await);
             }
-            Order::Fetch => {
+            Order::Poll => {
                 self.client.disconnect();
                 let fetched = self.fetch(None).await;
                 self.report(fetched).await;
             }
-            Order::Move(address) => {
+            Order::ChangeAddress(address) => {
                 // Versions there are another sequence, and its complete list drops what has been removed meanwhile.
                 self.client.change_address(address);
                 self.index = None;
@@ -181,7 +179,7 @@
         warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => reason);
         // A response that is behind says nothing new of any server.
         if !draining.is_empty() && index >= self.index {
-            self.shared.draining.borrow_mut().leave(&draining);
+            self.shared.draining.borrow_mut().mark_draining(&draining);
             drop(self.events.send(Event::EndpointsDraining(draining)).await);
         }
         drop(self.events.send(Event::EndpointsUnavailable).await);
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -36,7 +36,7 @@
     /// Replaces the starts of a list by times of the gateway's clock, which is at `now`. `least_age` says how long ago a Unix time was
     /// at the least, in microseconds: a server that is taken for older than it is gets too much load from all gateways, one taken for
     /// younger gets less load for some seconds.
-    pub fn read(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, update: &mut EndpointUpdate) {
+    pub fn apply(&mut self, now: Micros, least_age: impl Fn(Micros) -> Micros, update: &mut EndpointUpdate) {
         for (endpoint, _) in &mut update.servers {
             endpoint.started_at = self.started_at(now, &least_age, endpoint);
         }
@@ -47,13 +47,13 @@
     }
 
     /// The same for a list that discovery has given just now.
-    pub fn read_news(
+    pub fn apply_new(
         &mut self,
         now: Micros,
         least_age: impl Fn(Micros) -> Micros,
         update: &mut EndpointUpdate,
     ) {
-        self.read(now, least_age, update);
+        self.apply(now, least_age, update);
         self.has_read_list |= !update.servers.is_empty();
     }
 
--- a/crates/gateway/src/dispatcher/action_queue.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -105,11 +105,11 @@
     }
 
     fn watch_endpoints(&mut self, on: bool) {
-        self.push(Action::Discovery(discovery::Order::Follow(on)));
+        self.push(Action::Discovery(discovery::Order::Watch(on)));
     }
 
     fn poll_endpoints(&mut self) {
-        self.push(Action::Discovery(discovery::Order::Fetch));
+        self.push(Action::Discovery(discovery::Order::Poll));
     }
 
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
--- a/crates/gateway/src/dispatcher/counter_calls.rs
+++ b/crates/gateway/src/dispatcher/counter_calls.rs
@@ -108,7 +108,7 @@
 
     fn publish_health(&self, before: CounterHealth, now: CounterHealth) {
         if let Some(membership) = self.shared.membership.get() {
-            membership.standing.set(now);
+            membership.counter_health.set(now);
         }
         if now != before {
             info!(self.shared.log, #"counter.stands", "the counter stands otherwise";
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -34,9 +34,7 @@
 use crate::protocol::catalog::EndpointUpdate;
 use crate::shared::{Event, Shared};
 use crate::transport::clock::{yield_between_slices, DeadlineTimer};
-use crate::transport::loop_timer::Turn as LoopIteration;
-
-pub use self::Dispatcher as Module;
+use crate::transport::loop_timer::LoopIteration;
 
 /// The actor. [`Dispatcher::run`] serves it for the life of the process.
 pub struct Dispatcher {
@@ -159,7 +157,7 @@
     fn handle_operator(&mut self, order: operator::Order) {
         self.update_clock();
         match order {
-            operator::Order::Pool(reply) => {
+            operator::Order::QueryPool(reply) => {
                 let avoided = self.servers.iter().filter(|(id, _)| self.engine.is_avoided(id)).count();
                 let _ = reply.try_send(PoolGauges { size: self.servers.len(), avoided });
             }
@@ -172,8 +170,8 @@
                 }
                 let _ = done.try_send(is_known);
             }
-            operator::Order::Heard { server, back } => self.set_cordon(&server, back),
-            operator::Order::Part(part) => self.engine.set_process_share(part),
+            operator::Order::CordonFromProcess { server, lifted_at: back } => self.set_cordon(&server, back),
+            operator::Order::ProcessShare(part) => self.engine.set_process_share(part),
         }
     }
 
--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -9,7 +9,7 @@
 use super::connection_task::ConnectionTask;
 use super::idle::IdleState;
 use super::pipeline::{Counted, OpenRequest};
-use super::{PROTOCOL_ERROR_INTERVAL, STILL_COMING};
+use super::{PROTOCOL_ERROR_INTERVAL, SHUTDOWN_ACCEPT_PERIOD};
 use crate::operator::metrics::ResponseResult;
 use crate::protocol::call::{self, Call, Command, FinalAnswer};
 use crate::protocol::resp;
@@ -93,7 +93,7 @@
         }
         let shared = &self.context.shared;
         // Danger: a client that sends on a busy connection without end would keep a gateway from shutting down.
-        if shared.shutting_down_since.get().is_some_and(|since| since.elapsed() >= STILL_COMING) {
+        if shared.shutting_down_since.get().is_some_and(|since| since.elapsed() >= SHUTDOWN_ACCEPT_PERIOD) {
             return Err(EarlyRejection::ShuttingDown);
         }
         let open = shared.limits.open.reserve(1).ok_or(EarlyRejection::NoRequestSlot)?;
--- a/crates/gateway/src/downstream/connection_task.rs
+++ b/crates/gateway/src/downstream/connection_task.rs
@@ -10,7 +10,7 @@
 
 use super::idle::{IdleConnections, IdleState};
 use super::pipeline::{Pipeline, MAX_PIPELINED};
-use super::STILL_COMING;
+use super::SHUTDOWN_ACCEPT_PERIOD;
 use crate::protocol::call::FinalAnswer;
 use crate::rejection::EarlyRejection;
 use crate::shared::{Event, FinalReply, Reservations, Shared};
@@ -216,7 +216,7 @@
             }
             if state == IdleState::NeverAsked {
                 // A client that has just connected has its first command on the way.
-                Timer::after(STILL_COMING).await;
+                Timer::after(SHUTDOWN_ACCEPT_PERIOD).await;
             }
             Input::End(ConnectionEnd::Stopping)
         };
--- a/crates/gateway/src/downstream/ending.rs
+++ b/crates/gateway/src/downstream/ending.rs
@@ -26,7 +26,7 @@
     /// connection ends at once.
     pub(super) async fn yield_slot(&mut self) {
         let reservation = loop {
-            if let Some(reservation) = self.context.shared.limits.turned_away.reserve(1) {
+            if let Some(reservation) = self.context.shared.limits.rejected.reserve(1) {
                 break reservation;
             }
             let Some(lingering) = self.context.idle.take_longest_lingering() else { return };
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -125,7 +125,7 @@
                 }
                 continue;
             }
-            if let Some(reservation) = self.context.shared.limits.turned_away.reserve(1) {
+            if let Some(reservation) = self.context.shared.limits.rejected.reserve(1) {
                 return Slot { reservation, is_served: false };
             }
             if let Some(lingering) = self.context.idle.take_longest_lingering() {
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -14,11 +14,10 @@
 use std::time::Duration;
 
 pub use self::listener::Listener;
-pub use self::listener::Listener as Door;
 
 /// How long after the beginning of a shutdown new connections and requests are still served: load balancers take some tenths
 /// of a second to send them elsewhere.
-pub const STILL_COMING: Duration = Duration::from_millis(700);
+pub const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// Time between two errors about commands, for all clients together, and before the slot of a connection that was evicted
 /// from waiting for one is used again. Danger: clients that repeat an invalid command as soon as they get the error
 /// would take all of a core.
--- a/crates/gateway/src/fleet/membership/mod.rs
+++ b/crates/gateway/src/fleet/membership/mod.rs
@@ -82,7 +82,7 @@
     /// Outgoing streams with a message on its way.
     open_streams: Rc<Cell<usize>>,
     /// Health of the shared counter as the dispatcher last saw it, for operators' queries.
-    pub standing: Cell<CounterHealth>,
+    pub counter_health: Cell<CounterHealth>,
     subscribers: RefCell<BTreeMap<Channel, Sender<ReceivedPayload>>>,
     responders: RefCell<BTreeMap<Channel, Responder>>,
     host: HostHandle,
@@ -121,7 +121,7 @@
             open_exchanges: Rc::default(),
             begun_exchanges: Rc::default(),
             open_streams: Rc::default(),
-            standing: Cell::new(CounterHealth::Healthy),
+            counter_health: Cell::new(CounterHealth::Healthy),
             subscribers: RefCell::default(),
             responders: RefCell::default(),
             host: host.clone(),
@@ -303,7 +303,7 @@
             members: node.members().map(member_view).collect(),
             configured_gateways: self.gateway_count as u32,
             counter_count: node.counters().len() as u32,
-            counter_health: self.standing.get().name().into(),
+            counter_health: self.counter_health.get().name().into(),
         }
     }
 }
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -114,7 +114,10 @@
         let clock = &self.shared.clock;
         let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.least_age(at)));
         info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => cordoned);
-        let _ = self.orders.send(Order::Heard { server: Id::from(server), back: uncordoned_at }).await;
+        let _ = self
+            .orders
+            .send(Order::CordonFromProcess { server: Id::from(server), lifted_at: uncordoned_at })
+            .await;
     }
 
     async fn apply_share(&self, share: ProcessShare) {
@@ -124,7 +127,7 @@
         self.shared.limits_lowered.notify(1);
         // Descriptors change all the time, and the dispatcher starts over with each fraction that it is given.
         if self.fraction.replace(fraction) != fraction {
-            let _ = self.orders.send(Order::Part(fraction)).await;
+            let _ = self.orders.send(Order::ProcessShare(fraction)).await;
         }
     }
 
--- a/crates/gateway/src/operator/call_task.rs
+++ b/crates/gateway/src/operator/call_task.rs
@@ -123,7 +123,7 @@
 
     async fn stats(&self) -> Response {
         let (reply, gauges) = async_channel::bounded(1);
-        let _ = self.orders.send(Order::Pool(reply)).await;
+        let _ = self.orders.send(Order::QueryPool(reply)).await;
         let pool = gauges.recv().await.unwrap_or_default();
         let active = self.shared.limits.open.used();
         Response::new(200, self.shared.metrics.write(active, pool))
--- a/crates/gateway/src/operator/mod.rs
+++ b/crates/gateway/src/operator/mod.rs
@@ -23,9 +23,6 @@
 use crate::transport::limits::OPERATORS;
 use crate::transport::syscall::AcceptFailure;
 
-pub use self::OperatorListener as Desk;
-pub use self::MAX_QUEUED_ORDERS as MOST_ORDERS;
-
 /// Orders that wait at the dispatcher: those of the calls that are served at once, and of other processes.
 pub const MAX_QUEUED_ORDERS: usize = 2 * OPERATORS;
 
@@ -34,11 +31,11 @@
     /// Cordon a server, or lift its cordon; `done` gets whether there is such a server.
     Cordon { server: Id, on: bool, done: Sender<bool> },
     /// The same from another process of this gateway: cordoned, or lifted at that time of the gateway's clock.
-    Heard { server: Id, back: Option<Micros> },
+    CordonFromProcess { server: Id, lifted_at: Option<Micros> },
     /// The fraction of its gateway's ceilings and slow-start budgets that this process has.
-    Part(f64),
+    ProcessShare(f64),
     /// Report the gauges of the server pool.
-    Pool(Sender<PoolGauges>),
+    QueryPool(Sender<PoolGauges>),
 }
 
 /// Accepts operators' calls.
--- a/crates/gateway/src/program/fleet.rs
+++ b/crates/gateway/src/program/fleet.rs
@@ -136,7 +136,7 @@
     }
 
     fn start_draining(&self, endpoints: &[Id]) {
-        self.draining.borrow_mut().leave(endpoints);
+        self.draining.borrow_mut().mark_draining(endpoints);
     }
 }
 
@@ -155,8 +155,8 @@
 impl From<DiscoveryRequest> for discovery::Order {
     fn from(request: DiscoveryRequest) -> Self {
         match request {
-            DiscoveryRequest::DelegateToFleet => discovery::Order::ByFleet,
-            DiscoveryRequest::Poll { since, reply } => discovery::Order::Ask(since, reply),
+            DiscoveryRequest::DelegateToFleet => discovery::Order::LedByFleet,
+            DiscoveryRequest::Poll { since, reply } => discovery::Order::Request(since, reply),
         }
     }
 }
--- a/crates/gateway/src/program/reload.rs
+++ b/crates/gateway/src/program/reload.rs
@@ -45,7 +45,7 @@
         }
         if new.discovery != self.discovery {
             self.discovery = new.discovery;
-            drop(mailboxes.discovery.send(discovery::Order::Move(new.discovery)).await);
+            drop(mailboxes.discovery.send(discovery::Order::ChangeAddress(new.discovery)).await);
         }
         info!(shared.log, #"config.used", "the new configuration is used"; "discovery" => new.discovery.to_string(),
             "counter" => new.counter.map(|counter| counter.to_string()),
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -21,16 +21,16 @@
 use super::reload::ReloadableAddresses;
 use super::shutdown::shut_down;
 use crate::counter::Counter;
-use crate::discovery::{self, List};
-use crate::dispatcher::Module;
-use crate::downstream::Door;
+use crate::discovery::{self, DiscoveryActor};
+use crate::dispatcher::Dispatcher;
+use crate::downstream::Listener;
 use crate::fleet::endpoint_list::EndpointListConfig;
 use crate::fleet::host::HostHandle;
 use crate::fleet::membership::Membership;
 use crate::fleet::subsetting::LocalGateway;
 use crate::hot_restart::Link;
 use crate::operator::metrics::Metrics;
-use crate::operator::{self, Desk};
+use crate::operator::{self, OperatorListener};
 use crate::shared::{Event, Shared, MAX_QUEUED_EVENTS, MAX_QUEUED_ORDERS};
 use crate::transport::clock::{Clock, ClockFault};
 use crate::transport::limits::{Limits, OPERATORS};
@@ -171,19 +171,19 @@
     };
     start_fleet(shared, &config, list)?;
     let counter = config.counter.map(|address| Counter::start(shared, &events, address));
-    let list = List::new(shared, &events, config.discovery, known_index);
+    let list = DiscoveryActor::new(shared, &events, config.discovery, known_index);
     executor.spawn(list.run(discovery_mailbox)).detach();
     if config.settings.list_poll_interval.is_none() {
-        let _ = discovery_orders.try_send(discovery::Order::Follow(true));
+        let _ = discovery_orders.try_send(discovery::Order::Watch(true));
     }
-    let dispatcher = Module::new(shared, config.settings, &events, counter, discovery_orders.clone());
-    let (operator_orders, operator_mailbox) = async_channel::bounded(operator::MOST_ORDERS);
+    let dispatcher = Dispatcher::new(shared, config.settings, &events, counter, discovery_orders.clone());
+    let (operator_orders, operator_mailbox) = async_channel::bounded(operator::MAX_QUEUED_ORDERS);
     executor.spawn(dispatcher.run(config.known, event_mailbox, operator_mailbox)).detach();
     if let Some(listener) = operators {
-        executor.spawn(Desk::new(shared, operator_orders.clone()).run(listener)).detach();
+        executor.spawn(OperatorListener::new(shared, operator_orders.clone()).run(listener)).detach();
     }
     let (stop_accepting, stopped) = async_channel::bounded(1);
-    let door = Door::new(shared, &events, stopped);
+    let door = Listener::new(shared, &events, stopped);
     let shares_listener = config.inherited_socket.is_some();
     if shares_listener {
         let join = Link::join(shared.clone(), std::env::temp_dir(), config.max_descriptors, operator_orders);
@@ -242,7 +242,7 @@
 /// gateway's limits is settled.
 async fn accept_clients(
     shared: Rc<Shared>,
-    door: Door,
+    door: Listener,
     listener: Rc<Async<TcpListener>>,
     shares_listener: bool,
 ) {
--- a/crates/gateway/src/program/shutdown.rs
+++ b/crates/gateway/src/program/shutdown.rs
@@ -11,7 +11,7 @@
 use slog::info;
 
 use super::listener::has_pending_connection;
-use crate::downstream::STILL_COMING;
+use crate::downstream::SHUTDOWN_ACCEPT_PERIOD;
 use crate::shared::Shared;
 use crate::transport::clock::micros;
 
@@ -34,24 +34,24 @@
     hand_over(shared);
     stop_accepting.close();
     let mut is_member = true;
-    let max_wait = STILL_COMING + Duration::from_micros(shared.platform.max_client_wait);
+    let max_wait = SHUTDOWN_ACCEPT_PERIOD + Duration::from_micros(shared.platform.max_client_wait);
     loop {
         Timer::after(POLL_INTERVAL).await;
         let elapsed = began_at.elapsed();
         let has_clients = has_clients(shared);
-        if elapsed >= STILL_COMING && is_member {
+        if elapsed >= SHUTDOWN_ACCEPT_PERIOD && is_member {
             is_member = false;
             if let Some(membership) = shared.membership.get() {
                 membership.leave();
             }
         }
         let has_left = shared.membership.get().is_none_or(|membership| membership.has_completed_exchanges())
-            || elapsed >= STILL_COMING + MEMBERSHIP_LEAVE_TIMEOUT;
+            || elapsed >= SHUTDOWN_ACCEPT_PERIOD + MEMBERSHIP_LEAVE_TIMEOUT;
         // Danger: a wait between this look at the listener and the end of the process would drop a connection that
         // arrives meanwhile.
         let is_quiet =
             !has_clients && !listener.as_ref().is_some_and(|listener| has_pending_connection(listener));
-        if elapsed >= max_wait || elapsed >= STILL_COMING && is_quiet && has_left {
+        if elapsed >= max_wait || elapsed >= SHUTDOWN_ACCEPT_PERIOD && is_quiet && has_left {
             let open = shared.limits.open.used();
             info!(shared.log, #"gateway.ended", "has ended"; "open" => open, "took_ms" => micros(elapsed) / (1000 as Micros));
             return;
@@ -76,5 +76,5 @@
 /// Whether a request or a client connection is open.
 fn has_clients(shared: &Shared) -> bool {
     let limits = &shared.limits;
-    limits.open.used() + limits.clients.used() + limits.turned_away.used() != 0
+    limits.open.used() + limits.clients.used() + limits.rejected.used() != 0
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -88,15 +88,15 @@
     /// dispatcher handles the list.
     pub fn apply_list(&self, members: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
-        self.start_times.borrow_mut().read_news(self.clock.now(), least_age, members);
-        self.draining.borrow_mut().read(members);
+        self.start_times.borrow_mut().apply_new(self.clock.now(), least_age, members);
+        self.draining.borrow_mut().apply(members);
     }
 
     /// The same for the list that was known before the gateway started.
     pub fn apply_known_list(&self, members: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
-        self.start_times.borrow_mut().read(self.clock.now(), least_age, members);
-        self.draining.borrow_mut().read(members);
+        self.start_times.borrow_mut().apply(self.clock.now(), least_age, members);
+        self.draining.borrow_mut().apply(members);
     }
 }
 
@@ -141,7 +141,7 @@
         end: Result<CounterTotal, AttemptFailure>,
     },
     /// Queries of the shared counter go to another actor from now on.
-    CounterReplaced(Option<Sender<counter::Add>>),
+    CounterReplaced(Option<Sender<counter::CounterUpdate>>),
     /// There is an update of the endpoint list.
     EndpointsUpdated(EndpointUpdate),
     /// Discovery has given no list that can be used.
--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -93,7 +93,7 @@
 pub struct Limits {
     /// Connections of clients that are served, and of those that are only turned away.
     pub clients: Slots,
-    pub turned_away: Slots,
+    pub rejected: Slots,
     pub servers: Slots,
     /// Transactions, and bytes of them.
     pub open: Slots,
@@ -110,7 +110,7 @@
     pub fn new(sockets: usize, memory_mb: usize, reserved: usize) -> Self {
         let limits = Limits {
             clients: Slots::new(0),
-            turned_away: Slots::new(0),
+            rejected: Slots::new(0),
             servers: Slots::new(0),
             open: Slots::new(0),
             bytes: Slots::new(0),
@@ -132,7 +132,7 @@
         let turned_away = (rest - servers) * TURNED_AWAY_TENTHS / 10;
         let part = (memory_mb.saturating_sub(PROGRAM_MIB) * 1024 * 1024 / PARTS).max(MOST_MESSAGE);
         self.clients.capacity.set(rest - servers - turned_away);
-        self.turned_away.capacity.set(turned_away);
+        self.rejected.capacity.set(turned_away);
         self.servers.capacity.set(servers);
         self.open.capacity.set(part / RECORDS);
         for places in [&self.bytes, &self.from_clients, &self.from_servers] {
@@ -142,6 +142,6 @@
 
     /// Descriptors that are taken, with those that this gateway has for itself.
     pub fn used_descriptors(&self) -> usize {
-        OWN + self.reserved + self.clients.used() + self.turned_away.used() + self.servers.used()
+        OWN + self.reserved + self.clients.used() + self.rejected.used() + self.servers.used()
     }
 }
--- a/crates/gateway/src/transport/loop_timer.rs
+++ b/crates/gateway/src/transport/loop_timer.rs
@@ -11,14 +11,14 @@
 const LONG: Duration = Duration::from_millis(20);
 
 /// One turn, from its beginning.
-pub struct Turn {
+pub struct LoopIteration {
     name: &'static str,
     began: Instant,
 }
 
-impl Turn {
+impl LoopIteration {
     pub fn begin(name: &'static str) -> Self {
-        Turn { name, began: Instant::now() }
+        LoopIteration { name, began: Instant::now() }
     }
 
     /// Ends the turn. One that held the loop for long is told with its name.
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use fernscale_gateway::counter::{Counter, CounterUpdate};
 use fernscale_gateway::discovery::draining::DrainingEndpoints;
-use fernscale_gateway::discovery::{self, List};
+use fernscale_gateway::discovery::{self, DiscoveryActor};
 use fernscale_gateway::operator::metrics::Metrics;
 use fernscale_gateway::outcome::{of_attempt, of_counter_call};
 use fernscale_gateway::protocol::call::{self, Command};
@@ -222,9 +222,9 @@
     let shared = shared();
     let (events, told) = async_channel::bounded(16);
     let (orders, mailbox) = async_channel::bounded(16);
-    shared.executor.spawn(List::new(&shared, &events, address, known).run(mailbox)).detach();
+    shared.executor.spawn(DiscoveryActor::new(&shared, &events, address, known).run(mailbox)).detach();
     let all = async {
-        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
         let mut all = Vec::new();
         while all.iter().flatten().count() < lists {
             match told.recv().await.expect("the actor runs") {
@@ -319,15 +319,15 @@
     let shared = shared_with(true);
     let (events, told) = async_channel::bounded(16);
     let (orders, mailbox) = async_channel::bounded(16);
-    shared.executor.spawn(List::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
+    shared.executor.spawn(DiscoveryActor::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
     let all = async {
         let mut all = Vec::new();
-        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
         while all.len() < lists {
             match told.recv().await.expect("the actor runs") {
                 Event::EndpointsUpdated(members) => all.push((members.index, Instant::now())),
                 Event::EndpointsUnavailable => {
-                    orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+                    orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
                 }
                 _ => {}
             }
@@ -426,17 +426,17 @@
     ] {
         let (mut leavers, s) = (DrainingEndpoints::default(), fernscale_policy::Id::from("s"));
         for members in known {
-            leavers.read(&mut members.clone());
+            leavers.apply(&mut members.clone());
         }
         assert!(leavers.contains(&s));
         let mut next = next;
-        leavers.read(&mut next);
+        leavers.apply(&mut next);
         let usable = next.servers[0].0.state == fernscale_policy::EndpointState::Ready;
         assert_eq!((usable, !leavers.contains(&s)), (back, back), "{next:?}");
         if next.moved && !back {
             // A later whole list there says nothing new of it, a change does.
             for (full, back) in [(true, false), (false, true)] {
-                leavers.read(&mut listed(501 + u64::from(back), full, false, &[("s", up, 0)]));
+                leavers.apply(&mut listed(501 + u64::from(back), full, false, &[("s", up, 0)]));
                 assert_eq!(!leavers.contains(&s), back);
             }
         }
@@ -480,9 +480,9 @@
         let shared = shared_with(true);
         let (events, told) = async_channel::bounded(16);
         let (orders, mailbox) = async_channel::bounded(16);
-        shared.executor.spawn(List::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
+        shared.executor.spawn(DiscoveryActor::new(&shared, &events, address, Some(3)).run(mailbox)).detach();
         let all = async {
-            orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+            orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
             let (mut leaving, mut failed) = (Vec::new(), 0);
             loop {
                 match told.recv().await.expect("the actor runs") {
@@ -491,7 +491,7 @@
                     }
                     Event::EndpointsUnavailable => {
                         failed += 1;
-                        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+                        orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
                     }
                     Event::EndpointsUpdated(members) => return (leaving, failed, members.index),
                     _ => {}
@@ -525,9 +525,9 @@
     let shared = shared();
     let (events, told) = async_channel::bounded(16);
     let (orders, mailbox) = async_channel::bounded(16);
-    shared.executor.spawn(List::new(&shared, &events, address, None).run(mailbox)).detach();
+    shared.executor.spawn(DiscoveryActor::new(&shared, &events, address, None).run(mailbox)).detach();
     let three = async {
-        orders.send(discovery::Order::Follow(true)).await.expect("the actor runs");
+        orders.send(discovery::Order::Watch(true)).await.expect("the actor runs");
         let (mut full, mut gaps) = (Vec::new(), Vec::new());
         for _ in 0..3 {
             let began = Instant::now();
@@ -659,19 +659,19 @@
 #[test]
 fn a_trip_that_dials_while_its_server_leaves_or_moves_or_its_client_leaves_is_never_sent() {
     let up = [("s0", "in_service", 0), ("s1", "in_service", 0)];
-    let known = move |shared: &Shared| shared.draining.borrow_mut().read(&mut listed(1, true, false, &up));
+    let known = move |shared: &Shared| shared.draining.borrow_mut().apply(&mut listed(1, true, false, &up));
     let (outcome, bytes) = crossed_while_dialling(|shared, _, _| known(shared));
     assert!(bytes > 0 && outcome != Outcome::NeverSent, "nothing has happened: {outcome:?}");
     for state in ["terminating", "terminated"] {
         let (outcome, bytes) = crossed_while_dialling(|shared, _, _| {
             known(shared);
-            shared.draining.borrow_mut().read(&mut listed(2, false, false, &[("s0", state, 0)]));
+            shared.draining.borrow_mut().apply(&mut listed(2, false, false, &[("s0", state, 0)]));
         });
         assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "{state}");
     }
     let (outcome, bytes) = crossed_while_dialling(|shared, _, _| {
         known(shared);
-        shared.draining.borrow_mut().read(&mut listed(2, true, false, &up[1..]));
+        shared.draining.borrow_mut().apply(&mut listed(2, true, false, &up[1..]));
     });
     assert_eq!((outcome, bytes), (Outcome::NeverSent, 0), "it is not in the list any more");
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -145,7 +145,7 @@
         let members = list(servers);
         fastest(|| {
             let mut leavers = DrainingEndpoints::default();
-            (0..4).for_each(|_| leavers.read(&mut members.clone()));
+            (0..4).for_each(|_| leavers.apply(&mut members.clone()));
         })
     };
     in_proportion(apply(500), apply(4_000));
@@ -160,7 +160,7 @@
         endpoint_update(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
     };
     const MANY: usize = 20_000;
-    (0..MANY).for_each(|index| leavers.read(&mut leave(index)));
+    (0..MANY).for_each(|index| leavers.apply(&mut leave(index)));
     let left = |index: usize| leavers.contains(&format!("s{index}").as_str().into());
     assert!(!left(0) && (MANY - 10_000..MANY).all(left));
 }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -33,7 +33,7 @@
 /// The start of the first server of a list that comes now.
 fn read(starts: &mut StartTimes, now: Micros, age: Micros, servers: &[(&str, Micros)]) -> Option<Micros> {
     let mut members = list(servers);
-    starts.read_news(now, |_| age, &mut members);
+    starts.apply_new(now, |_| age, &mut members);
     members.servers[0].0.started_at
 }
 
@@ -94,6 +94,6 @@
 fn the_list_from_before_the_start_does_not_make_the_first_of_discovery_news() {
     let mut starts = StartTimes::default();
     let (now, old) = (HOUR as Micros * 2, HOUR as Micros);
-    starts.read(now, |_| old, &mut list(&[("s", 5)]));
+    starts.apply(now, |_| old, &mut list(&[("s", 5)]));
     assert_eq!(read(&mut starts, now, old, &[("other", 6)]), Some(now - old));
 }
