--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -19,7 +19,7 @@
 use crate::shared::{Event, Shared, MAX_QUEUED_EVENTS};
 use crate::transport::buffer::Buffer;
 use crate::transport::clock::{micros, DeadlineTimer};
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// Calls without an answer, expired ones too.
@@ -232,7 +232,7 @@
         let words = [b"ADDGET", update.key.as_bytes(), amount.as_bytes(), lifetime_ms.as_bytes()];
         let command = resp::write_command(&words);
         let until = update.created_at + self.timeout;
-        match within(until, ConnectionEnd::TimedOut, connection.write(&command)).await {
+        match with_deadline(until, ConnectionEnd::TimedOut, connection.write(&command)).await {
             Ok(()) => {
                 let CounterUpdate { key, created_at, .. } = update;
                 self.unanswered.push_back(SentCall { key, created_at });
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -14,7 +14,7 @@
 use crate::protocol::http;
 use crate::shared::Shared;
 use crate::transport::buffer::Buffer;
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// The time that a response may take from its first byte to its end.
@@ -178,7 +178,7 @@
             Some(connection) => connection,
             None => self.dial().await?,
         };
-        within(until, ConnectionEnd::TimedOut, connection.write(request)).await?;
+        with_deadline(until, ConnectionEnd::TimedOut, connection.write(request)).await?;
         let response = read_response(&mut connection, until).await;
         match &response {
             Ok(response) if response.keep => self.connection = Some(connection),
--- a/crates/gateway/src/downstream/connection_task.rs
+++ b/crates/gateway/src/downstream/connection_task.rs
@@ -14,7 +14,7 @@
 use crate::protocol::call::FinalAnswer;
 use crate::rejection::EarlyRejection;
 use crate::shared::{Event, FinalReply, Reservations, Shared};
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// How long a client may take from connecting, or from the first byte of a command, to that command's end. Danger: clients that
@@ -263,6 +263,8 @@
     }
     match deadline {
         None => Input::Read(connection.read().await),
-        Some(deadline) => Input::Read(within(deadline, ConnectionEnd::TimedOut, connection.read()).await),
+        Some(deadline) => {
+            Input::Read(with_deadline(deadline, ConnectionEnd::TimedOut, connection.read()).await)
+        }
     }
 }
--- a/crates/gateway/src/downstream/ending.rs
+++ b/crates/gateway/src/downstream/ending.rs
@@ -10,7 +10,7 @@
 
 use super::connection_task::ConnectionTask;
 use super::idle::IdleState;
-use crate::transport::connection::within;
+use crate::transport::connection::with_deadline;
 use crate::transport::ending::ConnectionEnd;
 
 /// How long a client may take to close its connection.
@@ -52,7 +52,7 @@
         let mut pause = FIRST_LINGER_PAUSE;
         self.connection.finish();
         while received < MAX_LINGER_BYTES
-            && within(until, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok()
+            && with_deadline(until, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok()
         {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
--- a/crates/gateway/src/downstream/writing.rs
+++ b/crates/gateway/src/downstream/writing.rs
@@ -8,7 +8,7 @@
 use super::pipeline::{Counted, ReadyReply, Response};
 use crate::operator::metrics::ResponseResult;
 use crate::shared::{Piece, ResponseStream};
-use crate::transport::connection::within;
+use crate::transport::connection::with_deadline;
 use crate::transport::ending::ConnectionEnd;
 
 /// How long a client may read nothing while a reply is written. Danger: its replies would be retained for ever.
@@ -34,7 +34,7 @@
 
     async fn write_bytes(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let until = Instant::now() + WRITE_TIMEOUT;
-        within(until, ConnectionEnd::TimedOut, self.connection.write_unless_closed(bytes)).await
+        with_deadline(until, ConnectionEnd::TimedOut, self.connection.write_unless_closed(bytes)).await
     }
 
     /// Writes a long value as its pieces come. Where they break off the connection ends, so that the client can tell.
--- a/crates/gateway/src/operator/call_task.rs
+++ b/crates/gateway/src/operator/call_task.rs
@@ -14,7 +14,7 @@
 use crate::protocol::operator::{self, OperatorCall, Rejection};
 use crate::shared::Shared;
 use crate::transport::buffer::Buffer;
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// How long a call may take to its end, and until its response is written.
@@ -88,7 +88,7 @@
             if let Some(call) = operator::parse_call(self.connection.buffer.filled())? {
                 return Ok(call);
             }
-            match within(until, ConnectionEnd::TimedOut, self.connection.read()).await {
+            match with_deadline(until, ConnectionEnd::TimedOut, self.connection.read()).await {
                 Err(ConnectionEnd::TimedOut) if !self.connection.buffer.is_empty() => {
                     let reason = "no whole call has come in time".into();
                     return Err(CallFailure::Rejected(Rejection { status: 408, reason }));
@@ -100,12 +100,12 @@
 
     async fn respond(mut self, response: Response, until: Instant) {
         let bytes = operator::write_response(response.status, &response.body);
-        if within(until, ConnectionEnd::TimedOut, self.connection.write(&bytes)).await.is_err() {
+        if with_deadline(until, ConnectionEnd::TimedOut, self.connection.write(&bytes)).await.is_err() {
             return;
         }
         self.connection.finish();
         let until = Instant::now() + LINGER_TIMEOUT;
-        while within(until, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok() {
+        while with_deadline(until, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok() {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
         }
--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -82,7 +82,7 @@
             dialled.map_err(|error| ConnectionEnd::of_dial(&error))
         };
         let deadline = Instant::now() + timeout;
-        let stream = within_and_arrivals(deadline, ConnectionEnd::ConnectTimeout, dial).await?;
+        let stream = with_deadline_and_arrivals(deadline, ConnectionEnd::ConnectTimeout, dial).await?;
         Ok(Connection { remote_address: Some(address), ..Connection::new(stream, buffer, slot) })
     }
 
@@ -171,8 +171,8 @@
             }
             let message_deadline = self.buffer.message_began_at().map(|began_at| began_at + message_timeout);
             let read = match message_deadline.filter(|message_deadline| *message_deadline < deadline) {
-                Some(earlier) => within(earlier, ConnectionEnd::Malformed, self.read()).await,
-                None => within(deadline, ConnectionEnd::TimedOut, self.read()).await,
+                Some(earlier) => with_deadline(earlier, ConnectionEnd::Malformed, self.read()).await,
+                None => with_deadline(deadline, ConnectionEnd::TimedOut, self.read()).await,
             };
             // A read that filled the buffer, or came late, may have left bytes in the socket that were there in time.
             may_have_more = self.buffer.is_full();
@@ -278,7 +278,7 @@
 }
 
 /// The result of some work, or an end once the deadline has passed.
-pub async fn within<T>(
+pub async fn with_deadline<T>(
     deadline: Instant,
     end: ConnectionEnd,
     work: impl Future<Output = Result<T, ConnectionEnd>>,
@@ -290,10 +290,10 @@
     future::or(work, timeout).await
 }
 
-/// As [`within`], and once the deadline has passed the work goes on first with what sockets have received by then.
+/// As [`with_deadline`], and once the deadline has passed the work goes on first with what sockets have received by then.
 ///
 /// A process that stood still may be woken by the timer before it has looked at its sockets.
-async fn within_and_arrivals<T>(
+async fn with_deadline_and_arrivals<T>(
     deadline: Instant,
     end: ConnectionEnd,
     work: impl Future<Output = Result<T, ConnectionEnd>>,
--- a/crates/gateway/src/upstream/duplicate.rs
+++ b/crates/gateway/src/upstream/duplicate.rs
@@ -20,7 +20,7 @@
 use crate::protocol::call::{self, ReceivedReply, ServerReply, ValueFingerprint};
 use crate::protocol::resp::{self, Reply};
 use crate::protocol::Scanned;
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// A command that servers answer with a simple string, which no call is answered with.
@@ -147,7 +147,7 @@
 /// Writes the fence. Where that fails, what has come already may still be read, and the connection's end after it.
 pub(super) async fn write_fence(connection: &mut Connection, until: Instant) {
     let fence = resp::write_command(FENCE);
-    let _ = within(until, ConnectionEnd::TimedOut, connection.write(&fence)).await;
+    let _ = with_deadline(until, ConnectionEnd::TimedOut, connection.write(&fence)).await;
     connection.fence_pending = true;
 }
 
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -18,7 +18,7 @@
 use crate::protocol::Scanned;
 use crate::shared::{Event, Piece, ResponseStream};
 use crate::transport::clock::{boottime, micros};
-use crate::transport::connection::{within, Connection};
+use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
 /// How long a server may send no byte of a long value. As long as some come it is not cut off, since its client has begun
@@ -105,7 +105,7 @@
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
     ) -> Result<Exchanged<T>, AttemptFailure> {
         let began_at = Instant::now();
-        let checkout = within(until, ConnectionEnd::ConnectTimeout, self.pool.acquire());
+        let checkout = with_deadline(until, ConnectionEnd::ConnectTimeout, self.pool.acquire());
         let Checkout { connection, idle_for } = checkout.await.map_err(AttemptFailure::unsent)?;
         let dial_delay = if idle_for.is_none() { connection.read_delay(began_at) } else { Duration::ZERO };
         // There must be no await between this check and the first byte.
@@ -161,7 +161,7 @@
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
     ) -> Result<Exchanged<T>, AttemptFailure> {
         let written_at = Instant::now();
-        within(until, ConnectionEnd::TimedOut, connection.write(command))
+        with_deadline(until, ConnectionEnd::TimedOut, connection.write(command))
             .await
             .map_err(AttemptFailure::unsent)?;
         if call.is_some() {
@@ -241,7 +241,7 @@
     let mut remaining = length;
     while remaining > 0 {
         let until = Instant::now() + STREAM_STALL_TIMEOUT;
-        let piece = within(until, ConnectionEnd::Stalled, connection.read_chunk(remaining))
+        let piece = with_deadline(until, ConnectionEnd::Stalled, connection.read_chunk(remaining))
             .await
             .map_err(AttemptFailure::unanswered)?;
         remaining -= piece.len();
