--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -112,7 +112,7 @@
         let cordoned = uncordoned_at.is_none();
         // The time is one of the wall clock, which may have been set since.
         let clock = &self.shared.clock;
-        let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.least_age(at)));
+        let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.min_age(at)));
         info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => cordoned);
         let _ = self
             .orders
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -92,14 +92,14 @@
     /// Applies the start times and draining servers of a list from discovery. They count from now on, also before the
     /// dispatcher handles the list.
     pub fn apply_list(&self, members: &mut EndpointUpdate) {
-        let least_age = |unix| self.clock.least_age(unix);
+        let least_age = |unix| self.clock.min_age(unix);
         self.start_times.borrow_mut().apply_new(self.clock.now(), least_age, members);
         self.draining.borrow_mut().apply(members);
     }
 
     /// The same for the list that was known before the gateway started.
     pub fn apply_known_list(&self, members: &mut EndpointUpdate) {
-        let least_age = |unix| self.clock.least_age(unix);
+        let least_age = |unix| self.clock.min_age(unix);
         self.start_times.borrow_mut().apply(self.clock.now(), least_age, members);
         self.draining.borrow_mut().apply(members);
     }
--- a/crates/gateway/src/transport/clock.rs
+++ b/crates/gateway/src/transport/clock.rs
@@ -91,10 +91,10 @@
 
     /// How long ago a time was that another machine tells by the shared clock, µs: the least that it may be, as that clock may have
     /// been set meanwhile, here or there.
-    pub fn least_age(&self, unix: Micros) -> Micros {
+    pub fn min_age(&self, unix: Micros) -> Micros {
         let even = self.monotonic();
         self.wall.borrow_mut().look(even, shared());
-        self.wall.borrow().least_age(even, unix)
+        self.wall.borrow().min_age(even, unix)
     }
 
     /// Time since the start by the even clock alone, which nobody can set.
--- a/crates/gateway/src/transport/wall_clock.rs
+++ b/crates/gateway/src/transport/wall_clock.rs
@@ -38,7 +38,7 @@
     }
 
     /// How long ago a Unix time was, µs: the least that it may be, and 0 where it would be in the future by all settings.
-    pub fn least_age(&self, even: Micros, unix: Micros) -> Micros {
+    pub fn min_age(&self, even: Micros, unix: Micros) -> Micros {
         let age = |ahead: &i64| even as i64 + ahead - unix as i64;
         let ages = self.settings.iter().map(age).filter(|age| *age >= -UNEVEN);
         ages.min().map_or(0, |age| age.max(0) as Micros)
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -55,9 +55,9 @@
         // Told by any setting that there was, as other machines' clocks may have been set or not.
         let (age, told_by) = (chance.gen_range(0..even), settings[chance.gen_range(0..settings.len())]);
         let unix = (told_by + even as i64) as Micros - age;
-        assert!(wall.least_age(even, unix) <= age, "play {play}");
+        assert!(wall.min_age(even, unix) <= age, "play {play}");
         if settings.len() == 1 {
-            assert_eq!(wall.least_age(even, unix), age, "play {play}");
+            assert_eq!(wall.min_age(even, unix), age, "play {play}");
         }
     }
 }
@@ -67,7 +67,7 @@
     let mut wall = WallClock::new(0, WALL);
     wall.look(SECOND, WALL + SECOND as i64 - HOUR);
     let just_now = (WALL - HOUR) as Micros + 2 * SECOND + 300_000;
-    assert_eq!(wall.least_age(2 * SECOND, just_now), 0);
+    assert_eq!(wall.min_age(2 * SECOND, just_now), 0);
 }
 
 #[test]
