--- a/crates/gateway/src/transport/clock.rs
+++ b/crates/gateway/src/transport/clock.rs
@@ -84,7 +84,7 @@
     pub fn now(&self) -> Micros {
         let (since, shared) = (self.monotonic() as i64, shared());
         self.wall.borrow_mut().look(since as Micros, shared);
-        let ahead = follow(self.ahead.get(), since, shared);
+        let ahead = slew(self.ahead.get(), since, shared);
         self.ahead.set((ahead, since));
         (since + ahead) as Micros
     }
@@ -135,7 +135,7 @@
 }
 
 /// How far ahead the clock is now, by how far it was some time ago and what the shared one says.
-pub fn follow((ahead, looked): (i64, i64), since: i64, shared: i64) -> i64 {
+pub fn slew((ahead, looked): (i64, i64), since: i64, shared: i64) -> i64 {
     let most = (since - looked) / SLEW;
     ahead + (shared - since - ahead).clamp(-most, most)
 }
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -18,7 +18,7 @@
 use fernscale_gateway::protocol::catalog::{self, EndpointUpdate};
 use fernscale_gateway::shared::{Event, Shared};
 use fernscale_gateway::transport::buffer::Buffer;
-use fernscale_gateway::transport::clock::follow;
+use fernscale_gateway::transport::clock::slew;
 use fernscale_gateway::transport::connection::Connection;
 use fernscale_gateway::transport::ending::ConnectionEnd;
 use fernscale_gateway::upstream::{self, Order};
@@ -160,7 +160,7 @@
         let (mut ahead, mut since) = (1_000_000_000, 0);
         for step in 1..=steps {
             let before = since + ahead;
-            ahead = follow((ahead, since), since + 1_000_000, 1_000_000_000 + set + since + 1_000_000);
+            ahead = slew((ahead, since), since + 1_000_000, 1_000_000_000 + set + since + 1_000_000);
             since += 1_000_000;
             let gone = since + ahead - before;
             assert!((980_000..=1_020_000).contains(&gone), "{gone} in a second at step {step}");
