--- a/crates/gateway/src/transport/syscall.rs
+++ b/crates/gateway/src/transport/syscall.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
     /// That one had ended, or its network had a fault: the next may well be there.
-    ThisOne,
+    ThisConnection,
     /// The machine lacks descriptors or memory: the next would fare no better at once.
     NoResources,
 }
@@ -41,14 +41,14 @@
         // ENOMEM, ENFILE, EMFILE, ENOBUFS.
         match error.raw_os_error() {
             Some(12 | 23 | 24 | 105) => AcceptFailure::NoResources,
-            _ => AcceptFailure::ThisOne,
+            _ => AcceptFailure::ThisConnection,
         }
     }
 
     /// How long to wait before the next is accepted. Neither may spin while an error lasts.
     pub fn backoff(self) -> Duration {
         match self {
-            AcceptFailure::ThisOne => AFTER_THIS_ONE,
+            AcceptFailure::ThisConnection => AFTER_THIS_ONE,
             AcceptFailure::NoResources => WITHOUT_RESOURCES,
         }
     }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -42,8 +42,10 @@
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
     assert!([24, 23, 105, 12].into_iter().all(|number| of(number) == AcceptFailure::NoResources));
     // ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, ETIMEDOUT.
-    assert!([103, 4, 71, 100, 113, 110].into_iter().all(|number| of(number) == AcceptFailure::ThisOne));
-    assert!(AcceptFailure::ThisOne.backoff() < AcceptFailure::NoResources.backoff());
+    assert!([103, 4, 71, 100, 113, 110]
+        .into_iter()
+        .all(|number| of(number) == AcceptFailure::ThisConnection));
+    assert!(AcceptFailure::ThisConnection.backoff() < AcceptFailure::NoResources.backoff());
 }
 
 /// What becomes of dials that fail with these errors, the last of them for ever; `None`: one that comes up. And how many there were.
