--- a/crates/gateway/src/fleet/membership/connection.rs
+++ b/crates/gateway/src/fleet/membership/connection.rs
@@ -12,7 +12,7 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 
 use crate::transport::stream::{read_exact, write_all};
-use crate::transport::syscall::dialled;
+use crate::transport::syscall::connect_with_retries;
 
 /// Size of the length in front of a message: an unsigned number, the highest byte first.
 const LENGTH_BYTES: usize = 4;
@@ -43,7 +43,7 @@
             && local_ip.is_loopback() == to.ip().is_loopback()
     };
     let Some(local_ip) = local_ip.filter(can_reach) else {
-        return dialled(|| Async::<TcpStream>::connect(to)).await;
+        return connect_with_retries(|| Async::<TcpStream>::connect(to)).await;
     };
     let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -17,7 +17,7 @@
 use super::ending::ConnectionEnd;
 use super::limits::Reservation;
 use super::stream::write_all;
-use super::syscall::{dialled, uninterrupted};
+use super::syscall::{connect_with_retries, uninterrupted};
 use crate::protocol::call::ValueFingerprint;
 use crate::protocol::Scanned;
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::ConnectTimeout`] after the timeout, else as [`ConnectionEnd::of_dial`] has it.
+    /// [`ConnectionEnd::ConnectTimeout`] after the timeout, else as [`ConnectionEnd::from_connect_error`] has it.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -78,8 +78,8 @@
         slot: Option<Reservation>,
     ) -> Result<Self, ConnectionEnd> {
         let dial = async {
-            let dialled = dialled(|| Async::<TcpStream>::connect(address)).await;
-            dialled.map_err(|error| ConnectionEnd::of_dial(&error))
+            let connected = connect_with_retries(|| Async::<TcpStream>::connect(address)).await;
+            connected.map_err(|error| ConnectionEnd::from_connect_error(&error))
         };
         let deadline = Instant::now() + timeout;
         let stream = with_deadline_and_arrivals(deadline, ConnectionEnd::ConnectTimeout, dial).await?;
--- a/crates/gateway/src/transport/ending.rs
+++ b/crates/gateway/src/transport/ending.rs
@@ -79,7 +79,7 @@
     }
 
     /// How a dial that failed ends.
-    pub fn of_dial(error: &io::Error) -> Self {
+    pub fn from_connect_error(error: &io::Error) -> Self {
         match ConnectFailure::classify(error) {
             ConnectFailure::TryAgain | ConnectFailure::NoDescriptor => ConnectionEnd::NoDescriptor,
             ConnectFailure::Unreachable => ConnectionEnd::Refused,
--- a/crates/gateway/src/transport/syscall.rs
+++ b/crates/gateway/src/transport/syscall.rs
@@ -85,7 +85,9 @@
 
 /// Dials again, after a pause each time, where the error says nothing of the other side. What this machine lacks for longer is
 /// told: another attempt is the decision module's matter.
-pub async fn dialled<T, D: Future<Output = io::Result<T>>>(mut dial: impl FnMut() -> D) -> io::Result<T> {
+pub async fn connect_with_retries<T, D: Future<Output = io::Result<T>>>(
+    mut dial: impl FnMut() -> D,
+) -> io::Result<T> {
     for _ in 1..MOST_DIALS {
         match dial().await {
             Err(error) if ConnectFailure::classify(&error) == ConnectFailure::TryAgain => {
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -6,7 +6,7 @@
 
 use fernscale_gateway::transport::ending::ConnectionEnd;
 use fernscale_gateway::transport::stream::{read_exact, write_all};
-use fernscale_gateway::transport::syscall::{dialled, uninterrupted, AcceptFailure};
+use fernscale_gateway::transport::syscall::{connect_with_retries, uninterrupted, AcceptFailure};
 
 #[test]
 fn a_call_that_signals_interrupt_is_made_again_and_any_other_error_is_told() {
@@ -51,12 +51,12 @@
 /// What becomes of dials that fail with these errors, the last of them for ever; `None`: one that comes up. And how many there were.
 fn after_dials(errors: &[Option<i32>]) -> (Result<(), ConnectionEnd>, usize) {
     let mut dials = 0;
-    let end = async_io::block_on(dialled(|| {
+    let end = async_io::block_on(connect_with_retries(|| {
         let error = errors[dials.min(errors.len() - 1)];
         dials += 1;
         async move { error.map_or(Ok(()), |error| Err(Error::from_raw_os_error(error))) }
     }));
-    (end.map_err(|error| ConnectionEnd::of_dial(&error)), dials)
+    (end.map_err(|error| ConnectionEnd::from_connect_error(&error)), dials)
 }
 
 #[test]
