--- a/crates/gateway/src/downstream/connection_task.rs
+++ b/crates/gateway/src/downstream/connection_task.rs
@@ -244,7 +244,7 @@
     /// not among them: of all it is the likeliest to ask again, and may have begun to.
     fn evict_asked_once(&self) {
         let clients = &self.context.shared.limits.clients;
-        if clients.has_spare() {
+        if clients.has_third_free() {
             return;
         }
         let max_others = (clients.capacity() / ASKED_ONCE_DIVISOR).saturating_sub(1);
--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -75,12 +75,12 @@
     }
 
     /// Whether at least a third is free.
-    pub fn has_spare(&self) -> bool {
+    pub fn has_third_free(&self) -> bool {
         3 * self.used.get() <= 2 * self.capacity.get()
     }
 
     /// Whether at least a quarter is free.
-    pub fn is_mostly_free(&self) -> bool {
+    pub fn has_quarter_free(&self) -> bool {
         4 * self.used.get() <= 3 * self.capacity.get()
     }
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -93,7 +93,7 @@
     pub(super) fn release(&self, mut connection: Connection) {
         let owes_nothing = connection.buffer.is_empty() && !connection.fence_pending;
         let is_reusable = owes_nothing && !connection.desynchronized && self.is_connected(&connection);
-        if is_reusable && self.shared.limits.servers.is_mostly_free() {
+        if is_reusable && self.shared.limits.servers.has_quarter_free() {
             connection.last_used = Instant::now();
             self.idle.borrow_mut().push(connection);
         }
