--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -151,7 +151,7 @@
 
     /// Cordons or uncordons a server in all processes, and waits until they have acknowledged it. False where they have not
     /// in time.
-    pub async fn word(&self, server: &Id, cordoned: bool) -> bool {
+    pub async fn set_cordon(&self, server: &Id, cordoned: bool) -> bool {
         self.core.borrow_mut().set_cordon(server, cordoned, now());
         let (version, deadline) = (self.core.borrow().version(), Instant::now() + ACKNOWLEDGE_TIMEOUT);
         while !self.publish() || !self.core.borrow().is_acknowledged(version) {
--- a/crates/gateway/src/operator/call_task.rs
+++ b/crates/gateway/src/operator/call_task.rs
@@ -135,7 +135,7 @@
         let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
         let known = is_known.recv().await.unwrap_or(false);
         if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
-            if !link.word(&server, on).await {
+            if !link.set_cordon(&server, on).await {
                 warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
             }
         }
