--- a/crates/gateway/src/transport/buffer.rs
+++ b/crates/gateway/src/transport/buffer.rs
@@ -5,26 +5,26 @@
 use super::ending::ConnectionEnd;
 use super::limits::{Reservation, Slots};
 
-/// Size in bytes that a buffer begins with, and has again once it is empty: most messages fit.
+/// Size in bytes of a new buffer, and of a buffer that has been emptied. Most messages fit.
 const INITIAL_SIZE: usize = 1024;
 
 /// Received bytes that are not consumed yet.
 ///
-/// It doubles as needed, up to a limit, and moves its contents to the front when the end is reached. A larger size than the initial
-/// one is reserved among the bytes of all connections of its kind.
+/// The buffer moves its contents to the front when the end is reached, and doubles its size as needed up to a limit. A size above
+/// the initial one is reserved from the bytes that all connections of the same kind share.
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
     max_size: usize,
     message_began_at: Instant,
-    /// The bytes of all connections of its kind.
+    /// The bytes that all connections of the same kind share.
     slots: Option<Slots>,
     reservation: Option<Reservation>,
 }
 
 impl Buffer {
-    /// An empty buffer that grows to so many bytes at most, in these slots.
+    /// Creates an empty buffer that grows to at most `max_size` bytes and reserves them from `slots`.
     pub fn new(max_size: usize, slots: Option<Slots>) -> Self {
         Buffer {
             bytes: Vec::new(),
@@ -37,33 +37,33 @@
         }
     }
 
-    /// What has been received and not consumed.
+    /// The bytes that have been received and not consumed.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Whether nothing has been received that is not consumed.
+    /// Whether all received bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// Whether the last bytes that came took all the room that there was.
+    /// Whether the last received bytes filled all the spare space.
     pub fn is_full(&self) -> bool {
         self.end == self.bytes.len() && !self.is_empty()
     }
 
-    /// When the first bytes of the message at the front came; none if none has begun.
+    /// When the first bytes of the message at the front were received. `None` if the buffer is empty.
     pub fn message_began_at(&self) -> Option<Instant> {
         (!self.is_empty()).then_some(self.message_began_at)
     }
 
-    /// Removes so many bytes from the front.
+    /// Removes `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.message_began_at = Instant::now();
         self.start += count;
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
-            // An idle connection must not keep the size of its largest message.
+            // An idle connection must not keep the memory of its largest message.
             if self.bytes.len() > INITIAL_SIZE {
                 self.bytes = Vec::new();
                 self.reservation = None;
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Free space behind what is filled, for more to be received into.
+    /// The free space behind the filled bytes, into which more bytes can be received. It is never empty.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::Malformed`] where the message is longer than the limit, [`ConnectionEnd::OutOfMemory`] where the
-    /// slots are used up.
+    /// [`ConnectionEnd::Malformed`] if the message is longer than the limit, [`ConnectionEnd::OutOfMemory`] if too few slots are
+    /// free.
     pub fn spare(&mut self) -> Result<&mut [u8], ConnectionEnd> {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Whether so many bytes could be reserved for it.
+    /// Reserves `size` bytes for this buffer in total. Returns false if too few are free.
     fn reserve(&mut self, size: usize) -> bool {
         let Some(slots) = &self.slots else { return true };
         if let Some(reservation) = &mut self.reservation {
@@ -110,7 +110,7 @@
         self.reservation.is_some()
     }
 
-    /// Notes that so many bytes of the spare space have been received.
+    /// Marks the first `count` bytes of the spare space as received.
     pub fn advance(&mut self, count: usize) {
         if self.is_empty() {
             self.message_began_at = Instant::now();
--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! A connection, outgoing or accepted, with its read buffer.
+//! A TCP connection, outgoing or accepted, with its read buffer.
 
 use std::future::Future;
 use std::io::{ErrorKind, Read};
@@ -21,38 +21,39 @@
 use crate::protocol::call::ValueFingerprint;
 use crate::protocol::Scanned;
 
-/// Size in bytes of the chunks in which a long value is passed on. A value takes three of them, one on each side and one in
-/// between; all connections to servers together then take less than a tenth of the least memory.
+/// Size in bytes of the chunks in which a long value is forwarded. A value occupies up to three chunks: one on each side and one
+/// in between. All connections to servers together then use less than a tenth of the smallest memory that can be configured.
 const CHUNK_SIZE: usize = 16 * 1024;
 
-/// Bytes that are read ahead while a reply is awaited: behind unread bytes the end of the connection could not be seen.
+/// Bytes that are read ahead while a reply is awaited. The end of the connection can't be detected behind unread bytes.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// How often a connection whose other side has sent more than that is checked for its end.
+/// How often a connection is checked for its end once its peer has sent [`MAX_READ_AHEAD`] bytes.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A TCP connection to a client, a server or the counter.
 pub struct Connection {
     stream: Async<TcpStream>,
-    /// What has been received and not consumed.
+    /// The bytes that have been received and not consumed.
     pub buffer: Buffer,
-    /// When a message was last written to it, or it became idle.
+    /// When a message was last written to the connection, or when it became idle.
     pub last_used: Instant,
-    /// What is received on it can't be assigned to requests any more.
+    /// Whether received replies can no longer be matched to requests.
     pub desynchronized: bool,
-    /// The value of the last call that was answered on it; none where there was none, or it was not kept complete.
+    /// The value of the last reply on this connection. `None` if there was no reply, or if its value was not kept in full.
     pub last_value: Option<ValueFingerprint>,
-    /// The reply to a command is still to come that was written only to have all replies before it.
+    /// Whether the reply to a fence command is awaited. A fence is written only so that all earlier replies arrive before its
+    /// reply.
     pub fence_pending: bool,
     slot: Option<Reservation>,
-    /// The address that it was opened to; none where it was accepted.
+    /// The address that the connection was opened to. `None` if it was accepted.
     remote_address: Option<SocketAddr>,
 }
 
 impl Connection {
-    /// An established connection that takes this slot.
+    /// Wraps an established connection, which occupies `slot`.
     pub fn new(stream: Async<TcpStream>, buffer: Buffer, slot: Option<Reservation>) -> Self {
-        // Messages are small and each is waited for.
+        // Messages are small, and the peer waits for each of them.
         let _ = stream.get_ref().set_nodelay(true);
         Connection {
             stream,
@@ -70,33 +71,34 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::ConnectTimeout`] after the timeout, else as [`ConnectionEnd::from_connect_error`] has it.
+    /// [`ConnectionEnd::ConnectTimeout`] after the timeout, or the result of [`ConnectionEnd::from_connect_error`].
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
         buffer: Buffer,
         slot: Option<Reservation>,
     ) -> Result<Self, ConnectionEnd> {
-        let dial = async {
+        let connect = async {
             let connected = connect_with_retries(|| Async::<TcpStream>::connect(address)).await;
             connected.map_err(|error| ConnectionEnd::from_connect_error(&error))
         };
         let deadline = Instant::now() + timeout;
-        let stream = with_deadline_and_arrivals(deadline, ConnectionEnd::ConnectTimeout, dial).await?;
+        let stream = with_deadline_after_arrivals(deadline, ConnectionEnd::ConnectTimeout, connect).await?;
         Ok(Connection { remote_address: Some(address), ..Connection::new(stream, buffer, slot) })
     }
 
-    /// Receives more bytes into the buffer. May be dropped at any time without losing any.
+    /// Receives more bytes into the buffer. The future may be dropped at any time without losing bytes.
     pub async fn read(&mut self) -> Result<(), ConnectionEnd> {
         read(&self.stream, &mut self.buffer).await
     }
 
-    /// Waits until the other side closes. What is received meanwhile is buffered as far as there is space, the rest stays unread.
+    /// Waits until the peer closes the connection. Bytes received meanwhile are buffered up to [`MAX_READ_AHEAD`]; the rest stays
+    /// unread.
     pub async fn closed(&mut self) -> ConnectionEnd {
         wait_for_close(&self.stream, &mut self.buffer).await
     }
 
-    /// Writes all, as [`Connection::write`] does, and stops as soon as the other side closes.
+    /// Writes all bytes, as [`Connection::write`] does, and stops as soon as the peer closes the connection.
     pub async fn write_unless_closed(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         self.last_used = Instant::now();
         let Connection { stream, buffer, .. } = self;
@@ -104,7 +106,7 @@
         future::or(write, async { Err(wait_for_close(stream, buffer).await) }).await
     }
 
-    /// The next chunk of a long value, of `max_length` bytes at most.
+    /// Reads the next chunk of a long value, of `max_length` bytes at most.
     pub async fn read_chunk(&mut self, max_length: usize) -> Result<Vec<u8>, ConnectionEnd> {
         let max_length = max_length.min(CHUNK_SIZE);
         if !self.buffer.is_empty() {
@@ -124,34 +126,34 @@
         }
     }
 
-    /// Writes all; the last byte is written only if this succeeds.
+    /// Writes all bytes. The last byte is written only if this succeeds.
     pub async fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         self.last_used = Instant::now();
         write_all(&self.stream, bytes).await.map_err(|_| ConnectionEnd::IoError)
     }
 
-    /// Whether it was opened to this address.
+    /// Whether the connection was opened to this address.
     pub fn is_connected_to(&self, address: SocketAddr) -> bool {
         self.remote_address == Some(address)
     }
 
-    /// Takes another slot; the one that it had is free.
+    /// Moves the connection to another slot, and frees the slot that it had.
     pub fn move_reservation(&mut self, slot: Reservation) {
         self.slot = Some(slot);
     }
 
-    /// Closes the direction to the other side: nothing more will be written.
+    /// Shuts the connection down for writing.
     pub fn finish(&self) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Reads until a complete message has been received, and consumes it. One that has begun must be complete within
-    /// `message_timeout`.
+    /// Reads until a complete message has been received, and consumes it. A message must be complete within `message_timeout` of
+    /// its first byte.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::TimedOut`] after the deadline, [`ConnectionEnd::Malformed`] where the message is not valid or
-    /// took too long, or the way in which the connection ended.
+    /// [`ConnectionEnd::TimedOut`] after the deadline, [`ConnectionEnd::Malformed`] if the message is invalid or exceeds
+    /// `message_timeout`, or the end of the connection.
     pub async fn message<T>(
         &mut self,
         mut scan: impl FnMut(&[u8]) -> Scanned<T>,
@@ -174,7 +176,7 @@
                 Some(earlier) => with_deadline(earlier, ConnectionEnd::Malformed, self.read()).await,
                 None => with_deadline(deadline, ConnectionEnd::TimedOut, self.read()).await,
             };
-            // A read that filled the buffer, or came late, may have left bytes in the socket that were there in time.
+            // A read that filled the buffer, or ran late, may have left bytes in the socket that arrived in time.
             may_have_more = self.buffer.is_full();
             match read {
                 Err(ConnectionEnd::Malformed | ConnectionEnd::TimedOut) if self.read_available()? => {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Reads what the system has received, without waiting. False where that is nothing.
+    /// Reads the bytes that the kernel has received, without waiting. Returns false if there are none.
     fn read_available(&mut self) -> Result<bool, ConnectionEnd> {
         let spare = self.buffer.spare()?;
         match uninterrupted(|| (&mut self.stream.get_ref()).read(spare)) {
@@ -199,14 +201,15 @@
         }
     }
 
-    /// Acknowledges at once what has been read: a server with Nagle's algorithm holds the next small write back until then.
+    /// Sends a TCP acknowledgement of the read bytes at once. A server with Nagle's algorithm delays its next small write until
+    /// then.
     pub fn acknowledge(&self) {
-        // Where the system refuses, the acknowledgement comes by itself, some 40 ms later.
+        // If the option can't be set, the kernel sends the acknowledgement some 40 ms later.
         let _ = sockopt::set_tcp_quickack(&self.stream, true);
     }
 
-    /// How late this process read what it has just read, or noticed that the connection was established, of the time that it has
-    /// waited for that. Zero where the system does not say, or below [`MIN_READ_DELAY`].
+    /// How long the bytes that were just read, or the newly established connection, had been there before this process noticed.
+    /// It is at most the time since `waited_since`. Zero if the kernel does not report it, or below [`MIN_READ_DELAY`].
     pub fn read_delay(&self, waited_since: Instant) -> Duration {
         let waited = waited_since.elapsed();
         if waited < MIN_READ_DELAY {
@@ -215,7 +218,8 @@
         self.unread_time().min(waited)
     }
 
-    /// How long ago the system received what has just been read. Zero where it does not say, or below [`MIN_READ_DELAY`].
+    /// How long ago the kernel received the bytes that were just read. Zero if the kernel does not report it, or below
+    /// [`MIN_READ_DELAY`].
     pub fn unread_time(&self) -> Duration {
         let time = time_since_arrival(self.stream.get_ref()).unwrap_or_default();
         if time < MIN_READ_DELAY {
@@ -225,13 +229,14 @@
         }
     }
 
-    /// Whether it is open and the system has received nothing that is not in the buffer.
+    /// Whether the connection is open and the kernel holds no unread bytes. The buffer may hold bytes.
     pub fn is_open_and_idle(&self) -> bool {
         let peeked = uninterrupted(|| self.stream.get_ref().peek(&mut [0]));
         matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether it is open with nothing left to read: an idle one may have been closed, and a write would be lost.
+    /// Whether the connection is open, with no unread bytes in the kernel or the buffer. An idle connection may have been closed
+    /// by the peer, and a write to it would be lost.
     pub fn has_no_input(&self) -> bool {
         self.buffer.is_empty() && self.is_open_and_idle()
     }
@@ -239,7 +244,7 @@
 
 async fn read(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<(), ConnectionEnd> {
     let spare = buffer.spare()?;
-    // Nearly always nothing is there yet: a read before readiness would be a system call for nothing at each wakeup.
+    // Mostly no bytes have arrived yet: a read before the socket is ready would waste a system call at each wakeup.
     let read = future::poll_fn(|context| loop {
         if let Err(error) = ready!(stream.poll_readable(context)) {
             return Poll::Ready(Err(error));
@@ -277,7 +282,7 @@
     }
 }
 
-/// The result of some work, or an end once the deadline has passed.
+/// Runs `work` until the deadline, and fails with `end` once the deadline has passed.
 pub async fn with_deadline<T>(
     deadline: Instant,
     end: ConnectionEnd,
@@ -290,10 +295,10 @@
     future::or(work, timeout).await
 }
 
-/// As [`with_deadline`], and once the deadline has passed the work goes on first with what sockets have received by then.
+/// Like [`with_deadline`], but lets `work` handle what its sockets have received by the deadline before it fails.
 ///
-/// A process that stood still may be woken by the timer before it has looked at its sockets.
-async fn with_deadline_and_arrivals<T>(
+/// In a process that was suspended, the timer may fire before the reactor has polled the sockets.
+async fn with_deadline_after_arrivals<T>(
     deadline: Instant,
     end: ConnectionEnd,
     work: impl Future<Output = Result<T, ConnectionEnd>>,
--- a/crates/gateway/src/transport/ending.rs
+++ b/crates/gateway/src/transport/ending.rs
@@ -1,48 +1,48 @@
-//! Every way in which a connection can end, or fail to begin.
+//! Why a connection ends, or can't be established.
 
 use std::fmt;
 use std::io;
 
 use super::syscall::ConnectFailure;
 
-/// Why a connection ended, or was not used.
+/// Why a connection ended, could not be established, or was not used.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// No descriptor was left for it.
+    /// No file descriptor was free.
     NoDescriptor,
-    /// No memory was left for what the other side wrote.
+    /// No memory was free for the bytes that the peer sent.
     OutOfMemory,
-    /// Nobody listens there, or the dial failed in another way.
+    /// The peer refused the connection, or connecting failed in another way.
     Refused,
-    /// It was not established in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// The other side closed it.
+    /// The peer closed the connection.
     Closed,
     /// Reading or writing failed.
     IoError,
-    /// The other side sent a malformed message.
+    /// The peer sent a malformed message.
     Malformed,
-    /// The other side neither sent nor read anything before the deadline.
+    /// The peer neither sent nor read anything before the deadline.
     TimedOut,
-    /// The other side stopped in the middle of its reply.
+    /// The peer stopped in the middle of its reply.
     Stalled,
-    /// The request on it was cancelled.
+    /// The request on the connection was cancelled.
     Cancelled,
-    /// The server was cordoned by operators.
+    /// An operator cordoned the server.
     Cordoned,
-    /// The server drains, was removed, or has another address.
+    /// The server is draining, was removed from the endpoint list, or has another address.
     EndpointChanged,
-    /// Nothing had been sent when the client disconnected or its deadline passed.
+    /// The client disconnected, or its deadline passed, before anything was sent.
     NotNeeded,
     /// The endpoint list has expired.
     StaleEndpoints,
-    /// It was idle for too long, or its slot was needed.
+    /// The connection was idle for too long, or its slot was needed.
     Idle,
-    /// This gateway shuts down.
+    /// This gateway is shutting down.
     ShuttingDown,
 }
 
-/// As in log records, which print ends of attempts in this form.
+/// Prints the name, as log records write the ends of attempts in this form.
 impl fmt::Debug for ConnectionEnd {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(self.name())
@@ -56,7 +56,7 @@
 }
 
 impl ConnectionEnd {
-    /// The name in log records and error texts. These stay as they are, whatever the variants are called.
+    /// The name in log records and error texts. It must not change, even if the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::NoDescriptor => "NoSocket",
@@ -78,10 +78,10 @@
         }
     }
 
-    /// How a dial that failed ends.
+    /// The end that an error of connect(2) stands for.
     pub fn from_connect_error(error: &io::Error) -> Self {
         match ConnectFailure::classify(error) {
-            ConnectFailure::TryAgain | ConnectFailure::NoDescriptor => ConnectionEnd::NoDescriptor,
+            ConnectFailure::Temporary | ConnectFailure::NoDescriptor => ConnectionEnd::NoDescriptor,
             ConnectFailure::Unreachable => ConnectionEnd::Refused,
         }
     }
--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -1,36 +1,37 @@
-//! How many descriptors, requests and bytes this gateway may hold: all of it follows from the configuration's limits.
+//! How many descriptors, requests and bytes this gateway may hold. All limits are derived from those in the configuration.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use crate::protocol::resp::MOST_MESSAGE;
 
-/// Descriptors that are neither clients' nor servers': three standard streams, three of the reactor, two for signals, the listener,
-/// a connection to discovery and to the counter, those to earlier counters that still owe replies, one that was accepted and has no
-/// slot yet, and as many again for what closes late.
+/// Descriptors that are used neither for clients nor for servers: three standard streams, three of the reactor, two for signals,
+/// the listener, one connection to discovery and one to the counter, connections to earlier counters that still owe replies, one
+/// accepted connection without a slot, and as many again for connections that close late.
 const OWN_DESCRIPTORS: usize = 24;
 
-/// Operators' connections with a call in progress: a few operators and the scrape of metrics, with as many that stall.
+/// Maximum number of operators' connections with a call in progress: a few operators and the metrics scraper, and as many that
+/// stall.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
 
-/// Tenths of the remaining descriptors that connections to servers may take, one for each attempt. Clients use a third of all,
-/// and those of a gateway that restarts are added to it.
+/// Tenths of the remaining descriptors that connections to servers may use, one for each attempt. Clients use a third of all
+/// descriptors, and the clients of a restarting gateway are added to them.
 const SERVERS_TENTHS: usize = 3;
 
-/// Tenths of the clients' descriptors that are kept for telling clients beyond the limit that they can't be served.
+/// Tenths of the clients' descriptors that are reserved for rejecting clients beyond the limit.
 const REJECTED_TENTHS: usize = 1;
 
-/// Memory in MiB of the program itself and of what the decision module retains.
+/// Memory in MiB that the program itself and the state of the decision module use.
 const PROGRAM_MIB: usize = 8;
 
-/// The remaining memory has equal parts: records of open requests, their bytes, incomplete messages of clients, those of servers,
-/// and values on their way to clients with the allocator's overhead.
+/// The remaining memory is divided into equal parts: records of open requests, bytes of open requests, incomplete messages from
+/// clients, incomplete messages from servers, and values that are being forwarded to clients, with the allocator's overhead.
 const MEMORY_PARTS: usize = 5;
 
-/// Bytes that the records of an open request take at most, here and in the decision module, beside its own bytes.
+/// Maximum size in bytes of the records of an open request, here and in the decision module, without the request's own bytes.
 const REQUEST_RECORD_SIZE: usize = 4 * 1024;
 
-/// Counts reservations against a capacity. A reservation frees its slots when it is dropped.
+/// Counts reservations against a capacity. A reservation frees its slots when it is dropped. Clones share the same slots.
 #[derive(Clone)]
 pub struct Slots {
     used: Rc<Cell<usize>>,
@@ -38,12 +39,12 @@
 }
 
 impl Slots {
-    /// So many slots, all free.
+    /// Creates `capacity` free slots.
     pub fn new(capacity: usize) -> Self {
         Slots { used: Rc::default(), capacity: Rc::new(Cell::new(capacity)) }
     }
 
-    /// Takes so many slots; none where fewer are free.
+    /// Reserves `count` slots. `None` if fewer are free.
     pub fn reserve(&self, count: usize) -> Option<Reservation> {
         let used = self.used.get() + count;
         if used > self.capacity.get() {
@@ -53,12 +54,12 @@
         Some(Reservation { used: self.used.clone(), count })
     }
 
-    /// How many are taken.
+    /// The number of reserved slots. It may exceed the capacity after the capacity was lowered.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Makes a reservation larger or smaller; false, and unchanged, where too few slots are free.
+    /// Changes the size of a reservation to `count` slots. Returns false, and changes nothing, if too few slots are free.
     pub fn resize(&self, reservation: &mut Reservation, count: usize) -> bool {
         let used = self.used.get() - reservation.count + count;
         if used > self.capacity.get() && count > reservation.count {
@@ -69,23 +70,23 @@
         true
     }
 
-    /// How many there are.
+    /// The number of slots, free or reserved.
     pub fn capacity(&self) -> usize {
         self.capacity.get()
     }
 
-    /// Whether at least a third is free.
+    /// Whether at least a third of the slots is free.
     pub fn has_third_free(&self) -> bool {
         3 * self.used.get() <= 2 * self.capacity.get()
     }
 
-    /// Whether at least a quarter is free.
+    /// Whether at least a quarter of the slots is free.
     pub fn has_quarter_free(&self) -> bool {
         4 * self.used.get() <= 3 * self.capacity.get()
     }
 }
 
-/// Slots that are taken until this is dropped.
+/// Slots that are reserved until this value is dropped.
 pub struct Reservation {
     used: Rc<Cell<usize>>,
     count: usize,
@@ -97,12 +98,12 @@
     }
 }
 
-/// What this process may hold of each kind.
+/// How much this process may hold of each resource.
 #[derive(Clone)]
 pub struct Limits {
     /// Connections of clients that are served.
     pub clients: Slots,
-    /// Connections of clients that are only told that they can't be served.
+    /// Connections of clients whose commands are only rejected.
     pub rejected: Slots,
     /// Connections to servers.
     pub servers: Slots,
@@ -110,17 +111,17 @@
     pub open: Slots,
     /// Bytes of open requests.
     pub bytes: Slots,
-    /// Bytes of clients' messages that are not complete yet.
+    /// Bytes of incomplete messages from clients.
     pub from_clients: Slots,
-    /// Bytes of servers' messages that are not complete yet.
+    /// Bytes of incomplete messages from servers.
     pub from_servers: Slots,
-    /// Descriptors of the configured parts beyond the gateway's own.
+    /// Descriptors for optional features that are configured, in addition to [`OWN_DESCRIPTORS`].
     reserved: usize,
     memory_mb: usize,
 }
 
 impl Limits {
-    /// The limits of a gateway with so many descriptors, of which `reserved` are for the parts that are configured.
+    /// The limits of a gateway with so many `descriptors`, of which `reserved` are for optional features that are configured.
     pub fn new(descriptors: usize, memory_mb: usize, reserved: usize) -> Self {
         let limits = Limits {
             clients: Slots::new(0),
@@ -137,8 +138,8 @@
         limits
     }
 
-    /// Changes the limits to so many descriptors, and memory shared by so many processes. Reservations beyond them stay until
-    /// they are dropped.
+    /// Changes the limits to this process's `descriptors`, and to its part of the memory, which is divided evenly among
+    /// `processes`. Reservations beyond the new limits stay until they are dropped.
     pub fn set_process_share(&self, descriptors: usize, processes: usize) {
         let memory_mb = self.memory_mb / processes.max(1);
         let remaining = descriptors.saturating_sub(OWN_DESCRIPTORS + self.reserved);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Descriptors in use, with those that are kept for the gateway itself.
+    /// Descriptors in use, including those that are reserved for the gateway itself.
     pub fn used_descriptors(&self) -> usize {
         OWN_DESCRIPTORS + self.reserved + self.clients.used() + self.rejected.used() + self.servers.used()
     }
--- a/crates/gateway/src/transport/loop_timer.rs
+++ b/crates/gateway/src/transport/loop_timer.rs
@@ -1,5 +1,5 @@
-//! How long single turns of the event loop take. All of a gateway runs on one thread: while one turn runs, no answer is
-//! written, no deadline is seen and no client is heard.
+//! Measures how long single iterations of the event loop take. A gateway runs on one thread: during a long iteration it writes
+//! no reply, checks no deadline and reads from no client.
 
 use std::time::{Duration, Instant};
 
@@ -7,25 +7,27 @@
 
 use crate::transport::clock::micros;
 
-/// A turn that takes longer is told: ten of them in a row would be later than answers may be given before their deadline.
-const LONG: Duration = Duration::from_millis(20);
+/// Iterations that take at least this long are logged. Ten of them in a row delay a reply by more than
+/// the margin that replies keep before their deadline.
+const LONG_ITERATION: Duration = Duration::from_millis(20);
 
-/// One turn, from its beginning.
+/// A running iteration of the event loop.
 pub struct LoopIteration {
     name: &'static str,
     began: Instant,
 }
 
 impl LoopIteration {
+    /// Begins an iteration. The name says what it handles.
     pub fn begin(name: &'static str) -> Self {
         LoopIteration { name, began: Instant::now() }
     }
 
-    /// Ends the turn. One that held the loop for long is told with its name.
+    /// Ends the iteration, and logs its name if it was long.
     pub fn end(self, log: &Logger) {
         let took = self.began.elapsed();
-        if took >= LONG {
-            warn!(log, #"loop.held", "the event loop was held"; "by" => self.name, "took_us" => micros(took));
+        if took >= LONG_ITERATION {
+            warn!(log, #"loop.held", "an iteration of the event loop took too long"; "by" => self.name, "took_us" => micros(took));
         }
     }
 }
--- a/crates/gateway/src/transport/mod.rs
+++ b/crates/gateway/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and what they need: connections, their buffers, how they end, how many there may be.
+//! Connections and their buffers, why connections end, resource limits, and the clocks.
 
 pub mod arrival;
 pub mod buffer;
--- a/crates/gateway/src/transport/stream.rs
+++ b/crates/gateway/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! Whole pieces on a stream, however little of them the system takes or gives at a time, and whatever signals interrupt it.
+//! Reads and writes of a given length on a stream, in spite of partial transfers and of signals that interrupt system calls.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -7,10 +7,10 @@
 
 use super::syscall::uninterrupted;
 
-/// Bytes that are made room for at a time: memory grows with what comes, not with what was announced.
-const PIECE: usize = 16 * 1024;
+/// Bytes by which the buffer grows at a time, so that memory grows with the received bytes and not with the announced length.
+const READ_STEP: usize = 16 * 1024;
 
-/// Writes all.
+/// Writes all bytes.
 pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.write_with(|mut stream| uninterrupted(|| stream.write(bytes))).await? {
@@ -21,15 +21,15 @@
     Ok(())
 }
 
-/// Reads so many bytes; an error where the stream ends before.
+/// Reads `count` bytes. Fails with `UnexpectedEof` if the stream ends earlier.
 pub async fn read_exact(stream: &Async<TcpStream>, count: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     while bytes.len() < count {
         let filled = bytes.len();
-        bytes.resize(count.min(filled + PIECE), 0);
+        bytes.resize(count.min(filled + READ_STEP), 0);
         match stream.read_with(|mut stream| uninterrupted(|| stream.read(&mut bytes[filled..]))).await? {
             0 => return Err(ErrorKind::UnexpectedEof.into()),
-            came => bytes.truncate(filled + came),
+            received => bytes.truncate(filled + received),
         }
     }
     Ok(bytes)
--- a/crates/gateway/src/transport/syscall.rs
+++ b/crates/gateway/src/transport/syscall.rs
@@ -1,4 +1,4 @@
-//! What the errors of single calls to the system mean: some say only that the call is to be made again.
+//! Classifies the errors of single system calls, and retries the calls whose errors are temporary.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -6,18 +6,19 @@
 
 use async_io::Timer;
 
-/// Others wait to be accepted behind one that failed.
-const AFTER_THIS_ONE: Duration = Duration::from_micros(100);
-/// Descriptors and memory come back when something ends, and clients have their deadlines meanwhile.
-const WITHOUT_RESOURCES: Duration = Duration::from_millis(20);
+/// Pause after a single connection could not be accepted. It is short, as other connections wait behind the failed one.
+const CONNECTION_FAILURE_PAUSE: Duration = Duration::from_micros(100);
+/// Pause while descriptors or memory are exhausted. They are freed when connections or requests end, and the deadlines of the
+/// waiting clients go on meanwhile.
+const NO_RESOURCES_PAUSE: Duration = Duration::from_millis(20);
 
-/// How often a call is made again at once. Danger: signals without end would hold the event loop.
-const MOST_INTERRUPTED: usize = 16;
+/// Maximum number of calls in a row that a signal interrupts. Danger: an endless series of signals would block the event loop.
+const MAX_INTERRUPTED_CALLS: usize = 16;
 
-/// Makes a call again that a signal interrupts: nothing was read, written or accepted by it. One that is interrupted on and on is
-/// as one that is not ready, and comes round by the reactor.
+/// Makes a system call, and repeats it if a signal interrupts it: an interrupted call has read, written or accepted nothing.
+/// After [`MAX_INTERRUPTED_CALLS`] it reports `WouldBlock`, so that the caller waits for the reactor before the next call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..MOST_INTERRUPTED {
+    for _ in 0..MAX_INTERRUPTED_CALLS {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             other => return other,
@@ -29,14 +30,14 @@
 /// Why a connection could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// That one had ended, or its network had a fault: the next may well be there.
+    /// The connection has already ended, or its network failed. The next connection can probably be accepted.
     ThisConnection,
-    /// The machine lacks descriptors or memory: the next would fare no better at once.
+    /// The machine lacks descriptors or memory. An immediate attempt to accept the next connection would fail too.
     NoResources,
 }
 
 impl AcceptFailure {
-    /// By the errors that accept(2) documents.
+    /// Classifies the errors that accept(2) documents.
     pub fn classify(error: &io::Error) -> Self {
         // ENOMEM, ENFILE, EMFILE, ENOBUFS.
         match error.raw_os_error() {
@@ -45,37 +46,38 @@
         }
     }
 
-    /// How long to wait before the next is accepted. Neither may spin while an error lasts.
+    /// Pause before the next connection is accepted. It is never zero, as the loop must not spin while an error lasts.
     pub fn backoff(self) -> Duration {
         match self {
-            AcceptFailure::ThisConnection => AFTER_THIS_ONE,
-            AcceptFailure::NoResources => WITHOUT_RESOURCES,
+            AcceptFailure::ThisConnection => CONNECTION_FAILURE_PAUSE,
+            AcceptFailure::NoResources => NO_RESOURCES_PAUSE,
         }
     }
 }
 
-/// Pause before a connection is tried again for which this machine lacked something: short beside any client's time, and
+/// Pause before connecting is retried after a temporary error of this machine. It is short compared with clients' deadlines, and
 /// long enough not to spin.
-const BEFORE_ANOTHER_DIAL: Duration = Duration::from_millis(5);
-const MOST_DIALS: usize = 10;
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+const MAX_CONNECT_CALLS: usize = 10;
 
-/// What the error of a dial says: of the other side, or of this machine.
+/// Why connecting failed: because of the peer, or because of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Nothing yet: a signal came, or this machine lacked memory, buffers or a free port for a moment.
-    TryAgain,
-    /// No descriptor is left here: something has to end first.
+    /// A signal interrupted the call, or this machine lacked memory, buffers or a free port for a moment. This says nothing about
+    /// the peer.
+    Temporary,
+    /// This machine or process has no free descriptor. One must be closed first.
     NoDescriptor,
-    /// Nobody is there, or no way leads there.
+    /// Nothing listens at the address, or there is no route to it.
     Unreachable,
 }
 
 impl ConnectFailure {
-    /// By the errors that socket(2) and connect(2) document.
+    /// Classifies the errors that socket(2) and connect(2) document.
     pub fn classify(error: &io::Error) -> Self {
         match error.raw_os_error() {
             // EINTR, EAGAIN, ENOMEM, EADDRNOTAVAIL, ENOBUFS.
-            Some(4 | 11 | 12 | 99 | 105) => ConnectFailure::TryAgain,
+            Some(4 | 11 | 12 | 99 | 105) => ConnectFailure::Temporary,
             // ENFILE, EMFILE.
             Some(23 | 24) => ConnectFailure::NoDescriptor,
             _ => ConnectFailure::Unreachable,
@@ -83,18 +85,18 @@
     }
 }
 
-/// Dials again, after a pause each time, where the error says nothing of the other side. What this machine lacks for longer is
-/// told: another attempt is the decision module's matter.
+/// Connects, and retries with a pause after errors that say nothing about the peer. If they last, the last error is returned: the
+/// decision module decides about another attempt.
 pub async fn connect_with_retries<T, D: Future<Output = io::Result<T>>>(
-    mut dial: impl FnMut() -> D,
+    mut connect: impl FnMut() -> D,
 ) -> io::Result<T> {
-    for _ in 1..MOST_DIALS {
-        match dial().await {
-            Err(error) if ConnectFailure::classify(&error) == ConnectFailure::TryAgain => {
-                Timer::after(BEFORE_ANOTHER_DIAL).await;
+    for _ in 1..MAX_CONNECT_CALLS {
+        match connect().await {
+            Err(error) if ConnectFailure::classify(&error) == ConnectFailure::Temporary => {
+                Timer::after(CONNECT_RETRY_PAUSE).await;
             }
             other => return other,
         }
     }
-    dial().await
+    connect().await
 }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -49,7 +49,7 @@
             let step = [SECOND as i64, 7 * SECOND as i64, HOUR][chance.gen_range(0..3)];
             let stands = settings[settings.len() - 1] + if chance.gen() { step } else { -step };
             settings.push(stands);
-            wall.look(even, stands + even as i64);
+            wall.observe(even, stands + even as i64);
         }
         even += chance.gen_range(1..100 * SECOND);
         // Told by any setting that there was, as other machines' clocks may have been set or not.
@@ -65,7 +65,7 @@
 #[test]
 fn what_is_a_little_in_the_future_is_now_and_not_an_hour_ago() {
     let mut wall = WallClock::new(0, WALL);
-    wall.look(SECOND, WALL + SECOND as i64 - HOUR);
+    wall.observe(SECOND, WALL + SECOND as i64 - HOUR);
     let just_now = (WALL - HOUR) as Micros + 2 * SECOND + 300_000;
     assert_eq!(wall.min_age(2 * SECOND, just_now), 0);
 }
