--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -1,4 +1,4 @@
-//! What a connection task does with the commands that have come: requests go to the dispatcher, the others are answered here.
+//! How a connection task handles received commands: it hands requests to the dispatcher and answers all other commands itself.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 use super::connection_task::ConnectionTask;
 use super::idle::IdleState;
-use super::pipeline::{Counted, OpenRequest};
+use super::pipeline::{MetricLabels, OpenRequest};
 use super::{PROTOCOL_ERROR_INTERVAL, SHUTDOWN_ACCEPT_PERIOD};
 use crate::operator::metrics::ResponseResult;
 use crate::protocol::call::{self, Call, Command, FinalAnswer};
@@ -17,13 +17,13 @@
 use crate::shared::{Event, ReceivedRequest, ReplyHandle, Reservations};
 use crate::transport::ending::ConnectionEnd;
 
-/// Invalid commands of one connection, beyond which it ends: each costs as much as a valid one.
+/// Maximum number of invalid commands on one connection, which ends beyond it. An invalid command costs as much as a valid one.
 const MAX_INVALID_COMMANDS: u32 = 16;
-/// How long an error about a command is delayed at most.
+/// Maximum delay of an error reply to an invalid command.
 const MAX_PROTOCOL_ERROR_DELAY: Duration = Duration::from_secs(1);
 
 impl ConnectionTask {
-    /// Handles the commands that have come complete, as many as the pipeline takes.
+    /// Handles the complete commands in the buffer until the pipeline is full.
     pub(super) async fn handle_commands(&mut self) -> Result<(), ConnectionEnd> {
         while !self.pipeline.is_full() && !self.is_ending {
             let scanned = match resp::command(self.connection.buffer.filled()) {
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Hands a request to the dispatcher, or rejects it: then nothing has been done with it, so that the client may retry it.
+    /// Hands a request to the dispatcher, or rejects it. A rejected request was not forwarded, so the client may retry it.
     async fn handle_call(&mut self, call: Call) {
         let shared = &self.context.shared;
         let class = call.request.class;
-        let places = match self.reserve(&call) {
-            Ok(places) => places,
+        let reservations = match self.reserve(&call) {
+            Ok(reservations) => reservations,
             Err(rejection) => {
                 rejection.record(&shared.log, &shared.metrics.unserved, Some(&call.request.id));
                 let response = FinalAnswer::Rejected(shared.platform.max_retry_after).write();
-                let counted = Counted { class, result: ResponseResult::Rejected };
-                return self.pipeline.push_ready(response, Some(counted));
+                let metric_labels = MetricLabels { class, result: ResponseResult::Rejected };
+                return self.pipeline.push_ready(response, Some(metric_labels));
             }
         };
         let ticket = shared.next_ticket.get();
@@ -81,22 +81,22 @@
         let id = call.request.id.clone();
         let open = OpenRequest { id, ticket, client_gone: call.client_gone.clone() };
         let number = self.pipeline.push_open(open, class);
-        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places };
-        // Danger: a process that stood still would tell a server more time than the client has left.
+        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places: reservations };
+        // Danger: a process that was suspended would give a server more time than the client has left.
         let now = Instant::now();
         let received_at = now.checked_sub(self.input_delay).unwrap_or(now);
         let received = ReceivedRequest { call, reply, received_at };
         drop(self.context.events.send(Event::RequestReceived(received)).await);
     }
 
-    /// Reserves what a request takes until its reply is written.
+    /// Reserves the slots that a request uses until its reply is written.
     fn reserve(&self, call: &Call) -> Result<Reservations, EarlyRejection> {
         if !self.is_served {
             return Err(EarlyRejection::NoConnectionSlot);
         }
         let shared = &self.context.shared;
-        // Danger: a client that sends on a busy connection without end would keep a gateway from shutting down.
-        // A request counts from when it came, not from when a process that stood still reads it.
+        // Danger: a client that keeps sending on a busy connection would prevent the gateway from shutting down.
+        // The time of a request is its arrival, not the time when a process that was suspended reads it.
         let received_after = |since: Instant| since.elapsed().saturating_sub(self.input_delay);
         let shutting_down_since = shared.shutting_down_since.get();
         if shutting_down_since.is_some_and(|since| received_after(since) >= SHUTDOWN_ACCEPT_PERIOD) {
@@ -110,17 +110,17 @@
     async fn handle_invalid(&mut self, why: &str) -> Result<(), ConnectionEnd> {
         self.invalid_commands += 1;
         if self.invalid_commands > MAX_INVALID_COMMANDS {
-            return self.fail_protocol("too many commands make no sense").await;
+            return self.fail_protocol("too many invalid commands").await;
         }
-        debug!(self.context.shared.log, #"request.misread", "a command that makes no sense"; "why" => why);
+        debug!(self.context.shared.log, #"request.misread", "invalid command"; "why" => why);
         self.wait_for_error_permit().await?;
         self.pipeline.push_ready(call::error(why), None);
         Ok(())
     }
 
-    /// Ends a connection on which commands can't be told apart any more, after one error.
+    /// Sends one error reply and ends the connection, as the boundaries of its commands are no longer known.
     pub(super) async fn fail_protocol(&mut self, why: &str) -> Result<(), ConnectionEnd> {
-        debug!(self.context.shared.log, #"request.misread", "a command that can't be read"; "why" => why);
+        debug!(self.context.shared.log, #"request.misread", "unreadable command; the connection will end"; "why" => why);
         self.wait_for_error_permit().await?;
         self.pipeline.push_ready(call::error(&format!("bad syntax: {why}")), None);
         self.is_ending = true;
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Waits until the error about a command may be sent. The connection can be evicted meanwhile; it then ends after the error.
+    /// Waits until the error reply to a command may be sent. If the connection is evicted meanwhile, it ends after that reply.
     async fn wait_for_error_permit(&mut self) -> Result<(), ConnectionEnd> {
         let next_error = &self.context.shared.next_protocol_error;
         let now = Instant::now();
@@ -138,7 +138,8 @@
         if permitted_at == now {
             return Ok(());
         }
-        let entry = self.context.idle.enter(IdleState::AwaitsError, now, self.number, self.evict.clone());
+        let entry =
+            self.context.idle.enter(IdleState::AwaitingErrorPermit, now, self.number, self.evict.clone());
         let permitted = async {
             Timer::at(permitted_at).await;
             Ok(false)
--- a/crates/gateway/src/downstream/connection_task.rs
+++ b/crates/gateway/src/downstream/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of one client connection: it waits for what comes next, and keeps the order of commands and replies.
+//! The task of one client connection: it waits for input and replies, and keeps replies in the order of the commands.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,26 +17,26 @@
 use crate::transport::connection::{with_deadline, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// How long a client may take from connecting, or from the first byte of a command, to that command's end. Danger: clients that
-/// send nothing, or half a command, would keep others out.
+/// Maximum time until a command is complete, counted from its first byte. It is counted from accepting the connection as long as
+/// nothing has arrived on the connection. Danger: clients that send nothing, or half a command, would keep the slots from others.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Part of the clients' slots, as its divisor, that idle connections on which one command has come may have while slots are
-/// scarce. Danger: clients that open a connection for each request and never close it. Their front end runs out of
-/// connections of its own once all of them are idle here, and then nobody comes. They can't be told from a connection
-/// pool before its second round, so that none is evicted while there are spare slots.
-const ASKED_ONCE_DIVISOR: usize = 8;
+/// Divisor of the clients' slots for the part that idle connections with a single command may occupy while slots are scarce.
+/// Danger: clients that open a connection for each request and never close it. Their front end runs out of connections once all
+/// of them are idle here, and then no client can connect. They can't be distinguished from a connection pool that has used each
+/// connection once, so no connection is evicted while slots are spare.
+const ONE_COMMAND_DIVISOR: usize = 8;
 
-/// What the connections of one listener share.
+/// The state that all connections of one listener share.
 #[derive(Clone)]
 pub(super) struct Context {
     pub(super) shared: Rc<Shared>,
     pub(super) events: Sender<Event>,
     pub(super) idle: IdleConnections,
-    /// Closed when this gateway shuts down.
+    /// Closed when this gateway begins to shut down.
     pub(super) shutdown: Receiver<()>,
 }
 
-/// The final reply to the request with a number in its connection's pipeline.
+/// The number of a request in its connection's pipeline, its final reply, and its reservations.
 pub(super) type NumberedReply = (u64, FinalReply, Reservations);
 
 pub(super) struct ConnectionTask {
@@ -44,19 +44,19 @@
     pub(super) context: Context,
     /// The number of this connection at its listener.
     pub(super) number: u64,
-    /// False where there are only the descriptors to reject what comes.
+    /// False if there was no slot to serve this connection: then its requests are only rejected.
     pub(super) is_served: bool,
     accepted_at: Instant,
-    /// For how long what was read last had waited for this process.
+    /// How long the bytes that were read last had waited in the kernel before this process read them.
     pub(super) input_delay: Duration,
     pub(super) pipeline: Pipeline,
-    /// Where the dispatcher sends final replies.
+    /// The sender that the dispatcher uses for final replies.
     pub(super) reply_sender: Sender<NumberedReply>,
     replies: Receiver<NumberedReply>,
-    /// Where this connection is notified that it is to make room for another.
+    /// Notifies this connection that it is evicted to free its slot for another connection.
     pub(super) evict: Sender<()>,
     pub(super) evicted: Receiver<()>,
-    /// No more commands are read: the connection ends when all are answered.
+    /// Whether no more commands are read, and the connection ends when all received commands are answered.
     pub(super) is_ending: bool,
     pub(super) invalid_commands: u32,
 }
@@ -65,7 +65,7 @@
 enum Input {
     Reply(NumberedReply),
     Read(Result<(), ConnectionEnd>),
-    /// The connection is to end, unless something has come on it meanwhile.
+    /// The connection ends, unless bytes have arrived on it meanwhile.
     End(ConnectionEnd),
 }
 
@@ -96,13 +96,13 @@
         self.cancel_open_requests().await;
         match end {
             ConnectionEnd::Malformed | ConnectionEnd::ShuttingDown => self.linger().await,
-            // A client that has sent nothing may be sending: what crosses the end must meet no reset.
+            // The client may be sending a request at this moment, and must not get a reset for it.
             ConnectionEnd::Idle | ConnectionEnd::TimedOut => self.yield_slot().await,
             _ => {}
         }
     }
 
-    /// Sees to it that no more attempts begin for this client, from this moment on, and notifies the dispatcher.
+    /// Prevents further attempts for this client's open requests at once, and notifies the dispatcher.
     async fn cancel_open_requests(&mut self) {
         let open = self.pipeline.take_open();
         for request in &open {
@@ -122,16 +122,17 @@
         }
     }
 
-    /// Handles the commands that have come, writes the replies that are ready, and handles the next input.
+    /// Handles the commands in the buffer, writes the replies that are ready, and handles the next input.
     async fn serve_next(&mut self) -> Result<(), ConnectionEnd> {
         self.handle_commands().await?;
-        // What is still in the buffer then waits for its turn, or for its rest.
+        // Bytes that are still in the buffer wait for space in the pipeline or for the rest of their command, not for this
+        // process.
         self.input_delay = Duration::ZERO;
         let buffered = self.connection.buffer.filled().len();
         let was_full = self.pipeline.is_full();
         self.write_replies().await?;
-        // Danger: a complete command may be in the buffer, and nothing more may ever come. Either more was read while the
-        // replies were written, or there is capacity again for what had come before.
+        // Danger: the buffer may hold a complete command, and the client may send nothing more. The command was read while the
+        // replies were written, or it was read earlier and the pipeline has space for it only now.
         let has_capacity_again = was_full && !self.pipeline.is_full();
         if has_capacity_again || self.connection.buffer.filled().len() > buffered {
             return Ok(());
@@ -141,22 +142,22 @@
         }
         let input = match self.next_input().await {
             Input::End(end) if self.connection.is_open_and_idle() => return Err(end),
-            // Something has come and goes first. To wait for the next input again would never read it.
+            // Bytes have arrived and take precedence. Waiting for the next input again would never read them.
             Input::End(_) => Input::Read(self.connection.read().await),
             input => input,
         };
         self.handle_input(input).await
     }
 
-    /// Whether a connection with an empty pipeline goes on.
+    /// Fails with the reason to end a connection whose pipeline is empty, if there is one.
     fn check_still_open(&self) -> Result<(), ConnectionEnd> {
         if self.is_ending {
             return Err(ConnectionEnd::Malformed);
         }
-        let is_leaving = self.context.shared.shutting_down_since.get().is_some() || !self.is_served;
-        // A client that has just connected has its first command on the way. What has come meanwhile is answered, and a command
-        // that has begun to come has its time.
-        if is_leaving && self.pipeline.received() > 0 && self.connection.has_no_input() {
+        let ends_when_idle = self.context.shared.shutting_down_since.get().is_some() || !self.is_served;
+        // The first command of a client that has just connected is still on its way. Commands that arrived meanwhile are
+        // answered, and a command that has arrived in part may be completed until its timeout.
+        if ends_when_idle && self.pipeline.received() > 0 && self.connection.has_no_input() {
             return Err(ConnectionEnd::ShuttingDown);
         }
         Ok(())
@@ -177,15 +178,15 @@
                 self.reject_unread();
                 Ok(())
             }
-            // A client that has sent nothing may yet ask, and would take an error for the answer.
+            // A client that has sent nothing may still send a command, and would take an error for its reply.
             Input::Read(Err(ConnectionEnd::TimedOut)) if !self.connection.buffer.is_empty() => {
-                self.fail_protocol("no whole command has come in time").await
+                self.fail_protocol("no complete command has arrived in time").await
             }
             Input::Read(Err(end)) | Input::End(end) => Err(end),
         }
     }
 
-    /// Rejects a command that there is no memory to read. Nothing has been done with it, so that the client may retry it.
+    /// Rejects a command that can't be read for lack of memory. It was not forwarded, so the client may retry it.
     fn reject_unread(&mut self) {
         let shared = &self.context.shared;
         EarlyRejection::NoMemory.record(&shared.log, &shared.metrics.unserved, None);
@@ -215,8 +216,8 @@
     async fn next_input_while_idle(&mut self, is_reading: bool, deadline: Option<Instant>) -> Input {
         let state = IdleState::after_commands(self.pipeline.received());
         let idle_since = Instant::now();
-        if state == IdleState::AskedOnce {
-            self.evict_asked_once();
+        if state == IdleState::OneCommand {
+            self.evict_after_one_command();
         }
         let entry = self.context.idle.enter(state, idle_since, self.number, self.evict.clone());
         let has_begun = !self.connection.buffer.is_empty();
@@ -224,8 +225,8 @@
             if has_begun || self.context.shutdown.recv().await.is_ok() {
                 future::pending::<()>().await;
             }
-            if state == IdleState::NeverAsked {
-                // A client that has just connected has its first command on the way.
+            if state == IdleState::NoCommand {
+                // The first command of a client that has just connected is still on its way.
                 Timer::after(SHUTDOWN_ACCEPT_PERIOD).await;
             }
             Input::End(ConnectionEnd::ShuttingDown)
@@ -240,25 +241,25 @@
         input
     }
 
-    /// Evicts one of the connections that asked once, where they have too many of the slots. The connection that becomes idle now is
-    /// not among them: of all it is the likeliest to ask again, and may have begun to.
-    fn evict_asked_once(&self) {
+    /// Evicts an idle connection with a single command if such connections occupy too many slots. The connection that becomes
+    /// idle now is excluded: it is the most likely one to send another command, and may already be doing so.
+    fn evict_after_one_command(&self) {
         let clients = &self.context.shared.limits.clients;
         if clients.has_third_free() {
             return;
         }
-        let max_others = (clients.capacity() / ASKED_ONCE_DIVISOR).saturating_sub(1);
-        if let Some(eviction) = self.context.idle.take_asked_once(max_others) {
+        let max_others = (clients.capacity() / ONE_COMMAND_DIVISOR).saturating_sub(1);
+        if let Some(eviction) = self.context.idle.take_after_one_command(max_others) {
             eviction.request();
         }
     }
 }
 
-/// Waits for bytes until the deadline, or for the client to disconnect where no more commands are read.
+/// Reads bytes until the deadline. If no more commands are read, waits until the client disconnects.
 async fn read(connection: &mut Connection, is_reading: bool, deadline: Option<Instant>) -> Input {
     if !is_reading {
-        // Danger: a client that has filled its pipeline, or sent something invalid, and disconnects. None of its requests may
-        // begin an attempt any more, and its end can't be seen behind bytes that are not read.
+        // Danger: a client that has filled its pipeline, or sent an invalid command, and then disconnects. No attempt may begin
+        // for its requests any more, and its disconnect can't be detected behind unread bytes.
         return Input::Read(Err(connection.closed().await));
     }
     match deadline {
--- a/crates/gateway/src/downstream/idle.rs
+++ b/crates/gateway/src/downstream/idle.rs
@@ -1,4 +1,4 @@
-//! The connections that could be evicted, and which of them goes first.
+//! The idle connections, and the order in which they are evicted.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,54 +7,54 @@
 
 use async_channel::Sender;
 
-/// How long a client's first command may be on its way once it has connected. Danger: a client that is evicted before it has
-/// asked comes back, and has another one evicted.
+/// How long the first command of a client may take to arrive after the client has connected. Danger: a client that is evicted
+/// before its first command connects again, and causes another eviction.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(250);
 
-/// What a connection without a request in flight is doing. The less has come on it, the less likely is another command.
+/// The state of a connection without a request in flight. The fewer commands have arrived on it, the less likely is another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdleState {
-    /// It waits for the permit to be sent an error about its command.
-    AwaitsError,
-    /// No command has come on it yet.
-    NeverAsked,
-    /// One command has come.
-    AskedOnce,
-    /// More than one has come.
-    AskedAgain,
-    /// It has given up its slot, and is only read until the client closes it, so that what crosses its end meets no reset.
+    /// The connection waits for the permit to send an error reply.
+    AwaitingErrorPermit,
+    /// No command has arrived yet.
+    NoCommand,
+    /// One command has arrived.
+    OneCommand,
+    /// More than one command has arrived.
+    MoreCommands,
+    /// The connection has freed its slot, and is only read until the client closes it, so that the client gets no reset.
     Lingering,
 }
 
 impl IdleState {
     const COUNT: usize = 5;
 
-    /// The state of an idle connection on which so many commands have come.
+    /// The state of an idle connection on which `count` commands have arrived.
     pub(super) fn after_commands(count: u64) -> Self {
         match count {
-            0 => IdleState::NeverAsked,
-            1 => IdleState::AskedOnce,
-            _ => IdleState::AskedAgain,
+            0 => IdleState::NoCommand,
+            1 => IdleState::OneCommand,
+            _ => IdleState::MoreCommands,
         }
     }
 }
 
-/// Since when a connection has been in its state, and the connection's number.
+/// The time when a connection entered its state, and the connection's number.
 type Key = (Instant, u64);
 
-/// A connection that is to end. It does at its next loop iteration, unless something has come on it meanwhile.
+/// A connection to evict. It ends at its next loop iteration, unless bytes have arrived on it meanwhile.
 pub(super) struct Eviction {
     notify: Sender<()>,
-    pub(super) awaits_error: bool,
+    pub(super) was_awaiting_error_permit: bool,
 }
 
 impl Eviction {
-    /// Notifies the connection.
+    /// Notifies the connection that it is evicted.
     pub(super) fn request(&self) {
         let _ = self.notify.try_send(());
     }
 
-    /// Waits until the connection has ended or given up its slot.
+    /// Waits until the connection has ended or freed its slot.
     pub(super) async fn completed(&self) {
         self.notify.closed().await;
     }
@@ -63,11 +63,11 @@
 /// The senders that notify connections of their eviction, by state.
 type NotifiersByState = [BTreeMap<Key, Sender<()>>; IdleState::COUNT];
 
-/// The connections of one listener by state; in each, the one that is longest in it first. Clones are handles to the same table.
+/// The idle connections of one listener by state, those longest in a state first. Clones are handles to the same table.
 #[derive(Clone, Default)]
 pub(super) struct IdleConnections(Rc<RefCell<NotifiersByState>>);
 
-/// The presence of a connection in the table; dropped, it takes the connection out.
+/// The entry of a connection in the table. Dropping it removes the connection from the table.
 pub(super) struct IdleEntry {
     table: IdleConnections,
     state: IdleState,
@@ -81,7 +81,7 @@
 }
 
 impl IdleConnections {
-    /// Enters a connection, which is evicted by a message to `notify`.
+    /// Adds a connection, which is evicted by a message to `notify`.
     pub(super) fn enter(
         &self,
         state: IdleState,
@@ -94,44 +94,44 @@
         IdleEntry { table: self.clone(), state, key }
     }
 
-    /// Takes out the connection that is to make room for another: one that awaits an error, or one that has not asked for longer than
-    /// a first command takes; else one that asked once, else one that has not asked, else the longest idle.
+    /// Removes the connection to evict next. In order of preference: one that awaits the permit for an error reply; one without a
+    /// command for at least [`FIRST_COMMAND_GRACE`]; one with a single command; any other without a command; the longest idle.
     pub(super) fn take_evictee(&self) -> Option<Eviction> {
-        if let Some(eviction) = self.take_first(IdleState::AwaitsError) {
+        if let Some(eviction) = self.take_first(IdleState::AwaitingErrorPermit) {
             return Some(eviction);
         }
-        if self.longest_in(IdleState::NeverAsked).is_some_and(|idle_for| idle_for >= FIRST_COMMAND_GRACE) {
-            return self.take_first(IdleState::NeverAsked);
+        if self.longest_in(IdleState::NoCommand).is_some_and(|idle_for| idle_for >= FIRST_COMMAND_GRACE) {
+            return self.take_first(IdleState::NoCommand);
         }
-        self.take_asked_once(0)
-            .or_else(|| self.take_first(IdleState::NeverAsked))
-            .or_else(|| self.take_first(IdleState::AskedAgain))
+        self.take_after_one_command(0)
+            .or_else(|| self.take_first(IdleState::NoCommand))
+            .or_else(|| self.take_first(IdleState::MoreCommands))
     }
 
-    /// Takes out a random one of the connections that asked once, where more than `max_kept` are idle. Danger: connection pools that
-    /// use their connections in turn. The longest idle is the next to ask there, so that evicting always that one
-    /// keeps every connection of the pool from asking again.
-    pub(super) fn take_asked_once(&self, max_kept: usize) -> Option<Eviction> {
-        let asked_once = &mut self.0.borrow_mut()[IdleState::AskedOnce as usize];
-        if asked_once.len() <= max_kept {
+    /// Removes a random connection with a single command if more than `max_kept` of them are idle. Danger: connection pools that
+    /// use their connections in rotation. There the longest idle connection is the next to be used, so always evicting that one
+    /// would prevent every connection of the pool from being used again.
+    pub(super) fn take_after_one_command(&self, max_kept: usize) -> Option<Eviction> {
+        let after_one_command = &mut self.0.borrow_mut()[IdleState::OneCommand as usize];
+        if after_one_command.len() <= max_kept {
             return None;
         }
-        let key = *asked_once.keys().nth(rand::random::<usize>() % asked_once.len())?;
-        let notify = asked_once.remove(&key)?;
-        Some(Eviction { notify, awaits_error: false })
+        let key = *after_one_command.keys().nth(rand::random::<usize>() % after_one_command.len())?;
+        let notify = after_one_command.remove(&key)?;
+        Some(Eviction { notify, was_awaiting_error_permit: false })
     }
 
-    /// Takes out the connection that has lingered for longest.
+    /// Removes the connection that has lingered longest.
     pub(super) fn take_longest_lingering(&self) -> Option<Eviction> {
         self.take_first(IdleState::Lingering)
     }
 
     fn take_first(&self, state: IdleState) -> Option<Eviction> {
         let (_, notify) = self.0.borrow_mut()[state as usize].pop_first()?;
-        Some(Eviction { notify, awaits_error: state == IdleState::AwaitsError })
+        Some(Eviction { notify, was_awaiting_error_permit: state == IdleState::AwaitingErrorPermit })
     }
 
-    /// For how long the first connection in a state has been in it.
+    /// How long the first connection in a state has been in that state.
     fn longest_in(&self, state: IdleState) -> Option<Duration> {
         let states = self.0.borrow();
         let ((since, _), _) = states[state as usize].first_key_value()?;
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: which connections get a slot, and which are evicted for them.
+//! The listening socket: accepts connections, assigns slots to them, and evicts idle connections when slots are scarce.
 
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -19,13 +19,13 @@
 use crate::transport::limits::Reservation;
 use crate::transport::syscall::AcceptFailure;
 
-/// Pause before a slot for a connection is looked for again.
+/// Pause before the next attempt to find a slot for a connection.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Accepts clients and starts the tasks of their connections.
 pub struct Listener {
     context: Context,
-    /// Connections accepted so far, which numbers them.
+    /// Number of connections accepted so far, which is the number of the latest one.
     accepted: u64,
 }
 
@@ -33,19 +33,19 @@
 enum Input {
     Accepted(std::io::Result<Async<TcpStream>>),
     LimitsLowered,
-    /// No more connections are to be accepted.
+    /// No more connections are accepted.
     Closed,
 }
 
 /// The slot of a connection.
 struct Slot {
     reservation: Reservation,
-    /// False where there are only the descriptors to reject what comes.
+    /// False if there was no slot to serve the connection: then its requests are only rejected.
     is_served: bool,
 }
 
 impl Listener {
-    /// `shutdown` is closed when this gateway shuts down.
+    /// `shutdown` is closed when this gateway begins to shut down.
     pub fn new(shared: &Rc<Shared>, events: &Sender<Event>, shutdown: Receiver<()>) -> Self {
         let context = Context {
             shared: shared.clone(),
@@ -56,8 +56,8 @@
         Listener { context, accepted: 0 }
     }
 
-    /// Accepts clients. In a shutdown it stops at once where a successor of this process accepts on the same socket; otherwise
-    /// nobody else would serve those who still connect.
+    /// Accepts clients. At the beginning of a shutdown it stops only if a successor of this process accepts on the same socket.
+    /// Without a successor it goes on, as no other process would serve clients that still connect.
     pub async fn run(mut self, listener: &Async<TcpListener>) {
         let mut incoming = std::pin::pin!(listener.incoming());
         let shutdown = self.context.shutdown.clone();
@@ -80,15 +80,15 @@
                 Input::LimitsLowered => self.evict_surplus(),
                 Input::Accepted(Ok(stream)) => self.accept(stream).await,
                 Input::Accepted(Err(error)) => {
-                    warn!(self.context.shared.log, #"client.not-accepted", "a client could not be accepted"; "why" => error.to_string());
+                    warn!(self.context.shared.log, #"client.not-accepted", "can't accept a client's connection"; "why" => error.to_string());
                     Timer::after(AcceptFailure::classify(&error).backoff()).await;
                 }
             }
         }
     }
 
-    /// Evicts idle connections beyond the limit: another process of this gateway has a share of the slots from now on, and
-    /// gets them as they become free.
+    /// Evicts idle connections beyond a lowered limit. Another process of this gateway now has a share of the slots, and uses
+    /// them as they become free.
     fn evict_surplus(&self) {
         let clients = &self.context.shared.limits.clients;
         let surplus = clients.used().saturating_sub(clients.capacity());
@@ -105,11 +105,11 @@
         let connection = Connection::new(stream, buffer, Some(reservation));
         let task = ConnectionTask::new(connection, self.context.clone(), self.accepted, is_served);
         self.context.shared.executor.spawn(task.run()).detach();
-        // Many may connect in a row, and an idle one is known as such only once its task has run.
+        // Many clients may connect in a row, and a connection is known to be idle only after its task has run.
         future::yield_now().await;
     }
 
-    /// Waits for a slot: a free one, one that an idle connection gives up, or else one in which the client is only rejected.
+    /// Waits for a slot: a free one, one that an evicted connection frees, or else one in which the client is only rejected.
     async fn find_slot(&self) -> Slot {
         loop {
             if let Some(reservation) = self.context.shared.limits.clients.reserve(1) {
@@ -121,8 +121,8 @@
                     Timer::after(SLOT_RETRY_INTERVAL).await;
                 };
                 future::or(eviction.completed(), timeout).await;
-                if eviction.awaits_error {
-                    // Danger: it may be back with the same command at once, and have another one evicted.
+                if eviction.was_awaiting_error_permit {
+                    // Danger: the client may connect again at once with the same invalid command, and cause another eviction.
                     Timer::after(PROTOCOL_ERROR_INTERVAL).await;
                 }
                 continue;
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: the listening socket, and the task of each connection.
+//! Client connections: the listening socket, and a task for each connection.
 //!
-//! It owns which connections are open and what is pipelined on each. Requests go to the dispatcher as events and come back as
-//! final replies; nothing here chooses a server or judges a request.
+//! This module owns the open connections and the commands pipelined on each. It sends requests to the dispatcher as events, and
+//! receives final replies. It neither chooses servers nor decides whether a request is admitted.
 
 mod commands;
 mod connection_task;
@@ -15,10 +15,10 @@
 
 pub use self::listener::Listener;
 
-/// How long after the beginning of a shutdown new connections and requests are still served: load balancers take some tenths
-/// of a second to send them elsewhere.
+/// How long new connections and requests are served after the beginning of a shutdown. Load balancers take some tenths of a
+/// second to send them to other gateways.
 pub const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Time between two errors about commands, for all clients together, and before the slot of a connection that was evicted
-/// from waiting for one is used again. Danger: clients that repeat an invalid command as soon as they get the error
-/// would take all of a core.
+/// Time between two error replies to invalid commands, for all clients together. It also passes before the slot of a connection
+/// that was evicted while it awaited an error permit is used again. Danger: clients that repeat an invalid command as soon as
+/// they get the error would use a whole core.
 const PROTOCOL_ERROR_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/gateway/src/downstream/pipeline.rs
+++ b/crates/gateway/src/downstream/pipeline.rs
@@ -1,4 +1,4 @@
-//! The commands of one connection that are not answered yet. Replies go out in the order of the commands.
+//! The unanswered commands of one connection. Replies are written in the order of the commands.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -9,36 +9,36 @@
 use crate::operator::metrics::ResponseResult;
 use crate::shared::{FinalReply, Reservations, ResponseStream};
 
-/// Commands of one connection that may be unanswered at once; beyond it no more are read.
+/// Maximum number of unanswered commands on one connection. No more commands are read beyond it.
 pub(super) const MAX_PIPELINED: usize = 32;
 
-/// A reply in the form in which it is written.
+/// The bytes of a reply, complete or as a stream of pieces.
 pub(super) enum Response {
     Complete(Vec<u8>),
     Streamed(ResponseStream),
 }
 
-/// A request that has no final reply yet.
+/// A request without a final reply.
 pub(super) struct OpenRequest {
     pub(super) id: Id,
     pub(super) ticket: u64,
-    /// Set when the client has disconnected, so that no attempt begins any more.
+    /// Set when the client disconnects, so that no further attempt begins.
     pub(super) client_gone: Rc<Cell<bool>>,
 }
 
-/// What a reply is counted as once it is written.
+/// How a reply is counted in the metrics after it is written.
 #[derive(Clone, Copy)]
-pub(super) struct Counted {
+pub(super) struct MetricLabels {
     /// The number of the request class.
     pub(super) class: usize,
     pub(super) result: ResponseResult,
 }
 
-/// A reply that may be written.
+/// A reply that can be written now.
 pub(super) struct ReadyReply {
     pub(super) response: Response,
-    pub(super) counted: Option<Counted>,
-    /// Given back once the reply is written.
+    pub(super) metric_labels: Option<MetricLabels>,
+    /// Released after the reply is written.
     pub(super) reservations: Option<Reservations>,
 }
 
@@ -54,14 +54,14 @@
 struct PipelinedCommand {
     number: u64,
     state: State,
-    counted: Option<Counted>,
+    metric_labels: Option<MetricLabels>,
 }
 
-/// The unanswered commands in their order.
+/// The unanswered commands in the order in which they arrived.
 #[derive(Default)]
 pub(super) struct Pipeline {
     commands: VecDeque<PipelinedCommand>,
-    /// How many commands have come, which is the number of the next.
+    /// Number of commands that have arrived, which is the number of the next one.
     received: u64,
 }
 
@@ -74,31 +74,31 @@
         self.commands.len() >= MAX_PIPELINED
     }
 
-    /// How many commands have come on this connection.
+    /// Number of commands that have arrived on this connection.
     pub(super) fn received(&self) -> u64 {
         self.received
     }
 
-    /// Adds a request of this class that goes to the dispatcher, and gives its number.
+    /// Adds a request of the given class that is handed to the dispatcher, and returns the request's number.
     pub(super) fn push_open(&mut self, request: OpenRequest, class: usize) -> u64 {
-        let counted = Some(Counted { class, result: ResponseResult::Failed });
-        self.push(State::Open(request), counted)
+        let metric_labels = Some(MetricLabels { class, result: ResponseResult::Failed });
+        self.push(State::Open(request), metric_labels)
     }
 
-    /// Adds a command that is answered at once.
-    pub(super) fn push_ready(&mut self, response: Vec<u8>, counted: Option<Counted>) {
+    /// Adds a command together with its complete reply.
+    pub(super) fn push_ready(&mut self, response: Vec<u8>, metric_labels: Option<MetricLabels>) {
         let response = Response::Complete(response);
-        self.push(State::Ready { response, reservations: None }, counted);
+        self.push(State::Ready { response, reservations: None }, metric_labels);
     }
 
-    fn push(&mut self, state: State, counted: Option<Counted>) -> u64 {
+    fn push(&mut self, state: State, metric_labels: Option<MetricLabels>) -> u64 {
         let number = self.received;
         self.received += 1;
-        self.commands.push_back(PipelinedCommand { number, state, counted });
+        self.commands.push_back(PipelinedCommand { number, state, metric_labels });
         number
     }
 
-    /// Takes the final reply to the request with this number.
+    /// Stores the final reply to the request with the given number.
     pub(super) fn complete(&mut self, number: u64, reply: FinalReply, reservations: Reservations) {
         let Some(command) = self.commands.iter_mut().find(|command| command.number == number) else {
             return;
@@ -108,18 +108,19 @@
             FinalReply::Streamed(stream) => (Response::Streamed(stream), ResponseResult::Completed),
         };
         command.state = State::Ready { response, reservations: Some(reservations) };
-        command.counted = command.counted.map(|counted| Counted { result, ..counted });
+        command.metric_labels =
+            command.metric_labels.map(|metric_labels| MetricLabels { result, ..metric_labels });
     }
 
-    /// Takes the first reply, if it may be written.
+    /// Removes the first command if it has a reply, and returns the reply.
     pub(super) fn pop_ready(&mut self) -> Option<ReadyReply> {
         let is_ready = |command: &mut PipelinedCommand| matches!(command.state, State::Ready { .. });
         let command = self.commands.pop_front_if(is_ready)?;
         let State::Ready { response, reservations } = command.state else { return None };
-        Some(ReadyReply { response, counted: command.counted, reservations })
+        Some(ReadyReply { response, metric_labels: command.metric_labels, reservations })
     }
 
-    /// Empties the pipeline, and gives the requests that the dispatcher still has.
+    /// Empties the pipeline, and returns the requests that the dispatcher has not answered.
     pub(super) fn take_open(&mut self) -> Vec<OpenRequest> {
         let open = |command: PipelinedCommand| match command.state {
             State::Open(request) => Some(request),
