--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restart in the gateway: exchanges records with the other processes of this gateway, and applies what they change in
-//! this one. What a record means and how limits are divided, the package `hot-restart` decides.
+//! Hot restart in the gateway: exchanges records with the other processes of this gateway, and applies the resulting changes to
+//! this process. The package `hot-restart` interprets the records and divides the limits.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -17,36 +17,36 @@
 use crate::shared::Shared;
 use crate::transport::clock::micros;
 
-/// Pause between two updates while there are other processes. Together with [`ALONE_UPDATE_INTERVAL`] it keeps what two
-/// processes agree on below half a second, as an operator's call is answered within one.
+/// Pause between two updates while there are other processes. Together with [`ALONE_UPDATE_INTERVAL`] it lets two processes agree
+/// in less than half a second, as an operator's call is answered within one second.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause between two updates while there is no other process.
 const ALONE_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an operator's cordon waits for the other processes to acknowledge it.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// This process among those of its gateway.
+/// Connects this process to the other processes of its gateway.
 pub struct Link {
     shared: Rc<Shared>,
     orders: Sender<Order>,
     records: RecordDirectory,
     core: RefCell<HotRestart>,
-    /// The record that was written last.
+    /// The record that was last written.
     published: RefCell<Option<ProcessRecord>>,
-    /// The fraction that the dispatcher was given last: the whole at first.
+    /// The fraction of the limits that was last sent to the dispatcher, 1 at first.
     fraction: Cell<f64>,
 }
 
 impl Link {
-    /// Joins the processes that share a directory, and exchanges records from then on. `descriptors` are those of the whole
-    /// gateway. Danger: a process that the others can't see takes the whole of the limits, and so do they; so joining is
-    /// tried until it succeeds, as a directory may fail for a while.
+    /// Joins the processes that share a directory, and exchanges records with them from then on. `descriptors` is the number for
+    /// the whole gateway. Danger: a process that the others can't see uses the whole of the limits, and so do the others. Joining
+    /// is therefore retried until it succeeds, as the directory may be unavailable for a while.
     pub async fn join(shared: Rc<Shared>, directory: PathBuf, descriptors: usize, orders: Sender<Order>) {
         let link = loop {
             match Link::open(&shared, &directory, descriptors, orders.clone()) {
                 Ok(link) => break Rc::new(link),
                 Err(error) => {
-                    warn!(shared.log, #"handover.none", "goes on as if no other process had this gateway, and tries again";
+                    warn!(shared.log, #"handover.none", "can't join the other processes of this gateway; continues as the only one and retries";
                         "why" => error.to_string());
                     Timer::after(ALONE_UPDATE_INTERVAL).await;
                 }
@@ -72,7 +72,7 @@
             published: RefCell::default(),
             fraction: Cell::new(1.0),
         };
-        // Written before the others are read: of two processes that start at once, one sees the other.
+        // The record is written before the others are read: of two processes that start at the same time, one sees the other.
         link.publish();
         Ok(link)
     }
@@ -88,7 +88,7 @@
     async fn update_state(&self) {
         let Records { others, errors } = self.records.read();
         for error in errors {
-            warn!(self.shared.log, #"handover.refused", "what another process left is not used"; "why" => error.to_string());
+            warn!(self.shared.log, #"handover.refused", "can't use the record of another process"; "why" => error.to_string());
         }
         let held_descriptors = self.shared.limits.used_descriptors();
         let changes = self.core.borrow_mut().update(&others, held_descriptors, now());
@@ -100,7 +100,7 @@
             }
         }
         if self.publish() {
-            // The cordons of ended processes are in this process's record now.
+            // This process's record now contains the cordons of the processes that have ended.
             others
                 .iter()
                 .filter(|other| !other.is_alive)
@@ -110,10 +110,10 @@
 
     async fn send_cordon_order(&self, server: &str, uncordoned_at: Option<Micros>) {
         let cordoned = uncordoned_at.is_none();
-        // The time is one of the wall clock, which may have been set since.
+        // The other process took the time from the wall clock, which may have been set since.
         let clock = &self.shared.clock;
         let uncordoned_at = uncordoned_at.map(|at| clock.now().saturating_sub(clock.min_age(at)));
-        info!(self.shared.log, #"handover.word", "an operator's word, heard by another process"; "server" => server, "out" => cordoned);
+        info!(self.shared.log, #"handover.word", "an operator has changed a cordon at another process"; "server" => server, "out" => cordoned);
         let _ = self
             .orders
             .send(Order::CordonFromProcess { server: Id::from(server), lifted_at: uncordoned_at })
@@ -122,16 +122,17 @@
 
     async fn apply_share(&self, share: ProcessShare) {
         let ProcessShare { fraction, processes, descriptors } = share;
-        debug!(self.shared.log, #"handover.part", "this process's part of its gateway"; "of_all" => fraction, "processes" => processes, "sockets" => descriptors);
+        debug!(self.shared.log, #"handover.part", "share of the gateway's limits for this process"; "of_all" => fraction, "processes" => processes, "sockets" => descriptors);
         self.shared.limits.set_process_share(descriptors, processes);
         self.shared.limits_lowered.notify(1);
-        // Descriptors change all the time, and the dispatcher starts over with each fraction that it is given.
+        // The number of descriptors changes all the time. The fraction is sent only if it has changed, as the dispatcher treats
+        // each fraction that it receives as a new share.
         if self.fraction.replace(fraction) != fraction {
             let _ = self.orders.send(Order::ProcessShare(fraction)).await;
         }
     }
 
-    /// Writes this process's record if it has changed. False where it can't be written, which is logged.
+    /// Writes this process's record if it has changed. Returns false, and logs the error, if it can't be written.
     fn publish(&self) -> bool {
         let record = self.core.borrow().record();
         if self.published.borrow().as_ref() == Some(&record) {
@@ -143,14 +144,14 @@
                 true
             }
             Err(error) => {
-                warn!(self.shared.log, #"handover.untold", "other processes are not told"; "why" => error.to_string());
+                warn!(self.shared.log, #"handover.untold", "can't write the record for the other processes"; "why" => error.to_string());
                 false
             }
         }
     }
 
-    /// Cordons or uncordons a server in all processes, and waits until they have acknowledged it. False where they have not
-    /// in time.
+    /// Cordons or uncordons a server in all processes, and waits until they have acknowledged it. Returns false if they have not
+    /// acknowledged it in time.
     pub async fn set_cordon(&self, server: &Id, cordoned: bool) -> bool {
         self.core.borrow_mut().set_cordon(server, cordoned, now());
         let (version, deadline) = (self.core.borrow().version(), Instant::now() + ACKNOWLEDGE_TIMEOUT);
@@ -163,7 +164,7 @@
         true
     }
 
-    /// Whether another process goes on with this gateway once this one ends.
+    /// Whether another process continues to run this gateway after this one ends.
     pub fn has_successor(&self) -> bool {
         self.core.borrow().has_successor()
     }
@@ -173,7 +174,7 @@
         self.core.borrow().is_settled()
     }
 
-    /// Lets the other processes know that this one accepts no more clients.
+    /// Publishes that this process accepts no more clients.
     pub fn begin_shutdown(&self) {
         self.core.borrow_mut().begin_shutdown();
         self.publish();
--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -92,7 +92,7 @@
         read(&self.stream, &mut self.buffer).await
     }
 
-    /// Waits until the peer closes the connection. Bytes received meanwhile are buffered up to [`MAX_READ_AHEAD`]; the rest stays
+    /// Waits until the peer closes the connection. Bytes received meanwhile are buffered up to `MAX_READ_AHEAD`; the rest stays
     /// unread.
     pub async fn closed(&mut self) -> ConnectionEnd {
         wait_for_close(&self.stream, &mut self.buffer).await
--- a/crates/gateway/src/transport/syscall.rs
+++ b/crates/gateway/src/transport/syscall.rs
@@ -16,7 +16,7 @@
 const MAX_INTERRUPTED_CALLS: usize = 16;
 
 /// Makes a system call, and repeats it if a signal interrupts it: an interrupted call has read, written or accepted nothing.
-/// After [`MAX_INTERRUPTED_CALLS`] it reports `WouldBlock`, so that the caller waits for the reactor before the next call.
+/// After `MAX_INTERRUPTED_CALLS` calls it reports `WouldBlock`, so that the caller waits for the reactor before the next call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 0..MAX_INTERRUPTED_CALLS {
         match call() {
--- a/crates/hot-restart/src/directory.rs
+++ b/crates/hot-restart/src/directory.rs
@@ -1,5 +1,5 @@
-//! The records of a gateway's processes in one directory: `N.json`, and `N.lock`, which process N keeps locked as long as
-//! it runs. A record is replaced whole and begins with its checksum. What a record means is decided in [`crate::state`].
+//! The directory with the records of a gateway's processes. Process N writes its record to `N.json` and keeps `N.lock` locked as
+//! long as it runs. A record is replaced atomically and begins with its checksum. [`crate::state`] interprets the records.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
@@ -10,26 +10,26 @@
 
 use crate::state::{Generation, OtherProcess, ProcessRecord};
 
-/// Name of the records' directory within the one that the processes share.
+/// Name of the subdirectory of the shared directory that holds the records.
 const DIRECTORY: &str = "fernscale";
-/// Longest record that is read, in bytes: the maximum of cordons, each with a long server name.
+/// Maximum size of a record in bytes: enough for the maximum number of cordons, each with a long server name.
 const MAX_RECORD_BYTES: u64 = 1024 * 1024;
-/// Processes that are read: two are live as a rule, and records of ended ones are cleared.
+/// Maximum number of processes whose records are read. Usually two are live, and the records of ended processes are cleared.
 const MAX_PROCESSES: usize = 64;
 
-/// Why the directory or a record can't be used.
+/// An error of the directory or of a record.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A file operation failed.
-    #[error("'{path}' can't be used: {why}")]
+    #[error("can't access '{path}': {why}")]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the system reports.
+        /// The error that the operating system reports.
         why: io::Error,
     },
-    /// A record is damaged.
-    #[error("'{path}' is refused: {why}")]
+    /// A record is corrupt.
+    #[error("corrupt record '{path}': {why}")]
     Corrupt {
         /// The record's file.
         path: PathBuf,
@@ -38,16 +38,16 @@
     },
 }
 
-/// The other processes, and the records that could not be used.
+/// The other processes, and the errors of unreadable records.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// All other processes that have a file in the directory.
+    /// The other processes that have a file in the directory.
     pub others: Vec<OtherProcess>,
-    /// An error for each record that could not be read, or for the directory.
+    /// An error for each unreadable record, and for the directory if it can't be listed.
     pub errors: Vec<Error>,
 }
 
-/// This process's number and lock in the directory.
+/// The directory, with this process's generation and lock in it.
 #[derive(Debug)]
 pub struct RecordDirectory {
     directory: PathBuf,
@@ -56,11 +56,11 @@
 }
 
 impl RecordDirectory {
-    /// Joins the processes of the directory, with a number greater than that of any before. Creates `fernscale` in the
-    /// shared directory if it is missing.
+    /// Joins the processes of the directory with a generation greater than any earlier one. Creates `fernscale` in the shared
+    /// directory if it is missing.
     ///
     /// # Errors
-    /// A file can't be created or locked. The caller may try again.
+    /// A file can't be created or locked. The caller may retry.
     pub fn open(shared: &Path) -> Result<Self, Error> {
         let directory = shared.join(DIRECTORY);
         let io_error = |why| Error::Io { path: directory.clone(), why };
@@ -69,32 +69,32 @@
         let newest = generations(&directory).map_err(io_error)?.into_iter().max().unwrap_or(0);
         let mut generation = now.max(newest + 1);
         loop {
-            let (path, unnamed_lock) =
+            let (path, temporary_lock) =
                 (directory.join(format!("{generation}.lock")), directory.join(format!("new-{generation}")));
             let io_error = |why| Error::Io { path: path.clone(), why };
-            match OpenOptions::new().write(true).create_new(true).open(&unnamed_lock) {
+            match OpenOptions::new().write(true).create_new(true).open(&temporary_lock) {
                 Ok(_) if path.exists() => {
-                    fs::remove_file(&unnamed_lock).map_err(io_error)?;
+                    fs::remove_file(&temporary_lock).map_err(io_error)?;
                     generation += 1;
                 }
-                // Danger: another process would take an unlocked file for that of an ended process and clear it, and
-                // nobody would see this process from then on. So the file is locked before it gets its name.
+                // Danger: another process would clear an unlocked file, as if its process had ended, and no process would see
+                // this one from then on. So the file is locked before it gets its final name.
                 Ok(lock) => {
-                    let named = lock.lock().and_then(|()| fs::rename(&unnamed_lock, &path));
+                    let named = lock.lock().and_then(|()| fs::rename(&temporary_lock, &path));
                     named.map_err(|why| {
-                        // The next attempt has another number.
-                        let _ = fs::remove_file(&unnamed_lock);
+                        // The next attempt uses another generation.
+                        let _ = fs::remove_file(&temporary_lock);
                         io_error(why)
                     })?;
                     return Ok(RecordDirectory { directory, generation, _lock: lock });
                 }
                 Err(why) if why.kind() == io::ErrorKind::AlreadyExists => generation += 1,
-                Err(why) => return Err(Error::Io { path: unnamed_lock, why }),
+                Err(why) => return Err(Error::Io { path: temporary_lock, why }),
             }
         }
     }
 
-    /// This process's number.
+    /// This process's generation.
     pub fn generation(&self) -> Generation {
         self.generation
     }
@@ -102,7 +102,7 @@
     /// Replaces this process's record.
     ///
     /// # Errors
-    /// The file can't be written or renamed; the record before is still there.
+    /// The file can't be written or renamed. The previous record is then unchanged.
     pub fn write(&self, record: &ProcessRecord) -> Result<(), Error> {
         let path = self.directory.join(format!("{}.json", self.generation));
         let new_record = self.directory.join(format!("{}.fresh", self.generation));
@@ -112,7 +112,7 @@
         written.map_err(|why| Error::Io { path, why })
     }
 
-    /// Reads all other processes. Whatever can't be read is an error beside the rest.
+    /// Reads the records of the other processes. An unreadable record adds an error and does not affect the others.
     pub fn read(&self) -> Records {
         let mut records = Records::default();
         let found = match generations(&self.directory) {
@@ -125,7 +125,7 @@
         for generation in
             found.into_iter().filter(|generation| *generation != self.generation).take(MAX_PROCESSES)
         {
-            // The lock first: where the process has ended, the record read afterwards is its last one.
+            // The lock is checked first: if the process has ended, the record read afterwards is its last one.
             let is_alive = is_locked(&self.directory.join(format!("{generation}.lock")));
             let record = match read(&self.directory.join(format!("{generation}.json"))) {
                 Ok(record) => record,
@@ -139,7 +139,7 @@
         records
     }
 
-    /// Removes the files of a process that has ended. To be called once its cordons are in this process's record.
+    /// Removes the files of a process that has ended. Call it only after its cordons have been written in this process's record.
     pub fn clear(&self, generation: Generation) {
         for extension in ["json", "fresh", "lock"] {
             let _ = fs::remove_file(self.directory.join(format!("{generation}.{extension}")));
@@ -147,7 +147,7 @@
     }
 }
 
-/// The numbers of all processes that have a file in the directory.
+/// The generations of all processes that have a file in the directory, in ascending order.
 fn generations(directory: &Path) -> io::Result<Vec<Generation>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(directory)? {
@@ -169,20 +169,20 @@
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
-/// The record in a file; nothing where there is no file.
+/// Reads the record in a file. `None` if the file does not exist.
 fn read(path: &Path) -> Result<Option<ProcessRecord>, Error> {
     let corrupt = |why| Error::Corrupt { path: path.into(), why };
     match fs::metadata(path) {
-        Ok(metadata) if metadata.len() > MAX_RECORD_BYTES => return Err(corrupt("it is too long")),
+        Ok(metadata) if metadata.len() > MAX_RECORD_BYTES => return Err(corrupt("the file is too long")),
         Ok(_) => {}
         Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(why) => return Err(Error::Io { path: path.into(), why }),
     }
     let text = fs::read(path).map_err(|why| Error::Io { path: path.into(), why })?;
-    let text = std::str::from_utf8(&text).map_err(|_| corrupt("it is no text"))?;
-    let (checksum, json) = text.trim_end().split_once(' ').ok_or_else(|| corrupt("it is cut short"))?;
+    let text = std::str::from_utf8(&text).map_err(|_| corrupt("the file is not UTF-8"))?;
+    let (checksum, json) = text.trim_end().split_once(' ').ok_or_else(|| corrupt("the file is truncated"))?;
     if u32::from_str_radix(checksum, 16).ok() != Some(crc32fast::hash(json.as_bytes())) {
-        return Err(corrupt("its checksum is wrong"));
+        return Err(corrupt("the checksum does not match"));
     }
-    serde_json::from_str(json).map(Some).map_err(|_| corrupt("it is no record"))
+    serde_json::from_str(json).map(Some).map_err(|_| corrupt("the content is not a valid record"))
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,8 +1,8 @@
-//! What two processes of one gateway share while one replaces the other: the operators' cordons of servers, and each
-//! process's share of what the gateway may use.
+//! State shared by the processes of one gateway during a hot restart, while a new process replaces an old one: the operators'
+//! cordons of servers, and each process's share of the gateway's limits.
 //!
-//! [`state`] decides and does no I/O: it is given the records of the other processes and returns what changes in this one.
-//! [`directory`] keeps the records in a directory that all processes of the gateway share, and decides nothing.
+//! [`state`] makes all decisions and does no I/O: its input are the records of the other processes, its output the changes for
+//! this process. [`directory`] keeps the records in a directory that all processes of the gateway share, and decides nothing.
 
 #![warn(missing_docs)]
 
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,92 +1,92 @@
-//! The state of one process beside the others of its gateway: cordons merged from all records, and the share of the
-//! gateway's limits that is this process's. Inputs are the records, outputs are changes; it never reads or writes a file.
+//! The state of one process of a gateway: the cordons merged from the records of all its processes, and this process's share of
+//! the gateway's limits. Its inputs are records and its outputs are changes. It does no I/O.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since 1970 by the clock that all processes share.
+/// Unix time in microseconds by the wall clock, which all processes of a gateway share.
 pub type Micros = u64;
 
-/// Identifies a process: one that started later has a greater number.
+/// Identifies a process. A process that started later has a greater generation.
 pub type Generation = u64;
 
-/// Cordons that are kept: many more than operators set by hand.
+/// Maximum number of cordon records that are kept: many more than operators set by hand.
 pub const MAX_CORDONS: usize = 4_096;
-/// How long an uncordoned server is remembered, in microseconds: longer than a slow start, as a process that starts
-/// meanwhile must know of it.
+/// How long the record of an uncordoned server is kept, in microseconds. This is longer than a slow start, as a process that
+/// starts meanwhile must know about the slow start.
 const UNCORDON_RETENTION: Micros = 60_000_000;
-/// Descriptors that a process in shutdown keeps beyond those it holds, for the attempts of requests that are open.
+/// Descriptors that a process in shutdown keeps in addition to those it holds, for the attempts of open requests.
 const SHUTDOWN_DESCRIPTORS: usize = 16;
-/// Divisor of the gateway's descriptors for the least share of a process: without any descriptor it could not even reply
+/// Divisor of the gateway's descriptors for the minimum share of a process. A process without descriptors could not even reply
 /// that it is not ready.
 const MIN_SHARE_DIVISOR: usize = 8;
 
-/// The last change of a server's cordon. Of two records the greater one holds, in the order of the fields.
+/// The last change of a server's cordon. Of two records the greater one takes precedence, comparing the fields in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CordonRecord {
-    /// Greater than that of any record of this server that the writer knew.
+    /// A Lamport timestamp: greater than the stamp of any record for this server that the writer knew.
     pub stamp: u64,
     /// The process that the operator called.
     pub by: Generation,
-    /// When the operator called.
+    /// The time of the operator's call.
     pub at: Micros,
-    /// Whether the server is cordoned, or was uncordoned.
+    /// True if the server was cordoned, false if it was uncordoned.
     #[serde(rename = "out")]
     pub cordoned: bool,
 }
 
-/// What one process lets the others know. The names in JSON are an encoding that processes of other versions read.
+/// The state that one process publishes to the others. Processes of other versions read it, so the names in JSON must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessRecord {
-    /// Grows with each cordon record that is new in this process.
+    /// Increases by one with each cordon record that is new to this process.
     pub version: u64,
-    /// The last cordon record of each server, by its name.
+    /// The last cordon record of each server, by the server's name.
     #[serde(rename = "words")]
     pub cordons: BTreeMap<String, CordonRecord>,
-    /// The version that this process has merged of each live process.
+    /// For each other live process, the version of its record that this process has merged.
     #[serde(rename = "heard")]
     pub acknowledged: BTreeMap<Generation, u64>,
-    /// Descriptors that this process may come to hold.
+    /// The maximum number of descriptors that this process may hold.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
 }
 
-/// Another process as it was read. A live one without a readable record counts in the shares, and has acknowledged
-/// nothing.
+/// Another process as its files show it. A live process without a readable record counts when limits are divided, and has
+/// acknowledged nothing.
 #[derive(Clone, Debug)]
 pub struct OtherProcess {
-    /// Its number.
+    /// Identifies the process.
     pub generation: Generation,
-    /// Whether it runs.
+    /// Whether the process is running.
     pub is_alive: bool,
-    /// Its last record, if there is a readable one.
+    /// The last record of the process, if it is readable.
     pub record: Option<ProcessRecord>,
 }
 
 /// A process's share of its gateway's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessShare {
-    /// Fraction of ceilings and slow-start budgets. Those of all processes never add up to more than 1.
+    /// Fraction of ceilings and slow-start budgets. The fractions of all processes never add up to more than 1.
     pub fraction: f64,
-    /// Live processes including this one, among which memory is divided evenly.
+    /// Number of live processes including this one. Memory is divided evenly among them.
     pub processes: usize,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub descriptors: usize,
 }
 
-/// A change that an update brings for this process.
+/// A change that this process has to apply after an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A server is cordoned.
     Cordoned(String),
-    /// A server was uncordoned at that time, and is in slow start from then on.
+    /// A server was uncordoned at the given time, when its slow start began.
     Uncordoned(String, Micros),
     /// This process has another share.
     Share(ProcessShare),
 }
 
-/// One process of a gateway, with what it knows of the others.
+/// One process of a gateway, and its knowledge about the other processes.
 #[derive(Debug)]
 pub struct HotRestart {
     generation: Generation,
@@ -96,7 +96,7 @@
     cordons: BTreeMap<String, CordonRecord>,
     /// The other live processes at the last update.
     live_processes: BTreeMap<Generation, LiveProcess>,
-    /// Whether all processes that were live at one update have acknowledged this one.
+    /// Whether all other processes that were live at some update had acknowledged this process.
     is_settled: bool,
     is_shutting_down: bool,
     held_descriptors: usize,
@@ -105,15 +105,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LiveProcess {
-    /// The version of its record that this process has merged.
+    /// The version of the other process's record that this process has merged.
     merged_version: u64,
-    /// The version of this process's record that it has merged; nothing where it does not know of this process.
+    /// The version of this process's record that the other process has merged. `None` if the other does not know this process.
     acknowledged_version: Option<u64>,
     descriptors: usize,
 }
 
 impl HotRestart {
-    /// A process that has seen no other yet. `descriptors` are those of the whole gateway.
+    /// Creates the state of a process that has seen no other process yet. `descriptors` is the number for the whole gateway.
     pub fn new(generation: Generation, descriptors: usize) -> Self {
         HotRestart {
             generation,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Records that an operator has cordoned or uncordoned a server at a time. False where nothing changes by it: the server
-    /// is in that state, or the bound on cordons is reached.
+    /// Records that an operator has cordoned or uncordoned a server at the given time. Returns false if nothing changes: the
+    /// server is already in that state, or [`MAX_CORDONS`] is reached.
     pub fn set_cordon(&mut self, server: &str, cordoned: bool, at: Micros) -> bool {
         let known = self.cordons.get(server);
         if known.is_some_and(|cordon| cordon.cordoned == cordoned)
@@ -143,8 +143,8 @@
         true
     }
 
-    /// Merges the records of the other processes and divides the limits again. `held_descriptors` are those that this
-    /// process has open.
+    /// Merges the records of the other processes, and computes this process's share of the limits again. `held_descriptors` is
+    /// the number of descriptors that this process has open.
     pub fn update(&mut self, others: &[OtherProcess], held_descriptors: usize, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
         self.held_descriptors = held_descriptors;
@@ -178,7 +178,7 @@
         changes
     }
 
-    /// Takes over the cordon records that are newer than those known here.
+    /// Merges the cordon records that are newer than those known to this process.
     fn merge(&mut self, record: &ProcessRecord, changes: &mut Vec<Change>) {
         for (server, cordon) in &record.cordons {
             let known = self.cordons.get(server);
@@ -199,14 +199,14 @@
 
     fn compute_share(&self) -> ProcessShare {
         let processes = self.live_processes.len() + 1;
-        // Danger: two processes that each use the whole of a limit admit twice the ceilings and overload servers in slow
-        // start. A new process has nothing until the others have acknowledged it.
+        // Danger: two processes that each use the whole of a limit would admit twice the ceilings, and overload servers in slow
+        // start. A new process has a fraction of 0 until the others have acknowledged it.
         let fraction = if self.is_settled { 1.0 / processes as f64 } else { 0.0 };
         let older_descriptors: usize =
             self.live_processes.range(..self.generation).map(|(_, process)| process.descriptors).sum();
         let younger_processes = self.live_processes.range(self.generation..).count();
         let even_share = self.descriptors.saturating_sub(older_descriptors) / (1 + younger_processes);
-        let share_wanted = if self.is_shutting_down && self.has_successor() {
+        let descriptor_share = if self.is_shutting_down && self.has_successor() {
             even_share.min(self.held_descriptors + SHUTDOWN_DESCRIPTORS)
         } else {
             even_share
@@ -214,11 +214,12 @@
         ProcessShare {
             fraction,
             processes,
-            descriptors: share_wanted.max(self.descriptors / MIN_SHARE_DIVISOR),
+            descriptors: descriptor_share.max(self.descriptors / MIN_SHARE_DIVISOR),
         }
     }
 
-    /// Lowers this process's share to what it holds, as it accepts no more clients where it has a successor.
+    /// Begins the shutdown of this process. If it has a successor it accepts no more clients, and its share of descriptors is
+    /// lowered to little more than those it holds.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
@@ -228,7 +229,7 @@
         self.is_settled
     }
 
-    /// Whether a process is live that started after this one.
+    /// Whether a process that started after this one is live.
     pub fn has_successor(&self) -> bool {
         self.live_processes.range(self.generation..).next().is_some()
     }
@@ -243,7 +244,7 @@
         self.version
     }
 
-    /// Whether all live processes have merged this process's record of a version; false before the first update.
+    /// Whether all other live processes have merged the given version of this process's record. False before the first update.
     pub fn is_acknowledged(&self, version: u64) -> bool {
         self.share.is_some()
             && self.live_processes.values().all(|process| {
@@ -253,7 +254,7 @@
             })
     }
 
-    /// The record for the other processes.
+    /// The record that this process publishes to the others.
     pub fn record(&self) -> ProcessRecord {
         let descriptors = self.share.map_or(self.descriptors, |share| share.descriptors);
         ProcessRecord {
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Processes that start, shut down and are killed, and operators who cordon servers at any of them, on seeded schedules.
+//! Seeded random schedules in which processes start, shut down and are killed, and operators cordon servers at any process.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
     core: HotRestart,
     share: ProcessShare,
     held_descriptors: usize,
-    /// The cordons that its dispatcher was given.
+    /// The cordons that were passed to the process's dispatcher.
     cordoned: BTreeMap<String, bool>,
 }
 
-/// All processes, and the directory that they share: the last record of each, ended or live.
+/// All processes, and the directory that they share, with the last record of each process, live or ended.
 #[derive(Default)]
 struct World {
     live: BTreeMap<Generation, Process>,
@@ -50,7 +50,7 @@
     fn update(&mut self, generation: Generation) {
         self.now += 20_000;
         let others = self.others();
-        let process = self.live.get_mut(&generation).expect("it lives");
+        let process = self.live.get_mut(&generation).expect("a live process");
         for change in process.core.update(&others, process.held_descriptors, self.now) {
             match change {
                 Change::Cordoned(server) => drop(process.cordoned.insert(server, true)),
@@ -58,7 +58,7 @@
                 Change::Share(share) => process.share = share,
             }
         }
-        // It opens half of what it may.
+        // The process opens half of the descriptors that it may hold.
         process.held_descriptors = process
             .held_descriptors
             .max(process.share.descriptors / 2)
@@ -67,7 +67,7 @@
     }
 
     fn set_cordon(&mut self, generation: Generation, server: &str, cordoned: bool) {
-        let process = self.live.get_mut(&generation).expect("it lives");
+        let process = self.live.get_mut(&generation).expect("a live process");
         process.core.set_cordon(server, cordoned, self.now);
         process.cordoned.insert(server.into(), cordoned);
         self.files.insert(generation, Some(process.core.record()));
@@ -98,15 +98,17 @@
         let mut last_cordons: BTreeMap<&str, bool> = BTreeMap::new();
         world.start_process();
         for _ in 0..200 {
-            let all: Vec<Generation> = world.live.keys().copied().collect();
-            let process = all.get(rng.gen_range(0..all.len().max(1))).copied();
+            let live_generations: Vec<Generation> = world.live.keys().copied().collect();
+            let process = live_generations.get(rng.gen_range(0..live_generations.len().max(1))).copied();
             match (rng.gen_range(0..20), process) {
                 (0, _) | (_, None) if world.live.len() < 4 => drop(world.start_process()),
                 (1, Some(process)) => drop(world.live.remove(&process)),
-                (2, Some(process)) => world.live.get_mut(&process).expect("it lives").core.begin_shutdown(),
+                (2, Some(process)) => {
+                    world.live.get_mut(&process).expect("a live process").core.begin_shutdown()
+                }
                 (3, Some(process)) if rng.gen() => drop(world.files.insert(process, None)),
                 (3..=5, Some(process)) => {
-                    // As operators do: the next call once the last has been acknowledged, at any process.
+                    // Operators call any process, and only after all processes have acknowledged their previous call.
                     world.settle();
                     let (server, cordoned) = (SERVERS[rng.gen_range(0..3)], rng.gen());
                     world.set_cordon(process, server, cordoned);
@@ -116,14 +118,18 @@
                         let core = &world.live[&process].core;
                         assert!(
                             core.is_acknowledged(core.version()),
-                            "seed {seed}: a word that is not heard"
+                            "seed {seed}: a cordon is not acknowledged"
                         );
                     }
                 }
                 (_, Some(process)) => world.update(process),
                 _ => {}
             }
-            assert!(world.fraction_sum() <= 1.0 + 1e-9, "seed {seed}: {} gateways", world.fraction_sum());
+            assert!(
+                world.fraction_sum() <= 1.0 + 1e-9,
+                "seed {seed}: the fractions add up to {}",
+                world.fraction_sum()
+            );
         }
         if world.live.is_empty() {
             continue;
@@ -131,14 +137,17 @@
         world.settle();
         assert!(
             (world.fraction_sum() - 1.0).abs() < 1e-9,
-            "seed {seed}: {} of one gateway",
+            "seed {seed}: the fractions add up to {}",
             world.fraction_sum()
         );
-        let all: Vec<Generation> = world.live.keys().copied().collect();
+        let live_generations: Vec<Generation> = world.live.keys().copied().collect();
         for server in SERVERS {
             let seen: Vec<bool> =
-                all.iter().map(|generation| world.sees_cordon(*generation, server)).collect();
-            assert!(seen.iter().all(|cordoned| *cordoned == seen[0]), "seed {seed}: {server} is {seen:?}");
+                live_generations.iter().map(|generation| world.sees_cordon(*generation, server)).collect();
+            assert!(
+                seen.iter().all(|cordoned| *cordoned == seen[0]),
+                "seed {seed}: processes differ in the cordon of {server}: {seen:?}"
+            );
         }
     }
 }
@@ -155,7 +164,7 @@
     let new = world.start_process();
     world.update(new);
     assert!(world.sees_cordon(new, "s0"));
-    // Uncordoned a moment ago: the new process must start it slowly.
+    // The server was just uncordoned: the new process must put it in slow start.
     assert_eq!(world.live[&new].cordoned.get("s1"), Some(&false));
     world.set_cordon(new, "s0", false);
     let third = world.start_process();
@@ -176,9 +185,10 @@
     assert_eq!((world.live[&old].share.fraction, world.live[&new].share.fraction), (0.5, 0.0));
     world.update(new);
     assert_eq!((world.live[&new].share.fraction, world.live[&new].share.descriptors), (0.5, DESCRIPTORS / 2));
-    // The old process shuts down: the new one gets what the old does not hold, and everything once it has ended.
-    world.live.get_mut(&old).expect("it lives").held_descriptors = 30;
-    world.live.get_mut(&old).expect("it lives").core.begin_shutdown();
+    // The old process shuts down. The new process gets the descriptors that the old one does not hold, and all of them after the
+    // old one has ended.
+    world.live.get_mut(&old).expect("a live process").held_descriptors = 30;
+    world.live.get_mut(&old).expect("a live process").core.begin_shutdown();
     world.update(old);
     world.update(new);
     let [ending, starting] = [old, new].map(|generation| world.live[&generation].share.descriptors);
