--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -121,7 +121,8 @@
 }
 
 impl Limits {
-    /// The limits of a gateway with so many `descriptors`, of which `reserved` are for optional features that are configured.
+    /// The limits of a gateway with the given number of `descriptors`, of which `reserved` are for optional features that are
+    /// configured.
     pub fn new(descriptors: usize, memory_mb: usize, reserved: usize) -> Self {
         let limits = Limits {
             clients: Slots::new(0),
--- a/crates/gateway/src/transport/wall_clock.rs
+++ b/crates/gateway/src/transport/wall_clock.rs
@@ -38,7 +38,7 @@
         self.offsets.truncate(MAX_OFFSETS);
     }
 
-    /// The minimum age of a Unix time by all remembered offsets, in microseconds. It is 0 where the time is in the future by
+    /// The minimum age of a Unix time by all remembered offsets, in microseconds. It is 0 if the time is in the future by
     /// all of them.
     pub fn min_age(&self, monotonic: Micros, unix: Micros) -> Micros {
         let age = |ahead: &i64| monotonic as i64 + ahead - unix as i64;
--- a/crates/hot-restart/tests/schedules.rs
+++ b/crates/hot-restart/tests/schedules.rs
@@ -50,7 +50,7 @@
     fn update(&mut self, generation: Generation) {
         self.now += 20_000;
         let others = self.others();
-        let process = self.live.get_mut(&generation).expect("a live process");
+        let process = self.live.get_mut(&generation).expect("live");
         for change in process.core.update(&others, process.held_descriptors, self.now) {
             match change {
                 Change::Cordoned(server) => drop(process.cordoned.insert(server, true)),
@@ -67,7 +67,7 @@
     }
 
     fn set_cordon(&mut self, generation: Generation, server: &str, cordoned: bool) {
-        let process = self.live.get_mut(&generation).expect("a live process");
+        let process = self.live.get_mut(&generation).expect("live");
         process.core.set_cordon(server, cordoned, self.now);
         process.cordoned.insert(server.into(), cordoned);
         self.files.insert(generation, Some(process.core.record()));
@@ -103,9 +103,7 @@
             match (rng.gen_range(0..20), process) {
                 (0, _) | (_, None) if world.live.len() < 4 => drop(world.start_process()),
                 (1, Some(process)) => drop(world.live.remove(&process)),
-                (2, Some(process)) => {
-                    world.live.get_mut(&process).expect("a live process").core.begin_shutdown()
-                }
+                (2, Some(process)) => world.live.get_mut(&process).expect("live").core.begin_shutdown(),
                 (3, Some(process)) if rng.gen() => drop(world.files.insert(process, None)),
                 (3..=5, Some(process)) => {
                     // Operators call any process, and only after all processes have acknowledged their previous call.
@@ -187,8 +185,8 @@
     assert_eq!((world.live[&new].share.fraction, world.live[&new].share.descriptors), (0.5, DESCRIPTORS / 2));
     // The old process shuts down. The new process gets the descriptors that the old one does not hold, and all of them after the
     // old one has ended.
-    world.live.get_mut(&old).expect("a live process").held_descriptors = 30;
-    world.live.get_mut(&old).expect("a live process").core.begin_shutdown();
+    world.live.get_mut(&old).expect("live").held_descriptors = 30;
+    world.live.get_mut(&old).expect("live").core.begin_shutdown();
     world.update(old);
     world.update(new);
     let [ending, starting] = [old, new].map(|generation| world.live[&generation].share.descriptors);
