--- a/crates/gateway/src/transport/connection.rs
+++ b/crates/gateway/src/transport/connection.rs
@@ -208,8 +208,8 @@
         let _ = sockopt::set_tcp_quickack(&self.stream, true);
     }
 
-    /// How long the bytes that were just read, or the newly established connection, had been there before this process noticed.
-    /// It is at most the time since `waited_since`. Zero if the kernel does not report it, or below [`MIN_READ_DELAY`].
+    /// How late this process read the bytes that it has just read, or noticed that the connection was established. The delay is at
+    /// most the time since `waited_since`. It is zero if the kernel does not report it, or if it is below [`MIN_READ_DELAY`].
     pub fn read_delay(&self, waited_since: Instant) -> Duration {
         let waited = waited_since.elapsed();
         if waited < MIN_READ_DELAY {
