--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -110,7 +110,7 @@
     async fn handle_invalid(&mut self, why: &str) -> Result<(), ConnectionEnd> {
         self.invalid_commands += 1;
         if self.invalid_commands > MAX_INVALID_COMMANDS {
-            return self.fail_protocol("too many invalid commands").await;
+            return self.fail_protocol("too many commands make no sense").await;
         }
         debug!(self.context.shared.log, #"request.misread", "invalid command"; "why" => why);
         self.wait_for_error_permit().await?;
--- a/crates/gateway/src/downstream/connection_task.rs
+++ b/crates/gateway/src/downstream/connection_task.rs
@@ -180,7 +180,7 @@
             }
             // A client that has sent nothing may still send a command, and would take an error for its reply.
             Input::Read(Err(ConnectionEnd::TimedOut)) if !self.connection.buffer.is_empty() => {
-                self.fail_protocol("no complete command has arrived in time").await
+                self.fail_protocol("no whole command has come in time").await
             }
             Input::Read(Err(end)) | Input::End(end) => Err(end),
         }
