--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -80,7 +80,7 @@
         if let Some(subsetting) = self.shared.subsetting.get() {
             subsetting.attempt_forwarded();
         }
-        if self.shared.outlier_detection.get().is_some_and(|detection| detection.may_forward(&server)) {
+        if self.shared.outlier_detection.get().is_some_and(|detection| detection.use_trial_permit(&server)) {
             self.engine.set_ejected(&server, true);
         }
         let attempt = request.begin_attempt(mailbox.clone());
--- a/crates/gateway/src/dispatcher/events.rs
+++ b/crates/gateway/src/dispatcher/events.rs
@@ -161,14 +161,14 @@
     fn update_subset(&mut self) {
         let Some(subsetting) = self.shared.subsetting.get() else { return };
         let slots = self.servers.iter().map(|(id, endpoint)| (endpoint, self.engine.is_avoided(id)));
-        let SubsetChange { subset, opens, leaves } = subsetting.update(slots);
+        let SubsetChange { subset, servers_to_connect, removed_servers } = subsetting.update(slots);
         if subset.is_some() {
             self.engine.set_subset(subset);
         }
-        for server in opens {
+        for server in servers_to_connect {
             self.actions.push(Action::Upstream { server, order: upstream::Order::CheckHealth });
         }
-        for server in leaves {
+        for server in removed_servers {
             self.actions.push(Action::Upstream { server, order: upstream::Order::CloseIdle });
         }
     }
--- a/crates/gateway/src/fleet/outlier_detection.rs
+++ b/crates/gateway/src/fleet/outlier_detection.rs
@@ -79,7 +79,7 @@
 
     /// Records that an attempt goes to a server. True where the attempt has used this gateway's trial permit for an ejected
     /// server, so that no other may follow.
-    pub fn may_forward(&self, server: &str) -> bool {
+    pub fn use_trial_permit(&self, server: &str) -> bool {
         self.core.borrow_mut().may_forward(self.host.clock().now(), server)
     }
 
--- a/crates/gateway/src/fleet/subsetting.rs
+++ b/crates/gateway/src/fleet/subsetting.rs
@@ -73,9 +73,9 @@
     /// The new subset, if there is one.
     pub subset: Option<Subset>,
     /// Servers to connect to before the first attempt.
-    pub opens: Vec<Id>,
+    pub servers_to_connect: Vec<Id>,
     /// Servers that this gateway no longer uses.
-    pub leaves: Vec<Id>,
+    pub removed_servers: Vec<Id>,
 }
 
 /// An endpoint, and whether the dispatcher avoids it now.
@@ -263,8 +263,9 @@
         core.tracker.fleet_changed(now, fleet.view, fleet.is_complete);
         let has_changed = core.tracker.handle_timeout(now);
         let preconnects = core.tracker.take_preconnects(now).into_iter();
-        let opens = preconnects.filter(|name| !ready.slow_starting.contains(name)).map(Id::from).collect();
-        let mut change = SubsetChange { opens, ..SubsetChange::default() };
+        let servers_to_connect =
+            preconnects.filter(|name| !ready.slow_starting.contains(name)).map(Id::from).collect();
+        let mut change = SubsetChange { servers_to_connect, ..SubsetChange::default() };
         if has_changed && !core.tracker.current().weights.is_empty() {
             self.apply_subset(core, &mut change);
         }
@@ -275,10 +276,10 @@
     fn apply_subset(&self, core: &mut Core, change: &mut SubsetChange) {
         let current = core.tracker.current();
         let names: BTreeSet<String> = current.weights.keys().cloned().collect();
-        change.leaves = core.used_servers.difference(&names).map(|name| Id::from(&**name)).collect();
+        change.removed_servers = core.used_servers.difference(&names).map(|name| Id::from(&**name)).collect();
         if core.used_servers != names {
             info!(self.host.log(), #"subset.changes", "uses other servers"; "servers" => names.len(),
-                "more" => names.difference(&core.used_servers).count(), "fewer" => change.leaves.len(),
+                "more" => names.difference(&core.used_servers).count(), "fewer" => change.removed_servers.len(),
                 "gateways" => core.tracker.settled_view().gateways.len());
         }
         // Relative to the mean, as the dispatcher's other weights are.
