--- a/crates/gateway/src/fleet/durable_store.rs
+++ b/crates/gateway/src/fleet/durable_store.rs
@@ -1,6 +1,6 @@
-//! The gateway's store, on a thread of its own: a sync may take seconds on a bad disk, and client requests must not wait
-//! for it. Writes that wait together become durable by one sync, in the order in which they were handed in. What is
-//! written, and what a failed write means, the callers decide.
+//! The gateway's store, on its own thread: a sync may take seconds on a faulty disk, and client requests must not wait for
+//! it. Queued writes are made durable together by one sync, in the order in which they were submitted. The callers decide
+//! what is written and what a failed write means.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,90 +16,93 @@
 
 use crate::transport::clock::unix;
 
-/// Writes that wait for the thread. A further one completes as not durable.
-const MAX_QUEUED_WRITES: usize = 4_096;
-/// Writes that become durable by one sync.
-const MAX_BATCHES_PER_SYNC: usize = 256;
-/// Bytes examined for compaction after a sync.
+/// Maximum number of commands that wait for the store's thread. A write beyond it is dropped, and its receiver closes.
+const MAX_QUEUED_COMMANDS: usize = 4_096;
+/// Maximum number of further queued commands that are handled before the next sync.
+const MAX_COMMANDS_PER_SYNC: usize = 256;
+/// Number of bytes that are examined for compaction after each sync.
 const COMPACTION_SLICE_BYTES: usize = 64 * 1024;
-/// Size of the store on disk and of its index in memory, for some thousand small entries.
+/// Limits on the store's size on disk and on its index in memory, enough for a few thousand small entries.
 const MAX_DISK_BYTES: u64 = 64 * 1024 * 1024;
 const MAX_INDEX_BYTES: u64 = 4 * 1024 * 1024;
 const MAX_SEGMENT_BYTES: u64 = 1024 * 1024;
 
-/// Faults to inject into the store's files, in tests.
+/// Faults that tests inject into the store's files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreFaults {
-    /// Bytes that the files may hold; no limit without it.
+    /// Maximum total size of the files in bytes, or `None` for no limit.
     pub quota_bytes: Option<u64>,
-    /// Added to the duration of every sync.
+    /// Delay that is added to every sync.
     pub sync_delay: Duration,
     /// Whether every sync fails.
     pub sync_fails: bool,
 }
 
 impl StoreFaults {
-    fn apply_to(self, injected: &Faults) {
-        injected.quota_bytes.set(self.quota_bytes);
-        injected.sync_delay.set(self.sync_delay);
-        injected.sync_fails.set(self.sync_fails);
+    fn apply_to(self, injected_faults: &Faults) {
+        injected_faults.quota_bytes.set(self.quota_bytes);
+        injected_faults.sync_delay.set(self.sync_delay);
+        injected_faults.sync_fails.set(self.sync_fails);
     }
 }
 
-/// What the thread is to do.
-enum Order {
+/// A command to the store's thread.
+enum Command {
+    /// Write a batch, and send whether it is durable.
     Write(Batch, Sender<bool>),
+    /// Replace the injected faults.
     SetFaults(StoreFaults),
 }
 
-/// Keys and their values, in the order of the keys.
+/// Keys and their values, in key order.
 pub type Entries = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// A handle to the store's thread. Each user of the store has keys with a prefix of its own.
+/// A handle to the store's thread. Each user of the store has its own key prefix.
 #[derive(Clone)]
 pub struct DurableStore {
-    orders: mpsc::SyncSender<Order>,
+    commands: mpsc::SyncSender<Command>,
 }
 
 impl DurableStore {
-    /// Opens the store of a directory and gives all of its entries.
+    /// Opens the store in a directory and returns it with all of its entries.
     ///
     /// # Errors
-    /// `Locked` while another process has the store; else those of opening and reading it, or of starting the thread.
+    /// `Locked` while another process has the store open. Otherwise the errors of opening and reading the store, or of
+    /// starting its thread.
     pub async fn open(directory: &Path, faults: StoreFaults) -> Result<(DurableStore, Entries), Error> {
-        let (orders, mailbox) = mpsc::sync_channel(MAX_QUEUED_WRITES);
-        let (opened, opening) = async_channel::bounded(1);
+        let (commands, received_commands) = mpsc::sync_channel(MAX_QUEUED_COMMANDS);
+        let (open_result_sender, open_result) = async_channel::bounded(1);
         let directory = PathBuf::from(directory);
         let run = move || {
-            let injected = Rc::new(Faults::default());
-            faults.apply_to(&injected);
-            match open(&directory, &injected) {
+            let injected_faults = Rc::new(Faults::default());
+            faults.apply_to(&injected_faults);
+            match open(&directory, &injected_faults) {
                 Ok((store, entries)) => {
-                    let _ = opened.send_blocking(Ok(entries));
-                    serve(store, &injected, &mailbox);
+                    let _ = open_result_sender.send_blocking(Ok(entries));
+                    serve(store, &injected_faults, &received_commands);
                 }
-                Err(why) => drop(opened.send_blocking(Err(why))),
+                Err(why) => drop(open_result_sender.send_blocking(Err(why))),
             }
         };
         let thread_error = |what| move |why| Error::Io { what, why };
-        thread::Builder::new().name("store".into()).spawn(run).map_err(thread_error("its thread"))?;
-        let thread_gone = |_| thread_error("its thread")(io::Error::other("it has ended"));
-        let entries = opening.recv().await.map_err(thread_gone)??;
-        Ok((DurableStore { orders }, entries))
+        thread::Builder::new().name("store".into()).spawn(run).map_err(thread_error("the store's thread"))?;
+        let thread_ended = |_| thread_error("the store's thread")(io::Error::other("the thread has ended"));
+        let entries = open_result.recv().await.map_err(thread_ended)??;
+        Ok((DurableStore { commands }, entries))
     }
 
-    /// Hands in a batch. The receiver gets one message, whether the batch is durable; it closes without one where the
-    /// queue is full or the thread has ended.
+    /// Submits a batch of writes. The receiver gets one message: whether the batch is durable. The receiver closes without
+    /// a message if the queue is full or the thread has ended.
     pub fn write(&self, batch: Batch) -> Receiver<bool> {
-        let (done, completed) = async_channel::bounded(1);
-        // A batch that does not fit is dropped with its sender, which closes the receiver.
-        let _ = self.orders.try_send(Order::Write(batch, done));
-        completed
+        let (result_sender, result) = async_channel::bounded(1);
+        // If the queue is full, the batch is dropped together with its sender, which closes the receiver.
+        let _ = self.commands.try_send(Command::Write(batch, result_sender));
+        result
     }
 
     /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
-        let _ = self.orders.try_send(Order::SetFaults(faults));
+        let _ = self.commands.try_send(Command::SetFaults(faults));
     }
 }
 
@@ -109,7 +112,7 @@
 
 type OpenedStore = (Store<FaultyDirectory<DiskDirectory>>, Entries);
 
-fn open(directory: &Path, injected: &Rc<Faults>) -> Result<OpenedStore, Error> {
+fn open(directory: &Path, injected_faults: &Rc<Faults>) -> Result<OpenedStore, Error> {
     let files = DiskDirectory::new(directory).map_err(|why| Error::Io { what: "the folder", why })?;
     let options = Options {
         max_disk_bytes: MAX_DISK_BYTES,
@@ -117,37 +120,38 @@
         max_segment_bytes: MAX_SEGMENT_BYTES,
         ..Options::default()
     };
-    let (store, _) = Store::open(FaultyDirectory::new(files, injected), options, now_ms())?;
+    let (store, _) = Store::open(FaultyDirectory::new(files, injected_faults), options, now_ms())?;
     let entries = store.scan(b"", None, usize::MAX, now_ms())?;
     Ok((store, entries))
 }
 
-/// Handles orders until all handles are dropped, or a sync has failed: whether earlier writes are durable is unknown then.
-fn serve<F: Directory>(mut store: Store<F>, injected: &Faults, orders: &mpsc::Receiver<Order>) {
-    while let Ok(first) = orders.recv() {
-        let mut completions = Vec::new();
-        let mut written = Ok(());
-        for order in std::iter::once(first).chain(orders.try_iter().take(MAX_BATCHES_PER_SYNC)) {
-            match order {
-                Order::Write(batch, done) => {
-                    completions.push(done);
+/// Handles commands until all handles are dropped or a sync fails. After a failed sync it is unknown whether earlier
+/// writes are durable.
+fn serve<F: Directory>(mut store: Store<F>, injected_faults: &Faults, commands: &mpsc::Receiver<Command>) {
+    while let Ok(first) = commands.recv() {
+        let mut result_senders = Vec::new();
+        let mut write_result = Ok(());
+        for command in std::iter::once(first).chain(commands.try_iter().take(MAX_COMMANDS_PER_SYNC)) {
+            match command {
+                Command::Write(batch, result_sender) => {
+                    result_senders.push(result_sender);
                     let write = store.write(&batch, Durability::Deferred, now_ms());
-                    written = written.and(write.map(drop));
+                    write_result = write_result.and(write.map(drop));
                 }
-                Order::SetFaults(faults) => faults.apply_to(injected),
+                Command::SetFaults(faults) => faults.apply_to(injected_faults),
             }
         }
-        if completions.is_empty() {
+        if result_senders.is_empty() {
             continue;
         }
-        let is_durable = written.and_then(|()| store.sync()).is_ok();
-        for done in completions {
-            let _ = done.send_blocking(is_durable);
+        let is_durable = write_result.and_then(|()| store.sync()).is_ok();
+        for result_sender in result_senders {
+            let _ = result_sender.send_blocking(is_durable);
         }
         if !is_durable {
             return;
         }
-        // Where this fails, the next write fails as well and reports it.
+        // If compaction fails, the next write fails as well and reports the failure.
         let _ = store.compact(COMPACTION_SLICE_BYTES, now_ms());
     }
 }
--- a/crates/gateway/src/fleet/endpoint_list.rs
+++ b/crates/gateway/src/fleet/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! The endpoint list that one gateway polls for all: calls to discovery, messages between gateways, and updates for the
-//! dispatcher. Who polls when, and which message counts, the replicated list of the lease package decides.
+//! The endpoint list that one gateway polls on behalf of the whole fleet. This module calls discovery, exchanges messages
+//! with the other gateways and sends updates to the dispatcher. The replicated list of the lease package decides which
+//! gateway polls when, and which messages are accepted.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,23 +25,25 @@
 
 /// Name of the lease whose holder polls discovery.
 const LEASE_NAME: &str = "list";
-/// How long a poll may take before the next gateway in rank may try.
+/// Time limit of a poll. After it the poll counts as failed, and the gateway of the next rank may poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest sleep of the timer in microseconds, as rank and lease holder change without waking it.
+/// Longest sleep of the timer task, in microseconds. It is bounded because a change of rank or lease holder does not wake
+/// the timer task.
 const MAX_SLEEP: Micros = 50_000;
 
-/// Settings of the list and the ways to discovery and the dispatcher.
+/// Settings of the endpoint list, and the channels to discovery and to the dispatcher.
 pub struct EndpointListConfig<E, R> {
-    /// How soon each gateway must know of a change, in microseconds.
+    /// Time within which every gateway must learn of a change, in microseconds.
     pub poll_interval: Micros,
-    /// Version of the list that was known before the start.
+    /// Version of the list that was known before this process started.
     pub known_index: Option<u64>,
-    /// Mailbox of the actor that calls discovery.
+    /// Channel to the actor that calls discovery.
     pub orders: Sender<R>,
-    /// Mailbox of the dispatcher.
+    /// Channel to the dispatcher.
     pub events: Sender<E>,
 }
 
+/// The state that the endpoint list's tasks share.
 struct ListTask<E, R> {
     host: Rc<dyn EndpointTable>,
     membership: Rc<Membership>,
@@ -48,13 +51,14 @@
     lease: Name,
     config: EndpointListConfig<E, R>,
     replica: RefCell<ReplicatedList>,
-    /// Whether a task carries out outputs now; others leave theirs to it, so that the order holds.
+    /// Whether a task is processing outputs now. Other tasks leave their outputs to that task, which keeps the outputs in
+    /// order.
     is_draining_outputs: Cell<bool>,
     wake: Wake,
 }
 
-/// Registers the lease and starts the tasks, which run until this gateway leaves the membership. From then on discovery
-/// makes no calls of its own.
+/// Registers the lease and starts the tasks, which run until this gateway leaves the membership. From this call on, the
+/// discovery actor makes no calls of its own. Does nothing if the lease is already registered.
 pub fn start<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static>(
     host: Rc<dyn EndpointTable>,
     membership: &Rc<Membership>,
@@ -82,6 +86,7 @@
 }
 
 impl<E: From<FleetEvent> + 'static, R: From<DiscoveryRequest> + 'static> ListTask<E, R> {
+    /// Polls discovery when a poll is due.
     async fn run_timer(self: Rc<Self>) {
         drop(self.config.orders.send(DiscoveryRequest::DelegateToFleet.into()).await);
         loop {
@@ -91,19 +96,20 @@
             let rank = self.leases.rank(&self.lease);
             self.replica.borrow_mut().handle_timeout(now, holds_lease, rank);
             self.drain_outputs().await;
-            let due = self.replica.borrow().next_deadline(holds_lease, rank);
-            let wait = async {
-                Timer::after(real_duration(due.saturating_sub(boottime()).min(MAX_SLEEP))).await;
+            let deadline = self.replica.borrow().next_deadline(holds_lease, rank);
+            let sleep = async {
+                Timer::after(real_duration(deadline.saturating_sub(boottime()).min(MAX_SLEEP))).await;
             };
-            future::or(wait, woken).await;
+            future::or(sleep, woken).await;
         }
     }
 
-    /// The term under which this gateway holds the lease, if it does.
+    /// The term under which this gateway holds the lease, or `None` if it does not hold the lease.
     fn term(&self) -> Option<u64> {
         self.leases.authorize(&self.lease, ()).map(|effect| effect.token().term)
     }
 
+    /// Passes messages of other gateways to the replicated list.
     async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
         let mut payloads = std::pin::pin!(payloads);
         while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
@@ -112,7 +118,7 @@
                     self.replica.borrow_mut().handle_message(boottime(), &sender.name.into(), message);
                 }
                 Err(_) => {
-                    let reason = "a note about the list that can't be read";
+                    let reason = "cannot decode a message about the endpoint list";
                     warn!(self.host.log(), #"list.unread", "{}", reason; "peer" => sender.name);
                 }
             }
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Carries out the outputs of the list until it has none. Polls run in tasks of their own.
+    /// Processes the outputs of the replicated list until it has none. Each poll runs in its own task.
     async fn drain_outputs(self: &Rc<Self>) {
         if self.is_draining_outputs.replace(true) {
             return;
@@ -145,7 +151,8 @@
                 Output::Updated(reply) => self.publish_update(reply).await,
                 Output::HandOver => {
                     if self.leases.hand_over(&self.lease) {
-                        info!(self.host.log(), #"list.handed-over", "discovery can't be asked here: another had better");
+                        info!(self.host.log(), #"list.handed-over",
+                            "polling discovery fails here; released the endpoint list's lease to another gateway");
                     }
                 }
                 Output::Rejected(highest) => self.leases.effect_rejected(&self.lease, highest),
@@ -154,7 +161,7 @@
         self.is_draining_outputs.set(false);
     }
 
-    /// A fragment as a message, with the fencing token where this gateway holds the lease.
+    /// Wraps a fragment in a message. The message contains the fencing token if this gateway holds the lease.
     fn with_token(&self, fragment: Fragment) -> ListMessage {
         match self.leases.authorize(&self.lease, fragment.clone()) {
             Some(effect) => ListMessage::Fragment(Some(effect.token()), effect.content().clone()),
@@ -162,7 +169,7 @@
         }
     }
 
-    /// Sends a message. One that can't be sent is lost, as on the network.
+    /// Sends a message to the gateway of a name. A message that cannot be sent is dropped, like one lost on the network.
     fn send(&self, to: &str, message: &ListMessage) {
         let _ = self.membership.send_to(
             to,
@@ -171,23 +178,23 @@
         );
     }
 
-    /// Calls discovery for what is newer than a version and hands the result to the list.
+    /// Polls discovery for changes since a version and passes the result to the replicated list.
     async fn poll(self: Rc<Self>, since: Option<u64>) {
-        let (reply_to, replies) = async_channel::bounded(1);
-        drop(self.config.orders.send(DiscoveryRequest::Poll { since, reply: reply_to }.into()).await);
-        let reply = async { replies.recv().await.ok().flatten() };
-        let late = async {
+        let (reply_sender, reply_receiver) = async_channel::bounded(1);
+        drop(self.config.orders.send(DiscoveryRequest::Poll { since, reply: reply_sender }.into()).await);
+        let reply = async { reply_receiver.recv().await.ok().flatten() };
+        let timeout = async {
             Timer::after(POLL_TIMEOUT).await;
             None
         };
-        let reply = future::or(reply, late).await.and_then(|body| parse_reply(&body));
+        let reply = future::or(reply, timeout).await.and_then(|body| parse_reply(&body));
         let term = self.term();
         self.replica.borrow_mut().poll_completed(boottime(), reply, term);
         self.drain_outputs().await;
         self.wake.notify(1);
     }
 
-    /// Reads an update with the reader of discovery's replies and lets the dispatcher know the result.
+    /// Parses an update like a reply of discovery and sends the result to the dispatcher.
     async fn publish_update(&self, reply: SourceReply) {
         let SourceReply { index, is_complete, entries } = reply;
         let endpoints = entries.iter().filter_map(|entry| serde_json::from_str::<Value>(&entry.body).ok());
@@ -196,12 +203,12 @@
         match catalog::endpoint_update(&body, self.host.platform()) {
             Ok(mut update) => {
                 self.host.apply_list(&mut update);
-                info!(self.host.log(), #"discovery.list", "list"; "index" => index, "full" => is_complete,
-                    "servers" => update.servers.len(), "by" => "fleet");
+                info!(self.host.log(), #"discovery.list", "received an update of the endpoint list";
+                    "index" => index, "full" => is_complete, "servers" => update.servers.len(), "by" => "fleet");
                 drop(self.config.events.send(FleetEvent::EndpointsUpdated(update).into()).await);
             }
             Err(ListError { reason, draining, .. }) => {
-                warn!(self.host.log(), #"discovery.failed", "discovery failed"; "why" => reason);
+                warn!(self.host.log(), #"discovery.failed", "an update of the endpoint list is invalid"; "why" => reason);
                 self.host.start_draining(&draining);
                 drop(self.config.events.send(FleetEvent::EndpointsDraining(draining).into()).await);
                 drop(self.config.events.send(FleetEvent::EndpointsUnavailable.into()).await);
@@ -210,7 +217,7 @@
     }
 }
 
-/// Reads a reply of discovery; nothing where a field is missing or has another type.
+/// Parses a reply of discovery. Returns `None` if a field is missing or has the wrong type.
 fn parse_reply(body: &Value) -> Option<SourceReply> {
     let entry = |entry: &Value| {
         Some(Entry {
--- a/crates/gateway/src/fleet/host.rs
+++ b/crates/gateway/src/fleet/host.rs
@@ -1,5 +1,5 @@
-//! What the subsystems of the fleet need of the gateway that they run in. It holds no state and decides nothing: the
-//! gateway implements it, so that nothing in `fleet` knows the gateway's shared state, its dispatcher or its discovery.
+//! The interface between the fleet's subsystems and the gateway that runs them. The gateway implements these traits, so
+//! `fleet` does not depend on the gateway's shared state, its dispatcher or its discovery client.
 
 use std::rc::Rc;
 
@@ -13,65 +13,67 @@
 use crate::protocol::catalog::EndpointUpdate;
 use crate::transport::clock::Clock;
 
-/// The process that a subsystem runs in.
+/// The gateway process that runs a subsystem.
 pub trait Host {
-    /// Where its tasks run.
+    /// The executor for the subsystem's tasks.
     fn executor(&self) -> &LocalExecutor<'static>;
 
     /// The gateway's log.
     fn log(&self) -> &Logger;
 
-    /// The clock of the decision module. Whatever must not follow the wall clock uses `boottime` instead.
+    /// The clock of the decision module, which follows the wall clock. Timing that must not follow the wall clock uses
+    /// `boottime` instead.
     fn clock(&self) -> &Clock;
 
-    /// Names of the zones; an endpoint's zone is an index into them.
+    /// Names of the zones. An endpoint's zone is an index into this list.
     fn zones(&self) -> &[String];
 
-    /// Whether the gateway finishes what it has and takes nothing new.
+    /// Whether the gateway is shutting down: it finishes its current requests and accepts no new ones.
     fn is_shutting_down(&self) -> bool;
 }
 
-/// The gateway's table of endpoints, as the endpoint list of the fleet fills it.
+/// The gateway's table of endpoints, which the fleet's endpoint list updates.
 pub trait EndpointTable: Host {
-    /// What the platform sets for reading an endpoint list.
+    /// The platform's settings, which reading an endpoint list depends on.
     fn platform(&self) -> &PlatformSettings;
 
-    /// Until when the table may be used, in microseconds of `boottime`. Later no attempt begins.
-    fn set_fresh_until(&self, until: Micros);
+    /// Sets the time, in microseconds of `boottime`, after which the table is stale and no new attempt may start.
+    fn set_fresh_until(&self, deadline: Micros);
 
-    /// Takes start times and draining endpoints from an update, before the dispatcher handles it.
+    /// Records the start times and draining endpoints of an update, before the dispatcher handles the update.
     fn apply_list(&self, update: &mut EndpointUpdate);
 
-    /// Marks endpoints as draining that an update which can't be used names as such.
+    /// Marks endpoints as draining. Used for the draining endpoints of an update that is otherwise invalid.
     fn start_draining(&self, endpoints: &[Id]);
 }
 
-/// What the fleet's subsystems let the dispatcher know. Its own event type is made `From` it.
+/// An event from the fleet's subsystems to the dispatcher. The dispatcher's own event type implements `From` for this type.
 pub enum FleetEvent {
-    /// The subset of this gateway is to be looked at.
+    /// This gateway's subset is due for an update.
     SubsettingDue,
-    /// The ejections that the gateways agree on are to be looked at.
+    /// The ejections that the gateways agree on are due for an update.
     OutlierDetectionDue,
     /// The endpoint list has changed.
     EndpointsUpdated(EndpointUpdate),
-    /// An update can't be used.
+    /// An update of the endpoint list was invalid.
     EndpointsUnavailable,
-    /// These endpoints are draining by an update that can't be used otherwise.
+    /// These endpoints are draining, according to an update that is otherwise invalid.
     EndpointsDraining(Vec<Id>),
 }
 
-/// What the endpoint list wants of the actor that calls discovery. Its own order type is made `From` it.
+/// A request from the endpoint list to the actor that calls discovery. The actor's own order type implements `From` for
+/// this type.
 pub enum DiscoveryRequest {
-    /// The fleet polls from now on; the actor makes no calls of its own.
+    /// The fleet polls discovery from now on. The actor stops making calls of its own.
     DelegateToFleet,
-    /// One call, without waiting for news.
+    /// Call discovery once, without waiting for changes.
     Poll {
-        /// The version to start from, or nothing for the whole list.
+        /// The version to request changes since, or `None` for the complete list.
         since: Option<u64>,
-        /// Gets the body of the reply, or nothing where the call failed.
+        /// Receives the body of the reply, or `None` if the call failed.
         reply: Sender<Option<Value>>,
     },
 }
 
-/// The process, as the subsystems hold it.
+/// A shared reference to the host, as the subsystems hold it.
 pub type HostHandle = Rc<dyn Host>;
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What this gateway does together with the others of the fleet: thin shells around the packages `membership`, `lease`,
-//! `subsetting` and `outlier-detection`. They carry messages, keep the time and write to the disk; what is sent and believed, and
-//! who does what, the packages decide.
+//! The subsystems that cooperate with the other gateways of the fleet. Each is a thin I/O shell around one of the packages
+//! `membership`, `lease`, `subsetting` and `outlier-detection`: the shell carries messages, runs timers and writes to disk,
+//! and the package makes all decisions.
 //!
-//! Messages of all subsystems go over `membership`, each on its channel. Whatever must survive a restart is in the one
-//! `durable_store`. What the subsystems need of the gateway is in `host`; they import nothing else of its state.
+//! All subsystems send their messages through `membership`, each on its own channel. State that must survive a restart is
+//! in the single `durable_store`. The subsystems reach the gateway only through the traits in `host`.
 
 pub mod durable_store;
 pub mod endpoint_list;
