--- a/crates/gateway/src/fleet/membership/connection.rs
+++ b/crates/gateway/src/fleet/membership/connection.rs
@@ -1,5 +1,5 @@
-//! Streams between gateways: connecting, and messages of sealed bytes with their length in front. It never looks into
-//! the bytes.
+//! Streams between gateways: connecting, and reading and writing length-prefixed messages. The messages are sealed; this
+//! module does not open them.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -14,17 +14,17 @@
 use crate::transport::stream::{read_exact, write_all};
 use crate::transport::syscall::dialled;
 
-/// Size of the length in front of a message: an unsigned number, the highest byte first.
-const LENGTH_BYTES: usize = 4;
-/// How long an exchange may take, from connecting to the last byte.
+/// Size of a message's length prefix, which is an unsigned integer in big-endian byte order.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Time limit of an exchange, from connecting to the last byte.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads one message. Fails where the length is above [`MAX_STREAM_BYTES`].
+/// Reads one message. Fails if the length exceeds [`MAX_STREAM_BYTES`].
 pub(super) async fn read_message(stream: &Async<TcpStream>) -> io::Result<Vec<u8>> {
-    let prefix = read_exact(stream, LENGTH_BYTES).await?;
+    let prefix = read_exact(stream, LENGTH_PREFIX_BYTES).await?;
     let length = prefix.iter().fold(0, |length, byte| length << u8::BITS | usize::from(*byte));
     if length > MAX_STREAM_BYTES {
-        return Err(io::Error::other("too long"));
+        return Err(io::Error::other("the message is too long"));
     }
     read_exact(stream, length).await
 }
@@ -35,7 +35,8 @@
     write_all(stream, bytes).await
 }
 
-/// Connects from a local address, or from any where the address can't reach the target.
+/// Connects to a gateway. The source address is `local_ip` if the gateway can be reached from it; otherwise the operating
+/// system chooses the source address.
 pub(super) async fn connect(local_ip: Option<IpAddr>, to: SocketAddr) -> io::Result<Async<TcpStream>> {
     let can_reach = |local_ip: &IpAddr| {
         !local_ip.is_unspecified()
@@ -50,7 +51,7 @@
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     rustix::net::bind(&socket, &SocketAddr::new(local_ip, 0))?;
     match rustix::net::connect(&socket, &to) {
-        // A connect that a signal interrupts continues in the background.
+        // After an interruption by a signal, the connect continues in the background.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
         Err(error) => return Err(error.into()),
     }
@@ -62,11 +63,11 @@
     }
 }
 
-/// Sends a sealed message to a gateway and gives its sealed reply. `local_ip` is the source address, where it can reach
-/// the gateway.
+/// Sends a sealed message to a gateway and returns the sealed reply. `local_ip` is the source address if the gateway can be
+/// reached from it.
 ///
 /// # Errors
-/// Those of the connection, and `TimedOut` two seconds after the call.
+/// The errors of the connection, and `TimedOut` if there is no reply within two seconds.
 pub async fn dial_and_exchange(
     local_ip: Option<IpAddr>,
     to: SocketAddr,
--- a/crates/gateway/src/fleet/membership/exchanges.rs
+++ b/crates/gateway/src/fleet/membership/exchanges.rs
@@ -1,6 +1,6 @@
-//! Streams of membership: exchanges of the full state with other gateways, messages too long for a datagram, and
-//! operators' queries. The number of streams and their duration are bounded here; what a message means to the node the
-//! membership package decides.
+//! Streams of the membership: exchanges of the full state with other gateways, messages that are too long for a datagram,
+//! and operators' queries. This module bounds the number and the duration of streams. The membership package handles the
+//! contents of messages.
 
 use std::cell::Cell;
 use std::io;
@@ -16,16 +16,16 @@
 use super::Membership;
 use crate::transport::clock::unix;
 
-/// Exchanges that others may have open here. Danger: a message is read whole before its seal is checked, so without a
-/// bound strangers could take any amount of memory.
+/// Maximum number of incoming exchanges at a time. A message is read completely before its seal is checked, so without a
+/// bound unauthenticated senders could use up the memory.
 const MAX_INCOMING_EXCHANGES: usize = 4;
-/// Messages on their way over streams. Further ones are lost, as on the network.
+/// Maximum number of outgoing streams at a time. Messages beyond it are dropped, like messages lost on the network.
 const MAX_OUTGOING_STREAMS: usize = 16;
 
-/// Pause after a connection that could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// Counts an open exchange or stream until it is dropped.
+/// Counts an open exchange or stream until the guard is dropped.
 struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
@@ -42,11 +42,11 @@
 }
 
 impl Membership {
-    /// Sends the full state to another gateway and merges the one that it replies with.
+    /// Sends the full state to another gateway and merges the state in the reply.
     pub(super) fn begin_exchange(&self, to: SocketAddr) {
         let exchange = dial_and_exchange(Some(self.local_ip), to, self.sealed_full_state());
-        let Some(membership) = self.this.upgrade() else { return };
-        let guard = CountGuard::new(&self.begun_exchanges);
+        let Some(membership) = self.weak_self.upgrade() else { return };
+        let guard = CountGuard::new(&self.outgoing_exchanges);
         let task = async move {
             if let Ok(reply) = exchange.await {
                 membership.handle_full_state_reply(&reply);
@@ -56,18 +56,19 @@
         self.host.executor().spawn(task).detach();
     }
 
-    /// Sends a sealed message that has no reply. It is lost where too many are on their way.
+    /// Sends a sealed message that has no reply. The message is dropped if there are too many outgoing streams.
     pub(super) fn send_stream(&self, to: SocketAddr, sealed: Vec<u8>) {
-        if self.open_streams.get() >= MAX_OUTGOING_STREAMS {
+        if self.outgoing_streams.get() >= MAX_OUTGOING_STREAMS {
             return;
         }
-        let guard = CountGuard::new(&self.open_streams);
+        let guard = CountGuard::new(&self.outgoing_streams);
         let local_ip = self.local_ip;
         let task = async move {
             let send = async {
                 let stream = connect(Some(local_ip), to).await?;
                 write_message(&stream, &sealed).await?;
-                // Waits until the other side closes: closing first would discard what it has not read yet.
+                // Waits until the receiver closes the connection. Closing it first would discard data that the receiver has
+                // not read yet.
                 let _ = read_message(&stream).await;
                 Ok(())
             };
@@ -77,7 +78,7 @@
         self.host.executor().spawn(task).detach();
     }
 
-    /// Accepts streams until this gateway leaves. Those beyond the bound are closed.
+    /// Accepts streams until this gateway leaves the membership. Streams beyond the bound are closed.
     pub(super) async fn accept_streams(self: Rc<Self>, listener: Async<TcpListener>) {
         let mut incoming = std::pin::pin!(listener.incoming());
         while let Some(stream) = incoming.next().await {
@@ -85,10 +86,10 @@
                 Timer::after(ACCEPT_RETRY_PAUSE).await;
                 continue;
             };
-            if self.open_exchanges.get() >= MAX_INCOMING_EXCHANGES {
+            if self.incoming_exchanges.get() >= MAX_INCOMING_EXCHANGES {
                 continue;
             }
-            let guard = CountGuard::new(&self.open_exchanges);
+            let guard = CountGuard::new(&self.incoming_exchanges);
             let membership = self.clone();
             let task = async move {
                 let _ = future::or(membership.serve_stream(stream), exchange_timeout()).await;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Handles the message of an accepted stream, and writes the reply if the message has one.
+    /// Handles the message of an accepted stream, and writes the reply if there is one.
     async fn serve_stream(&self, stream: Async<TcpStream>) -> io::Result<()> {
         let bytes = read_message(&stream).await?;
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), &bytes);
@@ -122,7 +123,8 @@
                 self.seal(&StreamMessage::QueryReply(reply.unwrap_or_default()))
             }
             other => {
-                let reason = other.err().map_or("it makes no sense here".into(), |error| error.to_string());
+                let reason =
+                    other.err().map_or("unexpected message type or sender".into(), |error| error.to_string());
                 self.log_rejected(stream.get_ref().peer_addr()?, &reason);
                 return Ok(());
             }
@@ -130,6 +132,7 @@
         write_message(&stream, &reply).await
     }
 
+    /// Merges the full state in a reply. Any other reply is ignored.
     fn handle_full_state_reply(&self, bytes: &[u8]) {
         let opened = self.sealer.borrow_mut().open::<StreamMessage>(unix(), bytes);
         match opened {
@@ -156,7 +159,7 @@
     }
 }
 
-/// Ends a stream that takes too long.
+/// Fails with `TimedOut` after the time limit of an exchange.
 async fn exchange_timeout() -> io::Result<()> {
     Timer::after(EXCHANGE_TIMEOUT).await;
     Err(io::Error::from(io::ErrorKind::TimedOut))
--- a/crates/gateway/src/fleet/membership/query.rs
+++ b/crates/gateway/src/fleet/membership/query.rs
@@ -1,4 +1,5 @@
-//! Queries to a running gateway, for operators' commands. They block the calling thread, so no gateway uses them itself.
+//! Queries to a running gateway, for operators' commands. The queries block the calling thread, so the gateway itself does
+//! not use them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,36 +13,37 @@
 use super::connection::dial_and_exchange;
 use crate::transport::clock::unix;
 
-/// Why a query has no reply.
+/// The error of a failed query.
 #[derive(Debug, Error)]
 pub enum QueryError {
-    /// The configuration holds no key to seal a query with.
-    #[error("there is no key to ask with")]
+    /// The configuration has no key to seal the query with.
+    #[error("the configuration has no key to seal a query with")]
     NoKey,
-    /// The gateway can't be reached, or sends no reply in time.
-    #[error("the gateway at {gateway} does not answer: {error}")]
+    /// The gateway cannot be reached, or sends no reply in time.
+    #[error("the gateway at {gateway} does not reply: {error}")]
     NoReply {
-        /// The address that was called.
+        /// The address of the gateway.
         gateway: SocketAddr,
-        /// What the connection met.
+        /// The error of the connection.
         error: io::Error,
     },
-    /// The reply is not sealed with a key of the configuration, or not now.
-    #[error("the gateway at {gateway} gives an answer that is not believed: {error}")]
+    /// The reply is not sealed with a configured key, or was not sealed recently.
+    #[error("the reply of the gateway at {gateway} is not authentic: {error}")]
     Unauthentic {
-        /// The address that was called.
+        /// The address of the gateway.
         gateway: SocketAddr,
-        /// What is wrong with the seal.
+        /// Why the reply was rejected.
         error: OpenError,
     },
-    /// The reply is one to another query.
-    #[error("the gateway at {gateway} answers with something else")]
+    /// The reply belongs to another kind of query.
+    #[error("the gateway at {gateway} sends a reply to another kind of query")]
     UnexpectedReply {
-        /// The address that was called.
+        /// The address of the gateway.
         gateway: SocketAddr,
     },
 }
 
+/// Sends a query and returns the opened reply.
 fn exchange(gateway: SocketAddr, keys: &[Key], query: &StreamMessage) -> Result<StreamMessage, QueryError> {
     let sealer = Sealer::new(keys.to_vec(), Instance(rand::random()));
     let mut sealer = sealer.ok_or(QueryError::NoKey)?;
@@ -52,10 +54,10 @@
     opened.map(|(_, message)| message).map_err(|error| QueryError::Unauthentic { gateway, error })
 }
 
-/// The members of the fleet, as a gateway sees them. `keys` are those of the installation.
+/// Queries the members of the fleet, as a gateway sees them. `keys` are the keys of the installation.
 ///
 /// # Errors
-/// Each of [`QueryError`].
+/// See [`QueryError`].
 pub fn query_members(gateway: SocketAddr, keys: &[Key]) -> Result<MembershipView, QueryError> {
     match exchange(gateway, keys, &StreamMessage::ListMembers)? {
         StreamMessage::Members(view) => Ok(view),
@@ -63,10 +65,11 @@
     }
 }
 
-/// The encoded reply to an encoded query of a channel; empty where the gateway does not run the channel's subsystem.
+/// Sends an encoded query of a channel and returns the encoded reply, which is empty if the gateway does not run the
+/// channel's subsystem.
 ///
 /// # Errors
-/// Each of [`QueryError`].
+/// See [`QueryError`].
 pub fn query(
     gateway: SocketAddr,
     keys: &[Key],
@@ -79,10 +82,10 @@
     }
 }
 
-/// The totals of all shared counters that a gateway knows of.
+/// Queries the totals of all shared counters that a gateway knows of.
 ///
 /// # Errors
-/// Each of [`QueryError`].
+/// See [`QueryError`].
 pub fn query_counters(gateway: SocketAddr, keys: &[Key]) -> Result<Vec<CounterTotal>, QueryError> {
     match exchange(gateway, keys, &StreamMessage::ListCounters)? {
         StreamMessage::CounterTotals(totals) => Ok(totals),
--- a/crates/gateway/src/fleet/membership/undelivered.rs
+++ b/crates/gateway/src/fleet/membership/undelivered.rs
@@ -1,19 +1,21 @@
-//! Updates of shared counters that wait until membership can start, while another process of this gateway has its
-//! address. It only collects them; delivering them is the membership's work.
+//! Updates of shared counters that are collected until the membership can start, while another process of this gateway
+//! has its address bound. The membership delivers them once it has started.
 
 use std::collections::BTreeMap;
 
 use fernscale_policy::Micros;
 
-/// Counters with an update that waits.
+/// Maximum number of counters with undelivered updates.
 const MAX_UNDELIVERED_COUNTERS: usize = 16_384;
 
-/// The sum of the updates that wait, and when it expires in microseconds of the gateway's clock, by the counter's key.
+/// For each counter key, the sum of the undelivered updates and the time at which the sum expires, in microseconds of the
+/// gateway's clock.
 #[derive(Default)]
 pub struct UndeliveredUpdates(pub(super) BTreeMap<Box<str>, (f64, Micros)>);
 
 impl UndeliveredUpdates {
-    /// Adds an update. Beyond the bound an update of a counter without one is dropped, as the gossip of counters does.
+    /// Adds an update. If the number of counters has reached its maximum, an update of another counter is dropped, as in the
+    /// gossip of shared counters.
     pub fn add(&mut self, counter: &str, amount: f64, expires_at: Micros) {
         if let Some((sum, _)) = self.0.get_mut(counter) {
             *sum += amount;
