--- a/crates/gateway/src/fleet/leases/acceptor_store.rs
+++ b/crates/gateway/src/fleet/leases/acceptor_store.rs
@@ -1,5 +1,5 @@
-//! The durable state of this gateway's acceptor: opening its store, reading the promises in it, and writing changes in
-//! the order in which the acceptor asks for them. It never decides what is promised.
+//! The durable state of this gateway's acceptor: opens the store, reads the promises in it, and writes changes in the order
+//! in which the acceptor requests them. The acceptor alone decides what is promised.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,28 +15,30 @@
 use crate::fleet::durable_store::{DurableStore, Entries, StoreFaults};
 use crate::transport::clock::boottime;
 
-/// Pause between two attempts to open a store that another process of this gateway has locked.
+/// Interval between attempts to open a store that another process of this gateway has locked.
 const LOCKED_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause before the store is opened again after it has failed, so that a repaired disk needs no restart.
+/// Pause before reopening a failed store. Reopening makes a restart unnecessary after the disk is repaired.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Key of the head record in the acceptor's part of the store.
+/// Key of the acceptor's head record.
 const HEAD_KEY: &[u8] = b"owner/head";
-/// Prefix of the keys of promises; the lease name follows.
+/// Prefix of the keys of promises. The lease name follows the prefix.
 const PROMISE_KEY_PREFIX: &[u8] = b"owner/promise/";
 
-/// A write that the acceptor waits for.
+/// A write that has not been reported to the acceptor yet.
 pub(super) struct PendingWrite {
+    /// The acceptor's number of the write.
     number: u64,
-    /// The opening of the store that the write belongs to.
+    /// Which opening of the store the write was submitted to; see `Leases::store_opening`.
     store_opening: u64,
-    done: Receiver<bool>,
+    /// Receives whether the write is durable.
+    result: Receiver<bool>,
 }
 
 impl Leases {
-    /// Opens the store as soon as no other process of this gateway has it, and runs the acceptor by its content. After a
-    /// failure of the store the acceptor is dropped, and the store is opened again.
+    /// Opens the store as soon as no other process of this gateway has it locked, and starts the acceptor from the stored
+    /// state. After a failure of the store, the acceptor is dropped and the store is reopened.
     pub(super) async fn run_acceptor(self: Rc<Self>) {
         let Some(directory) = self.settings.directory.clone() else { return };
         loop {
@@ -46,22 +48,23 @@
                     Ok(state) => {
                         self.start_acceptor(store, state);
                         failed.await;
-                        // The last writes may be on the disk or not: only opening the store again can tell.
+                        // It is unknown whether the last writes are on the disk. Only reopening the store shows it.
                         self.store.take();
                         self.core.borrow_mut().acceptor = None;
                         REOPEN_INTERVAL
                     }
-                    Err(error) => self.store_unusable(&error.to_string()),
+                    Err(error) => self.log_unusable_store(&error.to_string()),
                 },
                 Err(Error::Locked) => LOCKED_RETRY_INTERVAL,
-                Err(error) => self.store_unusable(&error.to_string()),
+                Err(error) => self.log_unusable_store(&error.to_string()),
             };
             Timer::after(pause).await;
         }
     }
 
+    /// Starts the acceptor from the stored state.
     fn start_acceptor(&self, store: DurableStore, state: DurableState) {
-        info!(self.host.log(), #"owner.folder", "the folder of promises is open"; "promises" => state.promises.len(),
+        info!(self.host.log(), #"owner.folder", "opened the store of lease promises"; "promises" => state.promises.len(),
             "writes" => state.write_count);
         self.store.replace(Some(store));
         let acceptor = Acceptor::new(
@@ -76,13 +79,13 @@
         self.wake.notify(1);
     }
 
-    /// Logs that the store can't be used, and gives the pause before the next attempt.
-    fn store_unusable(&self, reason: &str) -> Duration {
-        warn!(self.host.log(), #"owner.no-folder", "promises can't be kept, and none are made"; "why" => reason);
+    /// Logs that the store cannot be used, and returns the pause before the next attempt.
+    fn log_unusable_store(&self, reason: &str) -> Duration {
+        warn!(self.host.log(), #"owner.no-folder", "cannot use the store of lease promises; makes no promises"; "why" => reason);
         REOPEN_INTERVAL
     }
 
-    /// Replaces the injected faults of the store, now and for later openings.
+    /// Replaces the injected faults of the store, in the open store and for later openings.
     pub fn set_store_faults(&self, faults: StoreFaults) {
         self.store_faults.set(faults);
         if let Some(store) = &*self.store.borrow() {
@@ -90,32 +93,33 @@
         }
     }
 
-    /// Hands a change to the store. Its completion is reported by [`Self::report_completed_writes`].
+    /// Submits a change to the store. [`Self::report_completed_writes`] reports its completion.
     pub(super) fn persist(&self, number: u64, change: &StateChange) {
         let Some(store) = &*self.store.borrow() else { return };
-        let bytes = |content: Result<Vec<u8>, postcard::Error>| content.unwrap_or_default();
+        let bytes = |encoded: Result<Vec<u8>, postcard::Error>| encoded.unwrap_or_default();
         let mut batch = Batch::new().put(HEAD_KEY, &bytes(postcard::to_stdvec(&change.head)));
         for (lease, token) in &change.promises {
             let key = [PROMISE_KEY_PREFIX, lease.as_bytes()].concat();
             batch = batch.put(&key, &bytes(postcard::to_stdvec(&(lease, token))));
         }
         let write =
-            PendingWrite { number, store_opening: self.store_opening.get(), done: store.write(batch) };
+            PendingWrite { number, store_opening: self.store_opening.get(), result: store.write(batch) };
         let _ = self.pending_writes.try_send(write);
     }
 
-    /// Reports writes to the acceptor in their order. A failed one ends this opening of the store.
+    /// Reports completed writes to the acceptor in order. After a failed write the store is reopened, and the remaining
+    /// writes to the failed opening are ignored.
     pub(super) async fn report_completed_writes(self: Rc<Self>, writes: Receiver<PendingWrite>) {
-        while let Ok(PendingWrite { number, store_opening, done }) = writes.recv().await {
-            let durable = done.recv().await.unwrap_or(false);
+        while let Ok(PendingWrite { number, store_opening, result }) = writes.recv().await {
+            let is_durable = result.recv().await.unwrap_or(false);
             if store_opening != self.store_opening.get() {
                 continue;
             }
             if let Some(acceptor) = &mut self.core.borrow_mut().acceptor {
-                acceptor.write_completed(boottime(), number, durable);
+                acceptor.write_completed(boottime(), number, is_durable);
             }
             self.drain_outputs();
-            if !durable {
+            if !is_durable {
                 self.store_opening.set(store_opening + 1);
                 self.store_failed.notify(1);
             }
@@ -123,7 +127,7 @@
     }
 }
 
-/// The acceptor's state from the entries of its store. Entries of other parts of the store are left out.
+/// Decodes the acceptor's state from the entries of the store. Entries with other keys are ignored.
 fn durable_state(entries: Entries) -> Result<DurableState, postcard::Error> {
     let mut state = DurableState::default();
     for (key, value) in entries {
--- a/crates/gateway/src/fleet/leases/messages.rs
+++ b/crates/gateway/src/fleet/leases/messages.rs
@@ -1,5 +1,5 @@
-//! Messages of the acceptor and the candidate: those that arrive over membership go to the one that they are for, and the
-//! outputs of both are carried out. What they contain the lease package decides.
+//! Messages of the acceptor and the candidate. This module passes messages from the membership to the acceptor or the
+//! candidate, and processes the outputs of both. The lease package decides the contents.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -20,12 +20,12 @@
 use crate::transport::clock::boottime;
 
 impl Leases {
-    /// Hands arriving messages to the acceptor and the candidate. Their outputs are carried out by the timer task.
+    /// Passes received messages to the acceptor and the candidate. The timer task processes their outputs.
     pub(super) async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
         let mut payloads = std::pin::pin!(payloads);
         while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
             let Ok(message) = postcard::from_bytes::<Message>(&body) else {
-                let reason = "a letter about jobs that can't be read";
+                let reason = "cannot decode a message about leases";
                 warn!(self.host.log(), #"owner.unread", "{}", reason; "peer" => &sender.name);
                 continue;
             };
@@ -35,20 +35,20 @@
         }
     }
 
-    /// Sends a message to the gateway of a name. One that can't be sent is lost, as on the network.
+    /// Sends a message to the gateway of a name. A message that cannot be sent is dropped, like one lost on the network.
     fn send(&self, to: &Name, message: &Message) {
         let body = postcard::to_stdvec(message).unwrap_or_default();
         let _ = self.membership.send_to(to, Channel::Lease, body);
     }
 
-    /// Sends a message to one process of a gateway. One that can't be sent is lost, as on the network.
+    /// Sends a message to one process of a gateway. A message that cannot be sent is dropped, like one lost on the network.
     fn send_to_process(&self, to: ProcessId, message: &Message) {
         let body = postcard::to_stdvec(message).unwrap_or_default();
         let _ = self.membership.send_to_instance(Instance(to.0), Channel::Lease, body);
     }
 
-    /// Carries out the outputs of the acceptor and the candidate until neither has any. Messages between the two of this
-    /// process stay in it. Events of the candidate are logged at the end.
+    /// Processes the outputs of the acceptor and the candidate until neither has any. Messages between the acceptor and the
+    /// candidate of this process are delivered directly. Events of the candidate are logged at the end.
     pub(super) fn drain_outputs(&self) {
         let now = boottime();
         let mut events = VecDeque::new();
@@ -103,14 +103,16 @@
 }
 
 impl Core {
-    /// The acceptor, unless another gateway has this one's name: its promises would pass for the other's.
+    /// The acceptor, or `None` if another gateway has the same name: the promises of the two acceptors could not be
+    /// distinguished.
     fn voting_acceptor(&mut self) -> Option<&mut Acceptor> {
-        if self.name_is_taken {
+        if self.has_duplicate_name {
             return None;
         }
         self.acceptor.as_mut()
     }
 
+    /// Passes a received message to the acceptor or the candidate.
     fn handle_message(&mut self, sender: &Name, process: ProcessId, message: Message) {
         let now = boottime();
         match message {
--- a/crates/gateway/src/fleet/leases/mod.rs
+++ b/crates/gateway/src/fleet/leases/mod.rs
@@ -1,6 +1,6 @@
-//! The leases of the fleet: this gateway's acceptor, where it is in the acceptor set, and its candidate for each lease
-//! that a part of it registers. This module carries messages over membership, writes promises to the store and keeps the
-//! time; it never decides who holds a lease, which is the lease package's work.
+//! The leases of the fleet: this gateway's acceptor, if the gateway is in the acceptor set, and its candidate for the
+//! registered leases. This module sends messages over the membership, writes promises to the store and runs timers. The
+//! lease package decides which gateway holds a lease.
 
 mod acceptor_store;
 mod log;
@@ -32,43 +32,44 @@
 
 use acceptor_store::PendingWrite;
 
-/// Interval at which the participants are read from membership.
+/// Interval at which the participants are read from the membership.
 const PARTICIPANTS_INTERVAL: Duration = Duration::from_millis(100);
-/// A timer that fires later than this shows that the process gets too little of its machine to hold leases.
+/// Maximum delay of a timer. A longer delay shows that the process gets too little CPU time to hold leases.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(400);
-/// How long a process counts as slow after such a delay, in microseconds.
+/// How long the process counts as slow after a delay above [`MAX_TIMER_DELAY`], in microseconds.
 const SLOW_DURATION: Micros = 10_000_000;
 
 /// The section `[owner]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Names of the gateways whose promises grant a lease.
+    /// The gateways whose promises grant a lease.
     pub acceptors: AcceptorSet,
-    /// Duration of a lease and the clock drift that it allows for.
+    /// Duration of a lease, and the clock drift that the lease allows for.
     pub terms: LeaseTerms,
-    /// Whether one lease holder polls discovery for the whole fleet.
+    /// Whether a lease holder polls discovery for the whole fleet.
     pub leases_endpoint_list: bool,
-    /// Directory of the acceptor's store; a gateway outside the acceptor set needs none.
+    /// Directory of the acceptor's store. A gateway outside the acceptor set needs none.
     pub directory: Option<PathBuf>,
-    /// Faults to inject into that store.
+    /// Faults that tests inject into the store.
     pub store_faults: StoreFaults,
 }
 
-/// What the lease package keeps for this process.
+/// The state machines of the lease package for this process, and the conditions that make it leave leases to other
+/// gateways.
 struct Core {
     candidate: Candidate,
     candidacy: Candidacy,
-    /// Nothing while the store is not open.
+    /// `None` while the store is not open.
     acceptor: Option<Acceptor>,
-    /// Until when this process counts as slow, in microseconds of `boottime`.
+    /// Time until which this process counts as slow, in microseconds of `boottime`.
     slow_until: Micros,
-    /// Whether another gateway has this one's name, so that the promises of the two could not be distinguished.
-    name_is_taken: bool,
-    /// Whether an operator wants this gateway to hold no lease where another can.
+    /// Whether another gateway has the same name, so that the promises of the two gateways could not be distinguished.
+    has_duplicate_name: bool,
+    /// Whether an operator has cordoned this gateway: it holds no lease that another gateway can hold.
     cordoned: bool,
 }
 
-/// This gateway's acceptor and candidate, with the tasks that serve them.
+/// This gateway's acceptor and candidate, and the tasks that drive them.
 pub struct Leases {
     name: Name,
     membership: Rc<Membership>,
@@ -77,8 +78,9 @@
     core: RefCell<Core>,
     store: RefCell<Option<DurableStore>>,
     pending_writes: Sender<PendingWrite>,
-    /// Counts openings of the store, so that a late write of an earlier one is left out.
+    /// Number of the current opening of the store. Results of writes to an earlier opening are ignored.
     store_opening: Cell<u64>,
+    /// Notified when a write to the store has failed.
     store_failed: Wake,
     store_faults: Cell<StoreFaults>,
     /// Ends the sleep of the timer task.
@@ -87,7 +89,7 @@
 }
 
 impl Leases {
-    /// Starts the tasks of the subsystem. They run until this gateway leaves the membership.
+    /// Starts the tasks of the subsystem, which run until this gateway leaves the membership.
     pub fn start(host: &HostHandle, membership: &Rc<Membership>, settings: Settings) -> Rc<Leases> {
         let peer = membership.local();
         let name = Name::from(peer.name);
@@ -97,7 +99,7 @@
             candidacy: Candidacy::new(&name, settings.terms),
             acceptor: None,
             slow_until: 0,
-            name_is_taken: false,
+            has_duplicate_name: false,
             cordoned: false,
         };
         let (pending_writes, writes) = async_channel::unbounded();
@@ -117,7 +119,7 @@
         });
         let acceptors = &leases.settings.acceptors;
         let is_acceptor = acceptors.names.contains(&leases.name);
-        info!(host.log(), #"owner.starts", "takes part in owning the fleet's jobs"; "votes" => is_acceptor,
+        info!(host.log(), #"owner.starts", "takes part in the fleet's leases"; "votes" => is_acceptor,
             "voters" => acceptors.names.len(), "lease_ms" => leases.settings.terms.duration / 1_000,
             "run" => format!("{:016x}", process.0));
         let responder = leases.clone();
@@ -132,31 +134,30 @@
         leases
     }
 
-    /// Makes this gateway a candidate for a lease from now on. False, with a log record, where another part of the gateway
-    /// has registered the same name.
+    /// Makes this gateway a candidate for a lease. If another part of the gateway has registered the same lease name, logs a
+    /// warning and returns false.
     pub fn register(&self, lease: &Name) -> bool {
         let is_new = self.core.borrow_mut().candidacy.add(lease);
         if !is_new {
-            warn!(self.host.log(), #"owner.job-twice", "two parts of this gateway have a job of one name"; "job" => &**lease);
+            warn!(self.host.log(), #"owner.job-twice", "two parts of this gateway registered a lease of the same name"; "job" => &**lease);
         }
         self.wake.notify(1);
         is_new
     }
 
-    /// Joins an effect with the fencing token under which this gateway may carry it out; nothing where it does not hold
-    /// the lease now.
+    /// Combines an effect with the fencing token that authorizes it. Returns `None` if this gateway does not hold the lease.
     pub fn authorize<T>(&self, lease: &Name, effect: T) -> Option<AuthorizedEffect<T>> {
         let core = self.core.borrow();
         Some(core.candidate.authorization(boottime(), lease)?.authorize(effect))
     }
 
-    /// Records that the receiver of an effect has rejected it, as it knows of a higher fencing token.
+    /// Records that the receiver of an effect rejected the effect because it knows a higher fencing token.
     pub fn effect_rejected(&self, lease: &Name, highest: FencingToken) {
         self.core.borrow_mut().candidate.effect_rejected(boottime(), lease, highest);
         self.drain_outputs();
     }
 
-    /// Releases a lease in favour of the next candidates. False where this gateway does not hold it.
+    /// Releases a lease in favour of the next candidates. Returns false if this gateway does not hold the lease.
     pub fn hand_over(&self, lease: &Name) -> bool {
         let released = {
             let core = &mut *self.core.borrow_mut();
@@ -166,12 +167,12 @@
         released
     }
 
-    /// This gateway's rank among the candidates for a lease, from 0.
+    /// This gateway's rank among the candidates for a lease, starting at 0.
     pub fn rank(&self, lease: &Name) -> usize {
         self.core.borrow().candidacy.rank(lease)
     }
 
-    /// Releases all leases, so that others can hold them at once.
+    /// Releases all leases, so that other gateways can hold them without waiting for them to expire.
     pub fn shut_down(&self) {
         if !self.is_shutting_down.replace(true) {
             let core = &mut *self.core.borrow_mut();
@@ -180,11 +181,13 @@
         self.drain_outputs();
     }
 
+    /// Handles timeouts and updates the participants.
     async fn run_timer(self: Rc<Self>) {
         let mut next_update = boottime();
         loop {
             let woken = self.wake.listen();
-            let deadline = self.core.borrow().next_deadline().map_or(next_update, |at| at.min(next_update));
+            let deadline =
+                self.core.borrow().next_deadline().map_or(next_update, |deadline| deadline.min(next_update));
             let sleep = async {
                 Timer::after(real_duration(deadline.saturating_sub(boottime()))).await;
             };
@@ -199,30 +202,31 @@
         }
     }
 
-    /// Reads from membership who takes part, and whether this gateway should leave the leases to others. `delay` is how
-    /// late, in microseconds, the update runs.
+    /// Reads the participants from the membership, and determines whether this gateway should leave the leases to other
+    /// gateways. `delay` is the delay of this update, in microseconds.
     fn update_participants(&self, now: Micros, delay: Micros) {
-        let live = self.membership.live_peers();
+        let live_peers = self.membership.live_peers();
         let core = &mut *self.core.borrow_mut();
         if delay > micros(MAX_TIMER_DELAY) {
             core.slow_until = now + SLOW_DURATION;
         }
         let local = self.membership.local();
-        let name_is_taken = live.iter().any(|peer| peer.name == local.name && peer.address != local.address);
-        if name_is_taken && !core.name_is_taken {
-            let reason = "another gateway goes by this one's name, and neither may vote by it";
+        let has_duplicate_name =
+            live_peers.iter().any(|peer| peer.name == local.name && peer.address != local.address);
+        if has_duplicate_name && !core.has_duplicate_name {
+            let reason = "another gateway has the same name; neither acceptor may vote";
             warn!(self.host.log(), #"owner.name-twice", "{}", reason; "name" => local.name);
         }
-        core.name_is_taken = name_is_taken;
+        core.has_duplicate_name = has_duplicate_name;
         let unwilling = core.cordoned || now < core.slow_until || self.host.is_shutting_down();
-        let mut participants: Vec<Participant> = live
+        let mut participants: Vec<Participant> = live_peers
             .into_iter()
             .filter(|peer| *peer.name != *self.name)
             .map(|peer| Participant { name: peer.name.into(), unwilling: false })
             .collect();
         participants.push(Participant { name: self.name.clone(), unwilling });
-        participants.sort_by(|one, other| one.name.cmp(&other.name));
-        participants.dedup_by(|one, other| one.name == other.name);
+        participants.sort_by(|first, second| first.name.cmp(&second.name));
+        participants.dedup_by(|first, second| first.name == second.name);
         core.candidacy.update(now, &participants, &mut core.candidate);
     }
 }
