--- a/crates/gateway/src/fleet/subsetting.rs
+++ b/crates/gateway/src/fleet/subsetting.rs
@@ -1,6 +1,6 @@
-//! Deterministic subsetting: load reports are carried between gateways, and the endpoint list is turned into the subset that
-//! this gateway uses. Which server belongs to which gateway, and when a change takes effect, the package `subsetting`
-//! decides. Without membership all configured gateways count as live, by their numbers.
+//! Deterministic subsetting. This module exchanges load reports with the other gateways and derives from the endpoint list
+//! the subset of servers that this gateway uses. The package `subsetting` decides which servers a gateway uses and when a
+//! change takes effect. Without membership, all configured gateways count as live and are identified by their numbers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -27,72 +27,75 @@
 /// The section `[subsets]` of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Least number of servers of a gateway and of gateways of a server, or all where there are fewer.
+    /// Minimum number of servers per gateway and of gateways per server. If there are fewer, all of them are used.
     pub min_servers: usize,
-    /// Name of this gateway's zone; without one zones make no difference.
+    /// Name of this gateway's zone. If it is not set, zones have no effect.
     pub zone: Option<String>,
 }
 
-/// This gateway and what its configuration says of the installation.
+/// This gateway, and the configured facts about the installation.
 pub struct LocalGateway {
-    /// Its name, by which it is known where there is membership.
+    /// Name of this gateway, which identifies it in the membership.
     pub name: String,
-    /// Its number, from 0, by which it is known without membership.
+    /// Number of this gateway, starting at 0, which identifies it if there is no membership.
     pub number: u32,
     /// Number of gateways in the installation.
     pub gateways: u32,
-    /// How long a server is in slow start, in microseconds.
+    /// Duration of a server's slow start, in microseconds.
     pub slow_start_duration: Micros,
 }
 
-/// What the subsetting package keeps for this gateway.
+/// The state machines of the subsetting package, and the result of the last update.
 struct Core {
     tracker: SubsetTracker,
-    /// Nothing without membership.
+    /// `None` without membership.
     load_reports: Option<LoadReports>,
-    /// Servers of the subset that the dispatcher was given last.
+    /// Servers of the subset that the dispatcher received last.
     used_servers: BTreeSet<String>,
     /// Servers that the dispatcher avoided at the last update.
     avoided_servers: BTreeSet<String>,
 }
 
-/// The subset of this gateway, with the tasks that keep it up to date.
+/// The subset of this gateway, and the tasks that update it.
 pub struct Subsetting {
     host: HostHandle,
     membership: Option<Rc<Membership>>,
     settings: Settings,
     local: LocalGateway,
     core: RefCell<Core>,
-    /// Attempts since the last load report.
+    /// Number of attempts since the load was last recorded.
     forwarded_attempts: Cell<u64>,
 }
 
-/// What an update changes for the dispatcher and the upstream connections.
+/// The changes of an update that affect the dispatcher and the upstream connections.
 #[derive(Default)]
 pub struct SubsetChange {
-    /// The new subset, if there is one.
+    /// The new subset, or `None` if the subset has not changed.
     pub subset: Option<Subset>,
-    /// Servers to connect to before the first attempt.
+    /// Servers to connect to before the first attempt is forwarded to them.
     pub servers_to_connect: Vec<Id>,
     /// Servers that this gateway no longer uses.
     pub removed_servers: Vec<Id>,
 }
 
-/// An endpoint, and whether the dispatcher avoids it now.
-pub type ServerSlot<'l> = (&'l Endpoint, bool);
+/// An endpoint, and whether the dispatcher currently avoids it.
+pub type AvoidableEndpoint<'l> = (&'l Endpoint, bool);
 
-/// The servers of the endpoint list that are ready, by name.
+/// The servers of the endpoint list that are ready for attempts.
 #[derive(Default)]
 struct ReadyServers {
     servers: Vec<Server>,
+    /// Names of the ready servers that the dispatcher avoids.
     avoided: BTreeSet<String>,
+    /// Names of the ready servers that are in slow start.
     slow_starting: BTreeSet<String>,
 }
 
 impl ReadyServers {
-    /// `now` and `slow_start_duration` are in microseconds of the gateway's clock.
+    /// Collects the ready servers among `endpoints`. `now` is in microseconds of the gateway's clock, and
+    /// `slow_start_duration` is in microseconds.
     fn collect<'l>(
-        endpoints: impl Iterator<Item = ServerSlot<'l>>,
+        endpoints: impl Iterator<Item = AvoidableEndpoint<'l>>,
         now: Micros,
         slow_start_duration: Micros,
     ) -> Self {
@@ -103,7 +106,7 @@
             if is_avoided {
                 ready.avoided.insert(name.clone());
             }
-            if endpoint.started_at.is_some_and(|at| now < at + slow_start_duration) {
+            if endpoint.started_at.is_some_and(|started_at| now < started_at + slow_start_duration) {
                 ready.slow_starting.insert(name.clone());
             }
             ready.servers.push(Server { name, weight: endpoint.weight, zone: endpoint.zone });
@@ -112,15 +115,16 @@
     }
 }
 
-/// The fleet, and whether all configured gateways are known.
+/// The gateways and servers that the subset is computed from.
 struct FleetState {
     view: FleetView,
+    /// Whether all configured gateways are known.
     is_complete: bool,
 }
 
 impl Subsetting {
-    /// Starts the tasks. With membership they run until this gateway leaves it. `events` is the dispatcher's mailbox, which
-    /// gets `SubsettingDue`.
+    /// Starts the tasks. With membership, they run until this gateway leaves it. `events` is the channel to the dispatcher,
+    /// which receives `SubsettingDue`.
     pub fn start<E: From<FleetEvent> + 'static>(
         host: &HostHandle,
         membership: Option<&Rc<Membership>>,
@@ -130,8 +134,8 @@
     ) -> Rc<Subsetting> {
         let now = boottime();
         let zone = settings.zone.clone().unwrap_or_default();
-        let process = membership.map(|membership| membership.local().instance.0);
-        let local_peer = LivePeer { name: local.name.clone(), instance: process.unwrap_or(0) };
+        let instance = membership.map(|membership| membership.local().instance.0);
+        let local_peer = LivePeer { name: local.name.clone(), instance: instance.unwrap_or(0) };
         let name = membership.map_or(local.number.to_string(), |_| local.name.clone());
         let tracker_settings = fernscale_subsetting::Settings {
             min_servers: settings.min_servers,
@@ -143,7 +147,7 @@
             used_servers: BTreeSet::new(),
             avoided_servers: BTreeSet::new(),
         };
-        info!(host.log(), #"subset.starts", "uses servers as they are dealt out among all gateways"; "least" => settings.min_servers,
+        info!(host.log(), #"subset.starts", "each gateway uses a subset of the servers"; "least" => settings.min_servers,
             "zone" => zone, "by" => if membership.is_some() { "mesh" } else { "number" });
         let core = RefCell::new(core);
         let membership = membership.cloned();
@@ -170,17 +174,18 @@
         subsetting
     }
 
-    /// Counts an attempt towards the load of this gateway.
+    /// Counts a forwarded attempt as load of this gateway.
     pub fn attempt_forwarded(&self) {
         self.forwarded_attempts.set(self.forwarded_attempts.get() + 1);
     }
 
-    /// Mean number of gateways that use a server, 1 at least.
+    /// Mean number of gateways that use a server, at least 1.
     pub fn gateways_per_server(&self) -> f64 {
         self.core.borrow().tracker.current().gateways_per_server.max(1.0)
     }
 
-    /// Announces that this gateway leaves. Only for a gateway that no other process continues.
+    /// Announces to the other gateways that this gateway leaves. Must not be called if another process of this gateway
+    /// continues after a hot restart.
     pub fn shut_down(&self) {
         let live_peers = self.live_peers();
         if let Some(load_reports) = &mut self.core.borrow_mut().load_reports {
@@ -189,7 +194,7 @@
         self.drain_messages();
     }
 
-    /// Records the load, and asks the dispatcher for the next update.
+    /// Records the load, sends load reports, and requests updates from the dispatcher.
     async fn run_timer<E: From<FleetEvent>>(self: Rc<Self>, events: Sender<E>) {
         loop {
             let now = boottime();
@@ -202,17 +207,18 @@
             if events.send(FleetEvent::SubsettingDue.into()).await.is_err() {
                 return;
             }
-            let due = {
+            let deadline = {
                 let core = self.core.borrow();
                 core.load_reports
                     .as_ref()
                     .map_or(Micros::MAX, LoadReports::next_deadline)
                     .min(core.tracker.next_deadline())
             };
-            Timer::after(real_duration(due.saturating_sub(boottime()).max(MIN_SLEEP))).await;
+            Timer::after(real_duration(deadline.saturating_sub(boottime()).max(MIN_SLEEP))).await;
         }
     }
 
+    /// Handles load reports of other gateways.
     async fn receive_messages(self: Rc<Self>, payloads: Receiver<ReceivedPayload>) {
         let mut payloads = std::pin::pin!(payloads);
         while let Some(ReceivedPayload { sender, body, .. }) = payloads.next().await {
@@ -223,7 +229,7 @@
                     }
                 }
                 Err(_) => {
-                    let reason = "a note about loads that can't be read";
+                    let reason = "cannot decode a message about gateway loads";
                     warn!(self.host.log(), #"subset.unread", "{}", reason; "peer" => sender.name);
                 }
             }
@@ -231,12 +237,13 @@
         }
     }
 
+    /// Sends the pending messages of the load reports.
     fn drain_messages(&self) {
         let Some(membership) = &self.membership else { return };
         loop {
             let message = self.core.borrow_mut().load_reports.as_mut().and_then(LoadReports::poll_message);
             let Some((to, message)) = message else { return };
-            // A message that can't be sent is lost, as on the network.
+            // A message that cannot be sent is dropped, like one lost on the network.
             let _ = membership.send_to(
                 &to,
                 Channel::Subsetting,
@@ -245,13 +252,13 @@
         }
     }
 
-    /// The other gateways that are live; none without membership.
+    /// The other gateways that are live. Empty without membership.
     fn live_peers(&self) -> Vec<LivePeer> {
         self.membership.as_ref().map_or(Vec::new(), |membership| membership.live_instances())
     }
 
-    /// Updates the subset by the endpoint list and the fleet, and gives what has changed.
-    pub fn update<'l>(&self, endpoints: impl Iterator<Item = ServerSlot<'l>>) -> SubsetChange {
+    /// Updates the subset from the endpoint list and the live gateways, and returns the changes.
+    pub fn update<'l>(&self, endpoints: impl Iterator<Item = AvoidableEndpoint<'l>>) -> SubsetChange {
         let now = boottime();
         let slow_start_duration = self.local.slow_start_duration;
         let ready = ReadyServers::collect(endpoints, self.host.clock().now(), slow_start_duration);
@@ -272,17 +279,17 @@
         change
     }
 
-    /// Takes the tracker's subset as the one in use, and adds to a change what differs from the one before.
+    /// Puts the tracker's current subset into use, and adds its differences from the previous subset to `change`.
     fn apply_subset(&self, core: &mut Core, change: &mut SubsetChange) {
         let current = core.tracker.current();
         let names: BTreeSet<String> = current.weights.keys().cloned().collect();
         change.removed_servers = core.used_servers.difference(&names).map(|name| Id::from(&**name)).collect();
         if core.used_servers != names {
-            info!(self.host.log(), #"subset.changes", "uses other servers"; "servers" => names.len(),
+            info!(self.host.log(), #"subset.changes", "the subset of servers changed"; "servers" => names.len(),
                 "more" => names.difference(&core.used_servers).count(), "fewer" => change.removed_servers.len(),
                 "gateways" => core.tracker.settled_view().gateways.len());
         }
-        // Relative to the mean, as the dispatcher's other weights are.
+        // The dispatcher's weights are relative to the mean weight.
         let server_count = current.weights.len() as f64;
         let weights = current.weights.iter().map(|(name, share)| (Id::from(&**name), share * server_count));
         change.subset =
@@ -290,7 +297,8 @@
         core.used_servers = names;
     }
 
-    /// The fleet as the subset is computed from: by the load reports, or by the configured number of gateways.
+    /// The gateways and servers to compute the subset from. The gateways come from the load reports, or from the configured
+    /// number of gateways if there is no membership.
     fn fleet_view(
         &self,
         load_reports: Option<&LoadReports>,
@@ -299,8 +307,8 @@
     ) -> FleetState {
         let Some(load_reports) = load_reports else {
             let zone = self.zone(self.settings.zone.as_deref().unwrap_or_default());
-            let by_number = |number: u32| Gateway { name: number.to_string(), load: 1.0, zone };
-            let gateways = (0..self.local.gateways.max(1)).map(by_number).collect();
+            let numbered_gateway = |number: u32| Gateway { name: number.to_string(), load: 1.0, zone };
+            let gateways = (0..self.local.gateways.max(1)).map(numbered_gateway).collect();
             return FleetState { view: FleetView { gateways, servers }, is_complete: true };
         };
         let gateways = self.gateways(load_reports.gateway_loads(live_peers));
@@ -310,31 +318,33 @@
         }
     }
 
-    /// Index of a zone in the platform's list.
+    /// Index of a zone in the platform's list, or `u32::MAX` for an unknown zone.
     fn zone(&self, name: &str) -> u32 {
-        let known = self.host.zones().iter().position(|zone| zone == name);
-        known.map_or(u32::MAX, |at| at as u32)
+        let index = self.host.zones().iter().position(|zone| zone == name);
+        index.map_or(u32::MAX, |index| index as u32)
     }
 
-    /// The gateways of the fleet with their loads. One without a report counts with the mean of the others.
-    fn gateways(&self, known: Vec<GatewayLoad>) -> Vec<Gateway> {
+    /// The participating gateways with their loads. A gateway without a load report gets the mean load of the others.
+    fn gateways(&self, gateway_loads: Vec<GatewayLoad>) -> Vec<Gateway> {
         let known_loads: Vec<f64> =
-            known.iter().filter_map(|known| known.load).filter(|load| *load > 0.0).collect();
-        let mean = if known_loads.is_empty() {
+            gateway_loads.iter().filter_map(|gateway| gateway.load).filter(|load| *load > 0.0).collect();
+        let mean_load = if known_loads.is_empty() {
             1.0
         } else {
             known_loads.iter().sum::<f64>() / known_loads.len() as f64
         };
-        let participants =
-            known.into_iter().filter(|known| !known.is_leaving || known.name == self.local.name);
-        let gateway = |known: GatewayLoad| Gateway {
-            zone: self.zone(&known.zone),
-            load: known.load.unwrap_or(mean),
-            name: known.name,
+        let participants = gateway_loads
+            .into_iter()
+            .filter(|gateway| !gateway.is_leaving || gateway.name == self.local.name);
+        let with_load = |gateway: GatewayLoad| Gateway {
+            zone: self.zone(&gateway.zone),
+            load: gateway.load.unwrap_or(mean_load),
+            name: gateway.name,
         };
-        participants.map(gateway).collect()
+        participants.map(with_load).collect()
     }
 
+    /// The reply to an operator's query about this gateway's subset.
     fn view(&self) -> SubsetView {
         let core = self.core.borrow();
         let FleetView { gateways, servers } = core.tracker.settled_view();
