--- a/crates/gateway/tests/encodings.rs
+++ b/crates/gateway/tests/encodings.rs
@@ -1,8 +1,9 @@
-//! Guards what other processes and later versions have to read: every message between gateways and every record that
-//! stays on disk, as bytes that were recorded. Each value is encoded to exactly these bytes, and the bytes decode to it.
+//! Guards the encodings that other processes and later versions must be able to read: every message between gateways and
+//! every record on disk is compared with recorded bytes. Each value must be encoded to exactly the recorded bytes, and the
+//! recorded bytes must be decoded to the value.
 //!
-//! The bytes follow from the order and the types of fields and variants (postcard), or from names (JSON). Renaming a
-//! field changes the first kind nowhere and must not change the second.
+//! In postcard, the bytes depend on the order and the types of fields and variants. In JSON, they depend on names. Renaming
+//! a field does not change a postcard encoding, and must not change a JSON encoding.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -13,108 +14,116 @@
     AcceptorReply, AcceptorRequest, Message, RecoveryReply, RecoveryRequest, Rejection,
 };
 use fernscale_lease::replicated_list::{Entry, Fragment, ListMessage, Version};
-use fernscale_lease::{status as jobs, AcceptorSetId, FencingToken, Name, ProcessId};
+use fernscale_lease::{status as lease_status, AcceptorSetId, FencingToken, Name, ProcessId};
 use fernscale_membership::packet::{
     CounterEntry, CounterTotal, FullState, MemberState, MemberUpdate, MemberView, MembershipView, Packet,
     PacketBody, Peer, StreamMessage,
 };
 use fernscale_membership::payload::{Channel, Payload};
 use fernscale_membership::seal::{Key, Sealer};
-use fernscale_outlier_detection::{status as servers, HealthLevel};
+use fernscale_outlier_detection::{status as server_status, HealthLevel};
 use fernscale_shared_counter::gossip;
 use fernscale_shared_counter::pn_counter::{Contribution, Instance};
-use fernscale_subsetting::{load_reports, status as subsets};
+use fernscale_subsetting::{load_reports, status as subset_status};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-fn recorded(name: &str) -> Vec<u8> {
+/// Reads a file of recorded bytes.
+fn read_recorded(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/encodings").join(name);
-    std::fs::read(&path).unwrap_or_else(|why| panic!("{} can't be read: {why}", path.display()))
+    std::fs::read(&path).unwrap_or_else(|error| panic!("cannot read {}: {error}", path.display()))
 }
 
-/// The values of a list stand in one file, one behind the other, each after its length.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[T]) {
+/// Checks the encoding and the decoding of values against a recorded file. The file contains the encoded values one after
+/// another, each with a length prefix.
+fn check_recorded<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[T]) {
     let mut encoded = Vec::new();
     for value in values {
-        let bytes = postcard::to_stdvec(value).expect("plain data is encoded");
-        let back: T = postcard::from_bytes(&bytes).expect("what was encoded is decoded");
-        assert_eq!(back, *value);
+        let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
+        let decoded: T = postcard::from_bytes(&bytes).expect("encoded bytes can be decoded");
+        assert_eq!(decoded, *value);
         encoded.extend((bytes.len() as u32).to_le_bytes());
         encoded.extend(bytes);
     }
-    let recorded = recorded(name);
-    assert_eq!(encoded, recorded, "'{name}' is encoded in another way than it was");
-    let mut rest = recorded.as_slice();
+    let recorded = read_recorded(name);
+    assert_eq!(encoded, recorded, "the encoding differs from the recorded file '{name}'");
+    let mut remaining = recorded.as_slice();
     for value in values {
-        let (length, behind) = rest.split_at(4);
-        let (bytes, behind) =
-            behind.split_at(u32::from_le_bytes(length.try_into().expect("four bytes")) as usize);
+        let (length, after_length) = remaining.split_at(4);
+        let (bytes, after_bytes) =
+            after_length.split_at(u32::from_le_bytes(length.try_into().expect("four bytes")) as usize);
         assert_eq!(
-            postcard::from_bytes::<T>(bytes).expect("it is decoded"),
+            postcard::from_bytes::<T>(bytes).expect("recorded bytes can be decoded"),
             *value,
-            "'{name}' is decoded in another way"
+            "the recorded file '{name}' is decoded to another value"
         );
-        rest = behind;
+        remaining = after_bytes;
     }
-    assert!(rest.is_empty());
+    assert!(remaining.is_empty());
 }
 
 fn peer(number: u64) -> Peer {
-    let address = format!("127.0.0.{number}:7{number:03}").parse().expect("an address");
+    let address = format!("127.0.0.{number}:7{number:03}").parse().expect("valid address");
     Peer { name: format!("gateway-{number}"), instance: Instance(0x0102_0304_0506_0700 + number), address }
 }
 
-fn news() -> Vec<MemberUpdate> {
+fn member_updates() -> Vec<MemberUpdate> {
     let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     (1..)
         .zip(states)
-        .map(|(at, state)| MemberUpdate { peer: peer(at), incarnation: at as u32 * 7, state })
+        .map(|(number, state)| MemberUpdate { peer: peer(number), incarnation: number as u32 * 7, state })
         .collect()
 }
 
-fn counts() -> Vec<CounterEntry> {
-    let told = |count: &str, plus, minus| {
-        let part = Contribution { increments: plus, decrements: minus };
-        CounterEntry { key: count.into(), instance: Instance(9), contribution: part, expires_in_ms: 59_000 }
+fn counter_entries() -> Vec<CounterEntry> {
+    let entry = |key: &str, increments, decrements| {
+        let contribution = Contribution { increments, decrements };
+        CounterEntry { key: key.into(), instance: Instance(9), contribution, expires_in_ms: 59_000 }
     };
-    vec![told("q60000000:tenant-1", 12.25, 0.0), told("o5:tenant-2", 3.0, 2.0)]
+    vec![entry("q60000000:tenant-1", 12.25, 0.0), entry("o5:tenant-2", 3.0, 2.0)]
 }
 
-fn carried(kind: Channel) -> Payload {
-    Payload { channel: kind, body: vec![1, 2, 3, 255] }
+fn payload(channel: Channel) -> Payload {
+    Payload { channel, body: vec![1, 2, 3, 255] }
 }
 
-const KINDS: [Channel; 4] =
+const CHANNELS: [Channel; 4] =
     [Channel::Lease, Channel::EndpointList, Channel::Subsetting, Channel::OutlierDetection];
 
 fn packets() -> Vec<Packet> {
-    let mut words = vec![
+    let mut bodies = vec![
         PacketBody::Ping(7),
         PacketBody::Ack(300),
         PacketBody::PingRequest(9, peer(3)),
         PacketBody::Empty,
     ];
-    words.extend(KINDS.map(|kind| PacketBody::Payload(carried(kind))));
-    let packet =
-        |word| Packet { sender: peer(1), incarnation: 2, body: word, updates: news(), counters: counts() };
-    words.into_iter().map(packet).collect()
+    bodies.extend(CHANNELS.map(|channel| PacketBody::Payload(payload(channel))));
+    let packet = |body| Packet {
+        sender: peer(1),
+        incarnation: 2,
+        body,
+        updates: member_updates(),
+        counters: counter_entries(),
+    };
+    bodies.into_iter().map(packet).collect()
 }
 
 #[test]
 fn membership_packets() {
-    check("membership-packets.bin", &packets());
+    check_recorded("membership-packets.bin", &packets());
 }
 
 #[test]
 fn membership_streams() {
-    let full = FullState { sender: peer(2), incarnation: 1, updates: news(), counters: counts() };
-    let viewed = |news: MemberUpdate| MemberView {
-        peer: news.peer,
-        state: news.state,
+    let full_state =
+        FullState { sender: peer(2), incarnation: 1, updates: member_updates(), counters: counter_entries() };
+    let member_view = |update: MemberUpdate| MemberView {
+        peer: update.peer,
+        state: update.state,
         incarnation: 5,
         last_heard_ms: 250,
     };
-    let members = news().into_iter().map(viewed).collect();
+    let members = member_updates().into_iter().map(member_view).collect();
     let view = MembershipView {
         local: peer(1),
         members,
@@ -122,290 +131,295 @@
         counter_count: 2,
         counter_health: "good".into(),
     };
-    let sum = CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 };
-    let mut streams = vec![
-        StreamMessage::FullState(full),
+    let total = CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 };
+    let mut messages = vec![
+        StreamMessage::FullState(full_state),
         StreamMessage::ListMembers,
         StreamMessage::Members(view),
         StreamMessage::ListCounters,
     ];
-    streams.push(StreamMessage::CounterTotals(vec![sum]));
-    streams.extend(KINDS.map(|kind| StreamMessage::Payload(peer(1), carried(kind))));
-    streams.extend(KINDS.map(|kind| StreamMessage::Query(kind, vec![4, 5])));
-    streams.push(StreamMessage::QueryReply(vec![6]));
-    check("membership-streams.bin", &streams);
+    messages.push(StreamMessage::CounterTotals(vec![total]));
+    messages.extend(CHANNELS.map(|channel| StreamMessage::Payload(peer(1), payload(channel))));
+    messages.extend(CHANNELS.map(|channel| StreamMessage::Query(channel, vec![4, 5])));
+    messages.push(StreamMessage::QueryReply(vec![6]));
+    check_recorded("membership-streams.bin", &messages);
 }
 
 #[test]
 fn sealed_packets() {
-    let key = Key::parse("00112233445566778899aabbccddeeff").expect("a key");
+    let key = Key::parse("00112233445566778899aabbccddeeff").expect("valid key");
     let (unix, instance) = (1_700_000_000_000_000, Instance(0x1122_3344_5566_7788));
-    let mut sealer = Sealer::new(vec![key.clone()], instance).expect("a ring of one key");
+    let mut sealer = Sealer::new(vec![key.clone()], instance).expect("one key");
     let sealed: Vec<Vec<u8>> = packets().iter().map(|packet| sealer.seal(unix, packet)).collect();
-    check("sealed-packets.bin", &sealed);
-    let mut opener = Sealer::new(vec![key], Instance(1)).expect("a ring of one key");
+    check_recorded("sealed-packets.bin", &sealed);
+    let mut opener = Sealer::new(vec![key], Instance(1)).expect("one key");
     for (bytes, packet) in sealed.iter().zip(packets()) {
         assert_eq!(opener.open::<Packet>(unix, bytes), Ok((instance, packet)));
     }
 }
 
-fn fence(term: u64) -> FencingToken {
+fn token(term: u64) -> FencingToken {
     FencingToken { term, process: ProcessId(0xfeed_0000 + term) }
 }
 
-fn set() -> AcceptorSetId {
+fn acceptor_set() -> AcceptorSetId {
     AcceptorSetId { epoch: 3, digest: 0xabcd_ef01_2345 }
 }
 
-fn lives() -> BTreeMap<Name, u64> {
+fn incarnations() -> BTreeMap<Name, u64> {
     [("gateway-1".into(), 4), ("gateway-2".into(), 700)].into()
 }
 
 #[test]
 fn lease_messages() {
-    let job: Name = "list".into();
-    let (of, start): (Name, ProcessId) = ("gateway-3".into(), ProcessId(77));
-    let refusals = [
-        Rejection::HeldByOther { remaining: 1_500_000, holder: fence(8) },
-        Rejection::HigherPromise(fence(9)),
+    let lease: Name = "list".into();
+    let (acceptor, start): (Name, ProcessId) = ("gateway-3".into(), ProcessId(77));
+    let reasons = [
+        Rejection::HeldByOther { remaining: 1_500_000, holder: token(8) },
+        Rejection::HigherPromise(token(9)),
         Rejection::NotVoting,
         Rejection::Overloaded,
         Rejection::CapacityExceeded,
-        Rejection::DifferentAcceptors(set()),
+        Rejection::DifferentAcceptors(acceptor_set()),
     ];
     let granted = AcceptorReply::Granted {
-        lease: job.clone(),
-        token: fence(5),
+        lease: lease.clone(),
+        token: token(5),
         round: 6,
         incarnation: 7,
-        incarnations: lives(),
+        incarnations: incarnations(),
     };
-    let known = RecoveryReply {
-        acceptor: of.clone(),
+    let recovery_reply = RecoveryReply {
+        acceptor: acceptor.clone(),
         write_count: 12,
         incarnation: 2,
         is_initialized: true,
         lost_promises: false,
         never_promised: true,
-        acceptors: set(),
+        acceptors: acceptor_set(),
         frozen_epoch: 1,
-        promises: [(job.clone(), fence(5)), ("billing".into(), fence(6))].into(),
+        promises: [(lease.clone(), token(5)), ("billing".into(), token(6))].into(),
     };
-    let hello = RecoveryRequest {
-        acceptor: of.clone(),
+    let recovery_request = RecoveryRequest {
+        acceptor: acceptor.clone(),
         start,
         write_count: 11,
         incarnation: 3,
         lost_promises: true,
         is_empty: false,
     };
-    let mut letters = vec![
+    let mut messages = vec![
         Message::Request(AcceptorRequest::Claim {
-            lease: job.clone(),
-            token: fence(5),
+            lease: lease.clone(),
+            token: token(5),
             round: 6,
-            acceptors: set(),
+            acceptors: acceptor_set(),
         }),
-        Message::Request(AcceptorRequest::Release { lease: job.clone(), token: fence(5) }),
-        Message::Request(AcceptorRequest::Recover(hello)),
-        Message::Request(AcceptorRequest::WriteCount { acceptor: of, write_count: 13, incarnation: 3 }),
+        Message::Request(AcceptorRequest::Release { lease: lease.clone(), token: token(5) }),
+        Message::Request(AcceptorRequest::Recover(recovery_request)),
+        Message::Request(AcceptorRequest::WriteCount { acceptor, write_count: 13, incarnation: 3 }),
         Message::Reply(granted),
-        Message::Reply(AcceptorReply::Recovery(known)),
-        Message::Released { lease: job.clone(), token: fence(5) },
-        Message::Offer { lease: job.clone() },
+        Message::Reply(AcceptorReply::Recovery(recovery_reply)),
+        Message::Released { lease: lease.clone(), token: token(5) },
+        Message::Offer { lease: lease.clone() },
     ];
-    letters.extend(refusals.map(|why| {
-        let (job, fence) = (job.clone(), fence(4));
-        Message::Reply(AcceptorReply::Rejected { lease: job, token: fence, round: 2, reason: why })
+    messages.extend(reasons.map(|reason| {
+        let (lease, token) = (lease.clone(), token(4));
+        Message::Reply(AcceptorReply::Rejected { lease, token, round: 2, reason })
     }));
-    check("lease-messages.bin", &letters);
+    check_recorded("lease-messages.bin", &messages);
 }
 
 #[test]
 fn lease_records_in_the_store() {
-    let other = |writes, life, start: Option<u64>| PeerRecord {
-        write_count: writes,
-        incarnation: life,
+    let peer_record = |write_count, incarnation, start: Option<u64>| PeerRecord {
+        write_count,
+        incarnation,
         start: start.map(ProcessId),
     };
-    let others = [("gateway-1".into(), other(1, 2, None)), ("gateway-2".into(), other(3, 4, Some(5)))];
+    let peers =
+        [("gateway-1".into(), peer_record(1, 2, None)), ("gateway-2".into(), peer_record(3, 4, Some(5)))];
     let head = DurableHead {
         is_initialized: true,
         incarnation: 2,
         write_count: 30,
-        peers: others.into(),
-        acceptors: set(),
+        peers: peers.into(),
+        acceptors: acceptor_set(),
         frozen_epoch: 2,
     };
-    check("lease-heads.bin", &[DurableHead::default(), head]);
-    let promises: [(Name, FencingToken); 2] = [("list".into(), fence(5)), ("billing".into(), fence(600))];
-    check("lease-promises.bin", &promises);
+    check_recorded("lease-heads.bin", &[DurableHead::default(), head]);
+    let promises: [(Name, FencingToken); 2] = [("list".into(), token(5)), ("billing".into(), token(600))];
+    check_recorded("lease-promises.bin", &promises);
 }
 
 #[test]
 fn list_fragments() {
-    let entry = |name: &str, gone| Entry {
-        name: name.into(),
-        removed: gone,
-        body: format!("{{\"name\":\"{name}\"}}"),
-    };
+    let entry =
+        |name: &str, removed| Entry { name: name.into(), removed, body: format!("{{\"name\":\"{name}\"}}") };
     let entries = vec![entry("10.0.0.1:80", false), entry("10.0.0.2:80", true)];
     let version = Version { epoch: 5, index: 1_000 };
-    let piece = Fragment { version, since: Some(900), age_ms: 40, number: 1, count: 3, entries };
-    let complete = Fragment { since: None, number: 0, count: 1, entries: Vec::new(), ..piece.clone() };
-    let notes = [
-        ListMessage::Fragment(Some(fence(5)), piece),
+    let fragment = Fragment { version, since: Some(900), age_ms: 40, number: 1, count: 3, entries };
+    let complete = Fragment { since: None, number: 0, count: 1, entries: Vec::new(), ..fragment.clone() };
+    let messages = [
+        ListMessage::Fragment(Some(token(5)), fragment),
         ListMessage::Fragment(None, complete),
         ListMessage::RequestComplete,
-        ListMessage::Rejected(fence(6)),
+        ListMessage::Rejected(token(6)),
     ];
-    check("list-fragments.bin", &notes);
+    check_recorded("list-fragments.bin", &messages);
 }
 
 #[test]
-fn lease_questions_and_answers() {
-    let questions = [
-        jobs::StatusQuery::Leases,
-        jobs::StatusQuery::Release("list".into()),
-        jobs::StatusQuery::Cordon(true),
-        jobs::StatusQuery::Cordon(false),
+fn lease_queries_and_replies() {
+    let queries = [
+        lease_status::StatusQuery::Leases,
+        lease_status::StatusQuery::Release("list".into()),
+        lease_status::StatusQuery::Cordon(true),
+        lease_status::StatusQuery::Cordon(false),
     ];
-    check("lease-questions.bin", &questions);
-    let job = |place, owns, last| jobs::LeaseSummary {
+    check_recorded("lease-questions.bin", &queries);
+    let lease_summary = |rank, held, last_rejection| lease_status::LeaseSummary {
         lease: "list".into(),
-        rank: place,
-        held: owns,
+        rank,
+        held,
         rejections: 2,
-        last_rejection: last,
+        last_rejection,
     };
-    let view = |votes| jobs::LeaseView {
+    let view = |acceptor| lease_status::LeaseView {
         gateway: "gateway-1".into(),
-        acceptor: votes,
+        acceptor,
         cordoned: true,
-        leases: vec![job(0, Some((fence(5), 100, 900)), None), job(1, None, Some("no".into()))],
-        held: vec![jobs::HeldLease { lease: "list".into(), holder: fence(5), remaining_ms: 800 }],
+        leases: vec![
+            lease_summary(0, Some((token(5), 100, 900)), None),
+            lease_summary(1, None, Some("no".into())),
+        ],
+        held: vec![lease_status::HeldLease { lease: "list".into(), holder: token(5), remaining_ms: 800 }],
         processes: vec![("gateway-1".into(), 9)],
     };
-    let mut answers = vec![jobs::StatusReply::Released(true), jobs::StatusReply::Cordoned(false)];
-    let votes = [
+    let mut replies =
+        vec![lease_status::StatusReply::Released(true), lease_status::StatusReply::Cordoned(false)];
+    let acceptor_states = [
         None,
-        Some(jobs::AcceptorState::Voting),
-        Some(jobs::AcceptorState::Recovering),
-        Some(jobs::AcceptorState::NotVoting),
+        Some(lease_status::AcceptorState::Voting),
+        Some(lease_status::AcceptorState::Recovering),
+        Some(lease_status::AcceptorState::NotVoting),
     ];
-    answers.extend(votes.map(|votes| jobs::StatusReply::Leases(view(votes))));
-    check("lease-answers.bin", &answers);
+    replies.extend(acceptor_states.map(|state| lease_status::StatusReply::Leases(view(state))));
+    check_recorded("lease-answers.bin", &replies);
 }
 
 #[test]
-fn load_reports_for_subsets() {
-    let word = |step, leaves| load_reports::LoadReport {
+fn load_reports_and_subset_views() {
+    let load_report = |step, is_leaving| load_reports::LoadReport {
         name: "gateway-1".into(),
         instance: 0x55,
         version: 3,
         step,
         zone: "north".into(),
-        is_leaving: leaves,
+        is_leaving,
     };
-    check(
+    check_recorded(
         "subset-reports.bin",
         &[
-            gossip::GossipMessage::Reports(vec![word(0, false), word(31, true)]),
+            gossip::GossipMessage::Reports(vec![load_report(0, false), load_report(31, true)]),
             gossip::GossipMessage::RequestAll,
         ],
     );
-    let view = subsets::SubsetView {
+    let view = subset_status::SubsetView {
         gateway: "gateway-1".into(),
         min_servers: 12,
         prefers_own_zone: true,
-        gateways: vec![subsets::GatewayView { name: "gateway-2".into(), load: 1.5, zone: 1 }],
-        servers: vec![subsets::ServerView { name: "10.0.0.1:80".into(), weight: 2.0, zone: 0 }],
+        gateways: vec![subset_status::GatewayView { name: "gateway-2".into(), load: 1.5, zone: 1 }],
+        servers: vec![subset_status::ServerView { name: "10.0.0.1:80".into(), weight: 2.0, zone: 0 }],
         uses: vec![("10.0.0.1:80".into(), 0.75)],
         avoids: vec!["10.0.0.2:80".into()],
     };
-    check("subset-views.bin", &[view]);
+    check_recorded("subset-views.bin", &[view]);
 }
 
 #[test]
-fn outlier_reports() {
-    let level = HealthLevel { failures: 3, slowness: 1, samples: 4 };
-    let word = fernscale_outlier_detection::ServerReport {
+fn outlier_reports_and_views() {
+    let health = HealthLevel { failures: 3, slowness: 1, samples: 4 };
+    let report = fernscale_outlier_detection::ServerReport {
         instance: 0x66,
         server: "10.0.0.1:80".into(),
         started_at: 1_700_000_000_000_000,
         version: 2,
         zone: String::new(),
-        health: level,
+        health,
         represents: 5,
     };
-    check(
+    check_recorded(
         "outlier-reports.bin",
         &[
-            fernscale_outlier_detection::Message::Reports(vec![word]),
+            fernscale_outlier_detection::Message::Reports(vec![report]),
             fernscale_outlier_detection::Message::RequestAll,
         ],
     );
-    let standings = [
-        servers::ServerStatus::Healthy,
-        servers::ServerStatus::OutlierHere,
-        servers::ServerStatus::EjectedForZone,
-        servers::ServerStatus::EjectedForAll,
-        servers::ServerStatus::Spared,
-        servers::ServerStatus::Returning,
+    let statuses = [
+        server_status::ServerStatus::Healthy,
+        server_status::ServerStatus::OutlierHere,
+        server_status::ServerStatus::EjectedForZone,
+        server_status::ServerStatus::EjectedForAll,
+        server_status::ServerStatus::Spared,
+        server_status::ServerStatus::Returning,
     ];
-    let seen = |standing| servers::ServerView {
+    let server_view = |status| server_status::ServerView {
         server: "10.0.0.1:80".into(),
-        status: standing,
-        observed: Some(level),
+        status,
+        observed: Some(health),
         against: 2.5,
         in_favor: 1.0,
         reporters: 3,
         ejected_ms: Some(1_200),
         next_trial: Some("gateway-2".into()),
     };
-    let seen = standings.map(seen).to_vec();
-    check(
+    let views = statuses.map(server_view).to_vec();
+    check_recorded(
         "outlier-views.bin",
-        &[servers::OutlierView {
+        &[server_status::OutlierView {
             gateway: "gateway-1".into(),
             ejected_share: 0.1,
             max_ejected_share: 0.25,
-            servers: seen,
+            servers: views,
         }],
     );
 }
 
-/// JSON: here names are the encoding.
+/// In JSON, the names of fields are part of the encoding.
 #[test]
-fn records_that_two_processes_share() {
+fn hot_restart_records() {
     use fernscale_hot_restart::state::{CordonRecord, ProcessRecord};
-    let word = |stamp, out| CordonRecord {
+    let cordon = |stamp, cordoned| CordonRecord {
         stamp,
         by: 1_700_000_000_000_001,
         at: 1_700_000_000_000_002,
-        cordoned: out,
+        cordoned,
     };
     let record = ProcessRecord {
         version: 3,
-        cordons: [("10.0.0.1:80".into(), word(2, true)), ("10.0.0.2:80".into(), word(3, false))].into(),
+        cordons: [("10.0.0.1:80".into(), cordon(2, true)), ("10.0.0.2:80".into(), cordon(3, false))].into(),
         acknowledged: [(1_700_000_000_000_001, 2)].into(),
         descriptors: 400,
     };
-    let recorded = recorded("process-record.json");
-    assert_eq!(serde_json::to_string(&record).expect("it is encoded").as_bytes(), recorded);
-    assert_eq!(serde_json::from_slice::<ProcessRecord>(&recorded).expect("it is decoded"), record);
+    let recorded = read_recorded("process-record.json");
+    assert_eq!(serde_json::to_string(&record).expect("the record can be encoded").as_bytes(), recorded);
+    assert_eq!(
+        serde_json::from_slice::<ProcessRecord>(&recorded).expect("the record can be decoded"),
+        record
+    );
 }
 
-/// What `fernscale members --json` prints: here names are the encoding too.
+/// The JSON output of `fernscale members --json`, in which the names of fields are part of the encoding too.
 #[test]
-fn views_that_operators_are_shown() {
-    let viewed = |news: MemberUpdate| MemberView {
-        peer: news.peer,
-        state: news.state,
+fn json_views_for_operators() {
+    let member_view = |update: MemberUpdate| MemberView {
+        peer: update.peer,
+        state: update.state,
         incarnation: 5,
         last_heard_ms: 250,
     };
-    let members = news().into_iter().map(viewed).collect();
+    let members = member_updates().into_iter().map(member_view).collect();
     let view = MembershipView {
         local: peer(1),
         members,
@@ -413,16 +427,17 @@
         counter_count: 2,
         counter_health: "good".into(),
     };
-    let sums = vec![CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 }];
-    let shown = serde_json::json!({ "view": view, "sums": sums });
+    let totals = vec![CounterTotal { key: "q1:tenant".into(), total: 17.5, expires_in_ms: 1_000 }];
+    let encoded_views = serde_json::json!({ "view": view, "sums": totals });
     assert_eq!(
-        shown,
-        serde_json::from_slice::<serde_json::Value>(&recorded("members.json")).expect("it is read")
+        encoded_views,
+        serde_json::from_slice::<serde_json::Value>(&read_recorded("members.json"))
+            .expect("the recorded view can be parsed")
     );
 }
 
 #[test]
-fn the_states_of_the_counter_have_the_names_that_logs_tell() {
+fn counter_health_has_its_recorded_names() {
     use fernscale_shared_counter::monitor::CounterHealth;
     let states = [
         CounterHealth::Healthy,
