--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -214,7 +214,7 @@
     /// Parses a response slice by slice: a list of thousands of servers must not hold the event loop.
     async fn parse(&mut self, body: &[u8]) -> Result<EndpointUpdate, ListError> {
         let iteration = LoopIteration::begin("outline of a server list");
-        let reader = SlicedReader::of(body);
+        let reader = SlicedReader::for_body(body);
         iteration.end(&self.shared.log);
         let mut reader = reader.map_err(ListError::unread)?;
         while reader.read_slice(&self.known, &self.shared.platform) {
--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -48,7 +48,7 @@
         match command {
             Ok(Command::Call(call)) => self.handle_call(call).await,
             Ok(Command::Ping) => self.pipeline.push_ready(self.ping_response(), None),
-            Ok(Command::Courtesy) => self.pipeline.push_ready(b"+OK\r\n".to_vec(), None),
+            Ok(Command::ConnectionSetup) => self.pipeline.push_ready(b"+OK\r\n".to_vec(), None),
             Err(why) => self.handle_invalid(&why).await?,
         }
         Ok(())
@@ -103,7 +103,7 @@
             return Err(EarlyRejection::ShuttingDown);
         }
         let open = shared.limits.open.reserve(1).ok_or(EarlyRejection::NoRequestSlot)?;
-        let bytes = shared.limits.bytes.reserve(call.weight()).ok_or(EarlyRejection::NoRequestSlot)?;
+        let bytes = shared.limits.bytes.reserve(call.memory_bytes()).ok_or(EarlyRejection::NoRequestSlot)?;
         Ok([open, bytes])
     }
 
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -101,7 +101,8 @@
     async fn accept(&mut self, stream: Async<TcpStream>) {
         let Slot { reservation, is_served } = self.find_slot().await;
         self.accepted += 1;
-        let buffer = Buffer::new(resp::MOST_MESSAGE, Some(self.context.shared.limits.from_clients.clone()));
+        let buffer =
+            Buffer::new(resp::MAX_MESSAGE_BYTES, Some(self.context.shared.limits.from_clients.clone()));
         let connection = Connection::new(stream, buffer, Some(reservation));
         let task = ConnectionTask::new(connection, self.context.clone(), self.accepted, is_served);
         self.context.shared.executor.spawn(task.run()).detach();
--- a/crates/gateway/src/downstream/pipeline.rs
+++ b/crates/gateway/src/downstream/pipeline.rs
@@ -104,7 +104,9 @@
             return;
         };
         let (response, result) = match reply {
-            FinalReply::Complete(answer) => (Response::Complete(answer.write()), ResponseResult::of(&answer)),
+            FinalReply::Complete(answer) => {
+                (Response::Complete(answer.write()), ResponseResult::from_answer(&answer))
+            }
             FinalReply::Streamed(stream) => (Response::Streamed(stream), ResponseResult::Completed),
         };
         command.state = State::Ready { response, reservations: Some(reservations) };
--- a/crates/gateway/src/operator/metrics.rs
+++ b/crates/gateway/src/operator/metrics.rs
@@ -19,7 +19,7 @@
     const NAMES: [&'static str; 3] = ["ok", "shed", "errors"];
 
     /// What a final answer is counted as.
-    pub fn of(answer: &FinalAnswer) -> Self {
+    pub fn from_answer(answer: &FinalAnswer) -> Self {
         match answer {
             FinalAnswer::Completed(_) => ResponseResult::Completed,
             FinalAnswer::Rejected(_) => ResponseResult::Rejected,
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -100,7 +100,7 @@
     pub fn read(&self) -> Result<Config, Vec<String>> {
         let (config, known) = self.read_without_known_endpoints()?;
         let Some(known) = known else { return Ok(config) };
-        let reader = SlicedReader::of(known.get().as_bytes());
+        let reader = SlicedReader::for_body(known.get().as_bytes());
         let mut reader = reader.map_err(|reason| self.problem(&reason))?;
         while reader.read_slice(&KnownEndpoints::default(), &config.platform_settings) {}
         self.with_known_endpoints(config, reader)
@@ -113,7 +113,7 @@
     pub async fn read_in_slices(&self) -> Result<Config, Vec<String>> {
         let (config, known) = self.read_without_known_endpoints()?;
         let Some(known) = known else { return Ok(config) };
-        let reader = SlicedReader::of(known.get().as_bytes());
+        let reader = SlicedReader::for_body(known.get().as_bytes());
         let mut reader = reader.map_err(|reason| self.problem(&reason))?;
         while reader.read_slice(&KnownEndpoints::default(), &config.platform_settings) {
             yield_between_slices().await;
--- a/crates/gateway/src/protocol/call.rs
+++ b/crates/gateway/src/protocol/call.rs
@@ -8,7 +8,7 @@
 use fernscale_policy::settings::{self, PlatformSettings};
 use fernscale_policy::{Id, LoadReport, Micros, Request};
 
-use super::resp::{self, write_bulk, write_command, Opening, Reply};
+use super::resp::{self, write_bulk, write_command, LongValueHead, Reply};
 use super::Scanned;
 
 /// What a client asks of a gateway.
@@ -16,7 +16,7 @@
 pub enum Command {
     Ping,
     /// Something about the connection that needs no more than a yes.
-    Courtesy,
+    ConnectionSetup,
     Call(Call),
 }
 
@@ -77,7 +77,7 @@
         return Ok(Command::Ping);
     }
     if is(b"CLIENT") || is(b"SELECT") {
-        return Ok(Command::Courtesy);
+        return Ok(Command::ConnectionSetup);
     }
     Err(format!("unknown command '{}'", shown(words[0])))
 }
@@ -178,7 +178,7 @@
     }
 
     /// Bytes that it holds.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let body = self.body.as_ref().map_or(0, |body| body.len());
         body + self.before.len() + self.after.len() + self.request.id.len()
     }
@@ -241,13 +241,13 @@
     /// All of it.
     Complete((ServerReply, LoadReport)),
     /// The head of a value too long to be kept complete, and some of the value.
-    LongValue(Opening),
+    LongValue(LongValueHead),
 }
 
 /// As [`scan_complete_reply`]; of a value too long to be kept whole the head is enough, once some of the value is there too. Danger: a
 /// spoilt length. Once a value is being passed on, nobody else can be asked for it.
 pub fn scan_reply(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<ReceivedReply> {
-    match resp::opening(bytes)? {
+    match resp::long_value_head(bytes)? {
         Some((opening, start)) if bytes.len() >= start + EVIDENCE => {
             Ok(Some((ReceivedReply::LongValue(opening), start)))
         }
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -248,7 +248,7 @@
     /// # Errors
     ///
     /// The text of the parser's error where the body is not JSON.
-    pub fn of(body: &'a [u8]) -> Result<Self, String> {
+    pub fn for_body(body: &'a [u8]) -> Result<Self, String> {
         let outline = match serde_json::from_slice(body) {
             Ok(outline) => outline,
             Err(error) if error.is_data() => Outline::default(),
--- a/crates/gateway/src/protocol/resp.rs
+++ b/crates/gateway/src/protocol/resp.rs
@@ -3,16 +3,16 @@
 use super::Scanned;
 
 /// Longest bulk string that is kept whole.
-pub const MOST_BULK: usize = 64 * 1024;
+pub const MAX_BULK_BYTES: usize = 64 * 1024;
 /// Longest value, which is passed on as it comes.
-pub const MOST_VALUE: usize = 4 * 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 /// Most items in an array, and arrays in arrays: no message has more than half as many.
-const MOST_ITEMS: usize = 16;
-const MOST_DEPTH: usize = 4;
+const MAX_ITEMS: usize = 16;
+const MAX_DEPTH: usize = 4;
 /// Longest line: an error with a load report takes some two hundred bytes.
-const MOST_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// No message is longer: one value, and lines for the rest.
-pub const MOST_MESSAGE: usize = MOST_BULK + MOST_ITEMS * MOST_LINE;
+pub const MAX_MESSAGE_BYTES: usize = MAX_BULK_BYTES + MAX_ITEMS * MAX_LINE_BYTES;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<'a> {
@@ -31,7 +31,7 @@
     }
     let Some((count, mut at)) = length(bytes, 0)? else { return Ok(None) };
     let count = match count {
-        Some(count) if (1..=MOST_ITEMS).contains(&count) => count,
+        Some(count) if (1..=MAX_ITEMS).contains(&count) => count,
         _ => return Err("no command has so many words"),
     };
     let mut words = Vec::with_capacity(count);
@@ -43,7 +43,7 @@
         }
         let Some((word, end)) = bulk(bytes, at)? else { return Ok(None) };
         words.push(word.ok_or("a word of a command is no null")?);
-        if end > MOST_MESSAGE {
+        if end > MAX_MESSAGE_BYTES {
             return Err("the command is too long");
         }
         at = end;
@@ -72,24 +72,24 @@
 
 /// The head of an array whose first item is a bulk string too long to be kept whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opening {
+pub struct LongValueHead {
     pub items: usize,
     /// Bytes of the first item.
     pub length: usize,
 }
 
 /// Such a head as soon as it has come; where the first item is none, `None` for good.
-pub fn opening(bytes: &[u8]) -> Scanned<Opening> {
+pub fn long_value_head(bytes: &[u8]) -> Scanned<LongValueHead> {
     if !matches!(bytes, [b'*', ..]) {
         return Ok(None);
     }
-    let Some((Some(items @ 1..=MOST_ITEMS), at)) = length(bytes, 0)? else { return Ok(None) };
+    let Some((Some(items @ 1..=MAX_ITEMS), at)) = length(bytes, 0)? else { return Ok(None) };
     if !matches!(bytes.get(at), Some(b'$')) {
         return Ok(None);
     }
     match length(bytes, at)? {
-        Some((Some(length @ MOST_BULK..=MOST_VALUE), start)) if length > MOST_BULK => {
-            Ok(Some((Opening { items, length }, start)))
+        Some((Some(length @ MAX_BULK_BYTES..=MAX_VALUE_BYTES), start)) if length > MAX_BULK_BYTES => {
+            Ok(Some((LongValueHead { items, length }, start)))
         }
         _ => Ok(None),
     }
@@ -97,7 +97,7 @@
 
 /// So many items that stand one behind another.
 pub fn items(bytes: &[u8], count: usize) -> Scanned<Vec<Reply<'_>>> {
-    let (mut items, mut at) = (Vec::with_capacity(count.min(MOST_ITEMS)), 0);
+    let (mut items, mut at) = (Vec::with_capacity(count.min(MAX_ITEMS)), 0);
     for _ in 0..count {
         let Some((next, end)) = item(bytes, at, 1)? else { return Ok(None) };
         items.push(next);
@@ -119,7 +119,7 @@
         b'*' => {
             let Some((count, mut at)) = length(bytes, at)? else { return Ok(None) };
             let Some(count) = count else { return Ok(Some((Reply::Array(None), at))) };
-            if count > MOST_ITEMS || depth == MOST_DEPTH {
+            if count > MAX_ITEMS || depth == MAX_DEPTH {
                 return Err("an array is too large");
             }
             let mut items = Vec::with_capacity(count);
@@ -137,7 +137,7 @@
 fn bulk(bytes: &[u8], at: usize) -> Scanned<Option<&[u8]>> {
     let Some((length, start)) = length(bytes, at)? else { return Ok(None) };
     let Some(length) = length else { return Ok(Some((None, start))) };
-    if length > MOST_BULK {
+    if length > MAX_BULK_BYTES {
         return Err("a bulk string is too long");
     }
     let end = start + length;
@@ -161,14 +161,14 @@
 /// The rest of a line after its first byte, and where the next begins.
 fn line(bytes: &[u8], at: usize) -> Scanned<&[u8]> {
     let rest = &bytes[at + 1..];
-    match rest.iter().take(MOST_LINE).position(|byte| matches!(byte, b'\r' | b'\n')) {
+    match rest.iter().take(MAX_LINE_BYTES).position(|byte| matches!(byte, b'\r' | b'\n')) {
         Some(end) if rest[end] == b'\n' => Err("a line ends without a carriage return"),
         Some(end) => match rest.get(end + 1) {
             None => Ok(None),
             Some(b'\n') => Ok(Some((&rest[..end], at + end + 3))),
             Some(_) => Err("a carriage return stands within a line"),
         },
-        None if rest.len() >= MOST_LINE => Err("a line is too long"),
+        None if rest.len() >= MAX_LINE_BYTES => Err("a line is too long"),
         None => Ok(None),
     }
 }
--- a/crates/gateway/src/transport/limits.rs
+++ b/crates/gateway/src/transport/limits.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::protocol::resp::MOST_MESSAGE;
+use crate::protocol::resp::MAX_MESSAGE_BYTES;
 
 /// Descriptors that are neither clients' nor servers': three standard streams, three of the reactor, two for signals, the listener,
 /// a connection to discovery and to the counter, those to earlier counters that still owe replies, one that was accepted and has no
@@ -144,7 +144,8 @@
         let remaining = descriptors.saturating_sub(OWN_DESCRIPTORS + self.reserved);
         let servers = remaining * SERVERS_TENTHS / 10;
         let rejected = (remaining - servers) * REJECTED_TENTHS / 10;
-        let part = (memory_mb.saturating_sub(PROGRAM_MIB) * 1024 * 1024 / MEMORY_PARTS).max(MOST_MESSAGE);
+        let part =
+            (memory_mb.saturating_sub(PROGRAM_MIB) * 1024 * 1024 / MEMORY_PARTS).max(MAX_MESSAGE_BYTES);
         self.clients.capacity.set(remaining - servers - rejected);
         self.rejected.capacity.set(rejected);
         self.servers.capacity.set(servers);
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -14,7 +14,7 @@
 use super::Upstream;
 use crate::outcome::AttemptFailure;
 use crate::protocol::call::{self, Call, ReceivedReply, ServerReply};
-use crate::protocol::resp::{self, Opening, Reply};
+use crate::protocol::resp::{self, LongValueHead, Reply};
 use crate::protocol::Scanned;
 use crate::shared::{Event, Piece, ResponseStream};
 use crate::transport::clock::{boottime, micros};
@@ -202,7 +202,7 @@
     /// Passes a long value on as it comes, and reads what follows it.
     async fn stream_value(
         self: &Rc<Self>,
-        head: Opening,
+        head: LongValueHead,
         mut connection: Connection,
         request: Id,
         attempt: usize,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -139,7 +139,7 @@
     async fn dial(&self) -> Result<Connection, ConnectionEnd> {
         let slot = self.shared.limits.servers.reserve(1).ok_or(ConnectionEnd::NoDescriptor)?;
         let limit = Duration::from_micros(self.shared.platform.connect_timeout);
-        let buffer = Buffer::new(resp::MOST_MESSAGE, Some(self.shared.limits.from_servers.clone()));
+        let buffer = Buffer::new(resp::MAX_MESSAGE_BYTES, Some(self.shared.limits.from_servers.clone()));
         Connection::connect(self.address.get(), limit, buffer, Some(slot)).await
     }
 }
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -18,7 +18,7 @@
 
 fn read_in_slices(body: &str, known: &mut KnownEndpoints) -> Result<String, ListError> {
     let refused = |why| ListError { reason: why, index: None, draining: Vec::new() };
-    let mut reader = SlicedReader::of(body.as_bytes()).map_err(refused)?;
+    let mut reader = SlicedReader::for_body(body.as_bytes()).map_err(refused)?;
     while reader.read_slice(known, &outside()) {}
     reader.end(known).map(|members| format!("{members:?}"))
 }
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -96,7 +96,7 @@
         assert!(resp::reply(bad).is_err(), "{}", String::from_utf8_lossy(bad));
     }
     // Five values of full size, each fine in itself, are no command that is taken.
-    let value = [b'x'; resp::MOST_BULK];
+    let value = [b'x'; resp::MAX_BULK_BYTES];
     assert!(resp::command(&resp::write_command(&[&value, &value])).is_err());
 }
 
@@ -342,10 +342,10 @@
 fn the_head_and_the_end_of_a_long_value_are_read_wherever_they_are_cut() {
     let head = b"*3\r\n$70000\r\n";
     for cut in 0..head.len() {
-        assert_eq!(resp::opening(&head[..cut]), Ok(None), "{cut}");
+        assert_eq!(resp::long_value_head(&head[..cut]), Ok(None), "{cut}");
     }
-    let opening = resp::Opening { items: 3, length: 70_000 };
-    assert_eq!(resp::opening(head), Ok(Some((opening, head.len()))));
+    let opening = resp::LongValueHead { items: 3, length: 70_000 };
+    assert_eq!(resp::long_value_head(head), Ok(Some((opening, head.len()))));
     for other in [
         "*3\r\n$65536\r\n",
         "*3\r\n$4194305\r\n",
@@ -354,7 +354,7 @@
         "-BUSY\r\n",
         "*99\r\n$70000\r\n",
     ] {
-        assert_eq!(resp::opening(other.as_bytes()), Ok(None), "{other}");
+        assert_eq!(resp::long_value_head(other.as_bytes()), Ok(None), "{other}");
     }
     let names = ["pending".to_string()];
     let end = b"\r\n$8\r\ncost=2.5\r\n$9\r\npending=7\r\n";
