--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -181,7 +181,7 @@
         within(until, ConnectionEnd::TimedOut, connection.write(request)).await?;
         let response = read_response(&mut connection, until).await;
         match &response {
-            Ok(response) if response.keep => self.connection = Some(connection),
+            Ok(response) if response.keep_alive => self.connection = Some(connection),
             Err(ConnectionEnd::TimedOut) if self.shared.platform.list_is_pushed => {
                 let until = Instant::now() + LATE_RESPONSE_TIMEOUT;
                 self.late = Some(LateConnection { connection, until });
--- a/crates/gateway/src/protocol/call.rs
+++ b/crates/gateway/src/protocol/call.rs
@@ -1,4 +1,4 @@
-//! The commands: what clients ask for, what is passed on to servers, and the answers of both.
+//! The commands of clients and those forwarded to servers, and the replies to both.
 
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hasher};
@@ -11,46 +11,48 @@
 use super::resp::{self, write_bulk, write_command, LongValueHead, Reply};
 use super::Scanned;
 
-/// What a client asks of a gateway.
+/// A command that a client sends to the gateway.
 #[derive(Debug)]
 pub enum Command {
     Ping,
-    /// Something about the connection that needs no more than a yes.
+    /// A command that sets up the connection, such as `CLIENT` or `SELECT`; the gateway only acknowledges it.
     ConnectionSetup,
     Call(Call),
 }
 
-/// A transaction as it came in, kept in the form in which it is passed on.
+/// A client's request, kept in the form in which it is forwarded to servers.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub request: Request,
-    verb: Box<[u8]>,
-    /// The names and values, in two halves: between them stands how long the answer is waited for.
-    before: Box<str>,
-    after: Box<str>,
+    /// The name of the command, as the client wrote it.
+    command_name: Box<[u8]>,
+    /// The list of fields (`name=value`, separated by commas) up to the value of `d`, the time that the client waits.
+    list_before_wait: Box<str>,
+    /// The rest of the list, from the end of the value of `d`.
+    list_after_wait: Box<str>,
     body: Option<Box<[u8]>>,
-    /// The client has gone: nothing is begun for it any more.
+    /// Whether the client has disconnected. No further attempt is started for the request then.
     pub client_gone: Rc<Cell<bool>>,
 }
 
-/// The final answer to a transaction.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
     Completed(Box<[u8]>),
     Rejected(Micros),
     Failed,
-    /// It could not be taken as it was asked.
+    /// The request is invalid; the text names the error.
     Malformed(&'static str),
 }
 
-/// What a server said to a transaction.
+/// A server's reply to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerReply {
     Completed {
         value: Box<[u8]>,
         units: Option<f64>,
     },
-    /// Its value has been passed on as it came.
+    /// The value has been forwarded to the client while it was being received.
     Streamed {
         units: Option<f64>,
     },
@@ -58,134 +60,151 @@
     Overloaded,
 }
 
-/// A hash of a server's value. Equal values have equal ones; different ones may.
+/// A hash of a server's value. Equal values have equal hashes; different values may have equal hashes too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValueFingerprint(u64);
 
-/// Bytes of a long value that have to be there before any is passed on: more than a spoilt answer of usual size has.
-const EVIDENCE: usize = 4 * 1024;
+/// The bytes of a long value that must be received before any of them is forwarded: more than a corrupted reply of usual
+/// size has.
+const MIN_LONG_VALUE_BYTES: usize = 4 * 1024;
 const GET: &[u8] = b"CALL.GET";
 const POST: &[u8] = b"CALL.POST";
 
-/// Reads a command; else what is wrong with it, for the client to read.
-pub fn command(words: &[&[u8]], outside: &PlatformSettings) -> Result<Command, String> {
-    let is = |name: &[u8]| words[0].eq_ignore_ascii_case(name);
-    if is(GET) || is(POST) {
-        return call(words, outside).map(Command::Call);
+/// Parses a command.
+///
+/// # Errors
+///
+/// What is wrong with the command, for the client to read.
+pub fn command(arguments: &[&[u8]], platform: &PlatformSettings) -> Result<Command, String> {
+    let is_named = |name: &[u8]| arguments[0].eq_ignore_ascii_case(name);
+    if is_named(GET) || is_named(POST) {
+        return call(arguments, platform).map(Command::Call);
     }
-    if is(b"PING") {
+    if is_named(b"PING") {
         return Ok(Command::Ping);
     }
-    if is(b"CLIENT") || is(b"SELECT") {
+    if is_named(b"CLIENT") || is_named(b"SELECT") {
         return Ok(Command::ConnectionSetup);
     }
-    Err(format!("unknown command '{}'", shown(words[0])))
+    Err(format!("unknown command '{}'", printable(arguments[0])))
 }
 
-fn call(words: &[&[u8]], outside: &PlatformSettings) -> Result<Call, String> {
-    let (verb, customer, id, list, body) = match *words {
-        [verb, customer, id, list] => (verb, customer, id, list, None),
-        [verb, customer, id, list, body] => (verb, customer, id, list, Some(body)),
+fn call(arguments: &[&[u8]], platform: &PlatformSettings) -> Result<Call, String> {
+    let (command_name, tenant, id, list, body) = match *arguments {
+        [command_name, tenant, id, list] => (command_name, tenant, id, list, None),
+        [command_name, tenant, id, list, body] => (command_name, tenant, id, list, Some(body)),
         _ => return Err("a call takes a customer, an id, a list and perhaps a body".into()),
     };
-    let customer = text(customer, "the customer")?;
-    let number = u64::from_str_radix(customer, 16).ok().filter(|number| *number < 1 << 33);
-    if customer.len() != 16 || number.is_none() || customer.starts_with('+') {
+    let tenant = parse_text(tenant, "the customer")?;
+    let number = u64::from_str_radix(tenant, 16).ok().filter(|number| *number < 1 << 33);
+    if tenant.len() != 16 || number.is_none() || tenant.starts_with('+') {
         return Err("the customer is no number of 16 hex digits below 2^33".into());
     }
-    let (id, list) = (text(id, "the id")?, text(list, "the list")?);
+    let (id, list) = (parse_text(id, "the id")?, parse_text(list, "the list")?);
     if id.is_empty() {
         return Err("the id is empty".into());
     }
-    let (mut lane, mut plan, mut left, mut place) = (None, None, None, 0..0);
-    let (mut units, mut spread, mut first) = (None, None, None);
-    let mut at = 0;
-    for part in list.split(',') {
-        let (name, value) = part.split_once('=').ok_or("a part of the list without '='")?;
-        let value_at = at + name.len() + 1;
-        at += part.len() + 1;
-        let wrong = || format!("'{}' can't be understood", shown(part.as_bytes()));
-        let known = |names: &[String]| names.iter().position(|name| name == value);
-        // Signs, exponents and words for numbers may be read otherwise elsewhere.
-        let plain = value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-        let number = || value.parse::<f64>().ok().filter(|number| plain && number.is_finite());
-        let whole =
-            |range: Range<u32>| value.parse::<u32>().ok().filter(|number| plain && range.contains(number));
-        // A name that comes twice would be read here in one way and by servers in the other.
-        let again = match name {
-            "c" => lane.replace(known(&outside.class_names).ok_or_else(wrong)?).is_some(),
-            "t" => plan.replace(known(&outside.plan_names).ok_or_else(wrong)?).is_some(),
+    let (mut class, mut plan, mut time_left, mut wait_range) = (None, None, None, 0..0);
+    let (mut units, mut gateway_spread, mut first_gateway) = (None, None, None);
+    let mut offset = 0;
+    for field in list.split(',') {
+        let (name, value) = field.split_once('=').ok_or("a part of the list without '='")?;
+        let value_start = offset + name.len() + 1;
+        offset += field.len() + 1;
+        let invalid = || format!("'{}' can't be understood", printable(field.as_bytes()));
+        let position_in = |names: &[String]| names.iter().position(|name| name == value);
+        // Servers may parse signs, exponents and names of numbers such as `inf` in another way.
+        let is_plain_number = value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        let parse_number =
+            || value.parse::<f64>().ok().filter(|number| is_plain_number && number.is_finite());
+        let parse_integer = |range: Range<u32>| {
+            value.parse::<u32>().ok().filter(|number| is_plain_number && range.contains(number))
+        };
+        // Of a repeated field the gateway might use one value and a server the other.
+        let is_repeated = match name {
+            "c" => class.replace(position_in(&platform.class_names).ok_or_else(invalid)?).is_some(),
+            "t" => plan.replace(position_in(&platform.plan_names).ok_or_else(invalid)?).is_some(),
             "d" => {
-                place = value_at..value_at + value.len();
-                let time = number().ok_or_else(wrong)?.min(outside.max_client_wait as f64 / 1000.0);
-                left.replace((time * 1000.0) as Micros).is_some()
+                wait_range = value_start..value_start + value.len();
+                let wait_ms =
+                    parse_number().ok_or_else(invalid)?.min(platform.max_client_wait as f64 / 1000.0);
+                time_left.replace((wait_ms * 1000.0) as Micros).is_some()
+            }
+            "units" => {
+                units.replace(parse_number().filter(|units| *units > 0.0).ok_or_else(invalid)?).is_some()
+            }
+            "spread" => gateway_spread
+                .replace(parse_integer(1..platform.gateway_count + 1).ok_or_else(invalid)?)
+                .is_some(),
+            "first" => {
+                first_gateway.replace(parse_integer(0..platform.gateway_count).ok_or_else(invalid)?).is_some()
             }
-            "units" => units.replace(number().filter(|units| *units > 0.0).ok_or_else(wrong)?).is_some(),
-            "spread" => spread.replace(whole(1..outside.gateway_count + 1).ok_or_else(wrong)?).is_some(),
-            "first" => first.replace(whole(0..outside.gateway_count).ok_or_else(wrong)?).is_some(),
             _ => false,
         };
-        if again {
+        if is_repeated {
             return Err(format!("'{name}' comes twice"));
         }
     }
     let (plan, units) = (plan.ok_or("the list has no 't'")?, units.unwrap_or(1.0));
-    // Were it believed, one such command would use up what a customer has for a long time.
-    if units > outside.max_units {
+    // Without this limit, one command could use up the tenant's quota for a long time.
+    if units > platform.max_units {
         return Err("no transaction takes so many units".into());
     }
     Ok(Call {
         request: Request {
             id: Id::from(id),
-            class: lane.ok_or("the list has no 'c'")?,
+            class: class.ok_or("the list has no 'c'")?,
             plan,
-            tenant: Id::from(customer),
+            tenant: Id::from(tenant),
             units,
-            first_gateway: first.unwrap_or(0),
-            gateway_spread: spread.unwrap_or(1),
-            time_left: left.ok_or("the list has no 'd'")?,
+            first_gateway: first_gateway.unwrap_or(0),
+            gateway_spread: gateway_spread.unwrap_or(1),
+            time_left: time_left.ok_or("the list has no 'd'")?,
         },
-        verb: verb.into(),
-        before: list[..place.start].into(),
-        after: list[place.end..].into(),
+        command_name: command_name.into(),
+        list_before_wait: list[..wait_range.start].into(),
+        list_after_wait: list[wait_range.end..].into(),
         body: body.map(Into::into),
         client_gone: Rc::default(),
     })
 }
 
-fn text<'a>(word: &'a [u8], what: &str) -> Result<&'a str, String> {
-    let text = std::str::from_utf8(word).map_err(|_| format!("{what} is no text"))?;
+/// An argument of a command as text; `what` names the argument in errors.
+fn parse_text<'a>(argument: &'a [u8], what: &str) -> Result<&'a str, String> {
+    let text = std::str::from_utf8(argument).map_err(|_| format!("{what} is no text"))?;
     if text.chars().any(char::is_control) {
         return Err(format!("{what} has control characters"));
     }
     Ok(text)
 }
 
-/// What a client wrote, fit for an error line.
-fn shown(word: &[u8]) -> String {
-    let text = String::from_utf8_lossy(&word[..word.len().min(32)]);
-    text.chars().map(|letter| if letter.is_control() { '.' } else { letter }).collect()
+/// The first bytes of a client's argument in a form that can be part of an error line.
+fn printable(argument: &[u8]) -> String {
+    let text = String::from_utf8_lossy(&argument[..argument.len().min(32)]);
+    text.chars().map(|character| if character.is_control() { '.' } else { character }).collect()
 }
 
 impl Call {
-    /// The command for a server, with how long its answer is waited for.
-    pub fn command(&self, limit: Micros) -> Vec<u8> {
-        let list = format!("{}{}{}", self.before, limit.div_ceil(1000).max(1), self.after);
-        let asked = &self.request;
-        let mut words = vec![&*self.verb, asked.tenant.as_bytes(), asked.id.as_bytes(), list.as_bytes()];
-        words.extend(self.body.as_deref());
-        write_command(&words)
+    /// The command for a server. `timeout` is how long the gateway waits for the server's reply.
+    pub fn command(&self, timeout: Micros) -> Vec<u8> {
+        let list =
+            format!("{}{}{}", self.list_before_wait, timeout.div_ceil(1000).max(1), self.list_after_wait);
+        let request = &self.request;
+        let mut arguments =
+            vec![&*self.command_name, request.tenant.as_bytes(), request.id.as_bytes(), list.as_bytes()];
+        arguments.extend(self.body.as_deref());
+        write_command(&arguments)
     }
 
-    /// Bytes that it holds.
+    /// The memory that the call takes, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let body = self.body.as_ref().map_or(0, |body| body.len());
-        body + self.before.len() + self.after.len() + self.request.id.len()
+        body + self.list_before_wait.len() + self.list_after_wait.len() + self.request.id.len()
     }
 }
 
 impl ServerReply {
-    /// The fingerprint of its value; none where it has none, or it was passed on as it came.
+    /// The fingerprint of the value; `None` if the reply has no value, or the value was streamed.
     pub fn fingerprint(&self) -> Option<ValueFingerprint> {
         let ServerReply::Completed { value, .. } = self else { return None };
         let mut hasher = DefaultHasher::new();
@@ -195,6 +214,7 @@
 }
 
 impl FinalAnswer {
+    /// Writes the answer as a RESP2 reply.
     pub fn write(&self) -> Vec<u8> {
         match self {
             FinalAnswer::Completed(value) => {
@@ -210,46 +230,48 @@
     }
 }
 
-/// An error for the client; the text is ours.
+/// An error reply to the client with this text.
 pub fn error(text: &str) -> Vec<u8> {
     format!("-ERR {text}\r\n").into_bytes()
 }
 
-/// What a server's reply says, and the load it reports. A value that has come whole is good, whatever stands behind
-/// it: where that can't be read, or `ended` says that it won't come, the value goes without.
+/// Parses a server's complete reply and the load report in it. `ended` says that no more bytes will be received. Once the
+/// connection has ended, a complete value is valid even if the items behind it are missing or can't be parsed: the value is
+/// returned without units and load report.
 pub fn scan_complete_reply(
     bytes: &[u8],
     ended: bool,
     names: &[String],
 ) -> Scanned<(ServerReply, LoadReport)> {
     match resp::reply(bytes) {
-        Ok(Some((reply, length))) => Ok(Some((meaning(&reply, names)?, length))),
-        Ok(None) if !ended && bytes.starts_with(b"*") => Ok(resp::first(bytes)?.and(None)),
+        Ok(Some((reply, length))) => Ok(Some((parse_reply(&reply, names)?, length))),
+        Ok(None) if !ended && bytes.starts_with(b"*") => Ok(resp::first_bulk(bytes)?.and(None)),
         Ok(None) if !ended => Ok(None),
-        other => match resp::first(bytes)? {
+        other => match resp::first_bulk(bytes)? {
             Some((value, _)) if ended => {
-                let settled = ServerReply::Completed { value: value.into(), units: None };
-                Ok(Some(((settled, LoadReport::default()), bytes.len())))
+                let completed = ServerReply::Completed { value: value.into(), units: None };
+                Ok(Some(((completed, LoadReport::default()), bytes.len())))
             }
             _ => other.map(|_| None),
         },
     }
 }
 
-/// What has been received of a server's reply.
+/// The received part of a server's reply.
 pub enum ReceivedReply {
-    /// All of it.
+    /// The complete reply.
     Complete((ServerReply, LoadReport)),
-    /// The head of a value too long to be kept complete, and some of the value.
+    /// The head of a reply whose value is too long to be buffered; some bytes of the value follow the head.
     LongValue(LongValueHead),
 }
 
-/// As [`scan_complete_reply`]; of a value too long to be kept whole the head is enough, once some of the value is there too. Danger: a
-/// spoilt length. Once a value is being passed on, nobody else can be asked for it.
+/// As [`scan_complete_reply`], but of a reply whose value is too long to be buffered, the head and some bytes of the value
+/// are enough. The bytes guard against a corrupted length: as soon as a value is being forwarded, the request can't be
+/// retried at another server.
 pub fn scan_reply(bytes: &[u8], ended: bool, names: &[String]) -> Scanned<ReceivedReply> {
     match resp::long_value_head(bytes)? {
-        Some((opening, start)) if bytes.len() >= start + EVIDENCE => {
-            Ok(Some((ReceivedReply::LongValue(opening), start)))
+        Some((head, start)) if bytes.len() >= start + MIN_LONG_VALUE_BYTES => {
+            Ok(Some((ReceivedReply::LongValue(head), start)))
         }
         Some(_) => Ok(None),
         None => {
@@ -259,66 +281,70 @@
     }
 }
 
-/// What stands behind a value that has been passed on: its line end, and the rest of the array. Where only the former
-/// can be read, the value goes without the rest.
+/// Parses what follows a forwarded value: its line end and the `rest` remaining items of the array. If only the line end can
+/// be parsed, the reply has neither units nor load report.
 pub fn scan_after_value(
     bytes: &[u8],
     rest: usize,
     ended: bool,
     names: &[String],
 ) -> Scanned<(ServerReply, LoadReport)> {
-    let plain = (ServerReply::Streamed { units: None }, LoadReport::default());
+    let without_report = (ServerReply::Streamed { units: None }, LoadReport::default());
     match bytes {
-        [b'\r', b'\n', behind @ ..] => match resp::items(behind, rest) {
+        [b'\r', b'\n', following @ ..] => match resp::items(following, rest) {
             Ok(Some((items, length))) => {
-                let (units, load) = report(&items, names);
+                let (units, load) = parse_report(&items, names);
                 Ok(Some(((ServerReply::Streamed { units }, load), length + 2)))
             }
             Ok(None) if !ended => Ok(None),
-            _ => Ok(Some((plain, bytes.len()))),
+            _ => Ok(Some((without_report, bytes.len()))),
         },
         [] | [b'\r'] if !ended => Ok(None),
-        _ => Err("a value does not end where it should"),
+        _ => Err("no line end after a value"),
     }
 }
 
-/// The units and the load, from what stands behind a value.
-fn report(items: &[Reply], names: &[String]) -> (Option<f64>, LoadReport) {
-    let text = |at: usize| match items.get(at) {
+/// The units and the load report in the items that follow a value.
+fn parse_report(items: &[Reply], names: &[String]) -> (Option<f64>, LoadReport) {
+    let text = |index: usize| match items.get(index) {
         Some(Reply::Bulk(Some(text))) => std::str::from_utf8(text).unwrap_or_default(),
         _ => "",
     };
     let cost = fields(text(0)).find(|(name, _)| *name == "cost");
     let units = cost.and_then(|(_, value)| value.parse().ok()).filter(|units| *units > 0.0);
-    (units, load(text(1), names))
+    (units, load_report(text(1), names))
 }
 
-fn meaning(reply: &Reply, names: &[String]) -> Result<(ServerReply, LoadReport), &'static str> {
+/// The meaning of a complete RESP2 reply.
+fn parse_reply(reply: &Reply, names: &[String]) -> Result<(ServerReply, LoadReport), &'static str> {
     match reply {
         Reply::Array(Some(items)) => {
-            let Some(Reply::Bulk(Some(value))) = items.first() else { return Err("no value in an answer") };
-            let (units, load) = report(&items[1..], names);
+            let Some(Reply::Bulk(Some(value))) = items.first() else {
+                return Err("the first item of the reply is not a value");
+            };
+            let (units, load) = parse_report(&items[1..], names);
             Ok((ServerReply::Completed { value: (*value).into(), units }, load))
         }
         Reply::Error(line) => {
             let line = std::str::from_utf8(line).unwrap_or_default();
-            let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-            let report = load(rest.rsplit(' ').next().unwrap_or_default(), names);
-            Ok((if word == "BUSY" { ServerReply::Overloaded } else { ServerReply::Failed }, report))
+            let (code, rest) = line.split_once(' ').unwrap_or((line, ""));
+            let load = load_report(rest.rsplit(' ').next().unwrap_or_default(), names);
+            Ok((if code == "BUSY" { ServerReply::Overloaded } else { ServerReply::Failed }, load))
         }
-        _ => Err("neither an answer nor an error"),
+        _ => Err("the reply is neither an array nor an error"),
     }
 }
 
-/// A load report in the fields that the settings name; what can't be read is left out.
-pub fn load(text: &str, names: &[String]) -> LoadReport {
-    let mut load = LoadReport::default();
+/// Parses the fields of a load report that the settings name; fields that can't be parsed are ignored.
+pub fn load_report(text: &str, names: &[String]) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in fields(text).filter(|(name, _)| names.iter().any(|known| known == name)) {
-        let _ = settings::parse_load_field(&mut load, name, value);
+        let _ = settings::parse_load_field(&mut report, name, value);
     }
-    load
+    report
 }
 
+/// The fields of a text of the form `name=value,name=value`.
 fn fields(text: &str) -> impl Iterator<Item = (&str, &str)> {
-    text.split(',').filter_map(|part| part.split_once('='))
+    text.split(',').filter_map(|field| field.split_once('='))
 }
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -1,7 +1,7 @@
-//! The endpoint list in JSON, as discovery writes it: the path of a request, and the meaning of a response.
+//! The endpoint list in JSON, as discovery writes it: builds the path of a request, and parses a response.
 //!
 //! A response is read in one step ([`endpoint_update`]) or in slices ([`SlicedReader`]), with the same result. One entry that
-//! can't be read makes the whole response invalid, but servers that it lists as draining are reported all the same.
+//! can't be parsed makes the whole response invalid, but the servers that the response lists as draining are reported even then.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -41,11 +41,11 @@
 
 /// The path that serves the list.
 const LIST_PATH: &str = "/catalog/members";
-/// The latest start that is accepted, in milliseconds. Danger: later ones would overflow the clock.
+/// The latest accepted start of a server, in milliseconds: a later start would overflow the clock.
 const MAX_START_MS: f64 = 1e14;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
-/// Entries that are read in one iteration of the event loop: some tenths of a millisecond.
+/// Entries that are parsed in one iteration of the event loop; they take some tenths of a millisecond.
 const ENTRIES_PER_SLICE: usize = 64;
 
 /// The complete list, or the changes since an earlier version.
@@ -53,29 +53,29 @@
 pub struct EndpointUpdate {
     /// The version of the list.
     pub index: u64,
-    /// Whether the list is complete: servers that it doesn't have are removed.
+    /// Whether the list is complete: servers missing from a complete list are removed.
     pub full: bool,
-    /// This is the first list of another discovery than the one before: its versions are another sequence.
+    /// Whether this is the first list from another discovery address: its versions belong to another sequence.
     pub moved: bool,
     /// Each server, and the address at which this gateway reaches it.
     pub servers: Vec<(Endpoint, SocketAddr)>,
 }
 
-/// Why a response is rejected as a whole: none of its entries is used, but servers that drain are taken out of service. Danger: the
-/// discovery counts a server that drains in a response as notified, even where the rest of the response can't be read.
+/// Why a response is rejected as a whole. None of its entries is used, but the draining servers that it lists are taken out
+/// of service: discovery assumes that this gateway was notified of them, even if the rest of the response can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct ListError {
     /// What is wrong, for the log.
     pub reason: String,
-    /// The version of the list, where it could be read.
+    /// The version of the list, if it could be parsed.
     pub index: Option<u64>,
     /// The servers that the response lists as draining or removed.
     pub draining: Vec<Id>,
 }
 
 impl ListError {
-    /// The error of a response of which nothing could be read.
+    /// The error of a response of which nothing could be parsed.
     pub fn unread(reason: String) -> Self {
         ListError { reason, index: None, draining: Vec::new() }
     }
@@ -90,7 +90,7 @@
     MissingIndex,
     #[error("a list without 'snapshot'")]
     MissingSnapshot,
-    /// Two entries for one server: which of them holds can't be known.
+    /// Two entries for one server: which of them is valid can't be known.
     #[error("server '{0}' comes twice")]
     DuplicateServer(Id),
     #[error(transparent)]
@@ -112,8 +112,8 @@
     UnknownStatus { server: String, status: String },
 }
 
-/// The path of a request for the complete list, or for what is newer than a version, with the milliseconds that the response may
-/// wait for it.
+/// The path of a request for the complete list, or for the changes since a version; the second number is how many milliseconds
+/// the response may wait for a change.
 pub fn request_path(since: Option<(u64, u64)>) -> String {
     match since {
         None => LIST_PATH.into(),
@@ -125,7 +125,7 @@
 ///
 /// # Errors
 ///
-/// A [`ListError`] where a part of the list is missing, an entry can't be read, or two entries are for one server.
+/// A [`ListError`] if a part of the list is missing, an entry can't be parsed, or two entries are for one server.
 pub fn endpoint_update(response: &Value, platform: &PlatformSettings) -> Result<EndpointUpdate, ListError> {
     let mut entries_read = EntryReader::default();
     match response.get(key::ENDPOINTS).and_then(Value::as_array) {
@@ -140,28 +140,29 @@
 /// A server and its address, as an entry lists them.
 type Entry = (Endpoint, SocketAddr);
 
-/// Entries of the last complete list by their texts: most of the next list are equal byte for byte, and are not parsed again.
+/// The entries of the last complete list by their texts. Most entries of the next list are equal byte for byte, and are not
+/// parsed again.
 #[derive(Default)]
 pub struct KnownEndpoints(HashMap<Box<str>, Entry>);
 
-/// Reads the entries of one response, and keeps what has been read so far.
+/// Parses the entries of one response, and collects the results.
 #[derive(Default)]
 struct EntryReader {
     servers: Vec<Entry>,
     /// The names of these servers.
     names: HashSet<Id>,
-    /// The first problem but for duplicates, which count only where there is no other.
+    /// The first problem other than a duplicate. Duplicates are reported only if there is no other problem.
     invalid: Option<InvalidList>,
     /// The first duplicate.
     duplicate: Option<InvalidList>,
-    /// Servers that are listed as draining or removed.
+    /// The servers listed as draining or removed.
     draining: Vec<Id>,
-    /// The entries that were read from their texts.
+    /// The entries that were parsed from their texts, by text.
     by_text: HashMap<Box<str>, Entry>,
 }
 
 impl EntryReader {
-    /// Reads an entry that has been parsed as JSON.
+    /// Reads an entry from parsed JSON.
     fn read(&mut self, entry: &Value, platform: &PlatformSettings) {
         if string_field(entry, key::STATE).and_then(parse_state).is_some_and(is_out_of_service) {
             self.draining.extend(string_field(entry, key::SERVER).map(Id::from));
@@ -188,6 +189,7 @@
         }
     }
 
+    /// Adds an entry whose text was in the last complete list.
     fn add_known(&mut self, text: &RawValue, entry: Entry) {
         if is_out_of_service(entry.0.state) {
             self.draining.push(entry.0.server.clone());
@@ -204,12 +206,12 @@
         self.servers.push(entry);
     }
 
-    /// Makes the list invalid; the first problem is the one that is reported.
+    /// Makes the list invalid. Only the first problem is reported.
     fn reject(&mut self, problem: InvalidList) {
         self.invalid.get_or_insert(problem);
     }
 
-    /// The list, once all entries have been read.
+    /// The list, after all entries have been read.
     fn finish(self, index: Option<u64>, is_complete: Option<bool>) -> Result<EndpointUpdate, ListError> {
         let update = match (self.invalid.or(self.duplicate), index, is_complete) {
             (Some(problem), _, _) => Err(problem),
@@ -223,7 +225,7 @@
     }
 }
 
-/// The parts of a response as texts, its entries not parsed yet.
+/// The parts of a response as JSON texts; the entries are not parsed yet.
 #[derive(Default, Deserialize)]
 struct Outline<'a> {
     #[serde(borrow)]
@@ -234,41 +236,41 @@
     endpoints: Option<Vec<&'a RawValue>>,
 }
 
-/// Reads a response in slices. Danger: thousands of entries in one iteration would hold up the event loop.
+/// Reads a response in slices: thousands of entries in one iteration would block the event loop.
 pub struct SlicedReader<'a> {
     outline: Outline<'a>,
     /// The position of the first entry that has not been read.
-    next: usize,
+    next_entry: usize,
     entries_read: EntryReader,
 }
 
 impl<'a> SlicedReader<'a> {
-    /// A reader of a response; one that is JSON of another form has no entries.
+    /// A reader of a response. JSON of another form counts as a response without entries.
     ///
     /// # Errors
     ///
-    /// The text of the parser's error where the body is not JSON.
+    /// The text of the parser's error if the body is not JSON.
     pub fn for_body(body: &'a [u8]) -> Result<Self, String> {
         let outline = match serde_json::from_slice(body) {
             Ok(outline) => outline,
             Err(error) if error.is_data() => Outline::default(),
             Err(error) => return Err(error.to_string()),
         };
-        Ok(SlicedReader { outline, next: 0, entries_read: EntryReader::default() })
+        Ok(SlicedReader { outline, next_entry: 0, entries_read: EntryReader::default() })
     }
 
-    /// Reads the next slice of entries, and tells whether there are more behind it.
+    /// Reads the next slice of entries, and returns whether more entries follow.
     pub fn read_slice(&mut self, known: &KnownEndpoints, platform: &PlatformSettings) -> bool {
         let entries = self.outline.endpoints.as_deref().unwrap_or_default();
-        let end = entries.len().min(self.next + ENTRIES_PER_SLICE);
-        for text in &entries[self.next..end] {
+        let end = entries.len().min(self.next_entry + ENTRIES_PER_SLICE);
+        for text in &entries[self.next_entry..end] {
             self.entries_read.read_text(text, known, platform);
         }
-        self.next = end;
+        self.next_entry = end;
         end < entries.len()
     }
 
-    /// The list, once all slices have been read. The entries of a complete list replace those in `known`.
+    /// The list, after all slices have been read. The entries of a complete list replace those in `known`.
     ///
     /// # Errors
     ///
@@ -288,11 +290,12 @@
     }
 }
 
-/// A field of an entry that is a text.
+/// The value of a field that is a string.
 fn string_field<'v>(entry: &'v Value, key: &str) -> Option<&'v str> {
     entry.get(key)?.as_str()
 }
 
+/// Parses an entry; the address is the one at which this gateway reaches the server.
 fn parse_entry(entry: &Value, platform: &PlatformSettings) -> Result<Entry, InvalidEntry> {
     let server =
         string_field(entry, key::SERVER).filter(|name| !name.is_empty()).ok_or(InvalidEntry::MissingName)?;
@@ -331,14 +334,14 @@
     state != EndpointState::Ready
 }
 
-/// When the server of an entry started, where that is known.
+/// When the server of an entry started, if the entry has an accepted start.
 fn parse_start(entry: &Value) -> Option<Micros> {
     let start_ms = entry.get(key::STARTED_AT)?.as_f64()?;
     let is_accepted = start_ms > 0.0 && start_ms < MAX_START_MS;
     is_accepted.then_some((start_ms * MICROS_PER_MS) as Micros)
 }
 
-/// The position of a name in the settings; their number where it is not among them.
+/// The position of a name among the names of the settings; the number of names if it is unknown.
 fn position(names: &[String], name: Option<&str>) -> u32 {
     let position = name.and_then(|name| names.iter().position(|known| known == name));
     position.unwrap_or(names.len()) as u32
--- a/crates/gateway/src/protocol/http.rs
+++ b/crates/gateway/src/protocol/http.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1, as far as a client of the endpoint list needs it: a request without a body, and any response.
+//! The part of HTTP/1.1 that a client of the endpoint list needs: writes requests without a body, and parses responses.
 
 use super::Scanned;
 
 /// The longest head of a response, and the longest line in a chunked body, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest body of a response, in bytes: a list of ten thousand servers.
+/// The longest body of a response, in bytes: a list of ten thousand servers fits.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// No response is longer, in bytes, with the sizes of its chunks.
+/// The longest response, in bytes, including the sizes of its chunks.
 pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_BODY_BYTES;
 
 const LINE_END: &[u8] = b"\r\n";
-/// The line end of the last header, and the empty line behind it.
+/// The line end of the last header, and the empty line that follows.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A complete response.
@@ -20,8 +20,8 @@
     pub status: u16,
     /// The body, without the sizes of its chunks.
     pub body: Vec<u8>,
-    /// Whether the connection may be used again.
-    pub keep: bool,
+    /// Whether the connection can be reused.
+    pub keep_alive: bool,
 }
 
 /// Writes a GET request.
@@ -29,23 +29,23 @@
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// Reads a response; `ended` says that no more bytes will come.
+/// Parses a response; `ended` says that no more bytes will be received.
 ///
 /// # Errors
 ///
 /// Those of [`Reader::read`].
-pub fn response(bytes: &[u8], ended: bool) -> Scanned<Response> {
+pub fn parse_response(bytes: &[u8], ended: bool) -> Scanned<Response> {
     Reader::default().read(bytes, ended)
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy)]
 enum BodyLength {
     /// By its length in bytes.
     Known(usize),
     /// By a chunk of size 0.
     Chunked,
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
 }
 
@@ -53,14 +53,14 @@
 #[derive(Clone, Copy)]
 struct Head {
     status: u16,
-    keep: bool,
+    keep_alive: bool,
     body_length: BodyLength,
     /// The offset of the body.
     body_start: usize,
 }
 
 impl Head {
-    /// Whether another response follows on the same request.
+    /// Whether the final response to the request is still to follow.
     fn is_interim(&self) -> bool {
         self.status < 200
     }
@@ -71,33 +71,34 @@
     }
 }
 
-/// Reads one response while it comes. What has been parsed is not parsed again with the next bytes: a long list may come in thousands
-/// of pieces.
+/// Parses one response while it is being received. Parsed bytes are not parsed again when more bytes arrive: a long list may
+/// arrive in thousands of pieces.
 #[derive(Default)]
 pub struct Reader {
-    /// The offset of the response, behind interim ones.
+    /// The offset of the final response, after interim responses.
     start: usize,
     head: Option<Head>,
     /// The offset of the next chunk.
     next_chunk: usize,
-    /// What the chunks before it held.
+    /// The content of the chunks before that offset.
     body: Vec<u8>,
 }
 
 impl Reader {
-    /// Reads a response and its length; `bytes` are all that have come so far, and `ended` says that no more will.
+    /// Parses a response; gives it with its length. `bytes` are all bytes received so far, and `ended` says that no more will
+    /// be received.
     ///
     /// # Errors
     ///
-    /// A text that says why the bytes can't be a response, or why it is too long.
+    /// A text that says why the bytes can't be a response, or that the response is too long.
     pub fn read(&mut self, bytes: &[u8], ended: bool) -> Scanned<Response> {
         let Some(head) = self.read_head(bytes)? else { return Ok(None) };
         let Some((body, end)) = self.read_body(&head, bytes, ended)? else { return Ok(None) };
-        let keep = head.keep && !matches!(head.body_length, BodyLength::UntilClose);
-        Ok(Some((Response { status: head.status, body, keep }, end)))
+        let keep_alive = head.keep_alive && !matches!(head.body_length, BodyLength::UntilClose);
+        Ok(Some((Response { status: head.status, body, keep_alive }, end)))
     }
 
-    /// The head of the response, behind interim ones.
+    /// Parses the head of the final response, after interim responses.
     fn read_head(&mut self, bytes: &[u8]) -> Result<Option<Head>, &'static str> {
         while self.head.is_none() {
             let Some(head) = parse_head(bytes, self.start)? else { return Ok(None) };
@@ -111,6 +112,7 @@
         Ok(self.head)
     }
 
+    /// Parses the body; gives it with the offset behind it.
     fn read_body(&mut self, head: &Head, bytes: &[u8], ended: bool) -> Scanned<Vec<u8>> {
         let start = head.body_start;
         if head.has_no_body() {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Reads the chunks that have come complete; gives the end of the response once that has come.
+    /// Parses the complete chunks; gives the end of the response once it has been received.
     fn read_chunks(&mut self, bytes: &[u8]) -> Result<Option<usize>, &'static str> {
         loop {
             let Some(line_end) = find_line_end(bytes, self.next_chunk)? else { return Ok(None) };
@@ -146,24 +148,24 @@
             match bytes.get(end..end + LINE_END.len()) {
                 None => return Ok(None),
                 Some(LINE_END) => self.body.extend_from_slice(&bytes[start..end]),
-                Some(_) => return Err("a chunk does not end where it should"),
+                Some(_) => return Err("no line end after a chunk"),
             }
             self.next_chunk = end + LINE_END.len();
         }
     }
 }
 
-/// The size in the first line of a chunk, which may have extensions behind it.
+/// The size in the first line of a chunk; extensions may follow the size.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, &'static str> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let size = std::str::from_utf8(size).unwrap_or_default().trim();
     if size.is_empty() || !size.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err("a chunk without a size");
+        return Err("a chunk has no valid size");
     }
     usize::from_str_radix(size, 16).map_err(|_| "the body of a response is too long")
 }
 
-/// The end of the trailers that begin at `start`, behind their empty line.
+/// The end of the trailers that begin at `start`, including their empty line.
 fn find_trailers_end(bytes: &[u8], mut start: usize) -> Result<Option<usize>, &'static str> {
     loop {
         let Some(line_end) = find_line_end(bytes, start)? else { return Ok(None) };
@@ -191,21 +193,22 @@
     let end = bytes.windows(HEAD_END.len()).take(MAX_HEAD_BYTES).position(|window| window == HEAD_END);
     let Some(end) = end else {
         if bytes.len() >= MAX_HEAD_BYTES {
-            return Err("the head of a response is too long");
+            return Err("the head of the response is too long");
         }
         return Ok(None);
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| "the head of a response is no text")?;
+    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| "the head of the response is not UTF-8")?;
     let mut lines = text.split("\r\n");
     let (version, status) = parse_status_line(lines.next().unwrap_or_default())?;
     let mut headers = Headers::new(version);
     for line in lines {
         headers.apply(line)?;
     }
-    let Headers { keep, body_length, .. } = headers;
-    Ok(Some(Head { status, keep, body_length, body_start: start + end + HEAD_END.len() }))
+    let Headers { keep_alive, body_length, .. } = headers;
+    Ok(Some(Head { status, keep_alive, body_length, body_start: start + end + HEAD_END.len() }))
 }
 
+/// The HTTP version of a response.
 #[derive(Clone, Copy, PartialEq)]
 enum Version {
     Http10,
@@ -217,25 +220,26 @@
     let version = match parts.next() {
         Some("HTTP/1.1") => Version::Http11,
         Some("HTTP/1.0") => Version::Http10,
-        _ => return Err("no response of HTTP/1"),
+        _ => return Err("not a response of HTTP/1"),
     };
     let status = parts.next().filter(|status| status.len() == 3 && is_decimal(status));
-    let status = status.and_then(|status| status.parse().ok()).ok_or("a response without a status")?;
+    let status = status.and_then(|status| status.parse().ok()).ok_or("the response has no valid status")?;
     Ok((version, status))
 }
 
-/// What the headers of a response say, as far as they have been read.
+/// What the parsed headers of a response say.
 struct Headers {
     version: Version,
-    keep: bool,
+    keep_alive: bool,
     body_length: BodyLength,
 }
 
 impl Headers {
     fn new(version: Version) -> Self {
-        Headers { version, keep: version == Version::Http11, body_length: BodyLength::UntilClose }
+        Headers { version, keep_alive: version == Version::Http11, body_length: BodyLength::UntilClose }
     }
 
+    /// Applies one header line.
     fn apply(&mut self, line: &str) -> Result<(), &'static str> {
         let (name, value) = line.split_once(':').ok_or("a header without a colon")?;
         let value = value.trim();
@@ -251,18 +255,18 @@
         }
     }
 
-    /// Content-Length counts for nothing behind a Transfer-Encoding.
+    /// Content-Length is ignored after a Transfer-Encoding.
     fn apply_content_length(&mut self, value: &str) -> Result<(), &'static str> {
         if matches!(self.body_length, BodyLength::Chunked) {
             return Ok(());
         }
         if !is_decimal(value) {
-            return Err("a length that is no number");
+            return Err("Content-Length is not a number");
         }
         let length = value.parse().ok().filter(|length| *length <= MAX_BODY_BYTES);
         let length = length.ok_or("the body of a response is too long")?;
         if matches!(self.body_length, BodyLength::Known(other) if other != length) {
-            return Err("two lengths that differ");
+            return Err("two different Content-Lengths");
         }
         self.body_length = BodyLength::Known(length);
         Ok(())
@@ -270,7 +274,7 @@
 
     fn apply_transfer_encoding(&mut self, value: &str) -> Result<(), &'static str> {
         if !value.eq_ignore_ascii_case("chunked") {
-            return Err("an encoding that is not known here");
+            return Err("unsupported Transfer-Encoding");
         }
         self.body_length = BodyLength::Chunked;
         Ok(())
@@ -278,7 +282,7 @@
 
     fn apply_connection(&mut self, value: &str) {
         let has_option = |name: &str| value.split(',').any(|option| option.trim().eq_ignore_ascii_case(name));
-        self.keep = match self.version {
+        self.keep_alive = match self.version {
             Version::Http11 => !has_option("close"),
             Version::Http10 => has_option("keep-alive"),
         };
--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The wire protocols of the gateway: bytes to meaning and back, without input or output.
+//! The wire protocols of the gateway: parsers and writers of messages, without I/O.
 
 pub mod call;
 pub mod catalog;
@@ -6,5 +6,6 @@
 pub mod operator;
 pub mod resp;
 
-/// A message and its length in bytes, or `None` while its end has not come; else why the bytes can't be a message.
+/// A parsed message and its length in bytes; `None` while the message is incomplete; an error that says why the bytes
+/// can't be a message.
 pub type Scanned<T> = Result<Option<(T, usize)>, &'static str>;
--- a/crates/gateway/src/protocol/operator.rs
+++ b/crates/gateway/src/protocol/operator.rs
@@ -1,26 +1,26 @@
-//! Operators' calls over HTTP/1.1, one on each connection: a call is parsed, a response written.
+//! Operators' calls over HTTP/1.1, one on each connection: parses calls, and writes responses.
 
 use fernscale_policy::Id;
 
 /// The longest head of a call, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a call, in bytes: an id has some tens.
+/// The longest body of a call, in bytes: a server's id has some tens.
 const MAX_BODY_BYTES: usize = 1024;
-/// No call is longer, in bytes, with the blanks that may stand around its id.
+/// The longest call, in bytes, including white space around the id.
 pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
-/// The line end of the last header, and the empty line behind it.
+/// The line end of the last header, and the empty line that follows.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What an operator wants.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorCall {
-    /// Whether this gateway serves clients.
+    /// Ask whether this gateway serves clients.
     Health,
-    /// The metrics.
+    /// Get the metrics.
     Stats,
-    /// Take a server out of use.
+    /// Cordon a server.
     Cordon(Id),
-    /// Bring a server back into use.
+    /// Lift the cordon of a server.
     Uncordon(Id),
 }
 
@@ -70,18 +70,18 @@
 /// The head of a call.
 struct Head<'a> {
     method: &'a str,
-    /// Without the query.
+    /// The path without the query.
     path: &'a str,
     content_length: Option<usize>,
 }
 
-/// Reads a call; `None` while its end has not come.
+/// Parses a call; `None` while the call is incomplete.
 ///
 /// # Errors
 ///
-/// A [`Rejection`] as soon as what has come can't be the beginning of a call.
+/// A [`Rejection`] as soon as the received bytes can't be the beginning of a call.
 pub fn parse_call(bytes: &[u8]) -> Result<Option<OperatorCall>, Rejection> {
-    // Some clients write line ends before a call.
+    // Some clients send line ends before a call.
     let leading_line_ends = bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     let bytes = &bytes[leading_line_ends..];
     let Some(end) = find_head_end(bytes)? else { return Ok(None) };
@@ -107,14 +107,14 @@
     Ok(route)
 }
 
-/// The end of the last header; `None` while the head has not come complete.
+/// The end of the last header; `None` while the head is incomplete.
 fn find_head_end(bytes: &[u8]) -> Result<Option<usize>, Rejection> {
     if let Some(end) =
         bytes.windows(HEAD_END.len()).take(MAX_HEAD_BYTES).position(|window| window == HEAD_END)
     {
         return Ok(Some(end));
     }
-    // What can't be a call is rejected at once, so that nobody waits for the rest of it.
+    // Bytes that can't begin a call are rejected at once, so that the caller does not wait for a timeout.
     let first_line = bytes.split(|byte| *byte == b'\n').next().unwrap_or_default();
     if first_line.iter().any(|byte| !(b' '..=b'~').contains(byte) && *byte != b'\r') {
         return Err(Rejection::new(400, "the first line is no text"));
@@ -128,9 +128,9 @@
 fn parse_head(head: &[u8]) -> Result<Head<'_>, Rejection> {
     let head = std::str::from_utf8(head).map_err(|_| Rejection::new(400, "the head is no text"))?;
     let mut lines = head.split("\r\n");
-    let mut words = lines.next().unwrap_or_default().split(' ');
+    let mut parts = lines.next().unwrap_or_default().split(' ');
     let (Some(method), Some(target), Some("HTTP/1.1" | "HTTP/1.0"), None) =
-        (words.next(), words.next(), words.next(), words.next())
+        (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(Rejection::new(400, "the first line is not: method, path, HTTP/1.1"));
     };
@@ -159,7 +159,7 @@
     length.ok_or_else(|| Rejection::new(400, "Content-Length is no number"))
 }
 
-/// The id of a server from the bytes behind the head; `None` while the body has not come complete.
+/// The id of a server in the bytes that follow the head; `None` while the body is incomplete.
 fn parse_server(bytes: &[u8], content_length: Option<usize>) -> Result<Option<Id>, Rejection> {
     let length =
         content_length.ok_or_else(|| Rejection::new(411, "the body has to have a Content-Length"))?;
@@ -177,7 +177,7 @@
     Ok(Some(Id::from(id)))
 }
 
-/// Writes a complete response, after which the connection ends.
+/// Writes a complete response; the connection is closed after the response.
 pub fn write_response(status: u16, body: &str) -> Vec<u8> {
     let reason = reason_phrase(status);
     let length = body.len();
--- a/crates/gateway/src/protocol/resp.rs
+++ b/crates/gateway/src/protocol/resp.rs
@@ -1,19 +1,21 @@
-//! RESP2: commands as clients write them, replies as servers and the counter do.
+//! RESP2: parses commands and replies, and writes commands.
 
 use super::Scanned;
 
-/// Longest bulk string that is kept whole.
+/// The longest bulk string that is buffered, in bytes.
 pub const MAX_BULK_BYTES: usize = 64 * 1024;
-/// Longest value, which is passed on as it comes.
+/// The longest value, in bytes. A value longer than [`MAX_BULK_BYTES`] is forwarded while it is being received.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
-/// Most items in an array, and arrays in arrays: no message has more than half as many.
+/// The maximum number of items in an array: no message has more than half as many.
 const MAX_ITEMS: usize = 16;
+/// The maximum depth of nested arrays: no message has more than half of it.
 const MAX_DEPTH: usize = 4;
-/// Longest line: an error with a load report takes some two hundred bytes.
+/// The longest line, in bytes: an error with a load report has about two hundred.
 const MAX_LINE_BYTES: usize = 1024;
-/// No message is longer: one value, and lines for the rest.
+/// The longest message, in bytes: one value, and lines for the other items.
 pub const MAX_MESSAGE_BYTES: usize = MAX_BULK_BYTES + MAX_ITEMS * MAX_LINE_BYTES;
 
+/// A parsed reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<'a> {
     Simple(&'a [u8]),
@@ -23,71 +25,74 @@
     Array(Option<Vec<Reply<'a>>>),
 }
 
-/// The words of one command.
+/// Parses a command into its arguments, the first of which is its name.
 pub fn command(bytes: &[u8]) -> Scanned<Vec<&[u8]>> {
     let Some((&first, _)) = bytes.split_first() else { return Ok(None) };
     if first != b'*' {
         return Err("a command is an array of bulk strings");
     }
-    let Some((count, mut at)) = length(bytes, 0)? else { return Ok(None) };
+    let Some((count, mut offset)) = length(bytes, 0)? else { return Ok(None) };
     let count = match count {
         Some(count) if (1..=MAX_ITEMS).contains(&count) => count,
         _ => return Err("no command has so many words"),
     };
-    let mut words = Vec::with_capacity(count);
+    let mut arguments = Vec::with_capacity(count);
     for _ in 0..count {
-        match bytes.get(at) {
+        match bytes.get(offset) {
             None => return Ok(None),
             Some(b'$') => {}
             Some(_) => return Err("a word of a command is a bulk string"),
         }
-        let Some((word, end)) = bulk(bytes, at)? else { return Ok(None) };
-        words.push(word.ok_or("a word of a command is no null")?);
+        let Some((argument, end)) = bulk(bytes, offset)? else { return Ok(None) };
+        arguments.push(argument.ok_or("a word of a command is no null")?);
         if end > MAX_MESSAGE_BYTES {
             return Err("the command is too long");
         }
-        at = end;
+        offset = end;
     }
-    Ok(Some((words, at)))
+    Ok(Some((arguments, offset)))
 }
 
+/// Parses a reply.
 pub fn reply(bytes: &[u8]) -> Scanned<Reply<'_>> {
     item(bytes, 0, 0)
 }
 
-/// The first item of an array, if that is a bulk string, as soon as it has come whole.
-pub fn first(bytes: &[u8]) -> Scanned<&[u8]> {
+/// The first item of an array, which must be a bulk string; `None` until the item is complete.
+pub fn first_bulk(bytes: &[u8]) -> Scanned<&[u8]> {
     if !matches!(bytes, [b'*', ..]) {
         return Err("no array");
     }
-    let Some((Some(1..), at)) = length(bytes, 0)? else { return Ok(None) };
-    match bytes.get(at) {
-        // Its head is all that has come yet.
+    let Some((Some(1..), offset)) = length(bytes, 0)? else { return Ok(None) };
+    match bytes.get(offset) {
+        // Only the head of the array has been received.
         None => return Ok(None),
         Some(b'$') => {}
         Some(_) => return Err("no bulk string at the front of an array"),
     }
-    Ok(bulk(bytes, at)?.and_then(|(value, end)| Some((value?, end))))
+    Ok(bulk(bytes, offset)?.and_then(|(value, end)| Some((value?, end))))
 }
 
-/// The head of an array whose first item is a bulk string too long to be kept whole.
+/// The head of an array whose first item is a bulk string too long to be buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongValueHead {
+    /// The number of items in the array.
     pub items: usize,
-    /// Bytes of the first item.
+    /// The length of the first item, in bytes.
     pub length: usize,
 }
 
-/// Such a head as soon as it has come; where the first item is none, `None` for good.
+/// Parses the head of a reply whose value is too long to be buffered. `None` while the head is incomplete, and for every
+/// other reply.
 pub fn long_value_head(bytes: &[u8]) -> Scanned<LongValueHead> {
     if !matches!(bytes, [b'*', ..]) {
         return Ok(None);
     }
-    let Some((Some(items @ 1..=MAX_ITEMS), at)) = length(bytes, 0)? else { return Ok(None) };
-    if !matches!(bytes.get(at), Some(b'$')) {
+    let Some((Some(items @ 1..=MAX_ITEMS), offset)) = length(bytes, 0)? else { return Ok(None) };
+    if !matches!(bytes.get(offset), Some(b'$')) {
         return Ok(None);
     }
-    match length(bytes, at)? {
+    match length(bytes, offset)? {
         Some((Some(length @ MAX_BULK_BYTES..=MAX_VALUE_BYTES), start)) if length > MAX_BULK_BYTES => {
             Ok(Some((LongValueHead { items, length }, start)))
         }
@@ -95,53 +100,55 @@
     }
 }
 
-/// So many items that stand one behind another.
+/// Parses `count` consecutive items.
 pub fn items(bytes: &[u8], count: usize) -> Scanned<Vec<Reply<'_>>> {
-    let (mut items, mut at) = (Vec::with_capacity(count.min(MAX_ITEMS)), 0);
+    let (mut items, mut offset) = (Vec::with_capacity(count.min(MAX_ITEMS)), 0);
     for _ in 0..count {
-        let Some((next, end)) = item(bytes, at, 1)? else { return Ok(None) };
-        items.push(next);
-        at = end;
+        let Some((parsed, end)) = item(bytes, offset, 1)? else { return Ok(None) };
+        items.push(parsed);
+        offset = end;
     }
-    Ok(Some((items, at)))
+    Ok(Some((items, offset)))
 }
 
-fn item(bytes: &[u8], at: usize, depth: usize) -> Scanned<Reply<'_>> {
-    let Some(kind) = bytes.get(at) else { return Ok(None) };
+/// Parses the item at an offset; `depth` is the number of arrays around it.
+fn item(bytes: &[u8], offset: usize, depth: usize) -> Scanned<Reply<'_>> {
+    let Some(kind) = bytes.get(offset) else { return Ok(None) };
     Ok(match kind {
-        b'+' => line(bytes, at)?.map(|(text, end)| (Reply::Simple(text), end)),
-        b'-' => line(bytes, at)?.map(|(text, end)| (Reply::Error(text), end)),
-        b':' => match line(bytes, at)? {
+        b'+' => line(bytes, offset)?.map(|(text, end)| (Reply::Simple(text), end)),
+        b'-' => line(bytes, offset)?.map(|(text, end)| (Reply::Error(text), end)),
+        b':' => match line(bytes, offset)? {
             Some((text, end)) => Some((Reply::Number(number(text)?), end)),
             None => None,
         },
-        b'$' => bulk(bytes, at)?.map(|(value, end)| (Reply::Bulk(value), end)),
+        b'$' => bulk(bytes, offset)?.map(|(value, end)| (Reply::Bulk(value), end)),
         b'*' => {
-            let Some((count, mut at)) = length(bytes, at)? else { return Ok(None) };
-            let Some(count) = count else { return Ok(Some((Reply::Array(None), at))) };
+            let Some((count, mut offset)) = length(bytes, offset)? else { return Ok(None) };
+            let Some(count) = count else { return Ok(Some((Reply::Array(None), offset))) };
             if count > MAX_ITEMS || depth == MAX_DEPTH {
                 return Err("an array is too large");
             }
             let mut items = Vec::with_capacity(count);
             for _ in 0..count {
-                let Some((next, end)) = item(bytes, at, depth + 1)? else { return Ok(None) };
-                items.push(next);
-                at = end;
+                let Some((parsed, end)) = item(bytes, offset, depth + 1)? else { return Ok(None) };
+                items.push(parsed);
+                offset = end;
             }
-            Some((Reply::Array(Some(items)), at))
+            Some((Reply::Array(Some(items)), offset))
         }
         _ => return Err("no reply begins like this"),
     })
 }
 
-fn bulk(bytes: &[u8], at: usize) -> Scanned<Option<&[u8]>> {
-    let Some((length, start)) = length(bytes, at)? else { return Ok(None) };
+/// Parses the bulk string at an offset, `None` for the null; gives the offset behind it.
+fn bulk(bytes: &[u8], offset: usize) -> Scanned<Option<&[u8]>> {
+    let Some((length, start)) = length(bytes, offset)? else { return Ok(None) };
     let Some(length) = length else { return Ok(Some((None, start))) };
     if length > MAX_BULK_BYTES {
         return Err("a bulk string is too long");
     }
     let end = start + length;
-    // What stands in the place of the end is looked at as soon as it is there.
+    // Each byte of the line end is checked as soon as it is received.
     match (bytes.get(end), bytes.get(end + 1)) {
         (Some(b'\r'), Some(b'\n')) => Ok(Some((Some(&bytes[start..end]), end + 2))),
         (None, _) | (Some(b'\r'), None) => Ok(None),
@@ -149,23 +156,23 @@
     }
 }
 
-/// A length, `None` for the null, and where the line ends.
-fn length(bytes: &[u8], at: usize) -> Scanned<Option<usize>> {
-    let Some((text, end)) = line(bytes, at)? else { return Ok(None) };
+/// Parses the length in the line at an offset, `None` for the null; gives the offset behind the line.
+fn length(bytes: &[u8], offset: usize) -> Scanned<Option<usize>> {
+    let Some((text, end)) = line(bytes, offset)? else { return Ok(None) };
     match number(text)? {
         -1 => Ok(Some((None, end))),
         length => Ok(Some((Some(usize::try_from(length).map_err(|_| "a length is negative")?), end))),
     }
 }
 
-/// The rest of a line after its first byte, and where the next begins.
-fn line(bytes: &[u8], at: usize) -> Scanned<&[u8]> {
-    let rest = &bytes[at + 1..];
+/// The rest of a line after its first byte, and the offset of the next line.
+fn line(bytes: &[u8], offset: usize) -> Scanned<&[u8]> {
+    let rest = &bytes[offset + 1..];
     match rest.iter().take(MAX_LINE_BYTES).position(|byte| matches!(byte, b'\r' | b'\n')) {
         Some(end) if rest[end] == b'\n' => Err("a line ends without a carriage return"),
         Some(end) => match rest.get(end + 1) {
             None => Ok(None),
-            Some(b'\n') => Ok(Some((&rest[..end], at + end + 3))),
+            Some(b'\n') => Ok(Some((&rest[..end], offset + end + 3))),
             Some(_) => Err("a carriage return stands within a line"),
         },
         None if rest.len() >= MAX_LINE_BYTES => Err("a line is too long"),
@@ -173,6 +180,7 @@
     }
 }
 
+/// Parses a decimal number with an optional minus sign.
 fn number(text: &[u8]) -> Result<i64, &'static str> {
     let digits = text.strip_prefix(b"-").unwrap_or(text);
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
@@ -182,14 +190,16 @@
     text.parse().map_err(|_| "a number is too large")
 }
 
-/// A command, as a client writes it.
-pub fn write_command(words: &[&[u8]]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(words.iter().map(|word| word.len() + 16).sum::<usize>() + 8);
-    bytes.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    words.iter().for_each(|word| write_bulk(&mut bytes, word));
+/// Writes a command.
+pub fn write_command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut bytes =
+        Vec::with_capacity(arguments.iter().map(|argument| argument.len() + 16).sum::<usize>() + 8);
+    bytes.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    arguments.iter().for_each(|argument| write_bulk(&mut bytes, argument));
     bytes
 }
 
+/// Appends a bulk string.
 pub fn write_bulk(bytes: &mut Vec<u8>, value: &[u8]) {
     bytes.extend_from_slice(format!("${}\r\n", value.len()).as_bytes());
     bytes.extend_from_slice(value);
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -93,7 +93,7 @@
     for bytes in
         [known.clone(), in_chunks(3), [interim.clone(), known].concat(), [interim, in_chunks(2)].concat()]
     {
-        let whole = http::response(&bytes, false).expect("good").expect("whole");
+        let whole = http::parse_response(&bytes, false).expect("good").expect("whole");
         let mut reader = http::Reader::default();
         for end in 0..bytes.len() {
             assert_eq!(reader.read(&bytes[..end], false), Ok(None), "{end} bytes");
@@ -173,7 +173,7 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n{size}\r\nxyz\r\n0\r\n\r\n"
         );
         assert_eq!(
-            http::response(bytes.as_bytes(), false),
+            http::parse_response(bytes.as_bytes(), false),
             Err("the body of a response is too long"),
             "{size}"
         );
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -128,17 +128,17 @@
         let within = |found: Option<usize>| found.is_none_or(|length| length > 0 && length <= bytes.len());
         within(resp::command(&bytes).ok().flatten().map(|(_, length)| length))
             && within(resp::reply(&bytes).ok().flatten().map(|(_, length)| length))
-            && within(http::response(&bytes, true).ok().flatten().map(|(_, length)| length))
+            && within(http::parse_response(&bytes, true).ok().flatten().map(|(_, length)| length))
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).tests(20_000).quickcheck(holds as fn(_) -> _);
 }
 
 #[test]
 fn responses_are_read_however_they_are_split() {
-    let scan = |bytes: &[u8]| http::response(bytes, false);
+    let scan = |bytes: &[u8]| http::parse_response(bytes, false);
     let body = |bytes: &[u8]| {
         let response = on_every_split(bytes, scan);
-        (response.status, String::from_utf8(response.body).expect("text"), response.keep)
+        (response.status, String::from_utf8(response.body).expect("text"), response.keep_alive)
     };
     let plain = b"HTTP/1.1 200 OK\r\nContent-Type: a\r\ncontent-length: 4\r\n\r\n{}\r\n";
     assert_eq!(body(plain), (200, "{}\r\n".into(), true));
@@ -150,9 +150,9 @@
     assert_eq!(body(interim), (200, "x".into(), true));
     // Without a length the body lasts until the connection ends.
     let open = b"HTTP/1.0 200 OK\r\n\r\nall of it";
-    assert_eq!(http::response(open, false), Ok(None));
-    let (response, length) = http::response(open, true).expect("good").expect("whole");
-    assert_eq!((&response.body[..], response.keep, length), (&b"all of it"[..], false, open.len()));
+    assert_eq!(http::parse_response(open, false), Ok(None));
+    let (response, length) = http::parse_response(open, true).expect("good").expect("whole");
+    assert_eq!((&response.body[..], response.keep_alive, length), (&b"all of it"[..], false, open.len()));
 }
 
 #[test]
@@ -169,7 +169,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n",
         &"x".repeat(20_000),
     ] {
-        assert!(http::response(bad.as_bytes(), false).is_err(), "{bad:.60}");
+        assert!(http::parse_response(bad.as_bytes(), false).is_err(), "{bad:.60}");
     }
 }
 
