--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -1,8 +1,8 @@
-//! The actor of the shared counter: calls pipelined on one connection, answered in their order.
+//! The actor of the shared counter: it pipelines calls on one connection; the counter answers them in order.
 //!
-//! It owns the connection and the calls that have no answer yet. Where its connection falls silent, another actor with a connection of
-//! its own takes over the mailbox, and this one waits for the answers that it is owed. What an answer means for a quota is not decided
-//! here, nor is any call repeated.
+//! The actor owns the connection and the unanswered calls. If the connection falls silent, another actor with its own connection
+//! takes over the mailbox, and the first actor only waits for its unanswered calls. The actor neither decides what an answer
+//! means for a quota, nor retries calls.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -22,32 +22,33 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// Calls without an answer, expired ones too.
+/// The maximum number of unanswered calls, including expired calls.
 const MAX_UNANSWERED: usize = 4_096;
-/// Bytes of answers that are not read yet: each answer is a short line or number.
+/// The maximum size of buffered answers, in bytes: each answer is a short line or number.
 const MAX_ANSWER_BYTES: usize = 4 * 1024;
-/// How much longer than the platform's timeout an answer is waited for. Danger: an overloaded counter answers each call in its
-/// turn. Given up before that, every call would be answered in vain; and since a call given up may have been applied or not, the
-/// shared total would be uncertain for its whole window.
+/// How much longer than the platform's timeout the actor waits for an answer. An overloaded counter answers calls late, one after
+/// another. With an earlier timeout, the counter would do all its work in vain; and because a call that timed out may have been
+/// applied or not, the shared total would be uncertain for its whole window.
 const ANSWER_GRACE: Duration = Duration::from_millis(150);
-/// How long nothing may be received while calls are unanswered before the connection is taken for dead.
+/// How long nothing is received while calls are unanswered until the connection is considered dead.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time that an answer may take from its first byte to its end. Danger: one that never ends would keep the answers behind it.
+/// The maximum time from the first byte of an answer to its end: an answer that never ends would block the answers behind it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
-/// Actors of one counter at once, the silent ones included: each has a descriptor among those that the gateway reserves for itself.
+/// The maximum number of concurrent actors of one counter, including actors with a silent connection: each needs one of the file
+/// descriptors that the gateway reserves for itself.
 const MAX_ACTORS: usize = 8;
 
-/// An amount to be added to a counter.
+/// An order to add an amount to the counter of a key.
 pub struct CounterUpdate {
     pub key: Box<str>,
     pub amount: f64,
-    /// How long the counter keeps the key after this.
+    /// How long the counter keeps the key after this update.
     pub lifetime: Micros,
-    /// When the engine ordered it, from which its timeout counts.
+    /// When the engine ordered the update. The timeout of the call starts at this time.
     pub created_at: Instant,
 }
 
-/// A call that has been written.
+/// A call that has been sent.
 struct SentCall {
     key: Box<str>,
     created_at: Instant,
@@ -56,29 +57,29 @@
 /// The state of the connection.
 enum Link {
     Down,
-    /// In the background: a slow dial must not keep updates, or the end of the mailbox, from being received.
+    /// The dial runs in the background: a slow dial must not delay the receipt of updates or of the end of the mailbox.
     Dialing(BoxedLocal<Result<Connection, ConnectionEnd>>),
     Up(Connection),
 }
 
-/// The actor.
+/// The actor of the shared counter.
 pub struct Counter {
     shared: Rc<Shared>,
     events: Sender<Event>,
     address: SocketAddr,
-    /// How long the answer to a call is waited for.
+    /// The timeout of a call.
     timeout: Duration,
     link: Link,
-    /// No more updates are taken: the mailbox is closed, or another actor has taken it over.
+    /// Whether the actor no longer receives updates: the mailbox is closed, or another actor has taken it over.
     is_closed: bool,
-    /// Updates that wait for the connection to come up.
+    /// Updates that wait until the connection is up.
     unsent: VecDeque<CounterUpdate>,
-    /// Calls written on this connection; the first `expired` of them have been reported as timed out.
+    /// Calls sent on this connection; the first `expired` of them have been reported as timed out.
     unanswered: VecDeque<SentCall>,
     expired: usize,
     last_received_at: Instant,
     last_answered_at: Option<Instant>,
-    /// One handle for each actor of this counter that runs.
+    /// Counts the running actors of this counter: each holds one reference.
     actors: Rc<()>,
 }
 
@@ -93,6 +94,7 @@
 }
 
 impl Link {
+    /// Waits for the next input from the connection or its dial.
     async fn next_input(&mut self) -> Input {
         match self {
             Link::Down => future::pending().await,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Since when an answer has been coming that is not complete.
-    fn answer_begun_at(&self) -> Option<Instant> {
+    /// When the first byte of an incomplete answer was received.
+    fn answer_began_at(&self) -> Option<Instant> {
         match self {
             Link::Up(connection) => connection.buffer.message_began_at(),
             Link::Down | Link::Dialing(_) => None,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Starts the actor of the counter at this address. It ends once its mailbox is closed and its last call has ended.
+    /// Starts the actor of the counter at this address. The actor ends when its mailbox is closed and its last call has ended.
     pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr) -> Sender<CounterUpdate> {
         let (updates, mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
         let counter = Counter::new(shared, events, address, Rc::default());
@@ -154,7 +156,7 @@
             match future::or(self.link.next_input(), future::or(expiry, update)).await {
                 Input::Update(update) => self.send(update).await,
                 Input::Closed => self.is_closed = true,
-                Input::Dialed(result) => self.dialed(result).await,
+                Input::Dialed(result) => self.handle_dialed(result).await,
                 Input::Received(Ok(())) => self.handle_answers().await,
                 Input::Received(Err(end)) => self.connection_ended(end).await,
                 Input::Deadline => {
@@ -169,7 +171,7 @@
         self.is_closed && self.unsent.is_empty() && self.unanswered.is_empty()
     }
 
-    /// When a call expires next, or the connection is too long silent or in the middle of an answer.
+    /// When the next call expires, or the connection has been silent, or an answer incomplete, for too long.
     fn next_deadline(&self) -> Option<Instant> {
         let sent = match self.unanswered.get(self.expired) {
             Some(call) => Some(call.created_at + self.timeout),
@@ -178,7 +180,7 @@
             None => Some(self.last_received_at + SILENCE_TIMEOUT),
         };
         let unsent = self.unsent.front().map(|update| update.created_at + self.timeout);
-        let answer = self.link.answer_begun_at().map(|begun_at| begun_at + ANSWER_TIMEOUT);
+        let answer = self.link.answer_began_at().map(|began_at| began_at + ANSWER_TIMEOUT);
         [sent, unsent, answer].into_iter().flatten().min()
     }
 
@@ -187,8 +189,8 @@
         !self.is_closed && Rc::strong_count(&self.actors) < MAX_ACTORS
     }
 
-    /// Has another actor take over where this connection is silent. Danger: until a silent connection is known to be dead, all calls on
-    /// it would be lost, while another connection may be answered.
+    /// Lets another actor take over the mailbox if this connection is silent. Until a silent connection is known to be dead, all
+    /// calls on it would be lost, while calls on another connection may be answered.
     fn hand_over_if_silent(&mut self, mailbox: &Receiver<CounterUpdate>) {
         let is_silent = self.expired > 0 && self.last_received_at.elapsed() >= self.timeout;
         if is_silent && self.may_hand_over() {
@@ -198,7 +200,7 @@
         }
     }
 
-    async fn dialed(&mut self, result: Result<Connection, ConnectionEnd>) {
+    async fn handle_dialed(&mut self, result: Result<Connection, ConnectionEnd>) {
         match result {
             Ok(connection) => {
                 self.link = Link::Up(connection);
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Writes a call, or dials where there is no connection.
+    /// Sends a call, or dials if there is no connection.
     async fn send(&mut self, update: CounterUpdate) {
         if self.unanswered.len() >= MAX_UNANSWERED {
             self.connection_ended(ConnectionEnd::TimedOut).await;
@@ -229,17 +231,17 @@
         }
         let lifetime_ms = update.lifetime.div_ceil(1000).max(1).to_string();
         let amount = update.amount.to_string();
-        let words = [b"ADDGET", update.key.as_bytes(), amount.as_bytes(), lifetime_ms.as_bytes()];
-        let command = resp::write_command(&words);
-        let until = update.created_at + self.timeout;
-        match within(until, ConnectionEnd::TimedOut, connection.write(&command)).await {
+        let arguments = [b"ADDGET", update.key.as_bytes(), amount.as_bytes(), lifetime_ms.as_bytes()];
+        let command = resp::write_command(&arguments);
+        let deadline = update.created_at + self.timeout;
+        match within(deadline, ConnectionEnd::TimedOut, connection.write(&command)).await {
             Ok(()) => {
                 let CounterUpdate { key, created_at, .. } = update;
                 self.unanswered.push_back(SentCall { key, created_at });
             }
             Err(end) => {
                 self.report_unsent(update, end).await;
-                // Danger: a call that is cut off in the middle would spoil those behind it.
+                // A call that is cut off in the middle would corrupt the calls behind it.
                 self.connection_ended(end).await;
             }
         }
@@ -253,27 +255,27 @@
         }
     }
 
-    /// Reports the answers that have come complete.
+    /// Reports the complete answers.
     async fn handle_answers(&mut self) {
         self.last_received_at = Instant::now();
         while let Link::Up(connection) = &mut self.link {
             let total = match resp::reply(connection.buffer.filled()) {
                 Ok(None) => return,
                 Ok(Some((reply, length))) => {
-                    let total = total_of(&reply);
+                    let total = parse_total(&reply);
                     connection.buffer.consume(length);
                     total
                 }
                 Err(_) => None,
             };
-            // What is malformed answers no call: that call is reported with the rest.
+            // A malformed answer answers no call: its call is reported with the other unanswered calls.
             let answered = total.and_then(|total| Some((total, self.unanswered.pop_front()?)));
             let Some((total, call)) = answered else {
                 return self.connection_ended(ConnectionEnd::Malformed).await;
             };
             self.last_answered_at = Some(self.last_received_at);
             if self.expired > 0 {
-                // Its call has been reported as timed out.
+                // The call has already been reported as timed out.
                 self.expired -= 1;
             } else {
                 self.report(call.key, Ok(total), call.created_at).await;
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Reports the calls that have expired, and gives up a connection that is dead.
+    /// Reports the calls that have expired, and closes a dead connection.
     async fn expire_calls(&mut self) {
         while let Some(update) =
             self.unsent.pop_front_if(|update| update.created_at.elapsed() >= self.timeout)
@@ -292,7 +294,8 @@
             if call.created_at.elapsed() < self.timeout {
                 break;
             }
-            // Where answers came before but none since, the connection has stalled; else the counter may be overloaded.
+            // If the counter answered earlier calls but none since this call, the connection has stalled; otherwise the counter
+            // may be overloaded.
             let has_stalled = self.last_answered_at.is_some_and(|answered_at| answered_at <= call.created_at);
             let end = if has_stalled { ConnectionEnd::Stalled } else { ConnectionEnd::TimedOut };
             let key = call.key.clone();
@@ -300,20 +303,20 @@
             self.expired += 1;
             self.report(key, Err(AttemptFailure::unanswered(end)), created_at).await;
         }
-        if self.link.answer_begun_at().is_some_and(|begun_at| begun_at.elapsed() >= ANSWER_TIMEOUT) {
+        if self.link.answer_began_at().is_some_and(|began_at| began_at.elapsed() >= ANSWER_TIMEOUT) {
             self.connection_ended(ConnectionEnd::Malformed).await;
         }
         if !self.unanswered.is_empty() && self.last_received_at.elapsed() >= SILENCE_TIMEOUT {
-            warn!(self.shared.log, #"counter.silent", "the counter is silent"; "calls" => self.unanswered.len());
+            warn!(self.shared.log, #"counter.silent", "no answer from the shared counter; closing the connection"; "calls" => self.unanswered.len());
             self.connection_ended(ConnectionEnd::TimedOut).await;
         }
     }
 
-    /// Closes the connection, and reports the calls on it that have not been reported.
+    /// Closes the connection, and reports the calls on it that have not been reported yet.
     async fn connection_ended(&mut self, end: ConnectionEnd) {
         self.link = Link::Down;
         if !self.unanswered.is_empty() {
-            info!(self.shared.log, #"counter.ended", "the counter's connection ended"; "how" => ?end, "calls" => self.unanswered.len());
+            info!(self.shared.log, #"counter.ended", "the connection to the shared counter ended"; "how" => ?end, "calls" => self.unanswered.len());
         }
         let reported = std::mem::take(&mut self.expired);
         for call in std::mem::take(&mut self.unanswered).into_iter().skip(reported) {
@@ -321,18 +324,20 @@
         }
     }
 
+    /// Reports an update that was not sent completely.
     async fn report_unsent(&self, update: CounterUpdate, end: ConnectionEnd) {
         self.report(update.key, Err(AttemptFailure::unsent(end)), update.created_at).await;
     }
 
+    /// Reports the end of a call to the dispatcher.
     async fn report(&self, key: Box<str>, end: Result<CounterTotal, AttemptFailure>, created_at: Instant) {
         let elapsed = micros(created_at.elapsed());
         drop(self.events.send(Event::CounterReplied { key, end, elapsed }).await);
     }
 }
 
-/// What an answer says; none where it is malformed.
-fn total_of(reply: &Reply) -> Option<CounterTotal> {
+/// The total in an answer; `None` if the answer is malformed.
+fn parse_total(reply: &Reply) -> Option<CounterTotal> {
     match reply {
         Reply::Bulk(Some(total)) => {
             let total: f64 = std::str::from_utf8(total).ok()?.parse().ok()?;
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -1,7 +1,7 @@
-//! The HTTP connection to discovery: one request after another, with the times that each may take.
+//! The HTTP client of discovery: sends one request after another, each with a timeout.
 //!
-//! It owns the connections and decides when a request has failed. What a body means is the business of
-//! [`catalog`](crate::protocol::catalog).
+//! The client owns the connections and decides when a request has failed. [`catalog`](crate::protocol::catalog) parses the
+//! bodies of responses.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,25 +17,26 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// The time that a response may take from its first byte to its end.
+/// The maximum time from the first byte of a response to its end.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a connection on which an agent's response is late is listened to.
+/// How long the client waits for a late response of an agent.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The times of requests to one kind of discovery.
+/// The timeouts of requests to one kind of discovery.
 struct Timing {
-    /// A watch waits for something new for a random time between these.
+    /// A watch waits for a change for a random time between `min_watch` and `max_watch`.
     min_watch: Duration,
     max_watch: Duration,
-    /// How much later than its watch, or than it was dialled, a response or a connection is given up.
+    /// How long after the end of its watch a response times out, and the timeout of a dial.
     grace: Duration,
-    /// How long the response to a poll is waited for.
+    /// The timeout of a poll.
     poll_timeout: Duration,
 }
 
-/// A service whose list all gateways poll. A watch costs it work, and a poll may wait in turn behind those of all the others: given
-/// up early, it would be served for nobody and repeated. Danger: all watches of a fleet end together. Each is opened again at once,
-/// and the service answers one after another, so the durations are spread.
+/// A service whose list all gateways poll. A watch costs the service work, and a poll may wait behind the polls of all other
+/// gateways: with a short timeout, the service would answer a poll that the gateway had already given up and repeated. The
+/// durations of watches are spread so that the watches of a fleet don't end together: each is opened again at once, and the
+/// service answers one after another.
 const SERVICE: Timing = Timing {
     min_watch: Duration::from_secs(10),
     max_watch: Duration::from_secs(20),
@@ -43,8 +44,9 @@
     poll_timeout: Duration::from_secs(5),
 };
 
-/// An agent of this gateway's own, whose responses are cheap and come at once. Danger: a watch that falls silent while servers begin to
-/// drain, and the agent counts as having notified this gateway. A late poll is repeated on another connection.
+/// An agent that serves only this gateway. Its responses are cheap and arrive at once, so timeouts are short: if a watch falls
+/// silent, the gateway would otherwise miss servers that begin to drain, while the agent assumes that the gateway was notified.
+/// A late poll is repeated on another connection.
 const AGENT: Timing = Timing {
     min_watch: Duration::from_secs(2),
     max_watch: Duration::from_secs(2),
@@ -55,7 +57,7 @@
 /// Why a request to discovery has no usable response.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
-    /// The connection could not be made, or ended first.
+    /// The connection could not be opened, or ended before the response.
     #[error("{0}")]
     Connection(ConnectionEnd),
     /// The status was not 200.
@@ -66,16 +68,16 @@
     Json(#[from] serde_json::Error),
 }
 
-/// A connection on which an agent has not responded in time, and may yet.
+/// A connection on which the response of an agent is late, but may still arrive.
 struct LateConnection {
     connection: Connection,
-    /// How long it is listened to.
-    until: Instant,
+    /// When the client stops waiting for the late response.
+    deadline: Instant,
 }
 
 impl LateConnection {
     fn has_expired(&self) -> bool {
-        Instant::now() >= self.until
+        Instant::now() >= self.deadline
     }
 }
 
@@ -92,7 +94,7 @@
         Client { shared, address, connection: None, late: None }
     }
 
-    /// Goes on at another address, on new connections.
+    /// Switches to another address and new connections.
     pub(super) fn change_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connection = None;
@@ -104,7 +106,7 @@
         self.connection = None;
     }
 
-    /// How long the next watch is to wait for something new.
+    /// How long the next watch waits for a change.
     pub(super) fn watch_duration(&self) -> Duration {
         let timing = self.timing();
         let spread = timing.max_watch - timing.min_watch;
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Requests what is newer than a version, or the complete list, and gives the body of the response. The response may take
-    /// `watch` for something new; where that is zero, the request is a poll.
+    /// Requests the changes since a version, or the complete list; gives the body of the response. The response may wait for a
+    /// change as long as `watch`; if `watch` is zero, the request is a poll.
     pub(super) async fn request(
         &mut self,
         since: Option<u64>,
@@ -135,12 +137,12 @@
         let request = http::get(&self.address.to_string(), &path);
         let timing = self.timing();
         let timeout = if watch.is_zero() { timing.poll_timeout } else { watch + timing.grace };
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let is_reused = self.connection.is_some();
-        let mut response = self.exchange(&request, until).await;
-        if is_reused && response.is_err() && Instant::now() < until {
-            // The idle connection may have ended before the request came; requests are idempotent.
-            response = self.exchange(&request, until).await;
+        let mut response = self.exchange(&request, deadline).await;
+        if is_reused && response.is_err() && Instant::now() < deadline {
+            // The idle connection may have been closed before the request arrived; requests are idempotent.
+            response = self.exchange(&request, deadline).await;
         }
         let response = response.map_err(RequestError::Connection)?;
         if response.status != 200 {
@@ -149,19 +151,19 @@
         Ok(response.body)
     }
 
-    /// The response to a request, or to an earlier one that an agent has been late with: nothing has come since.
-    async fn exchange(&mut self, request: &[u8], until: Instant) -> Result<http::Response, ConnectionEnd> {
+    /// The response to a request, or the late response of an agent to the request before, which is as new.
+    async fn exchange(&mut self, request: &[u8], deadline: Instant) -> Result<http::Response, ConnectionEnd> {
         let mut late = self.late.take();
         let late_response = async {
-            if let Some(LateConnection { connection, until }) = &mut late {
-                if let Ok(response) = read_response(connection, *until).await {
+            if let Some(LateConnection { connection, deadline }) = &mut late {
+                if let Ok(response) = read_response(connection, *deadline).await {
                     return Ok(response);
                 }
                 late = None;
             }
             future::pending().await
         };
-        let response = future::or(self.exchange_on_connection(request, until), late_response).await;
+        let response = future::or(self.exchange_on_connection(request, deadline), late_response).await;
         self.late = match response {
             Ok(_) => None,
             Err(_) => late.filter(|late| !late.has_expired()).or(self.late.take()),
@@ -172,19 +174,19 @@
     async fn exchange_on_connection(
         &mut self,
         request: &[u8],
-        until: Instant,
+        deadline: Instant,
     ) -> Result<http::Response, ConnectionEnd> {
         let mut connection = match self.connection.take().filter(Connection::has_no_input) {
             Some(connection) => connection,
             None => self.dial().await?,
         };
-        within(until, ConnectionEnd::TimedOut, connection.write(request)).await?;
-        let response = read_response(&mut connection, until).await;
+        within(deadline, ConnectionEnd::TimedOut, connection.write(request)).await?;
+        let response = read_response(&mut connection, deadline).await;
         match &response {
             Ok(response) if response.keep_alive => self.connection = Some(connection),
             Err(ConnectionEnd::TimedOut) if self.shared.platform.list_is_pushed => {
-                let until = Instant::now() + LATE_RESPONSE_TIMEOUT;
-                self.late = Some(LateConnection { connection, until });
+                let deadline = Instant::now() + LATE_RESPONSE_TIMEOUT;
+                self.late = Some(LateConnection { connection, deadline });
             }
             _ => {}
         }
@@ -197,10 +199,13 @@
     }
 }
 
-/// Reads a response; where the connection is closed, one whose end is the end of the connection.
-async fn read_response(connection: &mut Connection, until: Instant) -> Result<http::Response, ConnectionEnd> {
+/// Reads a response. If the connection is closed, a response that ends with the connection is complete.
+async fn read_response(
+    connection: &mut Connection,
+    deadline: Instant,
+) -> Result<http::Response, ConnectionEnd> {
     let mut reader = http::Reader::default();
-    match connection.message(|bytes| reader.read(bytes, false), until, RESPONSE_TIMEOUT).await {
+    match connection.message(|bytes| reader.read(bytes, false), deadline, RESPONSE_TIMEOUT).await {
         Err(ConnectionEnd::Closed) => match reader.read(connection.buffer.filled(), true) {
             Ok(Some((response, _))) => Ok(response),
             _ => Err(ConnectionEnd::Closed),
--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -1,4 +1,4 @@
-//! Which servers the endpoint list has taken out of service, and which version said so last.
+//! The servers that the endpoint list has taken out of service, and the versions of the list that did so.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,18 +6,18 @@
 
 use crate::protocol::catalog::EndpointUpdate;
 
-/// Servers that are remembered after their departure. Danger: a discovery that lists new names without end would fill the memory. Those
-/// whose departure is of the oldest version go first.
+/// The maximum number of remembered departures: a discovery that lists new names without end would fill the memory. The departures
+/// of the oldest versions are forgotten first.
 const MAX_REMEMBERED: usize = 16 * 1024;
 
-/// Servers that drain or have been removed. No attempt begins at one of them, and one returns only by a newer version, or with a
-/// newer start. Danger: versions out of order. An agent that is behind, another discovery or a list from before the start may have a
-/// server in service that drains.
+/// Servers that are draining or have been removed. No attempt is sent to these servers, and only a newer version of the list or a
+/// newer start of the server returns it to service. This guards against versions out of order: an agent that is behind, another
+/// discovery or a list from before the start of this process may list a draining server as in service.
 #[derive(Default)]
 pub struct DrainingEndpoints {
     /// The version of the newest list.
     index: u64,
-    /// Those in service, and when each started.
+    /// The servers in service, and when each started.
     in_service: HashMap<Id, Option<Micros>>,
     departures: HashMap<Id, Departure>,
 }
@@ -25,19 +25,19 @@
 /// How a server was taken out of service.
 #[derive(Clone, Copy, Default)]
 struct Departure {
-    /// When the server had started.
+    /// When the server started.
     started_at: Option<Micros>,
-    /// The version that said so, or the first one of another sequence of versions.
+    /// The version that took the server out of service, or the first version of another sequence that came after it.
     index: u64,
-    /// The departure was known from another sequence of versions: nothing in the present one has said so.
+    /// Whether the departure is known only from another sequence of versions, and not from the present sequence.
     is_other_sequence: bool,
 }
 
 impl DrainingEndpoints {
-    /// Applies a list. Servers that it has in service against something newer become draining in it.
+    /// Applies a list. A server that the list has in service becomes draining in it if its departure is newer.
     pub fn apply(&mut self, update: &mut EndpointUpdate) {
         if update.moved || update.index < self.index {
-            // Another sequence of versions. That it still lists a server says nothing newer than that the server drains.
+            // This is another sequence of versions. A server that this list still has in service may drain nevertheless.
             for departure in self.departures.values_mut() {
                 departure.index = update.index;
                 departure.is_other_sequence = true;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes out of service what a complete list does not have.
+    /// Takes out of service the servers that are missing from a complete list.
     fn depart_unlisted(&mut self, update: &EndpointUpdate) {
         let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
         let removed: Vec<Id> = self.in_service.keys().filter(|id| !listed.contains(id)).cloned().collect();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes servers out of service that a rejected response names as draining.
+    /// Takes out of service the servers that a rejected response lists as draining.
     pub fn mark_draining(&mut self, servers: &[Id]) {
         for id in servers {
             if self.in_service.contains_key(id) {
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Forgets an eighth of the departures at once: a search for the oldest at each list would cost more than the list.
+    /// Forgets an eighth of the departures at once: a search for the oldest departure on each list would cost more than
+    /// applying the list.
     fn forget_oldest(&mut self) {
         let mut indexes: Vec<u64> = self.departures.values().map(|departure| departure.index).collect();
         indexes.sort_unstable();
@@ -91,9 +92,10 @@
         self.departures.retain(|_, departure| departure.index > newest_forgotten);
     }
 
+    /// Takes a server out of service with the present version.
     fn depart(&mut self, id: &Id, started_at: Option<Micros>) {
-        let before = self.departures.get(id).and_then(|departure| departure.started_at);
-        let started_at = started_at.max(self.in_service.remove(id).flatten()).max(before);
+        let previous_start = self.departures.get(id).and_then(|departure| departure.started_at);
+        let started_at = started_at.max(self.in_service.remove(id).flatten()).max(previous_start);
         let departure = Departure { started_at, index: self.index, is_other_sequence: false };
         self.departures.insert(id.clone(), departure);
     }
@@ -110,7 +112,8 @@
 }
 
 impl Departure {
-    /// Whether a list of this version has the server in service again. A complete list repeats what was known, changes are new.
+    /// Whether an entry in a list of this version returns the server to service. A complete list repeats known entries, while a
+    /// list of changes has only new ones.
     fn is_superseded_by(&self, endpoint: &Endpoint, index: u64, is_full: bool) -> bool {
         endpoint.started_at > self.started_at || index > self.index && !(is_full && self.is_other_sequence)
     }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! The actor of discovery: it watches the endpoint list, polls it when the engine wants that, and reports each list.
+//! The actor of discovery: it watches the endpoint list, polls the list on order of the engine, and reports each list.
 //!
-//! It owns the version that it has come to. Which servers are used, and when a list that could not be had is polled again, is decided
-//! by the engine.
+//! The actor owns the version of the last list. The engine decides which servers are used, and when the list is polled again
+//! after a failure.
 
 mod client;
 pub mod draining;
@@ -23,38 +23,39 @@
 use crate::transport::clock::yield_between_slices;
 use crate::transport::loop_timer::LoopIteration;
 
-/// How long after the start a gateway that knows servers from before waits for discovery before it is ready without it.
+/// How long a gateway that knows servers from an earlier run waits for discovery before it becomes ready without discovery.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a watch that ended early with nothing new. Danger: an agent that never waits would be polled without end.
+/// The pause after a watch that ended early without a change: an agent that responds at once would be polled in a busy loop.
 const EARLY_END_PAUSE: Duration = Duration::from_millis(50);
 
-/// An order to the actor. It ends the request under way.
+/// An order to the actor. An order cancels the watch in progress.
 pub enum Order {
     /// Watch the list, or stop watching.
     Watch(bool),
     /// Poll the complete list once.
     Poll,
-    /// Discovery has another address from now on.
+    /// Use another address of discovery from now on.
     ChangeAddress(SocketAddr),
-    /// From now on one gateway polls for all: nothing is watched here, and only what the fleet orders is requested.
+    /// From now on one gateway polls for the fleet: this gateway watches nothing, and requests only what the fleet orders.
     LedByFleet,
-    /// Request what is newer than this version, or the complete list, and give the response as it is; none where there is none.
+    /// Request the changes since this version, or the complete list, and send the response as parsed JSON; `None` if the request
+    /// fails.
     Request(Option<u64>, Sender<Option<Value>>),
 }
 
-/// The actor. [`DiscoveryActor::run`] serves it.
+/// The actor of discovery. [`DiscoveryActor::run`] runs it.
 pub struct DiscoveryActor {
     shared: Rc<Shared>,
     events: Sender<Event>,
     client: Client,
     is_watching: bool,
     is_led_by_fleet: bool,
-    /// The version of the last list, from which the next request starts.
+    /// The version of the last list; the next request asks for changes since this version.
     index: Option<u64>,
-    /// There has been no response yet, or none to the last request: the next one does not wait for something new, as
-    /// discovery has news once it responds again.
+    /// Whether the next request is a poll. This is so until the first response and after a failed request: when discovery
+    /// responds again, it is likely to have changes, so there is nothing to wait for.
     must_poll: bool,
-    /// No list has come from the present address yet.
+    /// Whether the address has changed and no list has been received from the new address yet.
     has_moved: bool,
     known: KnownEndpoints,
 }
@@ -68,7 +69,7 @@
 }
 
 impl DiscoveryActor {
-    /// `index` is the version of the list that was known before the start, if there was one.
+    /// `index` is the version of the list known from before the start, if any.
     pub fn new(shared: &Rc<Shared>, events: &Sender<Event>, address: SocketAddr, index: Option<u64>) -> Self {
         DiscoveryActor {
             shared: shared.clone(),
@@ -89,7 +90,7 @@
         let mut mailbox = std::pin::pin!(mailbox);
         loop {
             let is_watching = self.is_watching;
-            let began = Instant::now();
+            let began_at = Instant::now();
             let watch = async {
                 if !is_watching {
                     future::pending::<()>().await;
@@ -99,13 +100,13 @@
             let order = async { mailbox.next().await.map_or(Input::Closed, Input::Order) };
             match future::or(watch, order).await {
                 Input::Order(order) => self.handle_order(order).await,
-                Input::Fetched(fetched) => self.watch_ended(fetched, began).await,
+                Input::Fetched(fetched) => self.watch_ended(fetched, began_at).await,
                 Input::Closed => return,
             }
         }
     }
 
-    /// Reports after a while that discovery may be late.
+    /// Reports after [`START_TIMEOUT`] that discovery may be late.
     fn report_late_start(&self) {
         let events = self.events.clone();
         let late = async move {
@@ -125,7 +126,7 @@
             Order::Request(since, reply) => {
                 let response = self.request_json(since).await;
                 if let Err(error) = &response {
-                    warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => error.to_string());
+                    warn!(self.shared.log, #"discovery.failed", "could not get the endpoint list"; "why" => error.to_string());
                 }
                 drop(reply.send(response.ok()).await);
             }
@@ -135,7 +136,8 @@
                 self.report(fetched).await;
             }
             Order::ChangeAddress(address) => {
-                // Versions there are another sequence, and its complete list drops what has been removed meanwhile.
+                // Versions at the new address are another sequence. The complete list from there removes the servers that
+                // were removed in the meantime.
                 self.client.change_address(address);
                 self.index = None;
                 self.has_moved = true;
@@ -143,23 +145,23 @@
         }
     }
 
-    async fn watch_ended(&mut self, fetched: Result<EndpointUpdate, ListError>, began: Instant) {
+    async fn watch_ended(&mut self, fetched: Result<EndpointUpdate, ListError>, began_at: Instant) {
         self.is_watching &= fetched.is_ok();
         let is_unchanged = fetched.as_ref().is_ok_and(|update| !update.full && update.servers.is_empty());
         self.report(fetched).await;
-        if is_unchanged && began.elapsed() < self.client.min_watch() {
+        if is_unchanged && began_at.elapsed() < self.client.min_watch() {
             Timer::after(EARLY_END_PAUSE).await;
         }
     }
 
-    /// Reports a list, or why there is none, to the dispatcher.
+    /// Reports a list, or the failure to fetch one, to the dispatcher.
     async fn report(&mut self, fetched: Result<EndpointUpdate, ListError>) {
         match fetched {
-            // A version older than the one that the request started from belongs to another list, or to a discovery that is
-            // behind: its changes say nothing of what is known here, and the complete list is needed.
+            // Changes with a version older than the known one belong to another list, or come from a discovery that is behind.
+            // They can't be applied to the known list, so the complete list is requested next.
             Ok(update) if !update.full && self.index.is_some_and(|index| update.index < index) => {
                 let known = self.index.take();
-                warn!(self.shared.log, #"discovery.older", "older than what is known"; "index" => update.index, "known" => known);
+                warn!(self.shared.log, #"discovery.older", "received a version of the endpoint list older than the known one"; "index" => update.index, "known" => known);
                 self.must_poll = false;
             }
             Ok(mut update) => {
@@ -176,8 +178,8 @@
     async fn report_failure(&mut self, error: ListError) {
         let ListError { reason, index, draining } = error;
         self.must_poll = true;
-        warn!(self.shared.log, #"discovery.failed", "discovery failed"; "why" => reason);
-        // A response that is behind says nothing new of any server.
+        warn!(self.shared.log, #"discovery.failed", "could not get the endpoint list"; "why" => reason);
+        // A response older than the known list has no new information on any server.
         if !draining.is_empty() && index >= self.index {
             self.shared.draining.borrow_mut().mark_draining(&draining);
             drop(self.events.send(Event::EndpointsDraining(draining)).await);
@@ -185,14 +187,14 @@
         drop(self.events.send(Event::EndpointsUnavailable).await);
     }
 
-    /// Fetches the complete list, or what is newer than a version: then the request is a watch, unless news is certain.
+    /// Fetches the complete list, or the changes since a version: the latter request is a watch, unless a poll is due.
     async fn fetch(&mut self, since: Option<u64>) -> Result<EndpointUpdate, ListError> {
         let is_watch = since.is_some() && !self.must_poll;
         let watch = if is_watch { self.client.watch_duration() } else { Duration::ZERO };
         let body = match self.client.request(since, watch).await {
-            // A watch that broke or fell silent is followed at once by a poll for what it missed.
+            // After a watch that failed or fell silent, a poll gets at once the changes that the watch missed.
             Err(error) if !watch.is_zero() => {
-                warn!(self.shared.log, #"discovery.failed", "a watch broke"; "why" => error.to_string());
+                warn!(self.shared.log, #"discovery.failed", "a watch of the endpoint list failed; polling"; "why" => error.to_string());
                 self.client.request(since, Duration::ZERO).await
             }
             other => other,
@@ -200,7 +202,7 @@
         let body = body.map_err(|error| ListError::unread(error.to_string()))?;
         let update = self.parse(&body).await?;
         if update.full || !update.servers.is_empty() {
-            info!(self.shared.log, #"discovery.list", "list";
+            info!(self.shared.log, #"discovery.list", "received the endpoint list";
                 "index" => update.index, "full" => update.full, "servers" => update.servers.len());
         }
         Ok(update)
@@ -211,7 +213,7 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Parses a response slice by slice: a list of thousands of servers must not hold the event loop.
+    /// Parses a response in slices: a list of thousands of servers must not block the event loop.
     async fn parse(&mut self, body: &[u8]) -> Result<EndpointUpdate, ListError> {
         let iteration = LoopIteration::begin("outline of a server list");
         let reader = SlicedReader::for_body(body);
--- a/crates/gateway/src/operator/call_task.rs
+++ b/crates/gateway/src/operator/call_task.rs
@@ -1,4 +1,4 @@
-//! The task of one operator's call: it is read, performed and answered, and the connection ends.
+//! The task of one operator's call: it reads, performs and answers the call, then closes the connection.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -17,22 +17,22 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// How long a call may take to its end, and until its response is written.
+/// The maximum time until the call is complete and its response is written.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a caller may take to close the connection. Danger: closed here with bytes unread, it would be reset, and the caller would
-/// lose the response.
+/// How long the task waits for the caller to close the connection. If the gateway closed it with unread bytes, the connection would
+/// be reset, and the caller would lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call is not performed.
 enum CallFailure {
-    /// The connection ended, or the call was evicted: there is nobody to answer.
-    NobodyWaits,
+    /// The connection ended, or the call was evicted: no response is sent.
+    NoResponse,
     Rejected(Rejection),
 }
 
 impl From<ConnectionEnd> for CallFailure {
     fn from(_: ConnectionEnd) -> Self {
-        CallFailure::NobodyWaits
+        CallFailure::NoResponse
     }
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A response before it is written.
+/// The status and body of a response.
 struct Response {
     status: u16,
     body: String,
@@ -54,6 +54,7 @@
     }
 }
 
+/// The task of one call.
 pub(super) struct CallTask {
     connection: Connection,
     shared: Rc<Shared>,
@@ -66,29 +67,29 @@
         CallTask { connection, shared, orders }
     }
 
-    /// Serves the call. It may be evicted until it has come complete.
+    /// Serves the call. The call can be evicted while it is incomplete.
     pub(super) async fn run(mut self, incomplete: IncompleteCall) {
-        let until = Instant::now() + CALL_TIMEOUT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let evicted = async {
             incomplete.evicted().await;
-            Err(CallFailure::NobodyWaits)
+            Err(CallFailure::NoResponse)
         };
-        let call = future::or(self.read_call(until), evicted).await;
+        let call = future::or(self.read_call(deadline), evicted).await;
         drop(incomplete);
         let response = match call {
             Ok(call) => self.perform(call).await,
             Err(CallFailure::Rejected(Rejection { status, reason })) => Response::new(status, reason + "\n"),
-            Err(CallFailure::NobodyWaits) => return,
+            Err(CallFailure::NoResponse) => return,
         };
-        self.respond(response, until).await;
+        self.respond(response, deadline).await;
     }
 
-    async fn read_call(&mut self, until: Instant) -> Result<OperatorCall, CallFailure> {
+    async fn read_call(&mut self, deadline: Instant) -> Result<OperatorCall, CallFailure> {
         loop {
             if let Some(call) = operator::parse_call(self.connection.buffer.filled())? {
                 return Ok(call);
             }
-            match within(until, ConnectionEnd::TimedOut, self.connection.read()).await {
+            match within(deadline, ConnectionEnd::TimedOut, self.connection.read()).await {
                 Err(ConnectionEnd::TimedOut) if !self.connection.buffer.is_empty() => {
                     let reason = "no whole call has come in time".into();
                     return Err(CallFailure::Rejected(Rejection { status: 408, reason }));
@@ -98,14 +99,14 @@
         }
     }
 
-    async fn respond(mut self, response: Response, until: Instant) {
+    async fn respond(mut self, response: Response, deadline: Instant) {
         let bytes = operator::write_response(response.status, &response.body);
-        if within(until, ConnectionEnd::TimedOut, self.connection.write(&bytes)).await.is_err() {
+        if within(deadline, ConnectionEnd::TimedOut, self.connection.write(&bytes)).await.is_err() {
             return;
         }
         self.connection.finish();
-        let until = Instant::now() + LINGER_TIMEOUT;
-        while within(until, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok() {
+        let deadline = Instant::now() + LINGER_TIMEOUT;
+        while within(deadline, ConnectionEnd::TimedOut, self.connection.read()).await.is_ok() {
             let count = self.connection.buffer.filled().len();
             self.connection.buffer.consume(count);
         }
@@ -129,17 +130,17 @@
         Response::new(200, self.shared.metrics.write(active, pool))
     }
 
-    /// Has the dispatcher set or lift a cordon, and the other processes of this gateway where there are any.
+    /// Lets the dispatcher, and the other processes of this gateway if there are any, set or lift a cordon.
     async fn set_cordon(&self, server: Id, on: bool) -> Response {
         let (done, is_known) = async_channel::bounded(1);
         let _ = self.orders.send(Order::Cordon { server: server.clone(), on, done }).await;
         let known = is_known.recv().await.unwrap_or(false);
         if let Some(link) = self.shared.hot_restart.get().filter(|_| known) {
             if !link.word(&server, on).await {
-                warn!(self.shared.log, #"handover.unheard", "another process has not heard an operator's word"; "server" => &*server);
+                warn!(self.shared.log, #"handover.unheard", "another process of this gateway did not receive an operator's cordon order"; "server" => &*server);
             }
         }
-        info!(self.shared.log, #"operator.cordon", "an operator's word on a server"; "server" => &*server, "out" => on, "known" => known);
+        info!(self.shared.log, #"operator.cordon", "an operator ordered to set or lift a cordon"; "server" => &*server, "out" => on, "known" => known);
         if !known {
             Response::new(404, format!("no server '{server}' is known\n"))
         } else if on {
--- a/crates/gateway/src/operator/metrics.rs
+++ b/crates/gateway/src/operator/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that operators read. Each is counted where its fact becomes true, and nowhere else.
+//! The metrics for operators. Each metric is counted in one place: where the counted event happens.
 
 use std::cell::Cell;
 use std::fmt::{Arguments, Write};
@@ -15,10 +15,10 @@
 }
 
 impl ResponseResult {
-    /// Their names in the metrics, in the order of the variants.
+    /// The names of the variants in the metrics, in the order of the variants.
     const NAMES: [&'static str; 3] = ["ok", "shed", "errors"];
 
-    /// What a final answer is counted as.
+    /// The result as which a final answer is counted.
     pub fn from_answer(answer: &FinalAnswer) -> Self {
         match answer {
             FinalAnswer::Completed(_) => ResponseResult::Completed,
@@ -31,11 +31,11 @@
 /// The responses of one request class.
 struct ClassCounters {
     class: String,
-    /// By [`ResponseResult`].
+    /// The number of responses, indexed by [`ResponseResult`].
     responses: [Cell<u64>; ResponseResult::NAMES.len()],
 }
 
-/// Counters from the start of this process.
+/// The counters since the start of this process.
 pub struct Metrics {
     classes: Box<[ClassCounters]>,
     attempts: Cell<u64>,
@@ -48,12 +48,12 @@
 pub struct PoolGauges {
     /// Servers in the endpoint list.
     pub size: usize,
-    /// Those of them that the engine avoids.
+    /// Servers in the endpoint list that the engine avoids.
     pub avoided: usize,
 }
 
 impl Metrics {
-    /// With the names of the request classes, in the order of their numbers.
+    /// Counters for the named request classes, in the order of their indexes.
     pub fn new(classes: &[String]) -> Self {
         let counters = |class: &String| ClassCounters { class: class.clone(), responses: Default::default() };
         Metrics {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Counts a response whose last byte has been written to the client. A class that is not known is not counted.
+    /// Counts a response whose last byte has been written to the client. Responses of an unknown class are not counted.
     pub fn request_answered(&self, class: usize, result: ResponseResult) {
         if let Some(counters) = self.classes.get(class) {
             increment(&counters.responses[result as usize]);
@@ -75,7 +75,7 @@
         increment(&self.attempts);
     }
 
-    /// All metrics, one a line. `active` is the number of open requests.
+    /// All metrics, one per line. `active` is the number of open requests.
     pub fn write(&self, active: usize, pool: PoolGauges) -> String {
         let mut text = String::new();
         for ClassCounters { class, responses } in &self.classes {
@@ -95,7 +95,7 @@
     counter.set(counter.get() + 1);
 }
 
-/// Writes one metric; its kind is `c` for a counter, `g` for a gauge.
+/// Writes one metric; `kind` is `c` for a counter, `g` for a gauge.
 fn write_line(text: &mut String, name: Arguments, value: u64, kind: char) {
     let _ = writeln!(text, "gateway.{name}:{value}|{kind}");
 }
--- a/crates/gateway/src/operator/mod.rs
+++ b/crates/gateway/src/operator/mod.rs
@@ -1,7 +1,7 @@
-//! The second address, for operators: one call to a connection.
+//! The listener for operators, on an address of its own: one call per connection.
 //!
-//! It owns which calls are served, and answers them. Cordons are carried out by the dispatcher, and figures counted where their facts
-//! become true: nothing here changes what clients get.
+//! The module decides which calls are served, and answers them. The dispatcher carries out cordons, and metrics are counted where
+//! the counted events happen: nothing in this module changes the answers to clients.
 
 mod call_task;
 pub mod metrics;
@@ -24,16 +24,17 @@
 use crate::transport::limits::MAX_OPERATOR_CONNECTIONS;
 use crate::transport::syscall::AcceptFailure;
 
-/// Orders that wait at the dispatcher: those of the calls that are served at once, and of other processes.
+/// The maximum number of orders queued for the dispatcher: those of concurrent calls, and those of other processes.
 pub const MAX_QUEUED_ORDERS: usize = 2 * MAX_OPERATOR_CONNECTIONS;
 
 /// An order to the dispatcher, which handles it before all events.
 pub enum Order {
-    /// Cordon a server, or lift its cordon; `done` gets whether there is such a server.
+    /// Cordon a server, or lift its cordon; `done` receives whether the server is known.
     Cordon { server: Id, on: bool, done: Sender<bool> },
-    /// The same from another process of this gateway: cordoned, or lifted at that time of the gateway's clock.
+    /// The cordon of a server as another process of this gateway reports it. `lifted_at` is when the cordon was lifted, by the
+    /// gateway's clock; `None` while the server is cordoned.
     CordonFromProcess { server: Id, lifted_at: Option<Micros> },
-    /// The fraction of its gateway's ceilings and slow-start budgets that this process has.
+    /// Set this process's fraction of its gateway's ceilings and slow-start budgets.
     ProcessShare(f64),
     /// Report the gauges of the server pool.
     QueryPool(Sender<PoolGauges>),
@@ -44,7 +45,7 @@
     shared: Rc<Shared>,
     orders: Sender<Order>,
     incomplete: IncompleteCalls,
-    /// Calls accepted so far, which numbers them.
+    /// The number of calls accepted so far; it is also the number of the last call.
     accepted: u64,
 }
 
@@ -66,7 +67,7 @@
             match stream {
                 Ok(stream) => self.accept(stream),
                 Err(error) => {
-                    warn!(self.shared.log, #"operator.not-accepted", "an operator's call could not be accepted"; "why" => error.to_string());
+                    warn!(self.shared.log, #"operator.not-accepted", "could not accept an operator's connection"; "why" => error.to_string());
                     Timer::after(AcceptFailure::classify(&error).backoff()).await;
                 }
             }
@@ -75,22 +76,24 @@
 
     fn accept(&mut self, stream: Async<TcpStream>) {
         self.accepted += 1;
-        let call = self.incomplete.enter(self.accepted);
+        let call = self.incomplete.add(self.accepted);
         let task = CallTask::new(stream, self.shared.clone(), self.orders.clone());
         self.shared.executor.spawn(task.run(call)).detach();
     }
 }
 
-/// The number of a call, and the sender whose end evicts it.
+/// The number of a call, and a sender; dropping the sender evicts the call.
 type NumberedCall = (u64, Sender<()>);
 
-/// The calls that have not come complete, the oldest first. Each is evicted by dropping its sender. Danger: callers that send nothing would
-/// keep others out. The one that has been incomplete for longest makes room, while complete calls are answered within a moment.
+/// The incomplete calls, the oldest first. Callers that send nothing would keep others out, so the call that has been incomplete for
+/// longest is evicted if there are too many. Complete calls are not evicted: they are answered
+/// at once.
 #[derive(Clone, Default)]
 struct IncompleteCalls(Rc<RefCell<VecDeque<NumberedCall>>>);
 
 impl IncompleteCalls {
-    fn enter(&self, number: u64) -> IncompleteCall {
+    /// Adds a call, and evicts the oldest call if there are too many.
+    fn add(&self, number: u64) -> IncompleteCall {
         let (sender, evicted) = async_channel::bounded(1);
         let mut calls = self.0.borrow_mut();
         calls.push_back((number, sender));
@@ -101,7 +104,7 @@
     }
 }
 
-/// The presence of a call in the table; dropped, it takes the call out.
+/// A call's entry in [`IncompleteCalls`]; dropping it removes the entry.
 struct IncompleteCall {
     calls: IncompleteCalls,
     number: u64,
--- a/crates/gateway/src/operator/unserved.rs
+++ b/crates/gateway/src/operator/unserved.rs
@@ -1,5 +1,5 @@
-//! The requests that no server answered, counted by reason, and the record that operators get of them: one a second at the most,
-//! so that the reasons are known without a record for each request.
+//! Counts the requests that no server answered by reason, and writes a log record of the counts. There is at most one record per
+//! second, so that operators learn the reasons without a record for each request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 
 use crate::transport::clock::micros;
 
-/// Time over which requests are counted for one record.
+/// The time that one record covers.
 const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What has been counted since the last record.
+/// The counts since the last record.
 #[derive(Default)]
 pub struct UnservedRequests {
-    /// Requests by the name of the reason.
+    /// The number of requests by the name of the reason.
     counts: RefCell<BTreeMap<&'static str, u64>>,
-    /// When the first of them was answered.
+    /// When the first of these requests was answered.
     first_at: Cell<Option<Instant>>,
-    /// The longest time for which a server's answer lay here before it was read, in microseconds.
+    /// The longest time that a received reply of a server waited in this process before it was read, in microseconds.
     longest_read_delay: Cell<Micros>,
 }
 
@@ -31,19 +31,19 @@
         self.first_at.set(self.first_at.get().or_else(|| Some(Instant::now())));
     }
 
-    /// Notes for how long an answer lay unread, in microseconds: how late this process itself is.
+    /// Records how long a received reply waited before it was read, in microseconds: the delay of this process itself.
     pub fn observe_read_delay(&self, delay: Micros) {
         self.longest_read_delay.set(self.longest_read_delay.get().max(delay));
     }
 
-    /// Writes the record if requests have been counted for as long as one covers.
+    /// Writes the record if the time that it covers has passed.
     pub fn write_if_due(&self, log: &Logger) {
         if self.first_at.get().is_some_and(|first| first.elapsed() >= RECORD_INTERVAL) {
             self.write(log);
         }
     }
 
-    /// Writes the record of what has been counted, if anything, and begins anew.
+    /// Writes the record if any requests have been counted, and resets the counts.
     pub fn write(&self, log: &Logger) {
         let Some(first_at) = self.first_at.take() else { return };
         let counts = self.counts.take();
