--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What the errors of calls to the system mean.
+//! The handling of system call errors, and of partial reads and writes.
 
 use std::io::{Error, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,71 +9,74 @@
 use fernscale_gateway::transport::syscall::{dialled, uninterrupted, AcceptFailure};
 
 #[test]
-fn a_call_that_signals_interrupt_is_made_again_and_any_other_error_is_told() {
-    for (errors, last) in
+fn an_interrupted_system_call_is_retried_and_any_other_error_is_returned() {
+    for (interruptions, result) in
         [(0, Ok(7)), (3, Ok(7)), (1, Err(ErrorKind::WouldBlock)), (2, Err(ErrorKind::TimedOut))]
     {
-        let mut made = 0;
-        let end = uninterrupted(|| {
-            made += 1;
-            if made <= errors {
+        let mut calls = 0;
+        let returned = uninterrupted(|| {
+            calls += 1;
+            if calls <= interruptions {
                 return Err(Error::from(ErrorKind::Interrupted));
             }
-            last.map_err(Error::from)
+            result.map_err(Error::from)
         });
-        assert_eq!((made, end.map_err(|error| error.kind())), (errors + 1, last));
+        assert_eq!((calls, returned.map_err(|error| error.kind())), (interruptions + 1, result));
     }
 }
 
 #[test]
-fn a_call_that_is_interrupted_on_and_on_is_one_that_is_not_ready() {
-    let mut made = 0;
-    let end: Result<(), Error> = uninterrupted(|| {
-        made += 1;
-        assert!(made < 1_000, "it never gives the loop back");
+fn a_system_call_that_is_interrupted_every_time_returns_would_block() {
+    let mut calls = 0;
+    let returned: Result<(), Error> = uninterrupted(|| {
+        calls += 1;
+        assert!(calls < 1_000, "the retries never end");
         Err(Error::from(ErrorKind::Interrupted))
     });
-    assert_eq!(end.map_err(|error| error.kind()), Err(ErrorKind::WouldBlock));
+    assert_eq!(returned.map_err(|error| error.kind()), Err(ErrorKind::WouldBlock));
 }
 
 #[test]
-fn only_what_the_machine_lacks_keeps_others_from_being_accepted() {
-    let of = |number| AcceptFailure::classify(&Error::from_raw_os_error(number));
+fn only_a_lack_of_resources_delays_later_connections() {
+    let classify = |code| AcceptFailure::classify(&Error::from_raw_os_error(code));
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
-    assert!([24, 23, 105, 12].into_iter().all(|number| of(number) == AcceptFailure::NoResources));
+    assert!([24, 23, 105, 12].into_iter().all(|code| classify(code) == AcceptFailure::NoResources));
     // ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, ETIMEDOUT.
-    assert!([103, 4, 71, 100, 113, 110].into_iter().all(|number| of(number) == AcceptFailure::ThisOne));
+    assert!([103, 4, 71, 100, 113, 110].into_iter().all(|code| classify(code) == AcceptFailure::ThisOne));
     assert!(AcceptFailure::ThisOne.backoff() < AcceptFailure::NoResources.backoff());
 }
 
-/// What becomes of dials that fail with these errors, the last of them for ever; `None`: one that comes up. And how many there were.
-fn after_dials(errors: &[Option<i32>]) -> (Result<(), ConnectionEnd>, usize) {
-    let mut dials = 0;
-    let end = async_io::block_on(dialled(|| {
-        let error = errors[dials.min(errors.len() - 1)];
-        dials += 1;
+/// The result of a dial whose attempts fail with these errors in turn, and the number of attempts. `None` is a successful attempt;
+/// the last entry is repeated.
+fn dial_with_errors(errors: &[Option<i32>]) -> (Result<(), ConnectionEnd>, usize) {
+    let mut attempts = 0;
+    let result = async_io::block_on(dialled(|| {
+        let error = errors[attempts.min(errors.len() - 1)];
+        attempts += 1;
         async move { error.map_or(Ok(()), |error| Err(Error::from_raw_os_error(error))) }
     }));
-    (end.map_err(|error| ConnectionEnd::of_dial(&error)), dials)
+    (result.map_err(|error| ConnectionEnd::of_dial(&error)), attempts)
 }
 
 #[test]
-fn a_dial_that_fails_for_want_of_something_here_is_tried_again_and_never_held_against_the_server() {
+fn a_dial_that_fails_for_lack_of_local_resources_is_retried_and_never_blamed_on_the_server() {
     // EINTR, EAGAIN, ENOMEM, EADDRNOTAVAIL, ENOBUFS.
-    for here in [4, 11, 12, 99, 105] {
-        assert_eq!(after_dials(&[Some(here), Some(here), None]), (Ok(()), 3), "{here}");
-        assert_eq!(after_dials(&[Some(here)]), (Err(ConnectionEnd::NoDescriptor), 10), "{here}");
+    for local in [4, 11, 12, 99, 105] {
+        assert_eq!(dial_with_errors(&[Some(local), Some(local), None]), (Ok(()), 3), "{local}");
+        assert_eq!(dial_with_errors(&[Some(local)]), (Err(ConnectionEnd::NoDescriptor), 10), "{local}");
     }
-    // ENFILE, EMFILE: what has one must end first.
+    // ENFILE, EMFILE: a retry can't succeed before another descriptor is closed.
     assert!([23, 24]
         .into_iter()
-        .all(|here| after_dials(&[Some(here)]) == (Err(ConnectionEnd::NoDescriptor), 1)));
+        .all(|local| dial_with_errors(&[Some(local)]) == (Err(ConnectionEnd::NoDescriptor), 1)));
     // ENETUNREACH, ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH.
-    let there = [101, 104, 110, 111, 113];
-    assert!(there.into_iter().all(|there| after_dials(&[Some(there)]) == (Err(ConnectionEnd::Refused), 1)));
+    let remote = [101, 104, 110, 111, 113];
+    assert!(remote
+        .into_iter()
+        .all(|error| dial_with_errors(&[Some(error)]) == (Err(ConnectionEnd::Refused), 1)));
 }
 
-/// Two ends of a connection, the first of the event loop.
+/// Both ends of a connection, the first of which is registered with the event loop.
 fn connection() -> (async_io::Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
@@ -82,24 +85,24 @@
 }
 
 #[test]
-fn whole_pieces_pass_though_each_call_takes_or_gives_a_part() {
-    let bytes: Vec<u8> = (0..3_000_000u32).map(|at| at as u8).collect();
+fn all_bytes_are_transferred_although_each_system_call_transfers_only_some() {
+    let bytes: Vec<u8> = (0..3_000_000u32).map(|index| index as u8).collect();
     let (near, mut far) = connection();
     let expected = bytes.clone();
-    let reads = thread::spawn(move || {
-        let (mut came, mut part) = (Vec::new(), [0; 1_013]);
-        while came.len() < expected.len() {
-            let count = far.read(&mut part).expect("read");
-            assert!(count > 0, "it ends too early");
-            came.extend_from_slice(&part[..count]);
+    let peer = thread::spawn(move || {
+        let (mut received, mut chunk) = (Vec::new(), [0; 1_013]);
+        while received.len() < expected.len() {
+            let count = far.read(&mut chunk).expect("read");
+            assert!(count > 0, "the connection ended too early");
+            received.extend_from_slice(&chunk[..count]);
         }
-        assert!(came == expected);
-        expected.chunks(777).for_each(|part| far.write_all(part).expect("written"));
+        assert!(received == expected);
+        expected.chunks(777).for_each(|chunk| far.write_all(chunk).expect("written"));
     });
     async_io::block_on(write_all(&near, &bytes)).expect("written");
-    let came = async_io::block_on(read_exact(&near, bytes.len())).expect("read");
-    assert!(came == bytes);
-    reads.join().expect("the other end");
+    let received = async_io::block_on(read_exact(&near, bytes.len())).expect("read");
+    assert!(received == bytes);
+    peer.join().expect("the peer thread");
     let ended = async_io::block_on(read_exact(&near, 1)).map_err(|error| error.kind());
     assert_eq!(ended, Err(ErrorKind::UnexpectedEof));
 }
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Lists read slice by slice are what they are when read at once, whatever is wrong with them; and responses that come in pieces
-//! are decoded once.
+//! Endpoint lists parsed in slices give the same result as lists parsed at once, also if they are invalid. Responses that arrive in
+//! pieces are decoded once.
 
 use std::time::{Duration, Instant};
 
@@ -8,49 +8,49 @@
 use fernscale_gateway::protocol::http;
 use fernscale_policy::settings::PlatformSettings;
 
-const GOOD: &str = r#"{"name":"a","address":"127.0.0.1:1","zone":"z","group":2,"status":"in_service","weight":2.5,"since_ms":7}"#;
-const DRAINS: &str = r#"{ "name" : "b", "address" : "127.0.0.1:2", "status" : "terminating" }"#;
-const GONE: &str = r#"{"name":"c","address":"127.0.0.1:3","status":"terminated","more":[{}]}"#;
+const READY: &str = r#"{"name":"a","address":"127.0.0.1:1","zone":"z","group":2,"status":"in_service","weight":2.5,"since_ms":7}"#;
+const DRAINING: &str = r#"{ "name" : "b", "address" : "127.0.0.1:2", "status" : "terminating" }"#;
+const REMOVED: &str = r#"{"name":"c","address":"127.0.0.1:3","status":"terminated","more":[{}]}"#;
 
-fn outside() -> PlatformSettings {
+fn platform() -> PlatformSettings {
     PlatformSettings { zones: vec!["z".into()], ..PlatformSettings::default() }
 }
 
 fn read_in_slices(body: &str, known: &mut KnownEndpoints) -> Result<String, ListError> {
-    let refused = |why| ListError { reason: why, index: None, draining: Vec::new() };
-    let mut reader = SlicedReader::for_body(body.as_bytes()).map_err(refused)?;
-    while reader.read_slice(known, &outside()) {}
-    reader.end(known).map(|members| format!("{members:?}"))
+    let unread = |reason| ListError { reason, index: None, draining: Vec::new() };
+    let mut reader = SlicedReader::for_body(body.as_bytes()).map_err(unread)?;
+    while reader.read_slice(known, &platform()) {}
+    reader.end(known).map(|update| format!("{update:?}"))
 }
 
 fn read_at_once(body: &str) -> Result<String, ListError> {
-    let refused = |why| ListError { reason: why, index: None, draining: Vec::new() };
-    let value = serde_json::from_str(body).map_err(|error: serde_json::Error| refused(error.to_string()))?;
-    endpoint_update(&value, &outside()).map(|members| format!("{members:?}"))
+    let unread = |reason| ListError { reason, index: None, draining: Vec::new() };
+    let value = serde_json::from_str(body).map_err(|error: serde_json::Error| unread(error.to_string()))?;
+    endpoint_update(&value, &platform()).map(|update| format!("{update:?}"))
 }
 
 #[test]
-fn lists_read_in_slices_are_what_they_are_when_read_at_once() {
+fn lists_read_in_slices_equal_lists_read_at_once() {
     let list =
         |entries: &[&str]| format!(r#"{{"index":4,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
     let indented =
-        format!("{{\n  \"index\": 4,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {GOOD}\n  ]\n}}\n");
-    let many: Vec<String> = (0..200).map(|at| GOOD.replace("\"a\"", &format!("\"m{at}\""))).collect();
+        format!("{{\n  \"index\": 4,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {READY}\n  ]\n}}\n");
+    let many: Vec<String> = (0..200).map(|index| READY.replace("\"a\"", &format!("\"m{index}\""))).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let bodies = [
         list(&[]),
         list(&many),
-        list(&[&many[..], &[DRAINS, GOOD, GONE, GOOD]].concat()),
-        list(&[GOOD, DRAINS, GONE]),
+        list(&[&many[..], &[DRAINING, READY, REMOVED, READY]].concat()),
+        list(&[READY, DRAINING, REMOVED]),
         indented,
-        list(&[GOOD, DRAINS, GOOD]),
-        list(&[DRAINS, GONE, r#"{"name":"d","address":"127.0.0.1:4","status":"odd"}"#]),
-        list(&[GOOD, DRAINS, "5", "{}"]),
-        list(&[DRAINS, r#"{"name":"d","address":"nowhere","status":"terminating"}"#]),
-        list(&[DRAINS, r#"{"name":7,"address":"127.0.0.1:4","status":"terminating"}"#]),
-        format!(r#"{{"snapshot":true,"endpoints":[{GOOD},{DRAINS}]}}"#),
-        format!(r#"{{"index":-4,"snapshot":1,"endpoints":[{DRAINS}]}}"#),
-        format!(r#"{{"index":4,"endpoints":[{DRAINS}]}}"#),
+        list(&[READY, DRAINING, READY]),
+        list(&[DRAINING, REMOVED, r#"{"name":"d","address":"127.0.0.1:4","status":"odd"}"#]),
+        list(&[READY, DRAINING, "5", "{}"]),
+        list(&[DRAINING, r#"{"name":"d","address":"nowhere","status":"terminating"}"#]),
+        list(&[DRAINING, r#"{"name":7,"address":"127.0.0.1:4","status":"terminating"}"#]),
+        format!(r#"{{"snapshot":true,"endpoints":[{READY},{DRAINING}]}}"#),
+        format!(r#"{{"index":-4,"snapshot":1,"endpoints":[{DRAINING}]}}"#),
+        format!(r#"{{"index":4,"endpoints":[{DRAINING}]}}"#),
         r#"{"index":4,"snapshot":true}"#.into(),
         r#"{"index":4,"snapshot":true,"endpoints":null}"#.into(),
         r#"{"index":4,"snapshot":true,"endpoints":{}}"#.into(),
@@ -58,116 +58,123 @@
         "{".into(),
         String::new(),
     ];
-    // A list that comes again, and one behind another list, meets entries that are known by their texts.
+    // Each list is read twice, and after other lists, so that some of its entries are already known by their texts.
     let mut known = KnownEndpoints::default();
     for body in bodies.iter().flat_map(|body| [body, body]) {
-        let (sliced, whole) = (read_in_slices(body, &mut known), read_at_once(body));
-        match (&sliced, &whole) {
-            // Where it is no JSON the parser's words may name another place.
-            (Err(one), Err(other)) if serde_json::from_str::<serde_json::Value>(body).is_err() => {
-                assert_eq!(one.draining, other.draining);
+        let (sliced, at_once) = (read_in_slices(body, &mut known), read_at_once(body));
+        match (&sliced, &at_once) {
+            // If the body is not JSON, the parser's errors may name different positions.
+            (Err(sliced), Err(at_once)) if serde_json::from_str::<serde_json::Value>(body).is_err() => {
+                assert_eq!(sliced.draining, at_once.draining);
             }
-            // What an answer without entries has for an index is of no use.
-            (Err(one), Err(other)) => {
-                assert_eq!((&one.reason, &one.draining), (&other.reason, &other.draining), "{body}");
+            // The index of a response without entries is not used, and may differ.
+            (Err(sliced), Err(at_once)) => {
+                assert_eq!(
+                    (&sliced.reason, &sliced.draining),
+                    (&at_once.reason, &at_once.draining),
+                    "{body}"
+                );
             }
-            _ => assert_eq!(sliced, whole, "{body}"),
+            _ => assert_eq!(sliced, at_once, "{body}"),
         }
     }
 }
 
-/// Chunks of one entry each, as a service writes them that streams its list.
+/// A response with one entry in each chunk, like that of a service that streams its list.
 fn in_chunks(chunks: usize) -> Vec<u8> {
     let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     for _ in 0..chunks {
-        bytes.extend_from_slice(format!("{:x}\r\n{GOOD}\r\n", GOOD.len()).as_bytes());
+        bytes.extend_from_slice(format!("{:x}\r\n{READY}\r\n", READY.len()).as_bytes());
     }
     bytes.extend_from_slice(b"0\r\nTrailer: t\r\n\r\n");
     bytes
 }
 
 #[test]
-fn a_response_that_comes_in_pieces_is_the_same_as_at_once() {
+fn a_response_received_in_pieces_equals_the_one_received_at_once() {
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n".to_vec();
-    let known = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc".to_vec();
-    for bytes in
-        [known.clone(), in_chunks(3), [interim.clone(), known].concat(), [interim, in_chunks(2)].concat()]
-    {
-        let whole = http::parse_response(&bytes, false).expect("good").expect("whole");
+    let known_length = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc".to_vec();
+    for bytes in [
+        known_length.clone(),
+        in_chunks(3),
+        [interim.clone(), known_length].concat(),
+        [interim, in_chunks(2)].concat(),
+    ] {
+        let response = http::parse_response(&bytes, false).expect("valid").expect("complete");
         let mut reader = http::Reader::default();
         for end in 0..bytes.len() {
             assert_eq!(reader.read(&bytes[..end], false), Ok(None), "{end} bytes");
         }
-        assert_eq!(reader.read(&bytes, false), Ok(Some(whole)));
+        assert_eq!(reader.read(&bytes, false), Ok(Some(response)));
     }
 }
 
-/// The time that the fastest of three plays takes.
-fn fastest(play: impl Fn()) -> Duration {
+/// The time of the fastest of three runs.
+fn fastest(run: impl Fn()) -> Duration {
     let timed = || {
-        let began = Instant::now();
-        play();
-        began.elapsed()
+        let began_at = Instant::now();
+        run();
+        began_at.elapsed()
     };
-    (0..3).map(|_| timed()).min().expect("three plays")
+    (0..3).map(|_| timed()).min().expect("three runs")
 }
 
-/// Eight times as much may cost some sixteen times as much, but not sixty-four times.
-fn in_proportion(small: Duration, eightfold: Duration) {
-    assert!(eightfold < small * 24, "{small:?}, and {eightfold:?} for eight times as much");
+/// Checks that the cost of eight times the input is nearly linear: some sixteen times the cost pass, sixty-four times fail.
+fn assert_nearly_linear(small: Duration, eightfold: Duration) {
+    assert!(eightfold < small * 24, "{small:?}, but {eightfold:?} for eight times the input");
 }
 
 #[test]
-fn chunks_are_decoded_once_however_many_pieces_they_come_in() {
+fn chunks_are_decoded_once_however_many_pieces_they_arrive_in() {
     let read = |chunks: usize| {
         let bytes = in_chunks(chunks);
         fastest(|| {
             let mut reader = http::Reader::default();
-            let ends = (0..bytes.len()).step_by(GOOD.len()).chain([bytes.len()]);
+            let ends = (0..bytes.len()).step_by(READY.len()).chain([bytes.len()]);
             let responses: Vec<_> =
-                ends.filter_map(|end| reader.read(&bytes[..end], false).expect("good")).collect();
-            assert_eq!(responses[0].0.body.len(), chunks * GOOD.len());
+                ends.filter_map(|end| reader.read(&bytes[..end], false).expect("valid")).collect();
+            assert_eq!(responses[0].0.body.len(), chunks * READY.len());
         })
     };
-    in_proportion(read(500), read(4_000));
+    assert_nearly_linear(read(500), read(4_000));
 }
 
 #[test]
-fn a_whole_list_costs_in_proportion_to_its_length() {
+fn the_cost_of_a_complete_list_grows_linearly() {
     let list = |servers: usize| {
         let entries: Vec<String> = (0..servers)
-            .map(|at| format!(r#"{{"name":"s{at}","address":"127.0.0.1:1","status":"in_service"}}"#))
+            .map(|index| format!(r#"{{"name":"s{index}","address":"127.0.0.1:1","status":"in_service"}}"#))
             .collect();
         let body = format!(r#"{{"index":4,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
-        endpoint_update(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
+        endpoint_update(&serde_json::from_str(&body).expect("json"), &platform()).expect("a list")
     };
     let apply = |servers: usize| {
-        let members = list(servers);
+        let update = list(servers);
         fastest(|| {
-            let mut leavers = DrainingEndpoints::default();
-            (0..4).for_each(|_| leavers.apply(&mut members.clone()));
+            let mut draining = DrainingEndpoints::default();
+            (0..4).for_each(|_| draining.apply(&mut update.clone()));
         })
     };
-    in_proportion(apply(500), apply(4_000));
+    assert_nearly_linear(apply(500), apply(4_000));
 }
 
 #[test]
-fn whoever_left_long_ago_is_forgotten_beyond_a_bound_and_the_latest_are_not() {
-    let mut leavers = DrainingEndpoints::default();
-    let leave = |index: usize| {
+fn only_the_oldest_departures_are_forgotten_beyond_a_maximum() {
+    let mut draining = DrainingEndpoints::default();
+    let removal = |index: usize| {
         let entry = format!(r#"{{"name":"s{index}","address":"127.0.0.1:1","status":"terminated"}}"#);
         let body = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{entry}]}}"#);
-        endpoint_update(&serde_json::from_str(&body).expect("json"), &outside()).expect("a list")
+        endpoint_update(&serde_json::from_str(&body).expect("json"), &platform()).expect("a list")
     };
-    const MANY: usize = 20_000;
-    (0..MANY).for_each(|index| leavers.apply(&mut leave(index)));
-    let left = |index: usize| leavers.contains(&format!("s{index}").as_str().into());
-    assert!(!left(0) && (MANY - 10_000..MANY).all(left));
+    const REMOVALS: usize = 20_000;
+    (0..REMOVALS).for_each(|index| draining.apply(&mut removal(index)));
+    let is_remembered = |index: usize| draining.contains(&format!("s{index}").as_str().into());
+    assert!(!is_remembered(0) && (REMOVALS - 10_000..REMOVALS).all(is_remembered));
 }
 
-/// Danger: a size near the largest number, which overflows when it is added to what came before, would end the gateway.
+/// A chunk size near the largest integer overflows when it is added to an offset or length, which would crash the gateway.
 #[test]
-fn a_chunk_whose_size_overflows_behind_another_is_an_error() {
+fn a_chunk_whose_size_overflows_after_another_chunk_is_an_error() {
     for size in ["ffffffffffffffff", "fffffffffffffffe", "fffffffffffffffd"] {
         let bytes = format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n{size}\r\nxyz\r\n0\r\n\r\n"
@@ -180,9 +187,10 @@
     }
 }
 
-/// The texts are in the log, where operators and their alerts look for them. Danger: a change of the errors' shape changes one.
+/// The texts are written to the log, and alerts of operators match them. The test guards against a change of the error types that
+/// changes a text.
 #[test]
-fn each_problem_of_a_list_has_its_text_and_the_first_one_is_reported() {
+fn each_problem_of_a_list_has_its_text_and_the_first_problem_is_reported() {
     let list = |entries: &str| format!(r#"{{"index":4,"snapshot":true,"endpoints":[{entries}]}}"#);
     let unknown = r#"{"name":"d","address":"127.0.0.1:4","status":"odd"}"#;
     for (body, text) in [
@@ -196,14 +204,14 @@
         (list(r#"{"name":"d"}"#), "server 'd' has no 'address' of a socket"),
         (list(r#"{"name":"d","address":"127.0.0.1:4"}"#), "server 'd' has no 'status'"),
         (list(unknown), "server 'd' has a 'status' that is not known: 'odd'"),
-        (list(&[GOOD, DRAINS, GOOD, DRAINS].join(",")), "server 'a' comes twice"),
-        // A duplicate counts only where all entries can be read, and before what is missing around them.
-        (list(&[GOOD, GOOD, unknown].join(",")), "server 'd' has a 'status' that is not known: 'odd'"),
+        (list(&[READY, DRAINING, READY, DRAINING].join(",")), "server 'a' comes twice"),
+        // A duplicate is reported only if all entries can be parsed, and before fields missing from the list itself.
+        (list(&[READY, READY, unknown].join(",")), "server 'd' has a 'status' that is not known: 'odd'"),
         (list(&["{}", unknown].join(",")), "a server without 'name'"),
-        (format!(r#"{{"endpoints":[{GOOD},{GOOD}]}}"#), "server 'a' comes twice"),
+        (format!(r#"{{"endpoints":[{READY},{READY}]}}"#), "server 'a' comes twice"),
     ] {
-        let whole = read_at_once(&body).expect_err(&body);
+        let at_once = read_at_once(&body).expect_err(&body);
         let sliced = read_in_slices(&body, &mut KnownEndpoints::default()).expect_err(&body);
-        assert_eq!((whole.reason.as_str(), sliced.reason.as_str()), (text, text), "{body}");
+        assert_eq!((at_once.reason.as_str(), sliced.reason.as_str()), (text, text), "{body}");
     }
 }
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers on every split of their input, on generated input, and on input that means harm.
+//! The parsers on every split of their input, on generated input, and on malicious input.
 
 use fernscale_gateway::protocol::call::{self, Command, FinalAnswer, ServerReply};
 use fernscale_gateway::protocol::{http, resp, Scanned};
@@ -11,43 +11,44 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use resp::Reply;
 
-/// Whatever comes after a message, or is missing from it, must not change what is read.
+/// Checks that no prefix of a message is parsed as a message, and that bytes after the message don't change the result.
 fn on_every_split<T: PartialEq + std::fmt::Debug>(input: &[u8], scan: impl Fn(&[u8]) -> Scanned<T>) -> T {
     for end in 0..input.len() {
         assert_eq!(scan(&input[..end]), Ok(None), "{end} bytes of {}", String::from_utf8_lossy(input));
     }
-    let (whole, length) = scan(input).expect("good").expect("whole");
+    let (message, length) = scan(input).expect("valid").expect("complete");
     assert_eq!(length, input.len());
     for tail in [&b"*1\r\n$4\r\nPING\r\n"[..], b"\r\n", b"\0garbage"] {
-        let (joined, length) = scan(&[input, tail].concat()).expect("good").expect("whole");
-        assert_eq!((&joined, length), (&whole, input.len()));
+        let (with_tail, length) = scan(&[input, tail].concat()).expect("valid").expect("complete");
+        assert_eq!((&with_tail, length), (&message, input.len()));
     }
-    whole
+    message
 }
 
-fn words(bytes: &[u8]) -> Scanned<Vec<Vec<u8>>> {
-    let found = resp::command(bytes)?;
-    Ok(found.map(|(words, length)| (words.into_iter().map(<[u8]>::to_vec).collect(), length)))
+/// A command in a form that outlives its bytes.
+fn owned_command(bytes: &[u8]) -> Scanned<Vec<Vec<u8>>> {
+    let command = resp::command(bytes)?;
+    Ok(command.map(|(arguments, length)| (arguments.into_iter().map(<[u8]>::to_vec).collect(), length)))
 }
 
 /// A reply in a form that outlives its bytes.
-fn shown(bytes: &[u8]) -> Scanned<String> {
+fn debug_reply(bytes: &[u8]) -> Scanned<String> {
     Ok(resp::reply(bytes)?.map(|(reply, length)| (format!("{reply:?}"), length)))
 }
 
 #[test]
-fn commands_are_read_back_however_they_are_split() {
-    fn back(command: Vec<Vec<u8>>) -> bool {
+fn written_commands_are_parsed_however_they_are_split() {
+    fn is_parsed_back(command: Vec<Vec<u8>>) -> bool {
         let command: Vec<_> = command.into_iter().take(9).collect();
         let slices: Vec<&[u8]> = command.iter().map(Vec::as_slice).collect();
-        command.is_empty() || on_every_split(&resp::write_command(&slices), words) == command
+        command.is_empty() || on_every_split(&resp::write_command(&slices), owned_command) == command
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(24, 7)).tests(200).quickcheck(back as fn(_) -> _);
+    QuickCheck::new().rng(Gen::from_size_and_seed(24, 7)).tests(200).quickcheck(is_parsed_back as fn(_) -> _);
 }
 
 #[test]
-fn replies_are_read_however_they_are_split() {
-    for (bytes, meaning) in [
+fn replies_are_parsed_however_they_are_split() {
+    for (bytes, expected) in [
         (&b"+PONG\r\n"[..], "Simple([80, 79, 78, 71])"),
         (b"-BUSY\r\n", "Error([66, 85, 83, 89])"),
         (b":-12\r\n", "Number(-12)"),
@@ -58,13 +59,13 @@
         (b"*0\r\n", "Array(Some([]))"),
         (b"*2\r\n$1\r\nx\r\n*1\r\n$-1\r\n", "Array(Some([Bulk(Some([120])), Array(Some([Bulk(None)]))]))"),
     ] {
-        assert_eq!(on_every_split(bytes, shown), meaning);
+        assert_eq!(on_every_split(bytes, debug_reply), expected);
     }
 }
 
 #[test]
-fn what_is_no_resp_is_an_error_and_not_awaited() {
-    let long = [&b"*1\r\n$"[..], &[b'1'; 2_000]].concat();
+fn invalid_resp_is_an_error_and_not_an_incomplete_message() {
+    let long_line = [&b"*1\r\n$"[..], &[b'1'; 2_000]].concat();
     let commands: [&[u8]; 13] = [
         b"PING\r\n",
         b"\r\n",
@@ -80,8 +81,8 @@
         b"*1\r\n$65537\r\n",
         b"*1\r\n$1\r\nxy",
     ];
-    for bad in commands.into_iter().chain([&long[..], b"*99999999999999999999\r\n"]) {
-        assert!(resp::command(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+    for invalid in commands.into_iter().chain([&long_line[..], b"*99999999999999999999\r\n"]) {
+        assert!(resp::command(invalid).is_err(), "{}", String::from_utf8_lossy(invalid));
     }
     let replies: [&[u8]; 7] = [
         b"?\r\n",
@@ -92,21 +93,21 @@
         b"$1\r\nxy",
         b"*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n",
     ];
-    for bad in replies {
-        assert!(resp::reply(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+    for invalid in replies {
+        assert!(resp::reply(invalid).is_err(), "{}", String::from_utf8_lossy(invalid));
     }
-    // Five values of full size, each fine in itself, are no command that is taken.
+    // Two values of maximum size, each valid in itself, are too long for one command.
     let value = [b'x'; resp::MAX_BULK_BYTES];
     assert!(resp::command(&resp::write_command(&[&value, &value])).is_err());
 }
 
 #[test]
-fn no_bytes_at_all_break_the_parsers() {
+fn no_input_makes_a_parser_panic_or_return_a_wrong_length() {
     #[derive(Clone, Debug)]
     struct Bytes(Vec<u8>);
     impl Arbitrary for Bytes {
-        fn arbitrary(from: &mut Gen) -> Self {
-            let parts: [&[u8]; 12] = [
+        fn arbitrary(generator: &mut Gen) -> Self {
+            let fragments: [&[u8]; 12] = [
                 b"*",
                 b"$",
                 b"-",
@@ -120,44 +121,55 @@
                 b"Transfer-Encoding: chunked",
                 b"\0\xff",
             ];
-            let length = usize::arbitrary(from) % 20;
-            Bytes((0..length).flat_map(|_| from.choose(&parts).expect("some").to_vec()).collect())
+            let length = usize::arbitrary(generator) % 20;
+            Bytes(
+                (0..length)
+                    .flat_map(|_| generator.choose(&fragments).expect("a fragment").to_vec())
+                    .collect(),
+            )
         }
     }
-    fn holds(Bytes(bytes): Bytes) -> bool {
-        let within = |found: Option<usize>| found.is_none_or(|length| length > 0 && length <= bytes.len());
-        within(resp::command(&bytes).ok().flatten().map(|(_, length)| length))
-            && within(resp::reply(&bytes).ok().flatten().map(|(_, length)| length))
-            && within(http::parse_response(&bytes, true).ok().flatten().map(|(_, length)| length))
+    fn lengths_are_valid(Bytes(bytes): Bytes) -> bool {
+        let is_valid =
+            |length: Option<usize>| length.is_none_or(|length| length > 0 && length <= bytes.len());
+        is_valid(resp::command(&bytes).ok().flatten().map(|(_, length)| length))
+            && is_valid(resp::reply(&bytes).ok().flatten().map(|(_, length)| length))
+            && is_valid(http::parse_response(&bytes, true).ok().flatten().map(|(_, length)| length))
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).tests(20_000).quickcheck(holds as fn(_) -> _);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, 7))
+        .tests(20_000)
+        .quickcheck(lengths_are_valid as fn(_) -> _);
 }
 
 #[test]
-fn responses_are_read_however_they_are_split() {
+fn responses_are_parsed_however_they_are_split() {
     let scan = |bytes: &[u8]| http::parse_response(bytes, false);
-    let body = |bytes: &[u8]| {
+    let parse = |bytes: &[u8]| {
         let response = on_every_split(bytes, scan);
         (response.status, String::from_utf8(response.body).expect("text"), response.keep_alive)
     };
-    let plain = b"HTTP/1.1 200 OK\r\nContent-Type: a\r\ncontent-length: 4\r\n\r\n{}\r\n";
-    assert_eq!(body(plain), (200, "{}\r\n".into(), true));
-    let chunks = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\n{\"\r\nB\r\na\":\"b\r\n\"}..\r\n0\r\nT: x\r\n\r\n";
-    assert_eq!(body(chunks), (200, "{\"a\":\"b\r\n\"}..".into(), true));
-    let closes = b"HTTP/1.1 503 Busy\r\nConnection: x, Close\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(body(closes), (503, String::new(), false));
+    let known_length = b"HTTP/1.1 200 OK\r\nContent-Type: a\r\ncontent-length: 4\r\n\r\n{}\r\n";
+    assert_eq!(parse(known_length), (200, "{}\r\n".into(), true));
+    let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\n{\"\r\nB\r\na\":\"b\r\n\"}..\r\n0\r\nT: x\r\n\r\n";
+    assert_eq!(parse(chunked), (200, "{\"a\":\"b\r\n\"}..".into(), true));
+    let closing = b"HTTP/1.1 503 Busy\r\nConnection: x, Close\r\nContent-Length: 0\r\n\r\n";
+    assert_eq!(parse(closing), (503, String::new(), false));
     let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-    assert_eq!(body(interim), (200, "x".into(), true));
-    // Without a length the body lasts until the connection ends.
-    let open = b"HTTP/1.0 200 OK\r\n\r\nall of it";
-    assert_eq!(http::parse_response(open, false), Ok(None));
-    let (response, length) = http::parse_response(open, true).expect("good").expect("whole");
-    assert_eq!((&response.body[..], response.keep_alive, length), (&b"all of it"[..], false, open.len()));
+    assert_eq!(parse(interim), (200, "x".into(), true));
+    // Without a length, the body ends with the connection.
+    let until_close = b"HTTP/1.0 200 OK\r\n\r\nall of it";
+    assert_eq!(http::parse_response(until_close, false), Ok(None));
+    let (response, length) = http::parse_response(until_close, true).expect("valid").expect("complete");
+    assert_eq!(
+        (&response.body[..], response.keep_alive, length),
+        (&b"all of it"[..], false, until_close.len())
+    );
 }
 
 #[test]
-fn what_is_no_response_is_an_error() {
-    for bad in [
+fn an_invalid_response_is_an_error() {
+    for invalid in [
         "SSH-2.0-x\r\n\r\n",
         "HTTP/1.1 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
@@ -169,11 +181,11 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n",
         &"x".repeat(20_000),
     ] {
-        assert!(http::parse_response(bad.as_bytes(), false).is_err(), "{bad:.60}");
+        assert!(http::parse_response(invalid.as_bytes(), false).is_err(), "{invalid:.60}");
     }
 }
 
-fn outside() -> PlatformSettings {
+fn platform() -> PlatformSettings {
     let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
     PlatformSettings {
         class_names: names(&["lookup", "order"]),
@@ -185,30 +197,34 @@
     }
 }
 
-fn request(list: &str) -> Result<Command, String> {
-    call::command(&[b"CALL.GET", b"00000000b4d65521", b"9b1f", list.as_bytes()], &outside())
+/// Parses a command with this list of fields.
+fn parse_call(list: &str) -> Result<Command, String> {
+    call::command(&[b"CALL.GET", b"00000000b4d65521", b"9b1f", list.as_bytes()], &platform())
 }
 
 #[test]
-fn a_call_is_passed_on_as_it_came_but_for_the_time() {
+fn a_call_is_forwarded_unchanged_except_for_the_time() {
     let list = "c=order,x=unknown,t=team,d=480,k=5c0f,units=2,spread=3,first=1";
-    let words: [&[u8]; 5] =
+    let arguments: [&[u8]; 5] =
         [b"CALL.POST", b"00000000b4d65521", b"9b1f03aa5c7e2d41", list.as_bytes(), b"BO\r\nDY"];
-    let Ok(Command::Call(call)) = call::command(&words, &outside()) else { panic!("no call") };
-    let asked = &call.request;
-    assert_eq!((asked.class, asked.plan, asked.time_left), (1, 0, 480_000));
-    assert_eq!((asked.units, asked.gateway_spread, asked.first_gateway), (2.0, 3, 1));
-    let sent = call.command(77_001);
-    let (sent, _) = resp::command(&sent).expect("good").expect("whole");
-    assert_eq!(sent[3], list.replace("d=480", "d=78").as_bytes());
-    assert_eq!([sent[0], sent[1], sent[2], sent[4]], [words[0], words[1], words[2], words[4]]);
+    let Ok(Command::Call(call)) = call::command(&arguments, &platform()) else { panic!("no call") };
+    let request = &call.request;
+    assert_eq!((request.class, request.plan, request.time_left), (1, 0, 480_000));
+    assert_eq!((request.units, request.gateway_spread, request.first_gateway), (2.0, 3, 1));
+    let forwarded = call.command(77_001);
+    let (forwarded, _) = resp::command(&forwarded).expect("valid").expect("complete");
+    assert_eq!(forwarded[3], list.replace("d=480", "d=78").as_bytes());
+    assert_eq!(
+        [forwarded[0], forwarded[1], forwarded[2], forwarded[4]],
+        [arguments[0], arguments[1], arguments[2], arguments[4]]
+    );
 }
 
 #[test]
-fn calls_that_are_asked_wrongly_are_told_so() {
-    assert!(matches!(request("c=lookup,t=team,d=480"), Ok(Command::Call(_))));
-    // A wait longer than any client's is cut: no clock could hold it, and it would hold its place for ever.
-    let Ok(Command::Call(call)) = request("c=lookup,t=team,d=99999999999999999999") else {
+fn invalid_calls_get_an_error() {
+    assert!(matches!(parse_call("c=lookup,t=team,d=480"), Ok(Command::Call(_))));
+    // A wait longer than the maximum is shortened: it would overflow the clock, and the request would stay open for ever.
+    let Ok(Command::Call(call)) = parse_call("c=lookup,t=team,d=99999999999999999999") else {
         panic!("no call")
     };
     assert_eq!(call.request.time_left, 3_000_000);
@@ -239,76 +255,80 @@
         "",
         "c=lookup,t=team,d=480\r\n",
     ] {
-        let why = request(list).expect_err(list);
-        assert!(!call::error(&why)[..].windows(2).rev().skip(1).any(|two| two == b"\r\n"), "{why}");
+        let error = parse_call(list).expect_err(list);
+        assert!(!call::error(&error)[..].windows(2).rev().skip(1).any(|pair| pair == b"\r\n"), "{error}");
     }
-    for customer in ["b4d65521", "+0000000b4d65521", "0000000200000000", "00000000b4d6552g"] {
-        let words: [&[u8]; 4] = [b"CALL.GET", customer.as_bytes(), b"9b1f", b"c=lookup,t=team,d=480"];
-        assert!(call::command(&words, &outside()).is_err(), "{customer}");
+    for tenant in ["b4d65521", "+0000000b4d65521", "0000000200000000", "00000000b4d6552g"] {
+        let arguments: [&[u8]; 4] = [b"CALL.GET", tenant.as_bytes(), b"9b1f", b"c=lookup,t=team,d=480"];
+        assert!(call::command(&arguments, &platform()).is_err(), "{tenant}");
     }
 }
 
 #[test]
-fn replies_of_servers_mean_what_the_protocol_says() {
+fn replies_of_servers_are_parsed_as_the_protocol_says() {
     let names = vec!["busy_reqs".to_string()];
-    let said =
-        |bytes: &[u8]| Ok::<_, &str>(call::scan_complete_reply(bytes, false, &names)?.expect("whole").0);
-    let (settled, load) =
-        said(b"*3\r\n$2\r\nok\r\n$14\r\nused=86,cost=3\r\n$11\r\nbusy_reqs=7\r\n").expect("an answer");
-    assert_eq!(settled, ServerReply::Completed { value: b"ok"[..].into(), units: Some(3.0) });
+    let parse =
+        |bytes: &[u8]| Ok::<_, &str>(call::scan_complete_reply(bytes, false, &names)?.expect("complete").0);
+    let (completed, load) =
+        parse(b"*3\r\n$2\r\nok\r\n$14\r\nused=86,cost=3\r\n$11\r\nbusy_reqs=7\r\n").expect("an answer");
+    assert_eq!(completed, ServerReply::Completed { value: b"ok"[..].into(), units: Some(3.0) });
     assert_eq!(load.in_flight, Some(7.0));
     assert_eq!(
-        said(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n").expect("an answer").0,
+        parse(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n").expect("an answer").0,
         ServerReply::Completed { value: [].into(), units: None }
     );
-    assert_eq!(said(b"-ERR failed\r\n").expect("an error").0, ServerReply::Failed);
-    let (full, load) = said(b"-BUSY busy_reqs=9\r\n").expect("an error");
-    assert_eq!((full, load.in_flight), (ServerReply::Overloaded, Some(9.0)));
-    for bad in [&b"+OK\r\n"[..], b"$2\r\nok\r\n", b"*0\r\n", b"*1\r\n$-1\r\n", b"*-1\r\n"] {
-        assert!(said(bad).is_err());
+    assert_eq!(parse(b"-ERR failed\r\n").expect("an error").0, ServerReply::Failed);
+    let (overloaded, load) = parse(b"-BUSY busy_reqs=9\r\n").expect("an error");
+    assert_eq!((overloaded, load.in_flight), (ServerReply::Overloaded, Some(9.0)));
+    for invalid in [&b"+OK\r\n"[..], b"$2\r\nok\r\n", b"*0\r\n", b"*1\r\n$-1\r\n", b"*-1\r\n"] {
+        assert!(parse(invalid).is_err());
     }
-    // A value that has come whole is good, whatever is behind it, but not before it is sure that nothing comes.
+    // A complete value is valid whatever follows it, but only once the connection has ended.
     let value = ServerReply::Completed { value: b"ok"[..].into(), units: None };
-    for behind in
+    for following in
         ["", "$-1\r\n", "$-1\r\n$20\r\nbusy", "$-1\r\n$3\r\nbusy_reqs=1\r\n", "?what\r\n", "$99999999\r\n"]
     {
-        let answer = format!("*3\r\n$2\r\nok\r\n{behind}");
+        let reply = format!("*3\r\n$2\r\nok\r\n{following}");
         assert!(
-            !matches!(call::scan_complete_reply(answer.as_bytes(), false, &names), Ok(Some(_))),
-            "{answer}"
+            !matches!(call::scan_complete_reply(reply.as_bytes(), false, &names), Ok(Some(_))),
+            "{reply}"
         );
-        let at_the_end = call::scan_complete_reply(answer.as_bytes(), true, &names);
-        assert_eq!(at_the_end.expect("good").expect("whole").0 .0, value);
+        let at_end = call::scan_complete_reply(reply.as_bytes(), true, &names);
+        assert_eq!(at_end.expect("valid").expect("complete").0 .0, value);
     }
-    assert!(call::scan_complete_reply(b"*3\r\n*3\r\n", false, &names).is_err(), "no value can follow");
-    for spoilt in ["*3\r\n$2\r\no", "*3\r\n$1\r\nok\r\n", "*3\r\n$3000000000\r\nok", "*-7\r\n", "*3", "x"] {
+    assert!(call::scan_complete_reply(b"*3\r\n*3\r\n", false, &names).is_err(), "the first item is no value");
+    for corrupted in ["*3\r\n$2\r\no", "*3\r\n$1\r\nok\r\n", "*3\r\n$3000000000\r\nok", "*-7\r\n", "*3", "x"]
+    {
         assert!(
-            !matches!(call::scan_complete_reply(spoilt.as_bytes(), true, &names), Ok(Some(_))),
-            "{spoilt}"
+            !matches!(call::scan_complete_reply(corrupted.as_bytes(), true, &names), Ok(Some(_))),
+            "{corrupted}"
         );
     }
     assert_eq!(FinalAnswer::Rejected(500_000).write(), b"-BUSY 500\r\n");
     assert_eq!(FinalAnswer::Rejected(0).write(), b"-BUSY\r\n");
-    assert_eq!(on_every_split(&FinalAnswer::Completed(b"v"[..].into()).write(), shown), "Bulk(Some([118]))");
+    assert_eq!(
+        on_every_split(&FinalAnswer::Completed(b"v"[..].into()).write(), debug_reply),
+        "Bulk(Some([118]))"
+    );
     assert!(matches!(resp::reply(&FinalAnswer::Failed.write()), Ok(Some((Reply::Error(_), _)))));
 }
 
 #[test]
-fn a_buffer_keeps_what_is_in_it_however_it_is_filled_and_read() {
-    fn keeps(steps: Vec<(u8, u8)>) -> bool {
-        let (mut buffer, mut model, mut next) = (Buffer::new(5_000, None), Vec::new(), 0u8);
-        for (filled, read) in steps {
-            for _ in 0..filled {
-                let Ok(room) = buffer.spare() else { break };
-                let count = room.len().min(37);
-                for place in &mut room[..count] {
-                    *place = next;
-                    model.push(next);
-                    next = next.wrapping_add(1);
+fn a_buffer_keeps_its_bytes_however_it_is_filled_and_consumed() {
+    fn matches_model(steps: Vec<(u8, u8)>) -> bool {
+        let (mut buffer, mut model, mut next_byte) = (Buffer::new(5_000, None), Vec::new(), 0u8);
+        for (fills, consumed) in steps {
+            for _ in 0..fills {
+                let Ok(spare) = buffer.spare() else { break };
+                let count = spare.len().min(37);
+                for byte in &mut spare[..count] {
+                    *byte = next_byte;
+                    model.push(next_byte);
+                    next_byte = next_byte.wrapping_add(1);
                 }
                 buffer.advance(count);
             }
-            let count = model.len().min(16 * usize::from(read));
+            let count = model.len().min(16 * usize::from(consumed));
             buffer.consume(count);
             model.drain(..count);
             if buffer.filled() != model || model.len() > 5_000 || buffer.is_empty() != model.is_empty() {
@@ -317,35 +337,37 @@
         }
         true
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 7)).tests(300).quickcheck(keeps as fn(_) -> _);
-    // Full is full: a message that is longer than any may be is not awaited, nor one that memory has no room for.
+    QuickCheck::new().rng(Gen::from_size_and_seed(60, 7)).tests(300).quickcheck(matches_model as fn(_) -> _);
+    // A full buffer takes no more bytes: a message beyond the maximum length, or beyond the shared memory, is an error.
     let fill = |buffer: &mut Buffer| loop {
-        match buffer.spare().map(|room| room.len()) {
+        match buffer.spare().map(|spare| spare.len()) {
             Ok(count) => buffer.advance(count),
-            Err(how) => break how,
+            Err(end) => break end,
         }
     };
-    let (mut alone, all) = (Buffer::new(5_000, None), Slots::new(9_000));
-    assert_eq!((fill(&mut alone), alone.filled().len()), (ConnectionEnd::Malformed, 5_000));
-    let mut both = [Buffer::new(5_000, Some(all.clone())), Buffer::new(5_000, Some(all.clone()))];
+    let (mut single, shared_memory) = (Buffer::new(5_000, None), Slots::new(9_000));
+    assert_eq!((fill(&mut single), single.filled().len()), (ConnectionEnd::Malformed, 5_000));
+    let mut both =
+        [Buffer::new(5_000, Some(shared_memory.clone())), Buffer::new(5_000, Some(shared_memory.clone()))];
     assert_eq!(
         (fill(&mut both[0]), fill(&mut both[1])),
         (ConnectionEnd::Malformed, ConnectionEnd::OutOfMemory)
     );
-    assert_eq!((all.used(), both[1].filled().len()), (7_048, 2_048));
+    assert_eq!((shared_memory.used(), both[1].filled().len()), (7_048, 2_048));
     both[0].consume(5_000);
-    assert_eq!((fill(&mut both[1]), all.used()), (ConnectionEnd::Malformed, 5_000));
+    assert_eq!((fill(&mut both[1]), shared_memory.used()), (ConnectionEnd::Malformed, 5_000));
 }
 
-/// A long value is known by its head, wherever the bytes are cut, and what stands behind it is read or done without.
+/// The head of a long value is recognized wherever the received bytes end. The items behind the value are parsed, or left out if they
+/// are incomplete or invalid at the end of the connection.
 #[test]
-fn the_head_and_the_end_of_a_long_value_are_read_wherever_they_are_cut() {
+fn the_head_and_the_end_of_a_long_value_are_parsed_wherever_they_are_cut() {
     let head = b"*3\r\n$70000\r\n";
     for cut in 0..head.len() {
         assert_eq!(resp::long_value_head(&head[..cut]), Ok(None), "{cut}");
     }
-    let opening = resp::LongValueHead { items: 3, length: 70_000 };
-    assert_eq!(resp::long_value_head(head), Ok(Some((opening, head.len()))));
+    let parsed_head = resp::LongValueHead { items: 3, length: 70_000 };
+    assert_eq!(resp::long_value_head(head), Ok(Some((parsed_head, head.len()))));
     for other in [
         "*3\r\n$65536\r\n",
         "*3\r\n$4194305\r\n",
@@ -370,8 +392,8 @@
         }
     }
     let load = LoadReport { queued: Some(7.0), ..LoadReport::default() };
-    let passed = (ServerReply::Streamed { units: Some(2.5) }, load);
-    assert_eq!(call::scan_after_value(end, 2, false, &names), Ok(Some((passed, end.len()))));
+    let with_report = (ServerReply::Streamed { units: Some(2.5) }, load);
+    assert_eq!(call::scan_after_value(end, 2, false, &names), Ok(Some((with_report, end.len()))));
     assert!(call::scan_after_value(b"vv$-1\r\n$-1\r\n", 2, false, &names).is_err());
     assert!(matches!(
         call::scan_after_value(b"\r\n?what\r\n", 2, false, &names),
@@ -379,16 +401,23 @@
     ));
 }
 
-/// Danger: a read that gives little, or a packet that ends anywhere. A good reply is not a bad one because its rest has not come.
+/// A short read or a packet boundary can cut a reply anywhere. A valid reply must not be rejected because its rest has not been
+/// received yet.
 #[test]
-fn a_good_reply_is_waited_for_wherever_it_is_cut() {
+fn the_rest_of_a_valid_reply_is_waited_for_wherever_it_is_cut() {
     let long = format!("*3\r\n${}\r\n{}\r\n$6\r\ncost=2\r\n$4\r\nlen=\r\n", 70_000, "x".repeat(70_000));
-    let whole = ["*3\r\n$5\r\nvalue\r\n$6\r\ncost=2\r\n$4\r\nlen=\r\n", "-BUSY 20\r\n", "-ERR no\r\n", &long];
-    for reply in whole.map(str::as_bytes) {
+    let replies =
+        ["*3\r\n$5\r\nvalue\r\n$6\r\ncost=2\r\n$4\r\nlen=\r\n", "-BUSY 20\r\n", "-ERR no\r\n", &long];
+    for reply in replies.map(str::as_bytes) {
         let cuts = (0..reply.len()).filter(|cut| *cut < 100 || reply.len() - cut < 100);
         for cut in cuts {
-            let came = call::scan_reply(&reply[..cut], false, &[]);
-            assert!(came.is_ok(), "{:?}, cut after {cut}: {:?}", &reply[..reply.len().min(40)], came.err());
+            let scanned = call::scan_reply(&reply[..cut], false, &[]);
+            assert!(
+                scanned.is_ok(),
+                "{:?}, cut after {cut}: {:?}",
+                &reply[..reply.len().min(40)],
+                scanned.err()
+            );
         }
         assert!(matches!(call::scan_reply(reply, false, &[]), Ok(Some(_))));
     }
--- a/crates/gateway/tests/starts.rs
+++ b/crates/gateway/tests/starts.rs
@@ -1,4 +1,4 @@
-//! When servers started, while the wall clock is set to other times.
+//! The start times of servers while the wall clock is being changed.
 
 use fernscale_gateway::discovery::start_times::StartTimes;
 use fernscale_gateway::protocol::catalog::EndpointUpdate;
@@ -9,13 +9,13 @@
 
 const SECOND: Micros = 1_000_000;
 const HOUR: i64 = 3_600_000_000;
-/// The wall clock at the start.
-const WALL: i64 = 1_790_000_000_000_000;
+/// The wall clock at the start of the process, in microseconds.
+const INITIAL_WALL_TIME: i64 = 1_790_000_000_000_000;
 
 fn list(servers: &[(&str, Micros)]) -> EndpointUpdate {
-    let listed = |(server, told): &(&str, Micros)| {
-        let (server, start) = (Id::from(*server), Some(*told));
-        let listed = Endpoint {
+    let entry = |(server, start): &(&str, Micros)| {
+        let (server, start) = (Id::from(*server), Some(*start));
+        let endpoint = Endpoint {
             server,
             zone: 0,
             hardware_type: 0,
@@ -25,75 +25,84 @@
             started_at: start,
             listed_start: start,
         };
-        (listed, ([127, 0, 0, 1], 1).into())
+        (endpoint, ([127, 0, 0, 1], 1).into())
     };
-    EndpointUpdate { index: 1, full: true, moved: false, servers: servers.iter().map(listed).collect() }
+    EndpointUpdate { index: 1, full: true, moved: false, servers: servers.iter().map(entry).collect() }
 }
 
-/// The start of the first server of a list that comes now.
-fn read(starts: &mut StartTimes, now: Micros, age: Micros, servers: &[(&str, Micros)]) -> Option<Micros> {
-    let mut members = list(servers);
-    starts.apply_new(now, |_| age, &mut members);
-    members.servers[0].0.started_at
+/// Applies a list received at `now`, whose starts are `age` ago; gives the start of its first server.
+fn apply_list(
+    starts: &mut StartTimes,
+    now: Micros,
+    age: Micros,
+    servers: &[(&str, Micros)],
+) -> Option<Micros> {
+    let mut update = list(servers);
+    starts.apply_new(now, |_| age, &mut update);
+    update.servers[0].0.started_at
 }
 
 #[test]
-fn nobody_is_taken_for_older_than_it_is_whatever_the_clocks_are_set_to() {
-    let mut chance = StdRng::seed_from_u64(1);
-    for play in 0..2_000 {
-        let mut even = 0;
-        let mut settings = vec![WALL];
-        let mut wall = WallClock::new(even, WALL);
-        for _ in 0..chance.gen_range(0..6) {
-            even += chance.gen_range(1..100 * SECOND);
-            let step = [SECOND as i64, 7 * SECOND as i64, HOUR][chance.gen_range(0..3)];
-            let stands = settings[settings.len() - 1] + if chance.gen() { step } else { -step };
-            settings.push(stands);
-            wall.look(even, stands + even as i64);
+fn no_age_is_overestimated_whatever_the_clocks_are_set_to() {
+    let mut rng = StdRng::seed_from_u64(1);
+    for run in 0..2_000 {
+        let mut monotonic = 0;
+        // The offsets of the wall clock from the monotonic clock.
+        let mut offsets = vec![INITIAL_WALL_TIME];
+        let mut wall = WallClock::new(monotonic, INITIAL_WALL_TIME);
+        for _ in 0..rng.gen_range(0..6) {
+            monotonic += rng.gen_range(1..100 * SECOND);
+            let step = [SECOND as i64, 7 * SECOND as i64, HOUR][rng.gen_range(0..3)];
+            let offset = offsets[offsets.len() - 1] + if rng.gen() { step } else { -step };
+            offsets.push(offset);
+            wall.look(monotonic, offset + monotonic as i64);
         }
-        even += chance.gen_range(1..100 * SECOND);
-        // Told by any setting that there was, as other machines' clocks may have been set or not.
-        let (age, told_by) = (chance.gen_range(0..even), settings[chance.gen_range(0..settings.len())]);
-        let unix = (told_by + even as i64) as Micros - age;
-        assert!(wall.least_age(even, unix) <= age, "play {play}");
-        if settings.len() == 1 {
-            assert_eq!(wall.least_age(even, unix), age, "play {play}");
+        monotonic += rng.gen_range(1..100 * SECOND);
+        // The listed time may be by any of the offsets, as the clocks of other machines may have been changed or not.
+        let (age, listed_by) = (rng.gen_range(0..monotonic), offsets[rng.gen_range(0..offsets.len())]);
+        let unix_time = (listed_by + monotonic as i64) as Micros - age;
+        assert!(wall.least_age(monotonic, unix_time) <= age, "run {run}");
+        if offsets.len() == 1 {
+            assert_eq!(wall.least_age(monotonic, unix_time), age, "run {run}");
         }
     }
 }
 
 #[test]
-fn what_is_a_little_in_the_future_is_now_and_not_an_hour_ago() {
-    let mut wall = WallClock::new(0, WALL);
-    wall.look(SECOND, WALL + SECOND as i64 - HOUR);
-    let just_now = (WALL - HOUR) as Micros + 2 * SECOND + 300_000;
+fn a_time_slightly_in_the_future_has_age_zero_and_not_an_hour() {
+    let mut wall = WallClock::new(0, INITIAL_WALL_TIME);
+    wall.look(SECOND, INITIAL_WALL_TIME + SECOND as i64 - HOUR);
+    let just_now = (INITIAL_WALL_TIME - HOUR) as Micros + 2 * SECOND + 300_000;
     assert_eq!(wall.least_age(2 * SECOND, just_now), 0);
 }
 
 #[test]
-fn a_start_is_turned_once_and_stays_though_the_clock_is_set() {
+fn a_start_is_converted_once_and_stays_when_the_clock_is_changed() {
     let mut starts = StartTimes::default();
     let now = 100 * SECOND;
-    assert_eq!(read(&mut starts, now, 3 * SECOND, &[("s", 5)]), Some(now - 3 * SECOND));
-    assert_eq!(read(&mut starts, now + 9 * SECOND, HOUR as Micros, &[("s", 5)]), Some(now - 3 * SECOND));
+    assert_eq!(apply_list(&mut starts, now, 3 * SECOND, &[("s", 5)]), Some(now - 3 * SECOND));
+    assert_eq!(
+        apply_list(&mut starts, now + 9 * SECOND, HOUR as Micros, &[("s", 5)]),
+        Some(now - 3 * SECOND)
+    );
 }
 
 #[test]
-fn a_newer_start_is_believed_to_be_an_hour_old_only_in_the_first_list() {
+fn a_new_start_may_be_an_hour_old_only_in_the_first_list() {
     let mut starts = StartTimes::default();
     let (now, old) = (HOUR as Micros * 2, HOUR as Micros);
-    assert_eq!(read(&mut starts, now, old, &[("s", 5)]), Some(now - old));
-    assert_eq!(read(&mut starts, now, old, &[("new", 6)]), Some(now));
-    assert_eq!(read(&mut starts, now, old, &[("s", 7)]), Some(now));
-    // What is late by a minute is as old as that, and an older word on a known server is no new start.
-    assert_eq!(read(&mut starts, now, 60 * SECOND, &[("late", 8)]), Some(now - 60 * SECOND));
-    assert_eq!(read(&mut starts, now, old, &[("late", 7)]), Some(now - old));
+    assert_eq!(apply_list(&mut starts, now, old, &[("s", 5)]), Some(now - old));
+    assert_eq!(apply_list(&mut starts, now, old, &[("new", 6)]), Some(now));
+    assert_eq!(apply_list(&mut starts, now, old, &[("s", 7)]), Some(now));
+    // A start that is listed a minute late is a minute old. An earlier start of a known server is not a new start.
+    assert_eq!(apply_list(&mut starts, now, 60 * SECOND, &[("late", 8)]), Some(now - 60 * SECOND));
+    assert_eq!(apply_list(&mut starts, now, old, &[("late", 7)]), Some(now - old));
 }
 
 #[test]
-fn the_list_from_before_the_start_does_not_make_the_first_of_discovery_news() {
+fn a_list_from_before_the_process_start_does_not_count_as_the_first_list_of_discovery() {
     let mut starts = StartTimes::default();
     let (now, old) = (HOUR as Micros * 2, HOUR as Micros);
     starts.apply(now, |_| old, &mut list(&[("s", 5)]));
-    assert_eq!(read(&mut starts, now, old, &[("other", 6)]), Some(now - old));
+    assert_eq!(apply_list(&mut starts, now, old, &[("other", 6)]), Some(now - old));
 }
