--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -30,7 +30,7 @@
 /// another. With an earlier timeout, the counter would do all its work in vain; and because a call that timed out may have been
 /// applied or not, the shared total would be uncertain for its whole window.
 const ANSWER_GRACE: Duration = Duration::from_millis(150);
-/// How long nothing is received while calls are unanswered until the connection is considered dead.
+/// A connection with unanswered calls is considered dead after nothing has been received for this time.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum time from the first byte of an answer to its end: an answer that never ends would block the answers behind it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
@@ -171,7 +171,7 @@
         self.is_closed && self.unsent.is_empty() && self.unanswered.is_empty()
     }
 
-    /// When the next call expires, or the connection has been silent, or an answer incomplete, for too long.
+    /// The next time at which a call expires, or the connection has been silent or an answer incomplete for too long.
     fn next_deadline(&self) -> Option<Instant> {
         let sent = match self.unanswered.get(self.expired) {
             Some(call) => Some(call.created_at + self.timeout),
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -44,8 +44,9 @@
     poll_timeout: Duration::from_secs(5),
 };
 
-/// An agent that serves only this gateway. Its responses are cheap and arrive at once, so timeouts are short: if a watch falls
-/// silent, the gateway would otherwise miss servers that begin to drain, while the agent assumes that the gateway was notified.
+/// An agent that serves only this gateway. Its responses are cheap and arrive at once, so the timeouts are short. With long timeouts,
+/// the gateway would miss servers that begin to drain while a watch is silent, although the agent assumes that the gateway was
+/// notified.
 /// A late poll is repeated on another connection.
 const AGENT: Timing = Timing {
     min_watch: Duration::from_secs(2),
--- a/crates/gateway/src/discovery/draining.rs
+++ b/crates/gateway/src/discovery/draining.rs
@@ -25,7 +25,7 @@
 /// How a server was taken out of service.
 #[derive(Clone, Copy, Default)]
 struct Departure {
-    /// When the server started.
+    /// When the server that departed had started.
     started_at: Option<Micros>,
     /// The version that took the server out of service, or the first version of another sequence that came after it.
     index: u64,
@@ -37,7 +37,8 @@
     /// Applies a list. A server that the list has in service becomes draining in it if its departure is newer.
     pub fn apply(&mut self, update: &mut EndpointUpdate) {
         if update.moved || update.index < self.index {
-            // This is another sequence of versions. A server that this list still has in service may drain nevertheless.
+            // This is another sequence of versions. A server that the list has in service may still be draining: the list is not
+            // known to be newer than the departure.
             for departure in self.departures.values_mut() {
                 departure.index = update.index;
                 departure.is_other_sequence = true;
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -23,7 +23,7 @@
 use crate::transport::clock::yield_between_slices;
 use crate::transport::loop_timer::LoopIteration;
 
-/// How long a gateway that knows servers from an earlier run waits for discovery before it becomes ready without discovery.
+/// How long a gateway that knows servers from an earlier run waits for discovery before it becomes ready without a new list.
 const START_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause after a watch that ended early without a change: an agent that responds at once would be polled in a busy loop.
 const EARLY_END_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/gateway/src/protocol/catalog.rs
+++ b/crates/gateway/src/protocol/catalog.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The keys of a response and of its entries, where they differ from the terms of the code.
+/// The keys of a response and of its entries, named by the terms of the code.
 mod key {
     /// The version of the list.
     pub const INDEX: &str = "index";
@@ -33,7 +33,7 @@
     pub const HARDWARE_TYPE: &str = "type";
     /// The cell, a number.
     pub const CELL: &str = "group";
-    /// The server's weight; 1 where it is missing.
+    /// The server's weight; 1 if the key is missing.
     pub const WEIGHT: &str = "weight";
     /// When the server started, in milliseconds.
     pub const STARTED_AT: &str = "since_ms";
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Reads an entry from its text, or takes it from `known`.
+    /// Reads an entry from its text, or copies the entry with the same text from `known`.
     fn read_text(&mut self, text: &RawValue, known: &KnownEndpoints, platform: &PlatformSettings) {
         if let Some(entry) = known.0.get(text.get()) {
             return self.add_known(text, entry.clone());
