--- a/crates/lab/src/checkers/lease.rs
+++ b/crates/lab/src/checkers/lease.rs
@@ -1,13 +1,14 @@
-//! Judges the owners of the fleet's jobs by what comes of them, where effects are taken in.
+//! Checks the lease holders by their effects, as the stand-in that receives the effects accepts or refuses them.
 //!
-//! `terms`: no effect of a lower term is taken after one of a higher, no term belongs to two runs, and no run acts again
-//! for a job once another has acted by a higher term: so no two owners' effects interleave.
-//! `owned`: once nothing has been broken for a stated time, every job is somebody's.
+//! `terms`: no effect of a lower term is accepted after one of a higher term, no term belongs to two runs, and no run acts
+//! again for a lease after another run has acted with a higher term. So the effects of two holders never interleave.
+//! `owned`: when no fault has been active for a stated time, every lease has a holder.
 //!
-//! It measures as well how long a job was nobody's after its owner was killed or told to end, where a majority of the voters
-//! ran and reached each other all the while: a claim of the scenario is the bound on that. An owner that is gone itself before
-//! its first effect has come counts by its own word; from its end on the job is measured anew. Of a wait in which another gateway was killed
-//! a lease is taken off for each, as voters may have promised that one the job and hold it.
+//! The checker also measures how long a lease had no holder after its holder was killed or asked to shut down, provided that a
+//! majority of the acceptors ran and reached each other all the time. A claim of the scenario bounds these times. If the next
+//! holder stops before its first effect, its own log record of the acquisition ends the wait, and a new wait begins when it
+//! stops. For each other gateway that was killed during a wait, one lease time is subtracted, because acceptors may have
+//! promised the lease to that gateway and hold the promise until it expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,12 +19,12 @@
 use crate::history::{Checker, Event, LinkTraffic};
 use crate::{Micros, MILLISECOND, SECOND};
 
-/// Effects come some times in this.
-const LATELY: Micros = SECOND;
-/// For so long whoever has said that it owns a job may have done nothing for it yet.
-const UNACTED: Micros = 200 * MILLISECOND;
+/// A holder acts several times within this time.
+const RECENT_EFFECT: Micros = SECOND;
+/// How long a run that has logged an acquisition may take until its first effect.
+const MAX_TIME_TO_FIRST_EFFECT: Micros = 200 * MILLISECOND;
 
-/// What the judge must know.
+/// The leases and acceptors of the scenario, and the time bounds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseBounds {
     pub gateways: u32,
@@ -31,185 +32,192 @@
     pub acceptors: Vec<u32>,
     #[serde(rename = "jobs")]
     pub leases: Vec<String>,
-    /// For which a voter holds a job for whoever it has promised it to.
+    /// How long an acceptor holds a lease for the gateway to which it has promised it.
     #[serde(default)]
     pub lease: Micros,
-    /// In which every job must have an owner, once nothing is broken any more.
-    pub settles: Micros,
+    /// When no fault is active any more, every lease must have a holder within this time.
+    #[serde(rename = "settles")]
+    pub settle_time: Micros,
 }
 
 #[derive(Default)]
-struct Job {
+struct LeaseState {
     highest: Option<(u64, u64)>,
-    /// Who acted last, and when.
-    last: Option<(u64, Micros)>,
-    /// Its owner went: when, whether it was killed, and what it was.
-    lost: Option<(Micros, bool, u64)>,
-    /// Gateways that were killed since: voters may have promised it to each, and hold it for that one for a lease.
-    more: u32,
-    /// Who has said last that it owns the job, and when.
-    said: Option<(u64, Micros)>,
+    /// The run that acted last, and when.
+    last_effect: Option<(u64, Micros)>,
+    /// The holder stopped: when, whether it was killed, and its run.
+    lost_holder: Option<(Micros, bool, u64)>,
+    /// Number of gateways killed since then. Acceptors may have promised the lease to each of them and hold that promise for one
+    /// lease time.
+    later_kills: u32,
+    /// The run that last logged that it holds the lease, and when.
+    claimed: Option<(u64, Micros)>,
 }
 
-impl Job {
-    /// A run had it, by its own word, and went before it could do anything.
-    fn had_and_lost(
+impl LeaseState {
+    /// A run logged that it held the lease and stopped before it could act: this ends one wait and begins another.
+    fn end_wait_at_claim(
         &mut self,
         run: u64,
-        said: Micros,
+        claimed_at: Micros,
         (at, killed): (Micros, bool),
         lease: Micros,
-        times: &mut Times,
+        wait_times: &mut WaitTimes,
     ) {
-        let before = self.lost.filter(|(since, _, before)| *before != run && *since <= said);
-        let Some((since, was_killed, _)) = before.filter(|_| said + UNACTED >= at) else { return };
-        times.add(was_killed, (said - since).saturating_sub(u64::from(self.more) * lease));
-        (self.lost, self.more) = (Some((at, killed, run)), 0);
+        let before = self.lost_holder.filter(|(since, _, before)| *before != run && *since <= claimed_at);
+        let Some((since, was_killed, _)) = before.filter(|_| claimed_at + MAX_TIME_TO_FIRST_EFFECT >= at)
+        else {
+            return;
+        };
+        wait_times.add(was_killed, (claimed_at - since).saturating_sub(u64::from(self.later_kills) * lease));
+        (self.lost_holder, self.later_kills) = (Some((at, killed, run)), 0);
     }
 }
 
 #[derive(Default)]
-struct Times {
+struct WaitTimes {
     after_crash: Vec<Micros>,
     after_term: Vec<Micros>,
 }
 
-impl Times {
+impl WaitTimes {
     fn add(&mut self, killed: bool, time: Micros) {
         if killed { &mut self.after_crash } else { &mut self.after_term }.push(time);
     }
 }
 
 pub struct LeaseChecker {
-    size: LeaseBounds,
+    bounds: LeaseBounds,
     runs: BTreeMap<u64, u32>,
     terms: BTreeMap<(String, u64), u64>,
-    jobs: BTreeMap<String, Job>,
-    away: BTreeSet<u32>,
-    /// When each gateway went the last time, and whether it was killed.
-    went: BTreeMap<u32, (Micros, bool)>,
-    parted: BTreeMap<(u32, u32), u32>,
-    standing: BTreeSet<usize>,
-    disturbed: Micros,
-    times: Times,
-    owners: u64,
-    refused: u64,
-    broken: [Violations; 2],
+    leases: BTreeMap<String, LeaseState>,
+    stopped: BTreeSet<u32>,
+    /// When each gateway stopped last, and whether it was killed.
+    last_stop: BTreeMap<u32, (Micros, bool)>,
+    blocked_links: BTreeMap<(u32, u32), u32>,
+    active_faults: BTreeSet<usize>,
+    last_disturbance: Micros,
+    wait_times: WaitTimes,
+    holder_changes: u64,
+    refused_effects: u64,
+    violations: [Violations; 2],
 }
 
 impl LeaseChecker {
-    pub fn new(size: LeaseBounds) -> Self {
-        let jobs = size.leases.iter().map(|job| (job.clone(), Job::default())).collect();
+    pub fn new(bounds: LeaseBounds) -> Self {
+        let leases = bounds.leases.iter().map(|job| (job.clone(), LeaseState::default())).collect();
         LeaseChecker {
-            size,
+            bounds,
             runs: BTreeMap::new(),
             terms: BTreeMap::new(),
-            jobs,
-            away: BTreeSet::new(),
-            went: BTreeMap::new(),
-            parted: BTreeMap::new(),
-            standing: BTreeSet::new(),
-            disturbed: 0,
-            times: Times::default(),
-            owners: 0,
-            refused: 0,
-            broken: Default::default(),
+            leases,
+            stopped: BTreeSet::new(),
+            last_stop: BTreeMap::new(),
+            blocked_links: BTreeMap::new(),
+            active_faults: BTreeSet::new(),
+            last_disturbance: 0,
+            wait_times: WaitTimes::default(),
+            holder_changes: 0,
+            refused_effects: 0,
+            violations: Default::default(),
         }
     }
 
     fn effect(&mut self, at: Micros, job: &str, term: u64, run: u64, taken: bool) {
         if !taken {
-            self.refused += 1;
+            self.refused_effects += 1;
             return;
         }
-        let one = *self.terms.entry((job.to_string(), term)).or_insert(run);
-        if one != run {
-            self.broken[0]
-                .add(at, format!("term {term} of '{job}' belongs to runs {one:016x} and {run:016x}"));
+        let term_run = *self.terms.entry((job.to_string(), term)).or_insert(run);
+        if term_run != run {
+            self.violations[0]
+                .add(at, format!("term {term} of '{job}' belongs to runs {term_run:016x} and {run:016x}"));
         }
-        let own = self.jobs.entry(job.to_string()).or_default();
-        if let Some(highest) = own.highest.filter(|highest| *highest > (term, run)) {
+        let state = self.leases.entry(job.to_string()).or_default();
+        if let Some(highest) = state.highest.filter(|highest| *highest > (term, run)) {
             let what =
-                format!("an effect of '{job}' by term {term} was taken after one by term {}", highest.0);
-            self.broken[0].add(at, what);
-        } else if own.highest != Some((term, run)) {
-            own.highest = Some((term, run));
-            self.owners += 1;
+                format!("an effect of '{job}' by term {term} was accepted after one by term {}", highest.0);
+            self.violations[0].add(at, what);
+        } else if state.highest != Some((term, run)) {
+            state.highest = Some((term, run));
+            self.holder_changes += 1;
         }
-        if let Some((since, killed, _)) = own.lost.filter(|(.., before)| *before != run) {
-            let held = u64::from(own.more) * self.size.lease;
-            self.times.add(killed, (at - since).saturating_sub(held));
-            own.lost = None;
+        if let Some((since, killed, _)) = state.lost_holder.filter(|(.., before)| *before != run) {
+            let promised = u64::from(state.later_kills) * self.bounds.lease;
+            self.wait_times.add(killed, (at - since).saturating_sub(promised));
+            state.lost_holder = None;
         }
-        own.last = Some((run, at));
+        state.last_effect = Some((run, at));
     }
 
-    /// A gateway goes: what it owned is to be another's soon.
-    fn goes(&mut self, at: Micros, gateway: u32, killed: bool) {
-        self.away.insert(gateway);
-        self.went.insert(gateway, (at, killed));
-        if !self.agrees() {
+    /// A gateway stops: other gateways must acquire the leases that it held.
+    fn gateway_stopped(&mut self, at: Micros, gateway: u32, killed: bool) {
+        self.stopped.insert(gateway);
+        self.last_stop.insert(gateway, (at, killed));
+        if !self.has_connected_majority() {
             return;
         }
-        for job in self.jobs.values_mut() {
-            let said = job.said.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
-            if let Some((run, said)) = said {
-                job.had_and_lost(run, said, (at, killed), self.size.lease, &mut self.times);
+        for job in self.leases.values_mut() {
+            let claim = job.claimed.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
+            if let Some((run, claimed_at)) = claim {
+                job.end_wait_at_claim(run, claimed_at, (at, killed), self.bounds.lease, &mut self.wait_times);
             }
-            let last = job.last.filter(|(_, last)| *last + LATELY > at);
-            let owner = last.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
-            match (job.lost, owner) {
-                (None, Some((run, _))) => (job.lost, job.more) = (Some((at, killed, run)), 0),
-                (Some((since, ..)), _) if killed && since < at => job.more += 1,
+            let last_effect = job.last_effect.filter(|(_, last_effect)| *last_effect + RECENT_EFFECT > at);
+            let owner = last_effect.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
+            match (job.lost_holder, owner) {
+                (None, Some((run, _))) => (job.lost_holder, job.later_kills) = (Some((at, killed, run)), 0),
+                (Some((since, ..)), _) if killed && since < at => job.later_kills += 1,
                 _ => {}
             }
         }
     }
 
-    /// A run says that it owns a job from now on, or no more.
-    fn says(&mut self, at: Micros, gateway: u32, event: &str, fields: &Value) {
+    /// A log record says that a run has acquired, lost or released a lease.
+    fn lease_record(&mut self, at: Micros, gateway: u32, event: &str, fields: &Value) {
         let run = fields.get("run").and_then(Value::as_str);
         let Some(run) = run.and_then(|run| u64::from_str_radix(run, 16).ok()) else { return };
         if event == "owner.starts" {
             self.runs.insert(run, gateway);
         }
-        let job = fields.get("job").and_then(Value::as_str).and_then(|job| self.jobs.get_mut(job));
+        let job = fields.get("job").and_then(Value::as_str).and_then(|job| self.leases.get_mut(job));
         let Some(job) = job else { return };
         match event {
             "owner.owns" => {
-                job.said = Some((run, at));
-                // Its log may be read after its end is known.
-                let went = self.went.get(&gateway).filter(|(went, _)| *went >= at);
-                if let (Some(went), true) = (went, self.runs.get(&run) == Some(&gateway)) {
-                    job.had_and_lost(run, at, *went, self.size.lease, &mut self.times);
+                job.claimed = Some((run, at));
+                // The log may be read after the lab has recorded the gateway's end.
+                let last_stop = self.last_stop.get(&gateway).filter(|(last_stop, _)| *last_stop >= at);
+                if let (Some(last_stop), true) = (last_stop, self.runs.get(&run) == Some(&gateway)) {
+                    job.end_wait_at_claim(run, at, *last_stop, self.bounds.lease, &mut self.wait_times);
                 }
             }
-            "owner.lost" | "owner.left" => job.said = job.said.filter(|(own, _)| *own != run),
+            "owner.lost" | "owner.left" => job.claimed = job.claimed.filter(|(holder, _)| *holder != run),
             _ => {}
         }
     }
 
-    /// Whether a majority of the voters run and nobody is parted from anybody; where not, nothing is measured.
-    fn agrees(&self) -> bool {
-        let run = self.size.acceptors.iter().filter(|voter| !self.away.contains(voter)).count();
-        2 * run > self.size.acceptors.len() && self.parted.is_empty()
+    /// Whether a majority of the acceptors runs and no link is blocked; otherwise no wait is measured.
+    fn has_connected_majority(&self) -> bool {
+        let running =
+            self.bounds.acceptors.iter().filter(|acceptor| !self.stopped.contains(acceptor)).count();
+        2 * running > self.bounds.acceptors.len() && self.blocked_links.is_empty()
     }
 
-    fn changed(&mut self, at: Micros) {
-        self.disturbed = at;
-        if !self.agrees() {
-            self.jobs.values_mut().for_each(|job| job.lost = None);
+    fn note_disturbance(&mut self, at: Micros) {
+        self.last_disturbance = at;
+        if !self.has_connected_majority() {
+            self.leases.values_mut().for_each(|job| job.lost_holder = None);
         }
     }
 
-    /// For the report.
-    pub fn shown(&self) -> Value {
-        let most =
-            |times: &[Micros]| times.iter().max().map_or(0.0, |time| *time as f64 / MILLISECOND as f64);
+    /// The measured times and counts for the report.
+    pub fn report(&self) -> Value {
+        let max_ms = |wait_times: &[Micros]| {
+            wait_times.iter().max().map_or(0.0, |time| *time as f64 / MILLISECOND as f64)
+        };
         json!({
-            "owners": self.owners, "refused": self.refused,
-            "after_crash": { "count": self.times.after_crash.len(), "most_ms": most(&self.times.after_crash) },
-            "after_term": { "count": self.times.after_term.len(), "most_ms": most(&self.times.after_term) },
+            "owners": self.holder_changes, "refused": self.refused_effects,
+            "after_crash": { "count": self.wait_times.after_crash.len(), "most_ms": max_ms(&self.wait_times.after_crash) },
+            "after_term": { "count": self.wait_times.after_term.len(), "most_ms": max_ms(&self.wait_times.after_term) },
         })
     }
 }
@@ -218,57 +226,60 @@
     fn observe(&mut self, at: Micros, event: &Event) {
         match event {
             Event::Effect { job, term, run, taken, .. } => self.effect(at, job, *term, *run, *taken),
-            Event::Record { gateway, event, fields, .. } => self.says(at, *gateway, event, fields),
+            Event::Record { gateway, event, fields, .. } => self.lease_record(at, *gateway, event, fields),
             Event::Started { gateway } | Event::Resumed { gateway } => {
-                self.away.remove(gateway);
-                self.changed(at);
+                self.stopped.remove(gateway);
+                self.note_disturbance(at);
             }
             Event::Killed { gateway } | Event::Crashed { gateway } => {
-                self.goes(at, *gateway, true);
-                self.changed(at);
+                self.gateway_stopped(at, *gateway, true);
+                self.note_disturbance(at);
             }
             Event::ShutdownRequested { gateway } => {
-                self.goes(at, *gateway, false);
-                self.changed(at);
+                self.gateway_stopped(at, *gateway, false);
+                self.note_disturbance(at);
             }
             Event::Paused { gateway } => {
-                self.away.insert(*gateway);
-                self.changed(at);
+                self.stopped.insert(*gateway);
+                self.note_disturbance(at);
             }
             Event::TrafficBlocked { from, to, traffic: LinkTraffic::Datagrams, on } => {
-                let faults = self.parted.entry((*from, *to)).or_default();
+                let faults = self.blocked_links.entry((*from, *to)).or_default();
                 *faults = if *on { *faults + 1 } else { faults.saturating_sub(1) };
-                self.parted.retain(|_, faults| *faults > 0);
-                self.changed(at);
+                self.blocked_links.retain(|_, faults| *faults > 0);
+                self.note_disturbance(at);
             }
             Event::FaultBegan { number } => {
-                self.standing.insert(*number);
-                self.disturbed = at;
+                self.active_faults.insert(*number);
+                self.last_disturbance = at;
             }
             Event::FaultEnded { number } => {
-                self.standing.remove(number);
-                self.disturbed = at;
+                self.active_faults.remove(number);
+                self.last_disturbance = at;
             }
             _ => {}
         }
     }
 
     fn finish(&mut self, at: Micros) {
-        if !self.standing.is_empty() || at < self.disturbed + self.size.settles || !self.agrees() {
+        if !self.active_faults.is_empty()
+            || at < self.last_disturbance + self.bounds.settle_time
+            || !self.has_connected_majority()
+        {
             return;
         }
-        for (name, job) in &self.jobs {
-            if job.last.is_none_or(|(_, last)| last + LATELY < at) {
-                self.broken[1].add(at, format!("nobody owns '{name}' in the end"));
+        for (name, job) in &self.leases {
+            if job.last_effect.is_none_or(|(_, last_effect)| last_effect + RECENT_EFFECT < at) {
+                self.violations[1].add(at, format!("'{name}' has no holder at the end of the run"));
             }
         }
     }
 
     fn rules(&self) -> Vec<(&'static str, &Violations)> {
-        ["terms", "owned"].into_iter().zip(&self.broken).collect()
+        ["terms", "owned"].into_iter().zip(&self.violations).collect()
     }
 
     fn figures(&self) -> Option<(&'static str, Value)> {
-        Some(("owner", LeaseChecker::shown(self)))
+        Some(("owner", LeaseChecker::report(self)))
     }
 }
--- a/crates/lab/src/checkers/membership.rs
+++ b/crates/lab/src/checkers/membership.rs
@@ -1,10 +1,10 @@
-//! Judges how gateways see each other, and what they know of counts together, from the outside.
+//! Checks from outside how the gateways see each other, and what they know of the shared counter's keys.
 //!
-//! `members`: once nothing has been broken for a stated time, every gateway sees all that run and nobody else.
-//! `reached`: nobody is taken for gone by others while it, and whoever says so, could be reached by a majority, and
-//! had been able to for as long as a suspicion lasts.
-//! `counts`: in the end all that have added to a count know the same of it, which is what the counter was told; and nobody
-//! knows of more.
+//! `members`: when no fault has been active for a stated time, every gateway sees all running gateways and no others.
+//! `reached`: no gateway is declared dead while it and the gateway that declares it dead are reachable by a majority, and have
+//! been for as long as a suspicion lasts.
+//! `counts`: at the end all gateways that have added to a counter key know the same total, which is the total that the counter
+//! received; no gateway knows of a larger total.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,121 +14,124 @@
 use crate::history::{Checker, Event, LinkTraffic};
 use crate::{Micros, MILLISECOND, SECOND};
 
-/// How long whoever is taken for gone, and whoever says so, must have been within reach for it to be wrong: a suspicion
-/// stands for up to three seconds in fleets of this size, and its news travels on for a while after its cause has gone.
-const WITHIN_REACH: Micros = 6 * SECOND;
-/// Seals are refused where two clocks differ by ten seconds; some of that is the lab's own uncertainty.
-const CLOCK_OFF: i64 = 9 * SECOND as i64;
-/// What a gateway adds in so long before it is killed it may not have told anybody: some spreads' time.
-const UNTOLD: Micros = SECOND;
-/// The same while other things are broken, or were until so long before: what it told may have been lost each time, and goes
-/// out again with the next exchange of everything, at the earliest.
-const UNTOLD_IN_TROUBLE: Micros = 30 * SECOND;
-const AFTERWARDS: Micros = 15 * SECOND;
-/// Names that end within so long of being asked for may have ended at one gateway and not at another.
-const LIVES: u32 = 1_500;
-/// Totals of a counter are exact to seven digits, and sums of many parts come out as near.
-const EXACT: f64 = 1e-5;
+/// How long a gateway that is declared dead, and the gateway that declares it dead, must have been reachable for that to be a
+/// violation. A suspicion lasts up to three seconds in fleets of this size, and its reports spread for a while after its cause
+/// has ended.
+const MIN_REACHABLE_TIME: Micros = 6 * SECOND;
+/// Gateways refuse sealed messages if their clocks differ by ten seconds; the difference to that covers the lab's uncertainty.
+const MAX_CLOCK_DIFFERENCE: i64 = 9 * SECOND as i64;
+/// A gateway that is killed may not have reported what it added within this time: that is the time of a few gossip rounds.
+const UNREPORTED: Micros = SECOND;
+/// The same while other faults are active, or ended less than `AFTER_FAULT` ago: each report may have been lost, and the next
+/// anti-entropy exchange is the earliest to repeat it.
+const UNREPORTED_DURING_FAULTS: Micros = 30 * SECOND;
+const AFTER_FAULT: Micros = 15 * SECOND;
+/// Keys with a shorter remaining lifetime may have expired at one gateway and not at another.
+const MIN_REMAINING_LIFETIME_MS: u32 = 1_500;
+/// Totals of a counter are exact to seven digits, and rounding in sums of many amounts is of the same order.
+const RELATIVE_ERROR: f64 = 1e-5;
 
-/// What the judge must know of the fleet.
+/// The fleet of the scenario, and the time bounds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembershipBounds {
     pub gateways: u32,
-    /// Where each is told to be, by which gateways name each other.
+    /// The advertised address of each gateway; gateways name each other by it.
     pub addresses: Vec<String>,
-    /// In which all must see the same, once nothing is broken any more.
-    pub settles: Micros,
-    /// The counter is never broken nor out of anybody's reach, so that it knows what was added.
+    /// When no fault is active any more, all gateways must agree within this time.
+    #[serde(rename = "settles")]
+    pub settle_time: Micros,
+    /// The counter has no faults and every gateway always reaches it, so that it knows all amounts that were added.
     pub counter_knows: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Away,
-    Runs,
+    Stopped,
+    Running,
     Paused,
 }
 
 #[derive(Default)]
-struct Count {
+struct CounterKey {
     added: f64,
-    /// Some of it may be known to the counter alone.
-    untold: bool,
-    /// When each gateway added to it last.
-    by: BTreeMap<u32, Micros>,
+    /// Whether some amounts may be known to the counter alone.
+    unreported: bool,
+    /// When each gateway last added to the key.
+    last_added: BTreeMap<u32, Micros>,
 }
 
 pub struct MembershipChecker {
-    size: MembershipBounds,
+    bounds: MembershipBounds,
     states: Vec<State>,
     started: Vec<Micros>,
-    /// The run of each that speaks now, as it said itself.
-    runs: BTreeMap<u32, String>,
+    /// The present run id of each gateway, from its own log.
+    run_ids: BTreeMap<u32, String>,
     clocks: Vec<i64>,
-    /// How many faults keep datagrams from one to another.
-    parted: BTreeMap<(u32, u32), u32>,
-    /// Since when each is within reach of a majority; none while it is not.
-    reached: Vec<Option<Micros>>,
-    /// Faults that stand, and when anything was broken or mended last.
-    standing: BTreeSet<usize>,
-    disturbed: Micros,
-    /// When a fault ended last.
-    mended: Option<Micros>,
-    /// Who has been seen to see right since.
-    seen: BTreeSet<u32>,
-    counts: BTreeMap<String, Count>,
-    sums: BTreeMap<u32, BTreeMap<String, (f64, u32)>>,
-    broken: [Violations; 3],
+    /// Number of faults that block datagrams from one gateway to another.
+    blocked_links: BTreeMap<(u32, u32), u32>,
+    /// Since when each gateway has been reachable by a majority; none while it is not.
+    reachable_since: Vec<Option<Micros>>,
+    /// The active faults, and when a fault last began or ended.
+    active_faults: BTreeSet<usize>,
+    last_disturbance: Micros,
+    /// When a fault last ended.
+    last_fault_end: Option<Micros>,
+    /// Gateways whose view has been correct since the last disturbance.
+    agreed: BTreeSet<u32>,
+    keys: BTreeMap<String, CounterKey>,
+    totals: BTreeMap<u32, BTreeMap<String, (f64, u32)>>,
+    violations: [Violations; 3],
 }
 
 impl MembershipChecker {
-    pub fn new(size: MembershipBounds) -> Self {
-        let count = size.gateways as usize;
+    pub fn new(bounds: MembershipBounds) -> Self {
+        let count = bounds.gateways as usize;
         MembershipChecker {
-            states: vec![State::Away; count],
+            states: vec![State::Stopped; count],
             started: vec![0; count],
-            runs: BTreeMap::new(),
+            run_ids: BTreeMap::new(),
             clocks: vec![0; count],
-            parted: BTreeMap::new(),
-            reached: vec![None; count],
-            standing: BTreeSet::new(),
-            disturbed: 0,
-            mended: None,
-            seen: BTreeSet::new(),
-            counts: BTreeMap::new(),
-            sums: BTreeMap::new(),
-            broken: Default::default(),
-            size,
+            blocked_links: BTreeMap::new(),
+            reachable_since: vec![None; count],
+            active_faults: BTreeSet::new(),
+            last_disturbance: 0,
+            last_fault_end: None,
+            agreed: BTreeSet::new(),
+            keys: BTreeMap::new(),
+            totals: BTreeMap::new(),
+            violations: Default::default(),
+            bounds,
         }
     }
 
-    fn state(&mut self, at: Micros, gateway: u32, state: State) {
+    fn set_state(&mut self, at: Micros, gateway: u32, state: State) {
         if let Some(own) = self.states.get_mut(gateway as usize) {
             *own = state;
         }
-        self.changed(at);
+        self.note_disturbance(at);
     }
 
-    /// Anything that others may have to notice.
-    fn changed(&mut self, at: Micros) {
-        self.disturbed = at;
-        self.seen.clear();
-        let all = self.size.gateways;
-        let runs = |gateway: u32| self.states[gateway as usize] == State::Runs;
-        let near = |one: u32, other: u32| {
+    /// Notes a change that other gateways have to detect.
+    fn note_disturbance(&mut self, at: Micros) {
+        self.last_disturbance = at;
+        self.agreed.clear();
+        let all = self.bounds.gateways;
+        let is_running = |gateway: u32| self.states[gateway as usize] == State::Running;
+        let is_reachable = |one: u32, other: u32| {
             one == other
-                || !self.parted.contains_key(&(one, other))
-                    && !self.parted.contains_key(&(other, one))
-                    && (self.clocks[one as usize] - self.clocks[other as usize]).abs() < CLOCK_OFF
+                || !self.blocked_links.contains_key(&(one, other))
+                    && !self.blocked_links.contains_key(&(other, one))
+                    && (self.clocks[one as usize] - self.clocks[other as usize]).abs() < MAX_CLOCK_DIFFERENCE
         };
-        let there = (0..all).filter(|gateway| self.states[*gateway as usize] != State::Away).count();
-        let reached: Vec<bool> = (0..all)
+        let present = (0..all).filter(|gateway| self.states[*gateway as usize] != State::Stopped).count();
+        let reachable: Vec<bool> = (0..all)
             .map(|gateway| {
-                let those = (0..all).filter(|other| runs(*other) && near(gateway, *other)).count();
-                runs(gateway) && 2 * those > there
+                let reachable =
+                    (0..all).filter(|other| is_running(*other) && is_reachable(gateway, *other)).count();
+                is_running(gateway) && 2 * reachable > present
             })
             .collect();
-        for (since, now) in self.reached.iter_mut().zip(reached) {
+        for (since, now) in self.reachable_since.iter_mut().zip(reachable) {
             *since = match (now, *since) {
                 (false, _) => None,
                 (true, None) => Some(at),
@@ -137,81 +140,92 @@
         }
     }
 
-    fn gone(&mut self, at: Micros, teller: u32, fields: &serde_json::Value, within: Micros) {
+    fn check_declared_dead(&mut self, at: Micros, observer: u32, fields: &serde_json::Value, within: Micros) {
         let peer = fields.get("peer").and_then(serde_json::Value::as_str).unwrap_or_default();
         let address = peer.rsplit(' ').next().unwrap_or_default();
-        let Some(of) = self.size.addresses.iter().position(|own| own == address) else { return };
-        let of = of as u32;
-        // One that has started again is another, and its earlier run has ended.
+        let Some(peer_index) = self.bounds.addresses.iter().position(|own| own == address) else { return };
+        let peer = peer_index as u32;
+        // The record is about an earlier run, which has ended: the gateway has restarted since.
         let run = fields.get("run").and_then(serde_json::Value::as_str);
-        if run.zip(self.runs.get(&of)).is_some_and(|(run, now)| run != now) {
+        if run.zip(self.run_ids.get(&peer)).is_some_and(|(run, now)| run != now) {
             return;
         }
-        let long = |since: Option<Micros>| since.is_some_and(|since| since + WITHIN_REACH + within <= at);
-        if long(self.reached[of as usize]) && long(self.reached[teller as usize]) {
-            let what = format!("gateway {teller} took gateway {of} for gone, which a majority could reach");
-            self.broken[1].add(at, what);
+        let was_long_reachable =
+            |since: Option<Micros>| since.is_some_and(|since| since + MIN_REACHABLE_TIME + within <= at);
+        if was_long_reachable(self.reachable_since[peer as usize])
+            && was_long_reachable(self.reachable_since[observer as usize])
+        {
+            let what =
+                format!("gateway {observer} declared gateway {peer} dead, which a majority could reach");
+            self.violations[1].add(at, what);
         }
     }
 
-    fn view(&mut self, at: Micros, gateway: u32, live: &[String], suspected: &[String]) {
-        if !self.standing.is_empty() || at < self.disturbed + self.size.settles {
+    fn check_view(&mut self, at: Micros, gateway: u32, live: &[String], suspected: &[String]) {
+        if !self.active_faults.is_empty() || at < self.last_disturbance + self.bounds.settle_time {
             return;
         }
-        let runs = (0..self.size.gateways).filter(|other| self.states[*other as usize] == State::Runs);
-        let address = |other: u32| self.size.addresses[other as usize].clone();
-        let all: BTreeSet<String> = runs.filter(|other| *other != gateway).map(address).collect();
-        let sees: BTreeSet<String> = live.iter().chain(suspected).cloned().collect();
-        // One that is suspected for a moment is still seen; a busy machine brings that about at any time.
-        if all == sees && sees.len() == live.len() + suspected.len() {
-            self.seen.insert(gateway);
+        let running =
+            (0..self.bounds.gateways).filter(|other| self.states[*other as usize] == State::Running);
+        let address = |other: u32| self.bounds.addresses[other as usize].clone();
+        let expected: BTreeSet<String> = running.filter(|other| *other != gateway).map(address).collect();
+        let visible: BTreeSet<String> = live.iter().chain(suspected).cloned().collect();
+        // A suspected gateway still counts as visible: a busy machine causes short suspicions at any time.
+        if expected == visible && visible.len() == live.len() + suspected.len() {
+            self.agreed.insert(gateway);
             return;
         }
-        let lacks: Vec<_> = all.difference(&sees).cloned().collect();
-        let more: Vec<_> = sees.difference(&all).cloned().collect();
-        let long = (at - self.disturbed) / MILLISECOND;
+        let missing: Vec<_> = expected.difference(&visible).cloned().collect();
+        let unexpected: Vec<_> = visible.difference(&expected).cloned().collect();
+        let elapsed_ms = (at - self.last_disturbance) / MILLISECOND;
         let what =
-            format!("{long} ms after the last fault gateway {gateway} lacks {lacks:?} and has {more:?}");
-        self.broken[0].add(at, what);
+            format!("{elapsed_ms} ms after the last fault gateway {gateway} does not see {missing:?} and sees {unexpected:?} wrongly");
+        self.violations[0].add(at, what);
     }
 
-    fn counts_judged(&mut self, at: Micros) {
+    fn check_totals(&mut self, at: Micros) {
         let mut wrong = Vec::new();
-        let slack = |one: f64, other: f64| EXACT * (one.abs() + other.abs()).max(1.0);
-        let names: BTreeSet<&String> = self.sums.values().flat_map(BTreeMap::keys).collect();
-        for count in names {
+        let slack = |one: f64, other: f64| RELATIVE_ERROR * (one.abs() + other.abs()).max(1.0);
+        let key_names: BTreeSet<&String> = self.totals.values().flat_map(BTreeMap::keys).collect();
+        for key in key_names {
             let known: Vec<(u32, f64, u32)> = self
-                .sums
+                .totals
                 .iter()
-                .filter(|(own, _)| self.states[**own as usize] == State::Runs)
-                .filter_map(|(own, sums)| sums.get(count).map(|(total, left)| (*own, *total, *left)))
+                .filter(|(own, _)| self.states[**own as usize] == State::Running)
+                .filter_map(|(own, totals)| {
+                    totals.get(key).map(|(total, remaining_ms)| (*own, *total, *remaining_ms))
+                })
                 .collect();
-            let Some(told) = self.counts.get(count).filter(|_| known.iter().all(|(.., left)| *left >= LIVES))
-            else {
+            let Some(key_state) = self.keys.get(key).filter(|_| {
+                known.iter().all(|(.., remaining_ms)| *remaining_ms >= MIN_REMAINING_LIFETIME_MS)
+            }) else {
                 continue;
             };
-            // Whoever runs since before it added last has told the others itself.
-            let adds = |own: u32| told.by.get(&own).is_some_and(|last| *last >= self.started[own as usize]);
-            let most = known.iter().map(|(_, total, _)| *total).fold(f64::MIN, f64::max);
-            for (own, total, _) in known.iter().filter(|(own, ..)| adds(*own)) {
-                if most - total > slack(most, *total) {
+            // A gateway that has run since before its last addition has reported its amounts to the others itself.
+            let is_contributor = |own: u32| {
+                key_state.last_added.get(&own).is_some_and(|last| *last >= self.started[own as usize])
+            };
+            let max_total = known.iter().map(|(_, total, _)| *total).fold(f64::MIN, f64::max);
+            for (own, total, _) in known.iter().filter(|(own, ..)| is_contributor(*own)) {
+                if max_total - total > slack(max_total, *total) {
                     wrong.push(format!(
-                        "gateway {own} adds to '{count}' and knows of {total}, another of {most}"
+                        "gateway {own} adds to '{key}' and knows of {total}, another of {max_total}"
                     ));
                 }
             }
-            if !self.size.counter_knows {
+            if !self.bounds.counter_knows {
                 continue;
             }
-            let added = told.added;
+            let added = key_state.added;
             for (own, total, _) in &known {
-                let lacks = adds(*own) && !told.untold && added - total > slack(added, *total);
-                if lacks || total - added > slack(added, *total) {
-                    wrong.push(format!("'{count}' is {total} for gateway {own}, and {added} were added"));
+                let lacks_amounts =
+                    is_contributor(*own) && !key_state.unreported && added - total > slack(added, *total);
+                if lacks_amounts || total - added > slack(added, *total) {
+                    wrong.push(format!("'{key}' is {total} for gateway {own}, and {added} were added"));
                 }
             }
         }
-        wrong.into_iter().for_each(|what| self.broken[2].add(at, what));
+        wrong.into_iter().for_each(|what| self.violations[2].add(at, what));
     }
 }
 
@@ -220,77 +234,82 @@
         match event {
             Event::Started { gateway } => {
                 self.started[*gateway as usize] = at;
-                self.state(at, *gateway, State::Runs);
+                self.set_state(at, *gateway, State::Running);
             }
-            Event::Resumed { gateway } => self.state(at, *gateway, State::Runs),
-            Event::Paused { gateway } => self.state(at, *gateway, State::Paused),
+            Event::Resumed { gateway } => self.set_state(at, *gateway, State::Running),
+            Event::Paused { gateway } => self.set_state(at, *gateway, State::Paused),
             Event::Killed { gateway } | Event::Crashed { gateway } => {
-                let trouble =
-                    self.standing.len() > 1 || self.mended.is_some_and(|mended| at < mended + AFTERWARDS);
-                let untold = if trouble { UNTOLD_IN_TROUBLE } else { UNTOLD };
-                for count in self.counts.values_mut() {
-                    count.untold |= count.by.get(gateway).is_some_and(|last| last + untold >= at);
+                let during_faults = self.active_faults.len() > 1
+                    || self.last_fault_end.is_some_and(|last_fault_end| at < last_fault_end + AFTER_FAULT);
+                let unreported = if during_faults { UNREPORTED_DURING_FAULTS } else { UNREPORTED };
+                for count in self.keys.values_mut() {
+                    count.unreported |=
+                        count.last_added.get(gateway).is_some_and(|last| last + unreported >= at);
                 }
-                self.state(at, *gateway, State::Away);
+                self.set_state(at, *gateway, State::Stopped);
             }
             Event::ShutdownRequested { gateway } | Event::Ended { gateway } => {
-                self.state(at, *gateway, State::Away);
+                self.set_state(at, *gateway, State::Stopped);
             }
             Event::ClockStepped { gateway, ahead } => {
                 self.clocks[*gateway as usize] = *ahead;
-                self.changed(at);
+                self.note_disturbance(at);
             }
             Event::TrafficBlocked { from, to, traffic: LinkTraffic::Datagrams, on } => {
-                let faults = self.parted.entry((*from, *to)).or_default();
+                let faults = self.blocked_links.entry((*from, *to)).or_default();
                 *faults = if *on { *faults + 1 } else { faults.saturating_sub(1) };
-                self.parted.retain(|_, faults| *faults > 0);
-                self.changed(at);
+                self.blocked_links.retain(|_, faults| *faults > 0);
+                self.note_disturbance(at);
             }
             Event::FaultBegan { number } => {
-                self.standing.insert(*number);
-                self.changed(at);
+                self.active_faults.insert(*number);
+                self.note_disturbance(at);
             }
             Event::FaultEnded { number } => {
-                self.standing.remove(number);
-                self.mended = Some(at);
-                self.changed(at);
+                self.active_faults.remove(number);
+                self.last_fault_end = Some(at);
+                self.note_disturbance(at);
             }
             Event::Record { gateway, event, fields, .. } if event == "mesh.starts" => {
                 let run = fields.get("run").and_then(serde_json::Value::as_str);
-                self.runs.extend(run.map(|run| (*gateway, run.to_string())));
+                self.run_ids.extend(run.map(|run| (*gateway, run.to_string())));
             }
             Event::Record { gateway, event, fields, within } if event == "mesh.gone" => {
-                self.gone(at, *gateway, fields, *within);
+                self.check_declared_dead(at, *gateway, fields, *within);
+            }
+            Event::MembershipView { gateway, live, suspected } => {
+                self.check_view(at, *gateway, live, suspected);
             }
-            Event::MembershipView { gateway, live, suspected } => self.view(at, *gateway, live, suspected),
             Event::CounterAdded { gateway, key: count, amount, .. } => {
-                let count = self.counts.entry(count.clone()).or_default();
+                let count = self.keys.entry(count.clone()).or_default();
                 count.added += amount;
-                count.by.insert(*gateway, at);
+                count.last_added.insert(*gateway, at);
             }
-            Event::CounterTotals { gateway, totals: sums } => {
-                let sums = sums.iter().map(|(count, total, left)| (count.clone(), (*total, *left)));
-                self.sums.insert(*gateway, sums.collect());
+            Event::CounterTotals { gateway, totals } => {
+                let totals = totals
+                    .iter()
+                    .map(|(count, total, remaining_ms)| (count.clone(), (*total, *remaining_ms)));
+                self.totals.insert(*gateway, totals.collect());
             }
             _ => {}
         }
     }
 
     fn finish(&mut self, at: Micros) {
-        let runs = (0..self.size.gateways).filter(|own| self.states[*own as usize] == State::Runs);
-        let unseen: Vec<u32> = runs.filter(|own| !self.seen.contains(own)).collect();
-        if self.broken[0].count == 0 {
-            for gateway in unseen {
-                let what = format!("gateway {gateway} was not seen to see all after the last fault");
-                self.broken[0].add(at, what);
+        let running = (0..self.bounds.gateways).filter(|own| self.states[*own as usize] == State::Running);
+        let without_agreement: Vec<u32> = running.filter(|own| !self.agreed.contains(own)).collect();
+        if self.violations[0].count == 0 {
+            for gateway in without_agreement {
+                let what = format!("gateway {gateway} had no correct view after the last fault");
+                self.violations[0].add(at, what);
             }
         }
-        if !self.sums.is_empty() {
-            self.counts_judged(at);
+        if !self.totals.is_empty() {
+            self.check_totals(at);
         }
     }
 
     fn rules(&self) -> Vec<(&'static str, &Violations)> {
-        ["members", "reached", "counts"].into_iter().zip(&self.broken).collect()
+        ["members", "reached", "counts"].into_iter().zip(&self.violations).collect()
     }
 }
--- a/crates/lab/src/checkers/mod.rs
+++ b/crates/lab/src/checkers/mod.rs
@@ -1,4 +1,5 @@
-//! Judges of what is the fleet's: each hears the whole history of a run, and has rules of its own beside the five.
+//! Checkers of the whole fleet: each observes the complete history of a run and has its own rules, in addition to those of the
+//! request ledger.
 
 pub mod lease;
 pub mod membership;
@@ -8,14 +9,14 @@
 use crate::request_ledger::Violations;
 use crate::{Micros, SECOND};
 
-/// Instances of a broken rule that are kept to be shown; all are counted.
-const KEPT: usize = 20;
+/// How many violations of a rule are kept for the report; all are counted.
+const MAX_INSTANCES: usize = 20;
 
 impl Violations {
-    /// The rule was broken once more.
+    /// Adds one violation of the rule.
     pub fn add(&mut self, at: Micros, what: String) {
         self.count += 1;
-        if self.instances.len() < KEPT {
+        if self.instances.len() < MAX_INSTANCES {
             self.instances.push(format!("{:.3} s: {what}", at as f64 / SECOND as f64));
         }
     }
--- a/crates/lab/src/checkers/subsetting.rs
+++ b/crates/lab/src/checkers/subsetting.rs
@@ -1,8 +1,8 @@
-//! Judges how the fleet's work comes to the boxes, by windows of some seconds in which a box was there and warm from the
-//! first moment to the last.
+//! Checks how the fleet spreads attempts over the servers, in windows of a few seconds. A window counts for a server that is in
+//! service and warm during the whole window.
 //!
-//! `cover`: no such box is left without any work while the others have some. And it measures how even the sum is, and by how many
-//! gateways a box is met, which are claims of the scenario.
+//! `cover`: no such server is without attempts while the others have some. The checker also measures how even the load is and
+//! how many gateways use a server; claims of the scenario bound these figures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,23 +14,23 @@
 use crate::model::discovery::Status;
 use crate::{Micros, SECOND};
 
-/// Long enough that what is drawn evens out, short enough to show what a change does.
+/// Long enough to average out random choices, short enough to show the effect of a change.
 const WINDOW: Micros = 5 * SECOND;
-/// With fewer trips for each box in the mean, none at one proves nothing.
-const TELLS: f64 = 30.0;
+/// With a smaller mean of attempts a server, a server without any proves nothing.
+const MIN_MEAN_ATTEMPTS: f64 = 30.0;
 
-/// What the judge must know.
+/// When the checker starts to count windows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SubsettingBounds {
-    /// How long after the first transaction windows count.
+    /// How long after the first request windows start to count.
     pub settle_in: Micros,
 }
 
-/// A box that takes work: warm from then on.
-struct Open {
-    warm: Micros,
-    trips: u64,
-    by: BTreeSet<u32>,
+/// A server in service, and what it received in the present window.
+struct WarmServer {
+    warm_at: Micros,
+    attempts: u64,
+    gateways: BTreeSet<u32>,
 }
 
 #[derive(Default)]
@@ -38,84 +38,91 @@
     windows: u64,
     busiest: f64,
     worst: f64,
-    off: f64,
-    users: f64,
-    most_users: usize,
+    deviation: f64,
+    mean_gateways: f64,
+    max_gateways: usize,
 }
 
 pub struct SubsettingChecker {
-    size: SubsettingBounds,
-    open: BTreeMap<String, Open>,
-    began: Option<Micros>,
-    /// When the window that runs began.
-    window: Micros,
+    bounds: SubsettingBounds,
+    servers: BTreeMap<String, WarmServer>,
+    first_request: Option<Micros>,
+    /// When the present window began.
+    window_start: Micros,
     means: Means,
-    broken: Violations,
+    violations: Violations,
 }
 
 impl SubsettingChecker {
-    pub fn new(size: SubsettingBounds) -> Self {
+    pub fn new(bounds: SubsettingBounds) -> Self {
         SubsettingChecker {
-            size,
-            open: BTreeMap::new(),
-            began: None,
-            window: 0,
+            bounds,
+            servers: BTreeMap::new(),
+            first_request: None,
+            window_start: 0,
             means: Means::default(),
-            broken: Violations::default(),
+            violations: Violations::default(),
         }
     }
 
-    fn turn(&mut self, at: Micros) {
-        let Some(began) = self.began else { return };
-        if at < self.window + WINDOW {
+    fn end_window(&mut self, at: Micros) {
+        let Some(first_request) = self.first_request else { return };
+        if at < self.window_start + WINDOW {
             return;
         }
-        let counts = self.window >= began + self.size.settle_in;
-        let warm = self.open.iter().filter(|(_, own)| own.warm <= self.window);
-        let all: Vec<(&String, &Open)> = warm.collect();
-        let mean = all.iter().map(|(_, own)| own.trips).sum::<u64>() as f64 / all.len().max(1) as f64;
-        if counts && mean >= TELLS {
-            for (name, _) in all.iter().filter(|(_, own)| own.trips == 0) {
-                self.broken.add(at, format!("{name} had no trip in 5 s, the others {mean:.0} each"));
+        let is_counted = self.window_start >= first_request + self.bounds.settle_in;
+        let warm = self.servers.iter().filter(|(_, server)| server.warm_at <= self.window_start);
+        let warm_servers: Vec<(&String, &WarmServer)> = warm.collect();
+        let mean = warm_servers.iter().map(|(_, server)| server.attempts).sum::<u64>() as f64
+            / warm_servers.len().max(1) as f64;
+        if is_counted && mean >= MIN_MEAN_ATTEMPTS {
+            for (name, _) in warm_servers.iter().filter(|(_, server)| server.attempts == 0) {
+                self.violations
+                    .add(at, format!("{name} had no attempt in 5 s, the mean is {mean:.0} a server"));
             }
-            let beside: Vec<f64> = all.iter().map(|(_, own)| own.trips as f64 / mean).collect();
-            let busiest = beside.iter().copied().fold(0.0, f64::max);
+            let relative_load: Vec<f64> =
+                warm_servers.iter().map(|(_, server)| server.attempts as f64 / mean).collect();
+            let busiest = relative_load.iter().copied().fold(0.0, f64::max);
             let means = &mut self.means;
             means.windows += 1;
             means.busiest += busiest;
             means.worst = means.worst.max(busiest);
-            means.off += beside.iter().map(|one| (one - 1.0).abs()).sum::<f64>() / beside.len() as f64;
-            means.users += all.iter().map(|(_, own)| own.by.len() as f64).sum::<f64>() / all.len() as f64;
-            let most = all.iter().map(|(_, own)| own.by.len()).max().unwrap_or(0);
-            means.most_users = means.most_users.max(most);
+            means.deviation +=
+                relative_load.iter().map(|load| (load - 1.0).abs()).sum::<f64>() / relative_load.len() as f64;
+            means.mean_gateways +=
+                warm_servers.iter().map(|(_, server)| server.gateways.len() as f64).sum::<f64>()
+                    / warm_servers.len() as f64;
+            let window_max = warm_servers.iter().map(|(_, server)| server.gateways.len()).max().unwrap_or(0);
+            means.max_gateways = means.max_gateways.max(window_max);
         }
-        self.window = at;
-        for own in self.open.values_mut() {
-            (own.trips, own.by) = (0, BTreeSet::new());
+        self.window_start = at;
+        for server in self.servers.values_mut() {
+            (server.attempts, server.gateways) = (0, BTreeSet::new());
         }
     }
 }
 
 impl Checker for SubsettingChecker {
     fn observe(&mut self, at: Micros, event: &Event) {
-        self.turn(at);
+        self.end_window(at);
         match event {
-            Event::RequestCreated { .. } if self.began.is_none() => {
-                (self.began, self.window) = (Some(at), at);
+            Event::RequestCreated { .. } if self.first_request.is_none() => {
+                (self.first_request, self.window_start) = (Some(at), at);
             }
             Event::ServerStarted { name, started, cold, .. } => {
-                let warm = started.map_or(0, |started| started + cold.warm_up);
-                self.open.insert(name.clone(), Open { warm, trips: 0, by: BTreeSet::new() });
+                let warm_at = started.map_or(0, |started| started + cold.warm_up);
+                self.servers
+                    .insert(name.clone(), WarmServer { warm_at, attempts: 0, gateways: BTreeSet::new() });
             }
-            // Whoever is to drain takes no part from the moment that the first gateway knows.
+            // A draining server no longer counts from the first notification of any gateway.
             Event::EndpointNotified { name, status, .. } if *status != Status::InService => {
-                self.open.remove(name);
+                self.servers.remove(name);
             }
-            Event::ServerCollapsed { name } => drop(self.open.remove(name)),
+            Event::ServerCollapsed { name } => drop(self.servers.remove(name)),
             Event::AttemptArrived { arrival } => {
-                if let Some(own) = self.open.get_mut(&arrival.server) {
-                    own.trips += 1;
-                    own.by.insert(arrival.gateway);
+                if let Some(server) = self.servers.get_mut(&arrival.server) {
+                    server.attempts += 1;
+                    server.gateways.insert(arrival.gateway);
                 }
             }
             _ => {}
@@ -123,18 +130,18 @@
     }
 
     fn finish(&mut self, at: Micros) {
-        self.turn(at);
+        self.end_window(at);
     }
 
     fn rules(&self) -> Vec<(&'static str, &Violations)> {
-        vec![("cover", &self.broken)]
+        vec![("cover", &self.violations)]
     }
 
     fn figures(&self) -> Option<(&'static str, Value)> {
-        let Means { windows, busiest, worst, off, users, most_users } = self.means;
+        let Means { windows, busiest, worst, deviation, mean_gateways, max_gateways } = self.means;
         let mean = |sum: f64| if windows == 0 { 0.0 } else { sum / windows as f64 };
-        let shown = json!({ "windows": windows, "busiest": mean(busiest), "worst": worst, "off": mean(off),
-            "users": mean(users), "most_users": most_users });
+        let shown = json!({ "windows": windows, "busiest": mean(busiest), "worst": worst, "off": mean(deviation),
+            "users": mean(mean_gateways), "most_users": max_gateways });
         Some(("spread", shown))
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,8 +1,9 @@
-//! All that happened in a run, as one line of events on the lab's clock; who judges it; and how it is kept and judged again.
+//! The history of a run as a sequence of events on the lab's clock, the recorder that passes them to the checkers, and how a
+//! history is stored and checked again.
 //!
-//! Whoever sees something tells the `Court`: the stand-ins what they met, the lab what it breaks, the readers of the
-//! gateways' logs what those say. Each judge hears every event in its order, so that a judge can be tried on a history
-//! that was written by hand, and a history that was kept gives the same verdict again.
+//! All observers pass events to the `Recorder`: the simulated clients and servers what they receive, the lab its faults, the
+//! readers of the gateways' logs the log records. Each checker observes every event in order. So a checker can be tested on a
+//! history that was written by hand, and a stored history gives the same result again.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -22,7 +23,7 @@
 use crate::wire::Answer;
 use crate::Micros;
 
-/// What goes from one gateway to another.
+/// The kinds of traffic between gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkTraffic {
@@ -30,7 +31,7 @@
     Streams,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Event {
@@ -57,7 +58,7 @@
         id: u64,
         closed: bool,
     },
-    /// Its client has closed the connection before anything came.
+    /// The client closed the connection before an answer came.
     #[serde(rename = "left")]
     ClientDisconnected {
         id: u64,
@@ -72,7 +73,7 @@
         gateway: u32,
         got: MisbehaviorOutcome,
     },
-    // Boxes.
+    // Servers.
     #[serde(rename = "box-starts")]
     ServerStarted {
         name: String,
@@ -86,8 +87,8 @@
     AttemptArrived {
         arrival: Arrival,
     },
-    /// Of two attempts of a request, the gateway had ended the connection of one before it sent the other, by when both came to
-    /// the machine: the one that comes next to this server, and the one with this number, which has come before.
+    /// Of two attempts of a request, the gateway ended the connection of one before it sent the other, by the times at which
+    /// their bytes reached the machine. The two are the next attempt to this server and the earlier attempt with this number.
     #[serde(rename = "apart")]
     AttemptsApart {
         id: u64,
@@ -119,13 +120,13 @@
         status: Status,
         started: Option<Micros>,
     },
-    /// An operator's word has been answered with yes.
+    /// A gateway has confirmed an operator's request to cordon or uncordon a server.
     Cordoned {
         gateway: u32,
         name: String,
         out: bool,
     },
-    /// The counter has added an amount for a gateway to a name that lives so long.
+    /// The counter has added an amount for a gateway to a key with this lifetime.
     #[serde(rename = "added")]
     CounterAdded {
         gateway: u32,
@@ -136,11 +137,11 @@
         lifetime: Micros,
     },
     // Gateways' processes.
-    /// A process starts; it knows what it was given at the start only.
+    /// A process starts; it knows only what it received at its start.
     Started {
         gateway: u32,
     },
-    /// A process was ended at once.
+    /// A process was killed.
     Killed {
         gateway: u32,
     },
@@ -152,7 +153,7 @@
     Ended {
         gateway: u32,
     },
-    /// It ended though nobody had told it to.
+    /// A process ended without a request to do so.
     Crashed {
         gateway: u32,
     },
@@ -162,7 +163,7 @@
     Resumed {
         gateway: u32,
     },
-    /// A gateway's shared clock is so many microseconds ahead from now on.
+    /// A gateway's wall clock is ahead by this number of microseconds from now on.
     #[serde(rename = "clock")]
     ClockStepped {
         gateway: u32,
@@ -177,7 +178,8 @@
     LinkRestored {
         link: Link,
     },
-    /// Nothing of these goods passes from one gateway to another from now on, or too little to speak of; or it does again.
+    /// A fault blocks this traffic from one gateway to another completely or almost completely from now on, or ends (`on` is
+    /// false).
     #[serde(rename = "parts")]
     TrafficBlocked {
         from: u32,
@@ -186,7 +188,7 @@
         traffic: LinkTraffic,
         on: bool,
     },
-    // Faults, as the scenario numbers them.
+    // Faults, by their numbers in the scenario.
     #[serde(rename = "fault-begins")]
     FaultBegan {
         number: usize,
@@ -195,7 +197,7 @@
     FaultEnded {
         number: usize,
     },
-    /// Something done by the owner of a job has come to where it has its effect.
+    /// The stand-in that receives effects has accepted (`taken`) or refused an effect of a lease holder.
     Effect {
         job: String,
         term: u64,
@@ -203,24 +205,24 @@
         number: u64,
         taken: bool,
     },
-    /// The last client has its answer.
+    /// The last client has received its answer.
     Quiet,
-    // What gateways say.
-    /// A record of a gateway's log, placed on the lab's clock to within so many microseconds.
+    // What the gateways log and answer.
+    /// A record of a gateway's log; its time on the lab's clock is exact to this number of microseconds.
     Record {
         gateway: u32,
         event: String,
         fields: Value,
         within: Micros,
     },
-    /// Whom a gateway sees, by their names; suspected ones too.
+    /// The members that a gateway sees, by their addresses: live and suspected ones.
     #[serde(rename = "view")]
     MembershipView {
         gateway: u32,
         live: Vec<String>,
         suspected: Vec<String>,
     },
-    /// What a gateway knows of the counts that live, and the milliseconds they still do.
+    /// A gateway's totals of the counter keys that have not expired: key, total, and remaining lifetime in milliseconds.
     #[serde(rename = "sums")]
     CounterTotals {
         gateway: u32,
@@ -229,37 +231,38 @@
     },
 }
 
-/// Someone who hears of everything and judges by rules of its own.
+/// Observes every event and checks its own rules.
 pub trait Checker {
     fn observe(&mut self, at: Micros, event: &Event);
 
-    /// Nothing more will come.
+    /// The history has ended.
     fn finish(&mut self, at: Micros);
 
-    /// Its rules by the names of the report, and how each was broken.
+    /// The checker's rules by their names in the report, with their violations.
     fn rules(&self) -> Vec<(&'static str, &Violations)>;
 
-    /// What it has measured, for the report, under a name of its own.
+    /// The checker's figures, with their name in the report.
     fn figures(&self) -> Option<(&'static str, Value)> {
         None
     }
 }
 
-/// What a history begins with: by which terms it is judged.
+/// The first line of a history: the bounds by which it is checked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Head {
     pub scenario: String,
     pub seed: u64,
-    pub terms: RuleBounds,
-    /// Absent, nobody judges how gateways see each other.
+    #[serde(rename = "terms")]
+    pub bounds: RuleBounds,
+    /// If absent, membership is not checked.
     pub fleet: Option<MembershipBounds>,
-    /// Absent, nobody judges who owns jobs.
+    /// If absent, leases are not checked.
     #[serde(default)]
     pub owners: Option<lease::LeaseBounds>,
-    /// Absent, nobody judges how the work comes to the boxes.
+    /// If absent, subsetting is not checked.
     #[serde(default)]
     pub subsets: Option<subsetting::SubsettingBounds>,
-    /// Absent, nobody measures what ill boxes cost.
+    /// If absent, outlier detection is not checked.
     #[serde(default)]
     pub signals: Option<outlier_detection::OutlierBounds>,
 }
@@ -271,45 +274,45 @@
     event: Event,
 }
 
-/// Those who judge a run, and where it is written down.
+/// Passes the events of a run to the checkers and writes them to the history file.
 pub struct Recorder {
     pub ledger: RequestLedger,
     checkers: Vec<Box<dyn Checker>>,
     out: Option<BufWriter<File>>,
     pub recorded: u64,
-    /// The history could not be written on.
+    /// Why writing the history failed, if it did; nothing is written after a failure.
     pub write_error: Option<io::Error>,
 }
 
 impl Recorder {
-    /// The five rules alone.
+    /// A recorder with the request ledger as its only checker.
     pub fn with_ledger(ledger: RequestLedger) -> Self {
         Recorder { ledger, checkers: Vec::new(), out: None, recorded: 0, write_error: None }
     }
 
-    /// All who judge by these terms.
+    /// A recorder with all checkers for which the head has bounds.
     pub fn new(head: &Head) -> Self {
-        let mut court = Recorder::with_ledger(RequestLedger::new(head.terms.clone()));
-        if let Some(size) = head.fleet.clone() {
-            court.checkers.push(Box::new(MembershipChecker::new(size)));
+        let mut recorder = Recorder::with_ledger(RequestLedger::new(head.bounds.clone()));
+        if let Some(bounds) = head.fleet.clone() {
+            recorder.checkers.push(Box::new(MembershipChecker::new(bounds)));
         }
-        if let Some(size) = head.owners.clone() {
-            court.checkers.push(Box::new(LeaseChecker::new(size)));
+        if let Some(bounds) = head.owners.clone() {
+            recorder.checkers.push(Box::new(LeaseChecker::new(bounds)));
         }
-        if let Some(size) = head.subsets.clone() {
-            court.checkers.push(Box::new(SubsettingChecker::new(size)));
+        if let Some(bounds) = head.subsets.clone() {
+            recorder.checkers.push(Box::new(SubsettingChecker::new(bounds)));
         }
-        if let Some(size) = head.signals.clone() {
-            court.checkers.push(Box::new(OutlierChecker::new(size)));
+        if let Some(bounds) = head.signals.clone() {
+            recorder.checkers.push(Box::new(OutlierChecker::new(bounds)));
         }
-        court
+        recorder
     }
 
-    pub fn add_checker(&mut self, judge: Box<dyn Checker>) {
-        self.checkers.push(judge);
+    pub fn add_checker(&mut self, checker: Box<dyn Checker>) {
+        self.checkers.push(checker);
     }
 
-    /// Writes down all that is heard from now on.
+    /// Writes all further events to a file.
     pub fn write_to(&mut self, file: &Path, head: &Head) -> io::Result<()> {
         let mut out = BufWriter::new(File::create(file)?);
         serde_json::to_writer(&mut out, head)?;
@@ -318,15 +321,15 @@
         Ok(())
     }
 
-    /// Something has happened. Gives the number of a trip that arrived, by which it is told on.
+    /// Records an event. Returns the number of the attempt that arrived last, by which later events refer to it.
     pub fn record(&mut self, at: Micros, event: Event) -> usize {
         self.recorded += 1;
         self.ledger.observe(at, &event);
-        self.checkers.iter_mut().for_each(|judge| judge.observe(at, &event));
+        self.checkers.iter_mut().for_each(|checker| checker.observe(at, &event));
         if let Some(out) = &mut self.out {
             let written = serde_json::to_writer(&mut *out, &Line { at, event }).map_err(io::Error::from);
-            if let Err(why) = written.and_then(|()| out.write_all(b"\n")) {
-                self.write_error = Some(why);
+            if let Err(cause) = written.and_then(|()| out.write_all(b"\n")) {
+                self.write_error = Some(cause);
                 self.out = None;
             }
         }
@@ -335,56 +338,59 @@
 
     pub fn finish(&mut self, at: Micros) {
         self.ledger.finish(at);
-        self.checkers.iter_mut().for_each(|judge| judge.finish(at));
-        if let Some(Err(why)) = self.out.take().map(|mut out| out.flush()) {
-            self.write_error = Some(why);
+        self.checkers.iter_mut().for_each(|checker| checker.finish(at));
+        if let Some(Err(cause)) = self.out.take().map(|mut out| out.flush()) {
+            self.write_error = Some(cause);
         }
     }
 
     pub fn rules(&self) -> Vec<(&'static str, &Violations)> {
-        let others = self.checkers.iter().flat_map(|judge| judge.rules());
+        let others = self.checkers.iter().flat_map(|checker| checker.rules());
         Checker::rules(&self.ledger).into_iter().chain(others).collect()
     }
 
-    /// What the judges have measured.
+    /// The figures of all checkers.
     pub fn figures(&self) -> Vec<(&'static str, Value)> {
-        self.checkers.iter().filter_map(|judge| judge.figures()).collect()
+        self.checkers.iter().filter_map(|checker| checker.figures()).collect()
     }
 
     pub fn violation_count(&self) -> u64 {
-        self.rules().iter().map(|(_, broken)| broken.count).sum()
+        self.rules().iter().map(|(_, violations)| violations.count).sum()
     }
 }
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("'{path}' can't be read: {why}")]
-    Unread { path: String, why: io::Error },
-    #[error("'{path}', line {line}: {why}")]
-    Unclear { path: String, line: usize, why: serde_json::Error },
-    #[error("'{path}' is empty: a history begins with the terms that it is judged by")]
+    #[error("'{path}' can't be read: {cause}")]
+    ReadError { path: String, cause: io::Error },
+    #[error("'{path}', line {line}: {cause}")]
+    ParseError { path: String, line: usize, cause: serde_json::Error },
+    #[error("'{path}' is empty: a history begins with the bounds that it is checked by")]
     Empty { path: String },
 }
 
-/// Judges a history that was kept, from its file alone.
+/// Checks a stored history from its file alone.
 pub fn check(file: &Path) -> Result<(Head, Recorder), Error> {
     let path = file.display().to_string();
-    let unread = |why| Error::Unread { path: path.clone(), why };
-    let mut lines = BufReader::new(File::open(file).map_err(unread)?).lines();
-    let first = lines.next().ok_or_else(|| Error::Empty { path: path.clone() })?.map_err(unread)?;
-    let head: Head =
-        serde_json::from_str(&first).map_err(|why| Error::Unclear { path: path.clone(), line: 1, why })?;
-    let (mut court, mut last) = (Recorder::new(&head), 0);
+    let read_error = |cause| Error::ReadError { path: path.clone(), cause };
+    let mut lines = BufReader::new(File::open(file).map_err(read_error)?).lines();
+    let first = lines.next().ok_or_else(|| Error::Empty { path: path.clone() })?.map_err(read_error)?;
+    let head: Head = serde_json::from_str(&first).map_err(|cause| Error::ParseError {
+        path: path.clone(),
+        line: 1,
+        cause,
+    })?;
+    let (mut recorder, mut last) = (Recorder::new(&head), 0);
     for (number, line) in lines.enumerate() {
-        let line = line.map_err(unread)?;
-        let Line { at, event } = serde_json::from_str(&line).map_err(|why| Error::Unclear {
+        let line = line.map_err(read_error)?;
+        let Line { at, event } = serde_json::from_str(&line).map_err(|cause| Error::ParseError {
             path: path.clone(),
             line: number + 2,
-            why,
+            cause,
         })?;
-        court.record(at, event);
+        recorder.record(at, event);
         last = at;
     }
-    court.finish(last);
-    Ok((head, court))
+    recorder.finish(last);
+    Ok((head, recorder))
 }
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -1,6 +1,6 @@
-//! The clients: customers on plans, what they ask and when, by which gateways, and whether they try again.
+//! Model of the clients: tenants on plans, which requests they send and when, through which gateways, and whether they retry.
 //!
-//! Arrivals are open-loop: they come when they come, however slowly answers do. One seed gives one sequence.
+//! Arrivals are open-loop: they do not wait for answers. Each seed gives one fixed sequence of requests.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,7 +16,7 @@
     pub name: String,
     #[serde(rename = "kind")]
     pub idempotency: Idempotency,
-    /// How long a key is remembered, and by whom, in a labelled lane.
+    /// Retention and scope of idempotency keys, for a keyed class.
     #[serde(rename = "memory")]
     pub retention: Micros,
     #[serde(rename = "group")]
@@ -27,7 +27,7 @@
     pub deadline: Micros,
     #[serde(rename = "importance")]
     pub priority_weight: f64,
-    /// Work of a transaction of one unit: the mean of an exponential time, with a floor of a quarter of it.
+    /// Mean work of a request of one unit. The work is a quarter of the mean plus an exponential time.
     pub work: Micros,
 }
 
@@ -57,7 +57,7 @@
     pub ceiling: Option<(f64, f64)>,
 }
 
-/// Customers of one kind.
+/// Tenants of one kind.
 #[derive(Clone, Debug)]
 pub struct TenantGroup {
     pub name: String,
@@ -65,23 +65,24 @@
     pub count: u32,
     /// Units offered a second by each, as a multiple of the plan's rate.
     pub load: f64,
-    /// Gateways that each comes through, and the part of its traffic that comes through the first of them; none: even.
+    /// Number of gateways that each tenant uses, and the share of its traffic that goes to the first of them; an even share if
+    /// absent.
     pub spread: u32,
     pub first_share: Option<f64>,
-    /// Lanes by weight.
-    pub lanes: Vec<(usize, f64)>,
-    /// Least and most units of a transaction.
+    /// Request classes with their weights.
+    pub classes: Vec<(usize, f64)>,
+    /// Minimum and maximum units of a request.
     pub units: (u32, u32),
-    /// Each comes once and never again, so that every transaction has a customer of its own.
-    pub once: bool,
-    /// Share of nacks and failures that are tried again, and how often at the most.
-    pub again: f64,
-    pub most_again: u32,
-    /// Share of the transactions whose client closes its connection within the agreed time, if nothing has come by then.
-    pub leaves: f64,
+    /// Each tenant sends a single request, so that every request has its own tenant.
+    pub single_use: bool,
+    /// Share of rejections and failures that clients retry, and the maximum number of retries.
+    pub retry_share: f64,
+    pub max_retries: u32,
+    /// Share of the requests whose client disconnects within the latency objective if no answer has come by then.
+    pub leave_share: f64,
 }
 
-/// One transaction that a client asks for.
+/// A request that a client sends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClientRequest {
     pub at: Micros,
@@ -97,11 +98,11 @@
     pub first_gateway: u32,
     #[serde(rename = "spread")]
     pub gateway_spread: u32,
-    /// The gateway that it is dealt to.
+    /// The gateway to which the client sends the request.
     pub gateway: u32,
     pub key: Option<u64>,
     pub work: Micros,
-    /// Which try it is, from 0, and the first one's id.
+    /// Number of the client's attempt, from 0, and the id of its original request.
     #[serde(rename = "try_")]
     pub attempt: u32,
     pub origin: u64,
@@ -110,202 +111,210 @@
 pub struct ClientModel {
     classes: Vec<RequestClass>,
     plans: Vec<Plan>,
-    groups: Vec<State>,
+    groups: Vec<GroupState>,
     gateways: u32,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     next_id: u64,
-    next_once: u64,
-    /// Tries again that are due, by time and id.
-    again: BinaryHeap<Reverse<(Micros, u64)>>,
-    asked_again: std::collections::BTreeMap<u64, ClientRequest>,
+    next_single_use_tenant: u64,
+    /// Due times and ids of the clients' retries.
+    retries: BinaryHeap<Reverse<(Micros, u64)>>,
+    due_retries: std::collections::BTreeMap<u64, ClientRequest>,
 }
 
-struct State {
-    customers: TenantGroup,
-    /// Number of the first of them.
-    from: u64,
-    /// Times the usual load, and how far their gateways have moved.
-    surge: f64,
-    moved: u32,
+struct GroupState {
+    tenants: TenantGroup,
+    /// Number of the group's first tenant.
+    first_tenant: u64,
+    /// Multiple of the usual load, and by how many gateways the group's traffic has shifted.
+    load_factor: f64,
+    gateway_offset: u32,
     next: Micros,
 }
 
 impl ClientModel {
     pub fn new(
-        lanes: Vec<RequestClass>,
+        classes: Vec<RequestClass>,
         plans: Vec<Plan>,
         groups: Vec<TenantGroup>,
         gateways: u32,
         seed: u64,
     ) -> Self {
-        let mut from = 1;
-        let states = groups.into_iter().map(|customers| {
-            let state = State { from, surge: 1.0, moved: 0, next: 0, customers };
-            from += if state.customers.once { 0 } else { u64::from(state.customers.count) };
+        let mut first_tenant = 1;
+        let states = groups.into_iter().map(|tenants| {
+            let state = GroupState { first_tenant, load_factor: 1.0, gateway_offset: 0, next: 0, tenants };
+            first_tenant += if state.tenants.single_use { 0 } else { u64::from(state.tenants.count) };
             state
         });
         let groups = states.collect();
-        let mut front = ClientModel {
-            classes: lanes,
+        let mut model = ClientModel {
+            classes,
             plans,
             groups,
             gateways,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             next_id: 1,
-            // Far from the others, below 2^33.
-            next_once: 1 << 32,
-            again: BinaryHeap::new(),
-            asked_again: Default::default(),
+            // Far from the other tenants' numbers, and below 2^33.
+            next_single_use_tenant: 1 << 32,
+            retries: BinaryHeap::new(),
+            due_retries: Default::default(),
         };
-        for at in 0..front.groups.len() {
-            front.groups[at].next = front.gap(at);
+        for at in 0..model.groups.len() {
+            model.groups[at].next = model.next_interval(at);
         }
-        front
+        model
     }
 
-    /// Everything that is to come begins at this time.
+    /// Delays all future requests so that the load begins at this time.
     pub fn begin(&mut self, at: Micros) {
         self.groups.iter_mut().for_each(|group| group.next = group.next.saturating_add(at));
     }
 
     pub fn groups(&self) -> impl Iterator<Item = &TenantGroup> {
-        self.groups.iter().map(|group| &group.customers)
+        self.groups.iter().map(|group| &group.tenants)
     }
 
-    /// Transactions a second that a group asks.
+    /// Requests a second of a group.
     fn rate(&self, group: usize) -> f64 {
-        let State { customers, surge, .. } = &self.groups[group];
-        let mean = f64::from(customers.units.0 + customers.units.1) / 2.0;
-        f64::from(customers.count) * customers.load * self.plans[customers.plan].rate * surge / mean
+        let GroupState { tenants, load_factor, .. } = &self.groups[group];
+        let mean = f64::from(tenants.units.0 + tenants.units.1) / 2.0;
+        f64::from(tenants.count) * tenants.load * self.plans[tenants.plan].rate * load_factor / mean
     }
 
-    fn gap(&mut self, group: usize) -> Micros {
+    fn next_interval(&mut self, group: usize) -> Micros {
         let rate = self.rate(group);
-        let drawn = -(1.0 - self.chance.gen::<f64>()).ln();
+        let exponential = -(1.0 - self.rng.gen::<f64>()).ln();
         if rate > 0.0 {
-            (drawn / rate * SECOND as f64).min(1e15) as Micros
+            (exponential / rate * SECOND as f64).min(1e15) as Micros
         } else {
             Micros::MAX / 4
         }
     }
 
-    /// From now on a group asks so many times as much as usual.
+    /// Multiplies the usual load of a group from now on.
     pub fn surge(&mut self, now: Micros, name: &str, factor: f64) {
-        for at in self.named(name) {
-            self.groups[at].surge = factor;
-            self.groups[at].next = now + self.gap(at);
+        for at in self.matching_groups(name) {
+            self.groups[at].load_factor = factor;
+            self.groups[at].next = now + self.next_interval(at);
         }
     }
 
-    /// From now on a group comes through other gateways, so many further on.
+    /// Shifts a group's traffic by a number of gateways from now on.
     pub fn shift(&mut self, name: &str, by: u32) {
-        for at in self.named(name) {
-            self.groups[at].moved += by;
+        for at in self.matching_groups(name) {
+            self.groups[at].gateway_offset += by;
         }
     }
 
-    fn named(&self, name: &str) -> Vec<usize> {
-        let is = |at: &usize| name == "all" || self.groups[*at].customers.name == name;
+    fn matching_groups(&self, name: &str) -> Vec<usize> {
+        let is = |at: &usize| name == "all" || self.groups[*at].tenants.name == name;
         (0..self.groups.len()).filter(is).collect()
     }
 
-    /// When the next one asks.
+    /// When the next request is due.
     pub fn next_at(&self) -> Micros {
         let new = self.groups.iter().map(|group| group.next).min().unwrap_or(Micros::MAX);
-        let again = self.again.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
-        new.min(again)
+        let retries = self.retries.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
+        new.min(retries)
     }
 
-    /// How long the client of a transaction waits before it leaves for good, if it does.
-    pub fn leaves_after(&self, ask: &ClientRequest) -> Option<Micros> {
-        let share = self.groups[ask.group].customers.leaves;
-        let mut chance = ChaCha8Rng::seed_from_u64(ask.id);
-        let leaves = share > 0.0 && chance.gen_bool(share);
-        // Most go early, while their transactions wait or dial.
+    /// How long the client of a request waits before it disconnects, if it does.
+    pub fn leaves_after(&self, request: &ClientRequest) -> Option<Micros> {
+        let share = self.groups[request.group].tenants.leave_share;
+        let mut rng = ChaCha8Rng::seed_from_u64(request.id);
+        let leaves = share > 0.0 && rng.gen_bool(share);
+        // Most clients disconnect early, while their requests wait in the queue or for a new connection.
         leaves.then(|| {
-            (self.classes[ask.class].latency_objective as f64 * chance.gen::<f64>().powi(4)) as Micros
+            (self.classes[request.class].latency_objective as f64 * rng.gen::<f64>().powi(4)) as Micros
         })
     }
 
-    /// The next that asks.
+    /// The next request.
     pub fn next_request(&mut self) -> Option<ClientRequest> {
         let at = self.next_at();
-        if self.again.peek().is_some_and(|Reverse((due, _))| *due == at) {
-            let Reverse((_, id)) = self.again.pop()?;
-            return self.asked_again.remove(&id);
+        if self.retries.peek().is_some_and(|Reverse((due, _))| *due == at) {
+            let Reverse((_, id)) = self.retries.pop()?;
+            return self.due_retries.remove(&id);
         }
         let group = (0..self.groups.len()).min_by_key(|group| (self.groups[*group].next, *group))?;
-        self.groups[group].next = at.saturating_add(self.gap(group));
-        let State { customers, from, moved, .. } = &self.groups[group];
-        let customers = customers.clone();
-        let (from, moved) = (*from, *moved);
-        let customer = if customers.once {
-            self.next_once += 1;
-            self.next_once
+        self.groups[group].next = at.saturating_add(self.next_interval(group));
+        let GroupState { tenants, first_tenant, gateway_offset, .. } = &self.groups[group];
+        let tenants = tenants.clone();
+        let (first_tenant, gateway_offset) = (*first_tenant, *gateway_offset);
+        let tenant = if tenants.single_use {
+            self.next_single_use_tenant += 1;
+            self.next_single_use_tenant
         } else {
-            from + self.chance.gen_range(0..u64::from(customers.count))
+            first_tenant + self.rng.gen_range(0..u64::from(tenants.count))
         };
-        let spread = customers.spread.clamp(1, self.gateways);
-        // Customers stand on the ring of gateways where their numbers put them.
-        let first =
-            ((customer.wrapping_mul(0x9e37_79b9) >> 16) as u32 % self.gateways + moved) % self.gateways;
-        let step = match customers.first_share {
-            Some(share) if spread > 1 && !self.chance.gen_bool(share) => self.chance.gen_range(1..spread),
+        let spread = tenants.spread.clamp(1, self.gateways);
+        // The tenant's number determines its first gateway.
+        let first = ((tenant.wrapping_mul(0x9e37_79b9) >> 16) as u32 % self.gateways + gateway_offset)
+            % self.gateways;
+        let step = match tenants.first_share {
+            Some(share) if spread > 1 && !self.rng.gen_bool(share) => self.rng.gen_range(1..spread),
             Some(_) => 0,
-            None => self.chance.gen_range(0..spread),
+            None => self.rng.gen_range(0..spread),
         };
-        let lane = self.lane(&customers.lanes);
-        let units = self.chance.gen_range(customers.units.0..=customers.units.1);
-        let mean = self.classes[lane].work as f64 * f64::from(units);
-        let drawn = 0.25 + 0.75 * -(1.0 - self.chance.gen::<f64>()).ln();
-        let labelled = self.classes[lane].idempotency == Idempotency::Keyed;
+        let class = self.class(&tenants.classes);
+        let units = self.rng.gen_range(tenants.units.0..=tenants.units.1);
+        let mean = self.classes[class].work as f64 * f64::from(units);
+        let exponential = 0.25 + 0.75 * -(1.0 - self.rng.gen::<f64>()).ln();
+        let is_keyed = self.classes[class].idempotency == Idempotency::Keyed;
         let id = self.next_id;
         self.next_id += 1;
         Some(ClientRequest {
             at,
             id,
             group,
-            tenant: customer,
-            plan: customers.plan,
-            class: lane,
+            tenant,
+            plan: tenants.plan,
+            class,
             units,
             first_gateway: first,
             gateway_spread: spread,
             gateway: (first + step) % self.gateways,
-            key: labelled.then(|| self.chance.gen()),
-            work: (mean * drawn) as Micros,
+            key: is_keyed.then(|| self.rng.gen()),
+            work: (mean * exponential) as Micros,
             attempt: 0,
             origin: id,
         })
     }
 
-    fn lane(&mut self, weights: &[(usize, f64)]) -> usize {
+    fn class(&mut self, weights: &[(usize, f64)]) -> usize {
         let all: f64 = weights.iter().map(|(_, weight)| weight).sum();
-        let mut drawn = self.chance.gen::<f64>() * all;
-        for (lane, weight) in weights {
-            drawn -= weight;
-            if drawn < 0.0 {
-                return *lane;
+        let mut remaining = self.rng.gen::<f64>() * all;
+        for (class, weight) in weights {
+            remaining -= weight;
+            if remaining < 0.0 {
+                return *class;
             }
         }
-        weights.last().map_or(0, |(lane, _)| *lane)
+        weights.last().map_or(0, |(class, _)| *class)
     }
 
-    /// An ask ended without being served: perhaps its client tries again, under a new id and the old key, while its
-    /// first try's hard stop has not come. `harmless`: it was told so.
-    pub fn unserved(&mut self, now: Micros, ask: &ClientRequest, harmless: bool, wait: Micros) {
-        let customers = &self.groups[ask.group].customers;
-        let may = harmless || self.classes[ask.class].idempotency != Idempotency::NonIdempotent;
-        let (again, most) = (customers.again, customers.most_again);
-        if !may || ask.attempt >= most || !self.chance.gen_bool(again) {
+    /// A request ended without being served. Its client may retry, with a new id and the same key. `retry_is_harmless`: the
+    /// gateway rejected the request, so that a retry is harmless.
+    pub fn request_unserved(
+        &mut self,
+        now: Micros,
+        request: &ClientRequest,
+        retry_is_harmless: bool,
+        wait: Micros,
+    ) {
+        let tenants = &self.groups[request.group].tenants;
+        let may_retry =
+            retry_is_harmless || self.classes[request.class].idempotency != Idempotency::NonIdempotent;
+        let (retry_share, max_retries) = (tenants.retry_share, tenants.max_retries);
+        if !may_retry || request.attempt >= max_retries || !self.rng.gen_bool(retry_share) {
             return;
         }
         let id = self.next_id;
         self.next_id += 1;
-        // Clients that were told the same time do not all come back in the same instant.
-        let at = now + wait + self.chance.gen_range(0..=wait / 4 + SECOND / 100);
-        self.again.push(Reverse((at, id)));
-        self.asked_again.insert(id, ClientRequest { at, id, attempt: ask.attempt + 1, ..ask.clone() });
+        // Clients that got the same Retry-After must not all retry at the same moment.
+        let at = now + wait + self.rng.gen_range(0..=wait / 4 + SECOND / 100);
+        self.retries.push(Reverse((at, id)));
+        self.due_retries
+            .insert(id, ClientRequest { at, id, attempt: request.attempt + 1, ..request.clone() });
     }
 
     pub fn classes(&self) -> &[RequestClass] {
--- a/crates/lab/src/model/counter.rs
+++ b/crates/lab/src/model/counter.rs
@@ -1,4 +1,5 @@
-//! The shared counter: names with totals that live for a time, so many calls a second, and the ways in which it fails.
+//! Model of the shared counter: keys with totals that expire, a limited number of calls a second, and the ways in which the
+//! counter can fail.
 
 use std::collections::BTreeMap;
 
@@ -11,59 +12,59 @@
 pub struct Spec {
     /// Calls a second.
     pub capacity: f64,
-    /// Time of a call beside its turn; an exponential part as long again comes on top.
+    /// Latency of a call in addition to its service time; an exponential time with the same mean is added.
     pub latency: Micros,
-    /// Calls that may wait for their turn; further ones are turned away.
+    /// Calls that may wait in the queue; further calls are rejected.
     pub queue: f64,
-    /// Connections of one gateway; further ones are reset.
+    /// Connections of one gateway; further connections are reset.
     pub connections: usize,
 }
 
-/// A life of a name longer than this counts as this.
-const LONGEST_LIFE: Micros = 60 * SECOND;
+/// Longer lifetimes of a key are limited to this.
+const MAX_LIFETIME: Micros = 60 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplyFault {
-    Well,
-    /// Every call is turned away.
+    Healthy,
+    /// Every call is rejected.
     Busy,
-    /// Calls are added, and nothing is said.
+    /// Amounts are added, but no call is answered.
     Silent,
-    /// Nothing is heard, added or said.
+    /// Calls are not read: nothing is added or answered.
     Deaf,
-    /// Times as long as usual.
+    /// Calls take this multiple of the usual time.
     Slow(f64),
-    /// Totals are those from so long ago.
+    /// Totals are outdated by this time.
     Old(Micros),
-    /// Answers have no number in them; the amounts are added.
+    /// Answers contain no number; the amounts are added.
     Garbled,
 }
 
 #[derive(Clone, Debug)]
-struct Name {
+struct Entry {
     total: f64,
-    ends: Micros,
-    /// What was added when, as far back as old totals are told.
+    expires_at: Micros,
+    /// Recent amounts with their times, as far back as outdated totals need them.
     added: Vec<(Micros, f64)>,
 }
 
-/// What is said to a call, and when; nothing where it stays silent.
+/// The answer to a call, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Total(f64),
     Busy,
     Nothing,
-    Spoilt,
+    Malformed,
 }
 
 pub struct Counter {
     spec: Spec,
-    names: BTreeMap<String, Name>,
-    swept: Micros,
-    /// When the calls that have come will all have had their turn.
-    free: Micros,
-    chance: ChaCha8Rng,
-    pub ill: ReplyFault,
+    entries: BTreeMap<String, Entry>,
+    last_sweep: Micros,
+    /// When all calls that have arrived will have been served.
+    busy_until: Micros,
+    rng: ChaCha8Rng,
+    pub fault: ReplyFault,
     pub calls: u64,
     pub turned_away: u64,
 }
@@ -72,11 +73,11 @@
     pub fn new(spec: Spec, seed: u64) -> Self {
         Counter {
             spec,
-            names: BTreeMap::new(),
-            swept: 0,
-            free: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
-            ill: ReplyFault::Well,
+            entries: BTreeMap::new(),
+            last_sweep: 0,
+            busy_until: 0,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            fault: ReplyFault::Healthy,
             calls: 0,
             turned_away: 0,
         }
@@ -86,46 +87,46 @@
         &self.spec
     }
 
-    /// All that was added is gone, as after a restart or where another takes its place.
+    /// Removes all keys, as after a restart or a replacement.
     pub fn empty(&mut self) {
-        self.names.clear();
+        self.entries.clear();
     }
 
-    /// A copy that goes on by itself, as on the other side of a split.
+    /// An independent copy, as on the other side of a network partition.
     pub fn split(&self, seed: u64) -> Self {
         let mut other = Counter::new(self.spec.clone(), seed);
-        other.names = self.names.clone();
+        other.entries = self.entries.clone();
         other
     }
 
-    /// A call has come; what is said to it, and when.
-    pub fn add(&mut self, now: Micros, name: &str, amount: f64, life: Micros) -> (Reply, Micros) {
+    /// Handles a call. Returns the answer and when it is sent.
+    pub fn add(&mut self, now: Micros, key: &str, amount: f64, lifetime: Micros) -> (Reply, Micros) {
         self.calls += 1;
         self.sweep(now);
-        if self.ill == ReplyFault::Deaf {
+        if self.fault == ReplyFault::Deaf {
             return (Reply::Nothing, now);
         }
-        let slow = if let ReplyFault::Slow(times) = self.ill { times } else { 1.0 };
-        let turn = (SECOND as f64 * slow / self.spec.capacity) as Micros;
-        let begins = self.free.max(now);
-        if self.ill == ReplyFault::Busy || (begins - now) as f64 > self.spec.queue * turn as f64 {
+        let slowdown = if let ReplyFault::Slow(factor) = self.fault { factor } else { 1.0 };
+        let service_time = (SECOND as f64 * slowdown / self.spec.capacity) as Micros;
+        let begins = self.busy_until.max(now);
+        if self.fault == ReplyFault::Busy || (begins - now) as f64 > self.spec.queue * service_time as f64 {
             self.turned_away += 1;
             return (Reply::Busy, now);
         }
-        self.free = begins + turn;
-        let own = self.spec.latency as f64 * slow;
-        let late = own * -(1.0 - self.chance.gen::<f64>()).ln();
-        let at = begins + turn + (own + late) as Micros;
-        let entry = self.names.entry(name.to_string()).or_insert_with(|| Name {
+        self.busy_until = begins + service_time;
+        let latency = self.spec.latency as f64 * slowdown;
+        let jitter = latency * -(1.0 - self.rng.gen::<f64>()).ln();
+        let at = begins + service_time + (latency + jitter) as Micros;
+        let entry = self.entries.entry(key.to_string()).or_insert_with(|| Entry {
             total: 0.0,
-            ends: now + life.min(LONGEST_LIFE),
+            expires_at: now + lifetime.min(MAX_LIFETIME),
             added: Vec::new(),
         });
         entry.total += amount;
-        let total = match self.ill {
-            ReplyFault::Old(by) => {
+        let total = match self.fault {
+            ReplyFault::Old(delay) => {
                 entry.added.push((now, amount));
-                entry.added.retain(|(at, _)| at + by > now);
+                entry.added.retain(|(at, _)| at + delay > now);
                 entry.total - entry.added.iter().map(|(_, amount)| amount).sum::<f64>()
             }
             _ => {
@@ -135,17 +136,17 @@
         };
         // Totals are exact to seven digits.
         let total = format!("{total:.6e}").parse().unwrap_or(total);
-        match self.ill {
+        match self.fault {
             ReplyFault::Silent => (Reply::Nothing, at),
-            ReplyFault::Garbled => (Reply::Spoilt, at),
+            ReplyFault::Garbled => (Reply::Malformed, at),
             _ => (Reply::Total(total), at),
         }
     }
 
     fn sweep(&mut self, now: Micros) {
-        if now >= self.swept + SECOND {
-            self.swept = now;
-            self.names.retain(|_, name| name.ends > now);
+        if now >= self.last_sweep + SECOND {
+            self.last_sweep = now;
+            self.entries.retain(|_, key| key.expires_at > now);
         }
     }
 }
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of boxes, with versions: who is in it, and what changed since a version.
+//! Model of discovery: the endpoint list with its versions, and the changes since a version.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     pub cell: u32,
     pub status: Status,
     pub weight: f64,
-    /// When it started, since the run began; none where that is long ago.
+    /// When the server started, from the start of the run; none if it started long before.
     pub started: Option<Micros>,
 }
 
@@ -45,7 +45,7 @@
         self.index
     }
 
-    /// Adds a box, or tells of it anew.
+    /// Adds an endpoint, or replaces its entry.
     pub fn put(&mut self, name: &str, entry: Entry) {
         self.index += 1;
         self.entries.insert(name.into(), (self.index, entry));
@@ -63,10 +63,10 @@
         self.entries.get(name).map(|(_, entry)| entry)
     }
 
-    /// Those that are there; the ones that are gone appear among changes only.
+    /// The endpoints of the full list; terminated endpoints appear only among changes.
     pub fn complete(&self) -> Vec<(&str, &Entry)> {
-        let there = self.entries.iter().filter(|(_, (_, entry))| entry.status != Status::Terminated);
-        there.map(|(name, (_, entry))| (&**name, entry)).collect()
+        let present = self.entries.iter().filter(|(_, (_, entry))| entry.status != Status::Terminated);
+        present.map(|(name, (_, entry))| (&**name, entry)).collect()
     }
 
     pub fn since(&self, version: u64) -> Vec<(&str, &Entry)> {
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -1,5 +1,5 @@
-//! An order box: cores that work, a queue, a cold start, a fall under too much, drains, and the memory of keys that the
-//! boxes of one rack share.
+//! Model of a server: its cores, its queue, slow start, collapse under overload, draining, and the memory of idempotency keys
+//! that servers of one key scope share.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -13,39 +13,39 @@
 use super::clients::KeyScope;
 use crate::Micros;
 
-/// What a box is like.
+/// The properties of a server.
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub cores: u32,
-    /// Work done in a microsecond of a core; 1 is the usual box.
+    /// Work that a core does in a microsecond; 1 for a usual server.
     pub speed: f64,
-    /// Transactions that may wait for a core.
+    /// Attempts that may wait for a core.
     pub queue: usize,
-    /// Connections it holds; further ones are refused.
+    /// Maximum number of connections; further connections are refused.
     pub connections: usize,
-    /// Work that a new connection costs, borne by the first transaction on it.
+    /// Work to set up a connection, added to the first attempt on it.
     pub dial_work: Micros,
-    /// Connections idle for so long are closed from here.
+    /// The server closes connections that are idle for this time.
     pub idle: Micros,
-    /// A trip that was given up is not begun, or is ended.
+    /// Whether the server removes cancelled attempts from its queue.
     pub cancels: bool,
     pub reports: bool,
     pub cold: SlowStart,
 }
 
-/// How a box starts, and what fells it.
+/// A server's slow start, and the overload that makes it collapse.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// Share of its capacity that it has at the start, from which it grows evenly.
+    /// Share of the capacity at the start; it grows linearly.
     pub share: f64,
     pub warm_up: Micros,
-    /// Sent so many times what it can do, for so long, it falls and stays down.
+    /// A server that receives this multiple of its capacity over `window` collapses and stays down.
     pub multiple: f64,
     pub window: Micros,
 }
 
 impl SlowStart {
-    /// Share of its capacity that a box has so long after its start.
+    /// Share of its capacity that a server has at this time after its start.
     pub fn capacity(&self, age: Micros) -> f64 {
         if age >= self.warm_up {
             return 1.0;
@@ -54,77 +54,77 @@
     }
 }
 
-/// Keys that a rack remembers, each with when its first trip ran.
+/// The idempotency keys that servers remember together, each with its expiry.
 #[derive(Debug, Default)]
 pub struct KeyMemory {
-    ran: BTreeMap<(String, String), Micros>,
-    forgets: VecDeque<(Micros, (String, String))>,
+    expiries: BTreeMap<(String, String), Micros>,
+    expiry_order: VecDeque<(Micros, (String, String))>,
 }
 
 impl KeyMemory {
-    /// Whether the key is new here; from now on it is not, for that long.
-    fn first(&mut self, customer: &str, key: &str, now: Micros, memory: Micros) -> bool {
-        while self.forgets.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, name)) = self.forgets.pop_front() else { break };
-            if self.ran.get(&name).is_some_and(|ran| *ran <= now) {
-                self.ran.remove(&name);
+    /// Remembers a key for the retention. Returns whether the key was unknown.
+    fn remember(&mut self, tenant: &str, key: &str, now: Micros, retention: Micros) -> bool {
+        while self.expiry_order.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, name)) = self.expiry_order.pop_front() else { break };
+            if self.expiries.get(&name).is_some_and(|expiry| *expiry <= now) {
+                self.expiries.remove(&name);
             }
         }
-        let name = (customer.to_string(), key.to_string());
-        if self.ran.get(&name).is_some_and(|until| *until > now) {
+        let name = (tenant.to_string(), key.to_string());
+        if self.expiries.get(&name).is_some_and(|expiry| *expiry > now) {
             return false;
         }
-        self.ran.insert(name.clone(), now + memory);
-        self.forgets.push_back((now + memory, name));
+        self.expiries.insert(name.clone(), now + retention);
+        self.expiry_order.push_back((now + retention, name));
         true
     }
 }
 
-/// What a box remembers of keys, by whom it shares that with: each lane has its group.
+/// The key memories of a server, one for each key scope.
 pub type KeyMemories = [(KeyScope, Rc<RefCell<KeyMemory>>); 3];
 
-/// Memories that no other box shares.
+/// Key memories that the server shares with no other.
 pub fn unshared_memories() -> KeyMemories {
-    [KeyScope::All, KeyScope::Zone, KeyScope::Cell].map(|group| (group, Rc::default()))
+    [KeyScope::All, KeyScope::Zone, KeyScope::Cell].map(|scope| (scope, Rc::default()))
 }
 
-/// One trip, as it came whole to the box.
+/// An attempt that the server has received completely.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Tells trips of one box apart.
+    /// Identifies the attempt among the server's attempts.
     pub ticket: u64,
     pub tenant: String,
-    /// The key, by whom it is remembered and for how long, in a labelled lane.
+    /// The idempotency key with its scope and retention, for a keyed class.
     pub key: Option<(String, KeyScope, Micros)>,
     pub work: Micros,
-    /// The first on its connection.
+    /// Whether the attempt is the first on its connection.
     pub is_first_on_connection: bool,
 }
 
-/// How a trip ends at the box.
+/// How an attempt ends at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// It ran; its answer is given. `first` is false where the key was known, so that nothing was done again.
+    /// The attempt ran and has an answer. `first` is false if the key was known, so that the attempt had no second effect.
     Ran { first: bool },
-    /// It ran, and says that it failed.
+    /// The attempt ran, and its answer is a failure.
     Failed,
-    /// It never ran.
+    /// The attempt never ran.
     #[serde(rename = "Busy")]
     Rejected,
-    /// It was given up before it was begun.
+    /// The attempt was cancelled before it began.
     Dropped,
 }
 
-/// What a box does to answers, by fault.
+/// The active faults of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerFaults {
-    /// Times as much work as usual.
+    /// Multiple of the usual work.
     pub slow: f64,
-    /// Shares of the trips that run and then say that they failed, that are turned away, whose answer never comes.
+    /// Shares of the attempts that run and fail, that are rejected, and whose answer is never sent.
     pub fails: f64,
     pub busy: f64,
     pub silent: f64,
-    /// Share of the answers that are spoilt.
+    /// Share of the answers that are malformed.
     pub garbles: f64,
 }
 
@@ -137,9 +137,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     Serving,
-    /// Finishes what it has, and turns away what is new.
+    /// Finishes the attempts it has and rejects new ones.
     Draining,
-    /// It fell, was killed or has left: nothing is answered, nothing accepted.
+    /// Collapsed, killed or terminated: accepts and answers nothing.
     Down,
 }
 
@@ -148,42 +148,42 @@
     started: Micros,
     state: ServerState,
     collapsed: bool,
-    memory: KeyMemories,
-    chance: ChaCha8Rng,
+    key_memories: KeyMemories,
+    rng: ChaCha8Rng,
     pub faults: ServerFaults,
     busy_cores: u32,
     waiting: VecDeque<Attempt>,
-    /// Ends that are due, the earliest first.
+    /// Due times of the running attempts, the earliest first.
     running: BinaryHeap<Reverse<(Micros, u64)>>,
-    trips: BTreeMap<u64, Running>,
-    /// Work that reached it within the last window, and its sum.
-    pushed: VecDeque<(Micros, Micros)>,
-    push: Micros,
+    attempts: BTreeMap<u64, Running>,
+    /// Work that arrived within the last window, and its sum.
+    recent_work: VecDeque<(Micros, Micros)>,
+    window_work: Micros,
     served: u64,
 }
 
 struct Running {
-    trip: Attempt,
+    attempt: Attempt,
     end: AttemptEnd,
-    given_up: bool,
+    is_cancelled: bool,
 }
 
 impl Server {
-    /// `started` in the past by more than its warm-up: warm.
-    pub fn new(spec: Spec, age: Micros, now: Micros, memory: KeyMemories, seed: u64) -> Self {
+    /// Creates a server of this age; it is warm if its age is at least the warm-up time.
+    pub fn new(spec: Spec, age: Micros, now: Micros, key_memories: KeyMemories, seed: u64) -> Self {
         Server {
             started: now.saturating_sub(age),
             state: ServerState::Serving,
             collapsed: false,
-            memory,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            key_memories,
+            rng: ChaCha8Rng::seed_from_u64(seed),
             faults: ServerFaults::default(),
             busy_cores: 0,
             waiting: VecDeque::new(),
             running: BinaryHeap::new(),
-            trips: BTreeMap::new(),
-            pushed: VecDeque::new(),
-            push: 0,
+            attempts: BTreeMap::new(),
+            recent_work: VecDeque::new(),
+            window_work: 0,
             served: 0,
             spec: if age >= spec.cold.warm_up {
                 Spec { cold: SlowStart { warm_up: 0, ..spec.cold }, ..spec }
@@ -201,7 +201,7 @@
         self.state
     }
 
-    /// It was pushed over.
+    /// Whether the server collapsed under overload.
     pub fn collapsed(&self) -> bool {
         self.collapsed
     }
@@ -218,12 +218,12 @@
         }
     }
 
-    /// Everything that it had is gone.
+    /// Takes the server down; it loses all its attempts.
     pub fn take_down(&mut self) {
         self.state = ServerState::Down;
         self.waiting.clear();
         self.running.clear();
-        self.trips.clear();
+        self.attempts.clear();
         self.busy_cores = 0;
     }
 
@@ -231,74 +231,74 @@
         self.spec.cold.capacity(now.saturating_sub(self.started))
     }
 
-    /// A trip has come whole. Its end follows from `due` unless it is given here.
-    pub fn arrive(&mut self, now: Micros, mut trip: Attempt) -> Option<AttemptEnd> {
-        if trip.is_first_on_connection {
-            trip.work += self.spec.dial_work;
+    /// Receives an attempt completely. Returns its end if it is rejected at once; otherwise it ends at a time given by `due`.
+    pub fn arrive(&mut self, now: Micros, mut attempt: Attempt) -> Option<AttemptEnd> {
+        if attempt.is_first_on_connection {
+            attempt.work += self.spec.dial_work;
         }
-        self.pushed(now, trip.work);
-        if self.state != ServerState::Serving || self.chance.gen_bool(self.faults.busy) {
+        self.note_work(now, attempt.work);
+        if self.state != ServerState::Serving || self.rng.gen_bool(self.faults.busy) {
             return Some(AttemptEnd::Rejected);
         }
         if self.busy_cores < self.spec.cores {
-            self.begin(now, trip);
+            self.begin(now, attempt);
             None
         } else if self.waiting.len() < self.spec.queue {
-            self.waiting.push_back(trip);
+            self.waiting.push_back(attempt);
             None
         } else {
             Some(AttemptEnd::Rejected)
         }
     }
 
-    /// All that reaches it counts, also what it turns away.
-    fn pushed(&mut self, now: Micros, work: Micros) {
+    /// Adds work to the window, also that of attempts that the server rejects, and collapses under too much.
+    fn note_work(&mut self, now: Micros, work: Micros) {
         let SlowStart { warm_up, multiple, window, .. } = self.spec.cold;
         let age = now.saturating_sub(self.started);
         if warm_up == 0 || age >= warm_up || self.state == ServerState::Down {
             return;
         }
-        self.pushed.push_back((now, work));
-        self.push += work;
-        while self.pushed.front().is_some_and(|(at, _)| at + window <= now) {
-            self.push -= self.pushed.pop_front().map_or(0, |(_, work)| work);
+        self.recent_work.push_back((now, work));
+        self.window_work += work;
+        while self.recent_work.front().is_some_and(|(at, _)| at + window <= now) {
+            self.window_work -= self.recent_work.pop_front().map_or(0, |(_, work)| work);
         }
-        let can = self.capacity(now) * f64::from(self.spec.cores) * self.spec.speed * window as f64;
-        if self.push as f64 > multiple * can {
+        let window_capacity =
+            self.capacity(now) * f64::from(self.spec.cores) * self.spec.speed * window as f64;
+        if self.window_work as f64 > multiple * window_capacity {
             self.collapsed = true;
             self.take_down();
         }
     }
 
-    fn begin(&mut self, now: Micros, trip: Attempt) {
-        let first = match &trip.key {
-            Some((key, group, memory)) => {
-                let shared = self.memory.iter().find(|(own, _)| own == group);
-                shared.is_none_or(|(_, shared)| shared.borrow_mut().first(&trip.tenant, key, now, *memory))
+    fn begin(&mut self, now: Micros, attempt: Attempt) {
+        let first = match &attempt.key {
+            Some((key, scope, retention)) => {
+                let shared = self.key_memories.iter().find(|(owned_scope, _)| owned_scope == scope);
+                shared.is_none_or(|(_, shared)| {
+                    shared.borrow_mut().remember(&attempt.tenant, key, now, *retention)
+                })
             }
             None => true,
         };
-        let end = if self.chance.gen_bool(self.faults.fails) {
-            AttemptEnd::Failed
-        } else {
-            AttemptEnd::Ran { first }
-        };
-        let took = trip.work as f64 * self.faults.slow / (self.spec.speed * self.capacity(now));
+        let end =
+            if self.rng.gen_bool(self.faults.fails) { AttemptEnd::Failed } else { AttemptEnd::Ran { first } };
+        let duration = attempt.work as f64 * self.faults.slow / (self.spec.speed * self.capacity(now));
         self.busy_cores += 1;
-        self.running.push(Reverse((now + took as Micros, trip.ticket)));
-        self.trips.insert(trip.ticket, Running { trip, end, given_up: false });
+        self.running.push(Reverse((now + duration as Micros, attempt.ticket)));
+        self.attempts.insert(attempt.ticket, Running { attempt, end, is_cancelled: false });
     }
 
-    /// Nobody waits for this trip any more.
+    /// The gateway has cancelled this attempt.
     pub fn cancel(&mut self, ticket: u64) -> Option<AttemptEnd> {
-        if let Some(running) = self.trips.get_mut(&ticket) {
-            running.given_up = true;
+        if let Some(running) = self.attempts.get_mut(&ticket) {
+            running.is_cancelled = true;
             return None;
         }
         if !self.spec.cancels {
             return None;
         }
-        let at = self.waiting.iter().position(|trip| trip.ticket == ticket)?;
+        let at = self.waiting.iter().position(|attempt| attempt.ticket == ticket)?;
         self.waiting.remove(at);
         Some(AttemptEnd::Dropped)
     }
@@ -307,7 +307,7 @@
         self.running.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// The trips that have ended by now, with whether anybody is to be answered.
+    /// The attempts that have ended by now, with whether the gateway still waits for the answer.
     pub fn take_ended(&mut self, now: Micros) -> Vec<(u64, AttemptEnd, bool)> {
         let mut ended = Vec::new();
         while let Some(Reverse((at, ticket))) =
@@ -316,8 +316,8 @@
             self.running.pop();
             self.busy_cores -= 1;
             self.served += 1;
-            if let Some(Running { trip, end, given_up }) = self.trips.remove(&ticket) {
-                ended.push((trip.ticket, end, !given_up));
+            if let Some(Running { attempt, end, is_cancelled }) = self.attempts.remove(&ticket) {
+                ended.push((attempt.ticket, end, !is_cancelled));
             }
             if let Some(next) = self.waiting.pop_front() {
                 self.begin(at, next);
@@ -326,18 +326,18 @@
         ended
     }
 
-    /// What becomes of an answer: spoilt or kept back, by the ills of the moment.
+    /// Draws the fault of an answer from the active faults: malformed, missing or none.
     pub fn answer(&mut self) -> AnswerFault {
-        if self.chance.gen_bool(self.faults.silent) {
+        if self.rng.gen_bool(self.faults.silent) {
             AnswerFault::Nothing
-        } else if self.chance.gen_bool(self.faults.garbles) {
-            AnswerFault::Spoilt(self.chance.gen_range(0..4))
+        } else if self.rng.gen_bool(self.faults.garbles) {
+            AnswerFault::Malformed(self.rng.gen_range(0..4))
         } else {
-            AnswerFault::Well
+            AnswerFault::Intact
         }
     }
 
-    /// In flight, waiting, share of cores at work.
+    /// Number of running and waiting attempts, and the share of busy cores.
     pub fn load(&self) -> (u32, usize, f64) {
         (self.busy_cores, self.waiting.len(), f64::from(self.busy_cores) / f64::from(self.spec.cores))
     }
@@ -345,8 +345,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
-    Well,
+    Intact,
     Nothing,
     /// In one of several ways.
-    Spoilt(u8),
+    Malformed(u8),
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: figures, rules, claims; as JSON, and as a table.
+//! The report of a run: figures, rules and claims, as JSON and as a table.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use crate::history::Recorder;
-use crate::request_ledger::{Fate, RequestLedger};
+use crate::request_ledger::{RequestLedger, RequestOutcome};
 use crate::scenario::{Claim, Scenario};
 use crate::{Micros, MILLISECOND, SECOND};
 
@@ -32,85 +32,85 @@
     }
 }
 
-/// Counts of transactions, by their fates.
+/// Counts of requests by their outcome.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     sent: u64,
-    settled: u64,
-    nacked: u64,
-    abandoned: u64,
+    completed: u64,
+    rejected: u64,
+    failed: u64,
     lost: u64,
-    excused: u64,
+    lost_by_faults: u64,
     unsent: u64,
     left: u64,
     late: u64,
 }
 
 impl Counts {
-    fn add(&mut self, fate: Fate, late: bool) {
-        self.sent += u64::from(fate != Fate::Unsent);
-        let of = match fate {
-            Fate::Unsent => &mut self.unsent,
-            Fate::Completed => &mut self.settled,
-            Fate::Rejected => &mut self.nacked,
-            Fate::Failed => &mut self.abandoned,
-            Fate::Excused => &mut self.excused,
-            Fate::Disconnected => &mut self.left,
-            Fate::Open | Fate::Lost => &mut self.lost,
+    fn add(&mut self, outcome: RequestOutcome, late: bool) {
+        self.sent += u64::from(outcome != RequestOutcome::Unsent);
+        let count = match outcome {
+            RequestOutcome::Unsent => &mut self.unsent,
+            RequestOutcome::Completed => &mut self.completed,
+            RequestOutcome::Rejected => &mut self.rejected,
+            RequestOutcome::Failed => &mut self.failed,
+            RequestOutcome::Excused => &mut self.lost_by_faults,
+            RequestOutcome::Disconnected => &mut self.left,
+            RequestOutcome::Open | RequestOutcome::Lost => &mut self.lost,
         };
-        *of += 1;
+        *count += 1;
         self.late += u64::from(late);
     }
 
-    fn shown(&self) -> Value {
+    fn value(&self) -> Value {
         json!({
-            "sent": self.sent, "settled": self.settled, "nacked": self.nacked, "abandoned": self.abandoned,
-            "lost": self.lost, "lost_by_faults": self.excused, "unsent": self.unsent, "left": self.left,
+            "sent": self.sent, "settled": self.completed, "nacked": self.rejected, "abandoned": self.failed,
+            "lost": self.lost, "lost_by_faults": self.lost_by_faults, "unsent": self.unsent, "left": self.left,
             "late": self.late,
-            "share_settled": share(self.settled, self.sent),
+            "share_settled": share(self.completed, self.sent),
         })
     }
 }
 
-/// First tries, with all that came of them.
+/// Counts of original requests; a retry of the client belongs to its original request.
 #[derive(Clone, Copy, Debug, Default)]
-struct Firsts {
-    inside: u64,
-    inside_settled: u64,
-    inside_nacked: u64,
-    beyond: u64,
-    beyond_settled: u64,
-    units_inside: f64,
-    units_settled: f64,
+struct OriginalRequests {
+    within_quota: u64,
+    within_quota_completed: u64,
+    within_quota_rejected: u64,
+    beyond_quota: u64,
+    beyond_quota_completed: u64,
+    units_within_quota: f64,
+    units_completed: f64,
 }
 
-impl Firsts {
-    fn add(&mut self, inside: bool, settled: bool, nacked: bool, units: f64) {
-        if inside {
-            self.inside += 1;
-            self.inside_settled += u64::from(settled);
-            self.inside_nacked += u64::from(nacked);
-            self.units_inside += units;
+impl OriginalRequests {
+    fn add(&mut self, within_quota: bool, completed: bool, rejected: bool, units: f64) {
+        if within_quota {
+            self.within_quota += 1;
+            self.within_quota_completed += u64::from(completed);
+            self.within_quota_rejected += u64::from(rejected);
+            self.units_within_quota += units;
         } else {
-            self.beyond += 1;
-            self.beyond_settled += u64::from(settled);
+            self.beyond_quota += 1;
+            self.beyond_quota_completed += u64::from(completed);
         }
-        self.units_settled += if settled { units } else { 0.0 };
+        self.units_completed += if completed { units } else { 0.0 };
     }
 
-    fn shown(&self) -> Value {
+    fn value(&self) -> Value {
         json!({
-            "inside": self.inside, "inside_settled": self.inside_settled, "inside_nacked": self.inside_nacked,
-            "beyond": self.beyond, "beyond_settled": self.beyond_settled,
-            "share_inside_settled": share(self.inside_settled, self.inside),
-            "share_inside_nacked": if self.inside == 0 { 0.0 } else { share(self.inside_nacked, self.inside) },
-            "units_inside": self.units_inside, "units_settled": self.units_settled,
-            "use": if self.units_inside == 0.0 { 0.0 } else { self.units_settled / self.units_inside },
+            "inside": self.within_quota, "inside_settled": self.within_quota_completed, "inside_nacked": self.within_quota_rejected,
+            "beyond": self.beyond_quota, "beyond_settled": self.beyond_quota_completed,
+            "share_inside_settled": share(self.within_quota_completed, self.within_quota),
+            "share_inside_nacked": if self.within_quota == 0 { 0.0 } else { share(self.within_quota_rejected, self.within_quota) },
+            "units_inside": self.units_within_quota, "units_settled": self.units_completed,
+            "use": if self.units_within_quota == 0.0 { 0.0 } else { self.units_completed / self.units_within_quota },
         })
     }
 }
 
-/// The figures of all transactions that were asked from `from` on.
+/// The figures of all requests that were sent from `from` on.
 pub fn transactions(
     ledger: &RequestLedger,
     scenario: &Scenario,
@@ -118,92 +118,105 @@
     from: Micros,
 ) -> Value {
     let mut counts = Counts::default();
-    let (mut tries, mut origins) = (0u64, BTreeMap::new());
-    for (ask, inside, fate, _) in ledger.fates() {
-        if ask.at < from {
+    let (mut retries, mut origins) = (0u64, BTreeMap::new());
+    for (request, within_quota, outcome, _) in ledger.outcomes() {
+        if request.at < from {
             continue;
         }
-        counts.add(fate, fate == Fate::Completed && late(ask.id));
-        tries += u64::from(ask.attempt > 0);
-        let origin =
-            origins.entry(ask.origin).or_insert((ask.group, ask.tenant, inside, ask.units, Vec::new()));
-        origin.4.push(fate);
+        counts.add(outcome, outcome == RequestOutcome::Completed && late(request.id));
+        retries += u64::from(request.attempt > 0);
+        let origin = origins.entry(request.origin).or_insert((
+            request.group,
+            request.tenant,
+            within_quota,
+            request.units,
+            Vec::new(),
+        ));
+        origin.4.push(outcome);
     }
-    // Of customers that went beyond their quota any transaction may be nacked; of the others none should be.
-    let beyond: BTreeSet<u64> =
-        ledger.fates().filter(|(_, inside, ..)| !inside).map(|(ask, ..)| ask.tenant).collect();
-    let mut within = Firsts::default();
-    let mut all = Firsts::default();
-    let mut groups = vec![Firsts::default(); scenario.customers.len()];
-    for (group, customer, inside, units, fates) in origins.values() {
-        // Who left has had nothing, and nobody is to blame for it.
-        let waited = |fate: &Fate| !matches!(fate, Fate::Unsent | Fate::Disconnected);
+    // Any request of a tenant that exceeded its quota may be rejected; requests of other tenants should not be.
+    let beyond_quota: BTreeSet<u64> = ledger
+        .outcomes()
+        .filter(|(_, within_quota, ..)| !within_quota)
+        .map(|(request, ..)| request.tenant)
+        .collect();
+    let mut within = OriginalRequests::default();
+    let mut all = OriginalRequests::default();
+    let mut groups = vec![OriginalRequests::default(); scenario.customers.len()];
+    for (group, tenant, within_quota, units, fates) in origins.values() {
+        // A client that disconnected got no answer, which is nobody's fault.
+        let waited = |outcome: &RequestOutcome| {
+            !matches!(outcome, RequestOutcome::Unsent | RequestOutcome::Disconnected)
+        };
         if !fates.iter().any(waited) {
             continue;
         }
-        let settled = fates.contains(&Fate::Completed);
-        let nacked = !settled && fates.contains(&Fate::Rejected);
-        let always = !beyond.contains(customer);
-        for own in [&mut groups[*group], &mut all].into_iter().chain(always.then_some(&mut within)) {
-            own.add(*inside, settled, nacked, f64::from(*units));
+        let completed = fates.contains(&RequestOutcome::Completed);
+        let rejected = !completed && fates.contains(&RequestOutcome::Rejected);
+        let always = !beyond_quota.contains(tenant);
+        for counts in [&mut groups[*group], &mut all].into_iter().chain(always.then_some(&mut within)) {
+            counts.add(*within_quota, completed, rejected, f64::from(*units));
         }
     }
     let mut windows = worst_windows(ledger, scenario, from);
-    let named = scenario.customers.iter().zip(&groups).map(|(customers, own)| {
-        let mut shown = own.shown();
-        shown["worst_window"] = json!(windows.remove(&customers.name).unwrap_or(0.0));
-        (customers.name.clone(), shown)
+    let named = scenario.customers.iter().zip(&groups).map(|(tenants, counts)| {
+        let mut value = counts.value();
+        value["worst_window"] = json!(windows.remove(&tenants.name).unwrap_or(0.0));
+        (tenants.name.clone(), value)
     });
-    let mut shown = counts.shown();
-    shown["tries_again"] = json!(tries);
-    json!({ "transactions": shown, "quota": all.shown(), "within": within.shown(), "groups": Value::Object(named.collect()) })
+    let mut value = counts.value();
+    value["tries_again"] = json!(retries);
+    json!({ "transactions": value, "quota": all.value(), "within": within.value(), "groups": Value::Object(named.collect()) })
 }
 
-/// The window over which quotas are looked at.
+/// The window over which completed units are compared with the quota.
 const WINDOW: Micros = 10 * SECOND;
 
-/// For each group, the most that any customer had settled in any window, beside what its plan gives in that time: what
-/// the rate gives and one burst.
+/// For each group, the maximum of any tenant's completed units in any window, as a multiple of what its plan allows in that
+/// time: the rate and one burst.
 fn worst_windows(ledger: &RequestLedger, scenario: &Scenario, from: Micros) -> BTreeMap<String, f64> {
-    let mut settled: BTreeMap<(usize, u64), Vec<(Micros, f64)>> = BTreeMap::new();
-    for (ask, _, fate, _) in ledger.fates() {
-        if fate == Fate::Completed && ask.at >= from {
-            settled.entry((ask.group, ask.tenant)).or_default().push((ask.at, f64::from(ask.units)));
+    let mut completed: BTreeMap<(usize, u64), Vec<(Micros, f64)>> = BTreeMap::new();
+    for (request, _, outcome, _) in ledger.outcomes() {
+        if outcome == RequestOutcome::Completed && request.at >= from {
+            completed
+                .entry((request.group, request.tenant))
+                .or_default()
+                .push((request.at, f64::from(request.units)));
         }
     }
     let mut worst: BTreeMap<String, f64> = BTreeMap::new();
-    for ((group, _), mut units) in settled {
-        let customers = &scenario.customers[group];
-        let Some(plan) = scenario.plans.iter().find(|plan| plan.name == customers.plan) else { continue };
-        let given = plan.rate * WINDOW as f64 / SECOND as f64 + plan.burst;
-        // In the order of their times: tries again come later than their ids.
+    for ((group, _), mut units) in completed {
+        let tenants = &scenario.customers[group];
+        let Some(plan) = scenario.plans.iter().find(|plan| plan.name == tenants.plan) else { continue };
+        let allowance = plan.rate * WINDOW as f64 / SECOND as f64 + plan.burst;
+        // Sort by time: the clients' retries come later than their ids suggest.
         units.sort_by_key(|(at, _)| *at);
         let (mut first, mut sum) = (0, 0.0);
-        for (at, own) in &units {
-            sum += own;
+        for (at, request_units) in &units {
+            sum += request_units;
             while units[first].0 + WINDOW <= *at {
                 sum -= units[first].1;
                 first += 1;
             }
-            let most = worst.entry(customers.name.clone()).or_default();
-            *most = most.max(sum / given);
+            let max_share = worst.entry(tenants.name.clone()).or_default();
+            *max_share = max_share.max(sum / allowance);
         }
     }
     worst
 }
 
-pub fn rules(court: &Recorder) -> Value {
-    let mut shown = json!({ "broken": court.violation_count() });
-    for (name, broken) in court.rules() {
-        shown[name] = json!({ "broken": broken.count, "instances": broken.instances });
+pub fn rules(recorder: &Recorder) -> Value {
+    let mut value = json!({ "broken": recorder.violation_count() });
+    for (name, broken) in recorder.rules() {
+        value[name] = json!({ "broken": broken.count, "instances": broken.instances });
     }
-    shown
+    value
 }
 
-/// A figure by its place, as in `transactions.lost`; names that hold dots can't be asked for.
-pub fn figure(report: &Value, place: &str) -> Option<f64> {
+/// The figure at a path, as in `transactions.lost`; names that contain dots can't be looked up.
+pub fn figure(report: &Value, path: &str) -> Option<f64> {
     let mut at = report;
-    for name in place.split('.') {
+    for name in path.split('.') {
         at = match name.parse::<usize>() {
             Ok(number) if at.is_array() => at.get(number)?,
             _ => at.get(name)?,
@@ -212,23 +225,23 @@
     at.as_f64()
 }
 
-/// Judges the claims. One whose figure is not in the report does not hold: a slip must not pass for a success.
+/// Checks the claims. A claim whose figure is not in the report does not hold, so that a misspelt path fails the run.
 pub fn claims(report: &Value, claims: &[Claim]) -> Value {
     let judged = claims.iter().map(|claim| {
         let value = figure(report, &claim.figure);
-        let least = claim.least.is_none_or(|least| value.is_some_and(|value| value >= least));
-        let most = claim.most.is_none_or(|most| value.is_some_and(|value| value <= most));
+        let within_min = claim.least.is_none_or(|min| value.is_some_and(|value| value >= min));
+        let within_max = claim.most.is_none_or(|max| value.is_some_and(|value| value <= max));
         let bound = match (claim.least, claim.most) {
-            (Some(least), Some(most)) => json!({ "least": least, "most": most }),
-            (Some(least), None) => json!({ "least": least }),
-            (_, most) => json!({ "most": most }),
+            (Some(min), Some(max)) => json!({ "least": min, "most": max }),
+            (Some(min), None) => json!({ "least": min }),
+            (_, max) => json!({ "most": max }),
         };
-        json!({ "name": claim.name, "held": least && most, "figure": claim.figure, "value": value, "bound": bound })
+        json!({ "name": claim.name, "held": within_min && within_max, "figure": claim.figure, "value": value, "bound": bound })
     });
     judged.collect::<Vec<_>>().into()
 }
 
-/// What broke, a line each: the first instance of each rule, and the claims that did not hold.
+/// One line for each failure: the first violation of each broken rule, and the claims that did not hold.
 pub fn broken(report: &Value) -> Vec<String> {
     let rules = report["rules"].as_object().into_iter().flatten();
     let rules = rules.filter_map(|(name, rule)| {
@@ -241,69 +254,71 @@
     rules.chain(claims.map(|claim| format!("claim: {} = {}", claim["name"], claim["value"]))).collect()
 }
 
-/// Whether a run kept the rules and its claims.
+/// Whether all rules and claims of a run hold, and all awaited events came.
 pub fn holds(report: &Value) -> bool {
     let claims = report["claims"].as_array().into_iter().flatten();
-    let came = report["faults"]["never_came"].as_u64().unwrap_or(0) == 0;
-    came && report["rules"]["broken"] == json!(0)
+    let all_triggered = report["faults"]["never_came"].as_u64().unwrap_or(0) == 0;
+    all_triggered
+        && report["rules"]["broken"] == json!(0)
         && claims.into_iter().all(|claim| claim["held"] == json!(true))
 }
 
-/// For people to read.
+/// The report as a table for people to read.
 pub fn table(report: &Value) -> String {
-    let mut to = String::new();
-    let number = |place: &str| figure(report, place).unwrap_or(0.0);
-    let line = |to: &mut String, name: &str, text: String| {
-        let _ = writeln!(to, "  {name:<14} {text}");
+    let mut output = String::new();
+    let number = |path: &str| figure(report, path).unwrap_or(0.0);
+    let line = |output: &mut String, name: &str, text: String| {
+        let _ = writeln!(output, "  {name:<14} {text}");
     };
     let head = format!(
         "{}: {}",
         report["scenario"].as_str().unwrap_or_default(),
         report["about"].as_str().unwrap_or_default()
     );
-    let _ = writeln!(to, "{head}");
+    let _ = writeln!(output, "{head}");
     let t = |name: &str| number(&format!("transactions.{name}"));
-    line(&mut to, "transactions", format!(
+    line(&mut output, "transactions", format!(
         "{} sent, {} settled ({} late), {} nacked, {} abandoned, {} lost, {} lost by faults, {} unsent, {} tries again",
         t("sent"), t("settled"), t("late"), t("nacked"), t("abandoned"), t("lost"), t("lost_by_faults"), t("unsent"),
         t("tries_again"),
     ));
-    let groups = report["groups"].as_object().into_iter().flatten().map(|(name, own)| (&**name, own));
-    for (name, own) in groups.chain([("all within", &report["within"])]) {
-        let window =
-            own["worst_window"].as_f64().map_or(String::new(), |worst| format!(", worst window {worst:.2}"));
-        let own = |field: &str| own[field].as_f64().unwrap_or(0.0);
+    let groups = report["groups"].as_object().into_iter().flatten().map(|(name, figures)| (&**name, figures));
+    for (name, figures) in groups.chain([("all within", &report["within"])]) {
+        let window = figures["worst_window"]
+            .as_f64()
+            .map_or(String::new(), |worst| format!(", worst window {worst:.2}"));
+        let value = |field: &str| figures[field].as_f64().unwrap_or(0.0);
         line(
-            &mut to,
+            &mut output,
             name,
             format!(
                 "inside {}: {:.2} in 100 settled, {:.2} nacked; beyond {}: {} settled; use {:.3}{window}",
-                own("inside"),
-                100.0 * own("share_inside_settled"),
-                100.0 * own("share_inside_nacked"),
-                own("beyond"),
-                own("beyond_settled"),
-                own("use"),
+                value("inside"),
+                100.0 * value("share_inside_settled"),
+                100.0 * value("share_inside_nacked"),
+                value("beyond"),
+                value("beyond_settled"),
+                value("use"),
             ),
         );
     }
-    for (name, own) in report["latency"].as_object().into_iter().flatten() {
-        let own = |field: &str| own[field].as_f64().unwrap_or(0.0);
+    for (name, figures) in report["latency"].as_object().into_iter().flatten() {
+        let value = |field: &str| figures[field].as_f64().unwrap_or(0.0);
         line(
-            &mut to,
+            &mut output,
             name,
             format!(
                 "p50 {:.1}, p90 {:.1}, p99 {:.1}, p99.9 {:.1}, longest {:.1} ms",
-                own("p50_ms"),
-                own("p90_ms"),
-                own("p99_ms"),
-                own("p999_ms"),
-                own("max_ms"),
+                value("p50_ms"),
+                value("p90_ms"),
+                value("p99_ms"),
+                value("p999_ms"),
+                value("max_ms"),
             ),
         );
     }
     line(
-        &mut to,
+        &mut output,
         "gateways",
         format!(
             "{:.0} us a transaction, {:.1} MB at the most, {} starts, {} crashes",
@@ -314,7 +329,7 @@
         ),
     );
     line(
-        &mut to,
+        &mut output,
         "boxes",
         format!(
             "{} trips, {} fell, {} connections at once at the most",
@@ -325,14 +340,14 @@
     );
     if report["counter"].is_object() {
         line(
-            &mut to,
+            &mut output,
             "counter",
             format!("{} calls, {} turned away", number("counter.calls"), number("counter.turned_away"),),
         );
     }
     if number("hostile.sent") > 0.0 {
         line(
-            &mut to,
+            &mut output,
             "hostile",
             format!(
                 "{} sent, {} told, {} ignored, {} served",
@@ -344,7 +359,7 @@
         );
     }
     line(
-        &mut to,
+        &mut output,
         "lab",
         format!(
             "load behind by {:.1} ms at p99, its own turns late by {:.1} ms at p99, {:.2} of a core",
@@ -358,12 +373,12 @@
     {
         let broken = rule["broken"].as_u64().unwrap_or(0);
         line(
-            &mut to,
+            &mut output,
             &format!("rule {name}"),
             if broken == 0 { "kept".into() } else { format!("BROKEN {broken} times") },
         );
         for instance in rule["instances"].as_array().into_iter().flatten().take(5) {
-            line(&mut to, "", instance.as_str().unwrap_or_default().to_string());
+            line(&mut output, "", instance.as_str().unwrap_or_default().to_string());
         }
     }
     for claim in report["claims"].as_array().into_iter().flatten() {
@@ -375,11 +390,11 @@
             claim["figure"].as_str().unwrap_or_default(),
             claim["bound"]
         );
-        line(&mut to, "claim", format!("{}: {text}", claim["name"].as_str().unwrap_or_default()));
+        line(&mut output, "claim", format!("{}: {text}", claim["name"].as_str().unwrap_or_default()));
     }
     if report["between"].is_object() {
         line(
-            &mut to,
+            &mut output,
             "between",
             format!(
                 "{:.0} datagrams a second, {:.0} bytes, passed on {:.2} ms late at p99",
@@ -393,11 +408,11 @@
     if unfelt + never > 0.0 {
         let text =
             format!("{unfelt} that nobody was there to feel, {never} that waited for what was never said");
-        line(&mut to, "faults", text);
+        line(&mut output, "faults", text);
     }
     if let Some(why) = report["void"].as_str() {
-        line(&mut to, "VOID", why.to_string());
+        line(&mut output, "VOID", why.to_string());
     }
-    let _ = write!(to, "  played in {:.1} s", number("played_us") / SECOND as f64);
-    to
+    let _ = write!(output, "  played in {:.1} s", number("played_us") / SECOND as f64);
+    output
 }
--- a/crates/lab/src/request_ledger.rs
+++ b/crates/lab/src/request_ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger: hears of every event at the clients and at the stand-ins, and judges the rules from the outside: the five, and
-//! that nothing is sent on for a client that has left.
+//! The request ledger: observes every event at the clients and at the simulated servers, and checks the rules from outside
+//! the gateways: the five rules, and that a gateway forwards nothing for a client that has disconnected.
 //!
-//! It goes by order and counts: every bound that is a time has a slack stated beside it, as the parties and the gateways
-//! share a machine that others use. What a fault explains is counted, and not held against a gateway: a transaction is a
-//! killed gateway's loss if the kill came between its last byte and its end, and a broken link's if the break did.
+//! The rules depend on order and counts. Every bound that is a time has a stated slack, because clients, servers and gateways
+//! share a machine with other work. A loss that a fault explains is counted, but is no violation: a request is lost by a kill
+//! of its gateway if the kill came between the request's last byte and its end, and by a link fault if the fault did.
 
 mod attempt_rules;
 
@@ -18,26 +18,28 @@
 use crate::wire::Answer;
 use crate::{Micros, MILLISECOND, SECOND};
 
-/// The rules, by the names of the report.
+/// Names of the rules in the report.
 pub const RULES: [&str; 6] = ["answers", "effects", "drains", "cold", "ceilings", "left"];
 
-/// Sockets make every time limit longer by so much.
-const SOCKETS: Micros = 50 * MILLISECOND;
+/// Time that sockets add to every time limit.
+const SOCKET_ALLOWANCE: Micros = 50 * MILLISECOND;
 
-/// Bounds of the rules that the site sets.
+/// Bounds of the rules that the scenario sets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RuleBounds {
-    /// Nothing new may be sent so long after a gateway was told of a drain.
+    /// After a gateway learns that a server is draining, it must stop sending new attempts to the server within this time.
     pub grace: Micros,
-    /// How late things may be seen on a busy machine.
+    /// How late the lab may observe an event on a busy machine.
     pub slack: Micros,
-    pub lanes: Vec<RequestClass>,
+    #[serde(rename = "lanes")]
+    pub classes: Vec<RequestClass>,
     pub plans: Vec<Plan>,
-    /// Units of the largest transaction.
-    pub largest: f64,
+    /// Units of the largest request.
+    #[serde(rename = "largest")]
+    pub max_units: f64,
 }
 
-/// Where something of a gateway's may be broken.
+/// A gateway's link that a fault can affect.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Link {
     Clients(u32),
@@ -58,11 +60,11 @@
     }
 }
 
-/// A trip that came whole to a box.
+/// An attempt that a server has received completely.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Arrival {
     pub at: Micros,
-    /// When its first byte came.
+    /// When the server received the first byte.
     pub began: Micros,
     #[serde(rename = "box_")]
     pub server: String,
@@ -71,57 +73,57 @@
     pub work: Micros,
 }
 
-/// How a transaction went in the end, for its client.
+/// The final outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     Open,
-    /// Not taken: no connection, or broken before the last byte.
+    /// Never sent completely: there was no connection, or it broke before the last byte.
     Unsent,
     Completed,
     Rejected,
     Failed,
-    /// Without an answer, by a kill or a broken link.
+    /// Unanswered because of a kill, a pause or a link fault.
     Excused,
-    /// Without an answer.
+    /// Unanswered without such an explanation.
     Lost,
-    /// Its client left before it had one, and is owed nothing.
+    /// The client disconnected before an answer came, so none is due.
     Disconnected,
 }
 
-struct Transaction {
-    ask: ClientRequest,
-    inside: bool,
+struct RequestState {
+    client_request: ClientRequest,
+    within_quota: bool,
     written: Option<Micros>,
     ended: Option<Micros>,
     gateway: u32,
-    fate: Fate,
-    trips: Vec<usize>,
-    wrong_value: bool,
+    outcome: RequestOutcome,
+    attempts: Vec<usize>,
+    has_wrong_value: bool,
     left: Option<Micros>,
 }
 
-struct Trip {
-    box_: String,
-    ran: Option<AttemptEnd>,
-    /// Its answer was written, or its connection ended.
-    over: bool,
+struct ForwardedAttempt {
+    server: String,
+    end: Option<AttemptEnd>,
+    /// The server has written the answer, or the connection has ended.
+    closed: bool,
     arrived: Micros,
 }
 
-/// A box as the ledger knows it, for as long as it has the name.
-struct Known {
+/// What the ledger knows of the server that has a name at present.
+struct KnownServer {
     zone: String,
     cell: u32,
     started: Option<Micros>,
     power: f64,
     cold: SlowStart,
-    pushes: VecDeque<(Micros, Micros, bool)>,
-    /// Enough of the last window's push was theirs who knew of its start.
-    knew: bool,
-    pushed_over: bool,
+    window_arrivals: VecDeque<(Micros, Micros, bool)>,
+    /// Whether gateways that had been notified of the server's start sent enough of the last window's work.
+    informed: bool,
+    overloaded: bool,
 }
 
-/// A span of time in which something was broken on purpose; without an end it still is.
+/// The start and end of a fault; a fault without an end is still active.
 type Span = (Micros, Option<Micros>);
 
 #[derive(Default)]
@@ -131,23 +133,23 @@
 }
 
 pub struct RequestLedger {
-    terms: RuleBounds,
-    transactions: BTreeMap<u64, Transaction>,
-    trips: Vec<Trip>,
-    /// Attempts that were never in flight together with the one that comes next to a server for a request.
+    bounds: RuleBounds,
+    requests: BTreeMap<u64, RequestState>,
+    attempts: Vec<ForwardedAttempt>,
+    /// By request and server: earlier attempts that were not in flight together with the next attempt to that server.
     apart: BTreeMap<(u64, String), Vec<usize>>,
-    /// Attempts that came while another was in flight, and were not so together at their gateway.
+    /// Attempts that reached a server while another was in flight there, but were not in flight together at their gateway.
     pub overtaken: u64,
-    /// Trips that came; without judging, none of them is kept.
-    came: usize,
-    judges: bool,
-    boxes: BTreeMap<String, Known>,
-    /// For each gateway and box, what it was told last, and when.
+    /// Number of attempts that arrived, including those that are not recorded.
+    attempt_total: usize,
+    records_requests: bool,
+    servers: BTreeMap<String, KnownServer>,
+    /// For each gateway and server, the last status that discovery sent to the gateway, and when.
     endpoint_notified: BTreeMap<(u32, String), (Status, Micros)>,
-    /// Boxes that operators have taken out of use at a gateway, and since when.
+    /// Servers that operators have cordoned at a gateway, and since when.
     cordons: BTreeMap<(u32, String), Micros>,
-    /// Gateways that have been told that a box started, by its start.
-    told_start: BTreeSet<(u32, String, Micros)>,
+    /// Gateways that discovery has notified of a server's start: gateway, server and start time.
+    start_notified: BTreeSet<(u32, String, Micros)>,
     kills: BTreeMap<u32, Vec<Micros>>,
     pauses: BTreeMap<u32, Vec<Span>>,
     faults: BTreeMap<Link, Vec<Span>>,
@@ -158,30 +160,30 @@
     pub hostile: Hostile,
 }
 
-/// What clients that mean harm were owed and got.
+/// How the gateways treated misbehaving clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hostile {
     pub sent: u64,
-    /// Told of an error, or let go.
-    pub told: u64,
+    /// Clients that got an error, or whose connection was closed.
+    pub answered: u64,
     pub served: u64,
     pub ignored: u64,
 }
 
 impl RequestLedger {
-    pub fn new(terms: RuleBounds) -> Self {
+    pub fn new(bounds: RuleBounds) -> Self {
         RequestLedger {
-            terms,
-            transactions: BTreeMap::new(),
-            trips: Vec::new(),
+            bounds,
+            requests: BTreeMap::new(),
+            attempts: Vec::new(),
             apart: BTreeMap::new(),
             overtaken: 0,
-            came: 0,
-            judges: true,
-            boxes: BTreeMap::new(),
+            attempt_total: 0,
+            records_requests: true,
+            servers: BTreeMap::new(),
             endpoint_notified: BTreeMap::new(),
             cordons: BTreeMap::new(),
-            told_start: BTreeSet::new(),
+            start_notified: BTreeSet::new(),
             kills: BTreeMap::new(),
             pauses: BTreeMap::new(),
             faults: BTreeMap::new(),
@@ -193,10 +195,11 @@
         }
     }
 
-    /// One that keeps and judges nothing, for stand-ins that run for as long as somebody likes.
+    /// A ledger that records and checks nothing, for simulated servers that run for an unlimited time.
     pub fn recording_nothing() -> Self {
-        let terms = RuleBounds { grace: 0, slack: 0, lanes: Vec::new(), plans: Vec::new(), largest: 0.0 };
-        RequestLedger { judges: false, ..RequestLedger::new(terms) }
+        let bounds =
+            RuleBounds { grace: 0, slack: 0, classes: Vec::new(), plans: Vec::new(), max_units: 0.0 };
+        RequestLedger { records_requests: false, ..RequestLedger::new(bounds) }
     }
 
     pub fn broken(&self) -> impl Iterator<Item = (&'static str, &Violations)> {
@@ -207,29 +210,29 @@
         self.broken.iter().map(|rule| rule.count).sum()
     }
 
-    fn breaks(&mut self, rule: usize, at: Micros, what: String) {
+    fn add_violation(&mut self, rule: usize, at: Micros, what: String) {
         self.broken[rule].add(at, what);
     }
 
-    // What is done on purpose.
+    // Faults.
 
-    /// A gateway's process was ended at once.
+    /// A gateway's process was killed.
     pub fn killed(&mut self, gateway: u32, at: Micros) {
         self.kills.entry(gateway).or_default().push(at);
     }
 
-    /// A gateway's process ended though nobody had told it to.
+    /// A gateway's process ended without a request to do so.
     pub fn crashed(&mut self, gateway: u32, at: Micros) {
-        self.breaks(0, at, format!("gateway {gateway} ended by itself"));
+        self.add_violation(0, at, format!("gateway {gateway} ended by itself"));
     }
 
-    /// A link is broken from now on. Told before it is done, so that no effect of it comes before it.
+    /// A link fault begins. Recorded before the fault is applied, so that none of its effects precedes it.
     pub fn link_broken(&mut self, link: Link, at: Micros) {
         self.faults.entry(link).or_default().push((at, None));
     }
 
-    /// One thing that was broken on a link is whole again. Told after it is done. Which of several does not matter: until
-    /// the last has ended one span stands open.
+    /// A link fault has ended. Recorded after it is removed. Which of several faults ended does not matter: one span stays
+    /// open until the last of them has ended.
     pub fn link_restored(&mut self, link: &Link, at: Micros) {
         let mut open = self.faults.get_mut(link).into_iter().flatten().filter(|span| span.1.is_none());
         if let Some(span) = open.next() {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// A gateway's process was stopped, or goes on.
+    /// A gateway's process was paused, or resumed.
     pub fn paused(&mut self, gateway: u32, on: bool, at: Micros) {
         let pauses = self.pauses.entry(gateway).or_default();
         if on {
@@ -247,21 +250,21 @@
         }
     }
 
-    /// Whether its process stood for longer within this time than a busy machine's do.
-    fn stood(&self, gateway: u32, from: Micros, to: Micros) -> bool {
+    /// Whether the gateway's process was paused in this period for longer than the slack of a busy machine.
+    fn was_paused(&self, gateway: u32, from: Micros, to: Micros) -> bool {
         let pauses = self.pauses.get(&gateway).into_iter().flatten();
         let within = |(began, ended): &Span| ended.unwrap_or(to).min(to).saturating_sub((*began).max(from));
-        pauses.map(within).sum::<Micros>() > self.terms.slack
+        pauses.map(within).sum::<Micros>() > self.bounds.slack
     }
 
-    fn faulty(&self, link: &Link, from: Micros, to: Micros) -> bool {
+    fn was_faulty(&self, link: &Link, from: Micros, to: Micros) -> bool {
         let spans = self.faults.get(link).into_iter().flatten();
         spans.into_iter().any(|(began, ended)| *began <= to && ended.is_none_or(|ended| ended >= from))
     }
 
-    /// Whether a link is broken now.
+    /// Whether a link has an active fault at this time.
     pub fn is_faulty(&self, link: &Link, at: Micros) -> bool {
-        self.faulty(link, at, at)
+        self.was_faulty(link, at, at)
     }
 
     pub fn server_started(
@@ -273,256 +276,270 @@
         cold: SlowStart,
     ) {
         let (zone, cell) = (place.0.to_string(), place.1);
-        let known = Known {
+        let known = KnownServer {
             zone,
             cell,
             started,
             power,
             cold,
-            pushes: VecDeque::new(),
-            knew: false,
-            pushed_over: false,
+            window_arrivals: VecDeque::new(),
+            informed: false,
+            overloaded: false,
         };
-        self.boxes.insert(name.into(), known);
+        self.servers.insert(name.into(), known);
     }
 
     // Clients.
 
-    /// A transaction is about to be asked for. Says whether it is inside its customer's quota, had all been admitted
-    /// that came before; a further try belongs to the first.
-    pub fn request_created(&mut self, ask: &ClientRequest) -> bool {
-        let inside = match self.transactions.get(&ask.origin) {
-            Some(origin) => origin.inside,
-            None => self.in_quota(ask),
+    /// A client is about to send a request. Returns whether the request is within its tenant's quota, assuming that all earlier
+    /// requests were admitted. A client's retry counts as its original request does.
+    pub fn request_created(&mut self, client_request: &ClientRequest) -> bool {
+        let within_quota = match self.requests.get(&client_request.origin) {
+            Some(origin) => origin.within_quota,
+            None => self.in_quota(client_request),
         };
-        let transaction = Transaction {
-            ask: ask.clone(),
-            inside,
+        let request = RequestState {
+            client_request: client_request.clone(),
+            within_quota,
             written: None,
             ended: None,
-            gateway: ask.gateway,
-            fate: Fate::Open,
-            trips: Vec::new(),
-            wrong_value: false,
+            gateway: client_request.gateway,
+            outcome: RequestOutcome::Open,
+            attempts: Vec::new(),
+            has_wrong_value: false,
             left: None,
         };
-        self.transactions.insert(ask.id, transaction);
-        inside
+        self.requests.insert(client_request.id, request);
+        within_quota
     }
 
-    fn in_quota(&mut self, ask: &ClientRequest) -> bool {
-        let plan = &self.terms.plans[ask.plan];
+    fn in_quota(&mut self, client_request: &ClientRequest) -> bool {
+        let plan = &self.bounds.plans[client_request.plan];
         if plan.rate == 0.0 {
             return true;
         }
-        let (level, at) = self.quotas.entry(ask.tenant).or_insert((plan.burst, ask.at));
-        let gone = ask.at.saturating_sub(*at) as f64 / SECOND as f64;
-        (*level, *at) = ((*level + gone * plan.rate).min(plan.burst), ask.at);
-        let inside = *level >= f64::from(ask.units);
-        if inside {
-            *level -= f64::from(ask.units);
+        let (level, at) = self.quotas.entry(client_request.tenant).or_insert((plan.burst, client_request.at));
+        let elapsed = client_request.at.saturating_sub(*at) as f64 / SECOND as f64;
+        (*level, *at) = ((*level + elapsed * plan.rate).min(plan.burst), client_request.at);
+        let within_quota = *level >= f64::from(client_request.units);
+        if within_quota {
+            *level -= f64::from(client_request.units);
         }
-        inside
+        within_quota
     }
 
-    /// The gateway that a transaction was asked of last.
+    /// The gateway to which the request was sent last.
     pub fn gateway_of(&self, id: u64) -> Option<u32> {
-        self.transactions.get(&id).map(|transaction| transaction.gateway)
+        self.requests.get(&id).map(|request| request.gateway)
     }
 
-    /// Its last byte has been written to a connection that the gateway's machine accepted.
+    /// The client has written the request's last byte to a connection that the gateway's machine accepted.
     pub fn written(&mut self, id: u64, gateway: u32, at: Micros) {
-        if let Some(transaction) = self.transactions.get_mut(&id) {
-            (transaction.written, transaction.gateway) = (Some(at), gateway);
+        if let Some(request) = self.requests.get_mut(&id) {
+            (request.written, request.gateway) = (Some(at), gateway);
         }
     }
 
     pub fn unsent(&mut self, id: u64) {
-        if let Some(transaction) = self.transactions.get_mut(&id) {
-            transaction.fate = Fate::Unsent;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.outcome = RequestOutcome::Unsent;
         }
     }
 
     pub fn answered(&mut self, id: u64, at: Micros, answer: &Answer) {
-        let Some(transaction) = self.transactions.get_mut(&id) else { return };
-        transaction.ended = Some(at);
-        transaction.fate = match answer {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.ended = Some(at);
+        request.outcome = match answer {
             Answer::Completed(value) => {
-                // The answer belongs to this transaction, and one of its boxes made it.
+                // The value must belong to this request and come from a server that ran one of its attempts.
                 let text = String::from_utf8_lossy(value);
-                let made_by = text.strip_prefix(&format!("{id:016x}:"));
-                let ran = |trip: &usize| {
-                    matches!(self.trips[*trip].ran, Some(AttemptEnd::Ran { .. }))
-                        && made_by == Some(&*self.trips[*trip].box_)
+                let answering_server = text.strip_prefix(&format!("{id:016x}:"));
+                let ran = |attempt: &usize| {
+                    matches!(self.attempts[*attempt].end, Some(AttemptEnd::Ran { .. }))
+                        && answering_server == Some(&*self.attempts[*attempt].server)
                 };
-                transaction.wrong_value = !transaction.trips.iter().any(ran);
-                Fate::Completed
+                request.has_wrong_value = !request.attempts.iter().any(ran);
+                RequestOutcome::Completed
             }
-            Answer::Rejected { .. } => Fate::Rejected,
-            Answer::Failed => Fate::Failed,
+            Answer::Rejected { .. } => RequestOutcome::Rejected,
+            Answer::Failed => RequestOutcome::Failed,
         };
-        let (fate, wrong) = (transaction.fate, transaction.wrong_value);
-        let (ask, written, gateway) =
-            (transaction.ask.clone(), transaction.written.unwrap_or(at), transaction.gateway);
-        if wrong {
-            self.breaks(0, at, format!("transaction {id:x} was settled with what no box made for it"));
+        let (outcome, has_wrong_value) = (request.outcome, request.has_wrong_value);
+        let (client_request, written, gateway) =
+            (request.client_request.clone(), request.written.unwrap_or(at), request.gateway);
+        if has_wrong_value {
+            self.add_violation(
+                0,
+                at,
+                format!("request {id:x} was completed with a value that no server returned for it"),
+            );
         }
-        let limit = self.terms.lanes[ask.class].deadline + SOCKETS + self.terms.slack;
-        let excused = self.faulty(&Link::Clients(gateway), written, at) || self.stood(gateway, written, at);
+        let limit = self.bounds.classes[client_request.class].deadline + SOCKET_ALLOWANCE + self.bounds.slack;
+        let excused =
+            self.was_faulty(&Link::Clients(gateway), written, at) || self.was_paused(gateway, written, at);
         if at > written + limit && !excused {
             let late = (at - written - limit) / MILLISECOND;
-            self.breaks(0, at, format!("transaction {id:x} was answered {late} ms after its hard stop"));
+            self.add_violation(0, at, format!("request {id:x} was answered {late} ms after its deadline"));
         }
-        if fate == Fate::Rejected {
-            self.nack_of_what_ran(id, at);
+        if outcome == RequestOutcome::Rejected {
+            self.check_rejection(id, at);
         }
     }
 
-    /// A nack says that to try again is harmless.
-    fn nack_of_what_ran(&mut self, id: u64, at: Micros) {
-        let Some(transaction) = self.transactions.get(&id) else { return };
-        let lane = &self.terms.lanes[transaction.ask.class];
-        let harmless = match lane.idempotency {
+    /// A rejection promises the client that a retry is harmless.
+    fn check_rejection(&mut self, id: u64, at: Micros) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let class = &self.bounds.classes[request.client_request.class];
+        let repeat_is_harmless = match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Keyed => lane.scope == KeyScope::All,
+            Idempotency::Keyed => class.scope == KeyScope::All,
             Idempotency::NonIdempotent => false,
         };
         let may_have_run =
-            transaction.trips.iter().any(|trip| self.trips[*trip].ran != Some(AttemptEnd::Rejected));
-        if may_have_run && !harmless {
-            self.breaks(1, at, format!("transaction {id:x} was nacked after a trip of it may have run"));
+            request.attempts.iter().any(|attempt| self.attempts[*attempt].end != Some(AttemptEnd::Rejected));
+        if may_have_run && !repeat_is_harmless {
+            self.add_violation(
+                1,
+                at,
+                format!("request {id:x} was rejected after one of its attempts may have run"),
+            );
         }
     }
 
-    /// Its connection ended without a whole answer, or nothing had come when its client left for good.
+    /// The connection ended without a complete answer, or the client gave up before any answer came.
     pub fn unanswered(&mut self, id: u64, at: Micros, closed: bool) {
-        let Some(transaction) = self.transactions.get(&id) else { return };
-        let (gateway, written) = (transaction.gateway, transaction.written.unwrap_or(at));
+        let Some(request) = self.requests.get(&id) else { return };
+        let (gateway, written) = (request.gateway, request.written.unwrap_or(at));
         let killed = self.kills.get(&gateway).into_iter().flatten();
-        // The end of a killed process's connection is seen at once; a client's own patience may end just before.
-        let killed = killed.into_iter().any(|kill| *kill + self.terms.slack >= written && *kill <= at);
-        let excused =
-            killed || self.faulty(&Link::Clients(gateway), written, at) || self.stood(gateway, written, at);
+        // The client sees the end of a killed process's connection immediately; its own timeout may expire just before.
+        let killed = killed.into_iter().any(|kill| *kill + self.bounds.slack >= written && *kill <= at);
+        let excused = killed
+            || self.was_faulty(&Link::Clients(gateway), written, at)
+            || self.was_paused(gateway, written, at);
         if !excused {
-            let how = if closed { "its connection was closed" } else { "nothing came" };
-            let took = at.saturating_sub(written) / MILLISECOND;
-            self.breaks(
+            let how = if closed { "its connection was closed" } else { "no answer came" };
+            let elapsed = at.saturating_sub(written) / MILLISECOND;
+            self.add_violation(
                 0,
                 at,
                 format!(
-                    "transaction {id:x} was lost by gateway {gateway}: {how}, {took} ms after its last byte"
+                    "request {id:x} was lost by gateway {gateway}: {how}, {elapsed} ms after its last byte"
                 ),
             );
         }
-        if let Some(transaction) = self.transactions.get_mut(&id) {
-            (transaction.ended, transaction.fate) =
-                (Some(at), if excused { Fate::Excused } else { Fate::Lost });
+        if let Some(request) = self.requests.get_mut(&id) {
+            (request.ended, request.outcome) =
+                (Some(at), if excused { RequestOutcome::Excused } else { RequestOutcome::Lost });
         }
     }
 
-    /// Its client has closed the connection.
+    /// The client has closed the connection.
     pub fn client_disconnected(&mut self, id: u64, at: Micros) {
-        if let Some(transaction) = self.transactions.get_mut(&id) {
-            (transaction.left, transaction.ended, transaction.fate) =
-                (Some(at), Some(at), Fate::Disconnected);
+        if let Some(request) = self.requests.get_mut(&id) {
+            (request.left, request.ended, request.outcome) =
+                (Some(at), Some(at), RequestOutcome::Disconnected);
         }
     }
 
-    /// Something came on a connection on which nothing was open.
+    /// A client received bytes on a connection without an open request.
     pub fn stray(&mut self, gateway: u32, since: Micros, at: Micros, what: &[u8]) {
         self.strays += 1;
-        if !self.faulty(&Link::Clients(gateway), since, at) {
+        if !self.was_faulty(&Link::Clients(gateway), since, at) {
             let what = String::from_utf8_lossy(&what[..what.len().min(60)]).escape_debug().to_string();
-            self.breaks(0, at, format!("gateway {gateway} sent '{what}' to a client that was owed nothing"));
+            self.add_violation(
+                0,
+                at,
+                format!("gateway {gateway} sent '{what}' to a client without an open request"),
+            );
         }
     }
 
-    // Boxes.
+    // Servers.
 
-    /// A trip has come whole to a box. Gives its number, for `ran` and `over`.
+    /// A server has received an attempt completely. Returns the attempt's number for `attempt_ended` and `attempt_closed`.
     pub fn arrived(&mut self, arrival: &Arrival) -> usize {
-        let number = self.came;
-        self.came += 1;
-        if !self.judges {
+        let number = self.attempt_total;
+        self.attempt_total += 1;
+        if !self.records_requests {
             return number;
         }
-        let (box_, arrived) = (arrival.server.clone(), arrival.at);
-        self.trips.push(Trip { box_, ran: None, over: false, arrived });
-        self.drain_kept(arrival);
-        self.left_kept(arrival);
-        self.cold_kept(arrival);
-        let known = self.transactions.get(&arrival.id).map(|transaction| transaction.trips.clone());
+        let (server, arrived) = (arrival.server.clone(), arrival.at);
+        self.attempts.push(ForwardedAttempt { server, end: None, closed: false, arrived });
+        self.check_drain(arrival);
+        self.check_client_left(arrival);
+        self.check_slow_start(arrival);
+        let known = self.requests.get(&arrival.id).map(|request| request.attempts.clone());
         let Some(earlier) = known else {
-            // Hostile clients' and other loads' own: no transaction of this ledger.
+            // The attempt belongs to a misbehaving client or to another load: the ledger has no such request.
             return number;
         };
         if earlier.is_empty() {
-            self.ceiling_kept(arrival);
+            self.check_ceiling(arrival);
         } else {
-            self.sent_again(arrival, &earlier);
+            self.check_further_attempt(arrival, &earlier);
         }
-        if let Some(transaction) = self.transactions.get_mut(&arrival.id) {
-            transaction.trips.push(number);
+        if let Some(request) = self.requests.get_mut(&arrival.id) {
+            request.attempts.push(number);
         }
         number
     }
 
-    /// The gateway had ended the connection of this attempt, or of the one that comes next to the server, before it sent the
-    /// other of the two.
+    /// The gateway ended the connection of one of two attempts before it sent the other: this earlier attempt, and the next
+    /// one that the server receives for the request.
     pub fn attempts_apart(&mut self, id: u64, server: &str, attempt: usize) {
-        if self.judges {
+        if self.records_requests {
             self.apart.entry((id, server.into())).or_default().push(attempt);
         }
     }
 
-    /// What became of a trip at its box, whether or not anybody hears of it.
-    pub fn attempt_ended(&mut self, trip: usize, end: AttemptEnd) {
-        if let Some(trip) = self.trips.get_mut(trip) {
-            trip.ran = Some(end);
+    /// An attempt ended at its server, whether or not the gateway receives the answer.
+    pub fn attempt_ended(&mut self, attempt: usize, end: AttemptEnd) {
+        if let Some(attempt) = self.attempts.get_mut(attempt) {
+            attempt.end = Some(end);
         }
     }
 
-    /// Its answer has been written, or its connection has ended.
-    pub fn attempt_closed(&mut self, trip: usize) {
-        if let Some(trip) = self.trips.get_mut(trip) {
-            trip.over = true;
+    /// The server has written the answer, or the connection has ended.
+    pub fn attempt_closed(&mut self, attempt: usize) {
+        if let Some(attempt) = self.attempts.get_mut(attempt) {
+            attempt.closed = true;
         }
     }
 
-    /// Discovery has written this to a gateway.
+    /// Discovery has sent a server's status to a gateway.
     pub fn endpoint_notified(
         &mut self,
         gateway: u32,
-        box_: &str,
+        server: &str,
         status: Status,
         started: Option<Micros>,
         at: Micros,
     ) {
-        if !self.judges {
+        if !self.records_requests {
             return;
         }
         if let Some(started) = started {
-            self.told_start.insert((gateway, box_.into(), started));
+            self.start_notified.insert((gateway, server.into(), started));
         }
-        let key = (gateway, box_.to_string());
+        let key = (gateway, server.to_string());
         match self.endpoint_notified.get(&key) {
-            // Told again of what it knows: the first time counts.
+            // A repeated notification: the first one counts.
             Some((known, _)) if *known == status => {}
             Some((Status::Terminating, _)) if status == Status::Terminated => {}
             _ => drop(self.endpoint_notified.insert(key, (status, at))),
         }
     }
 
-    /// A gateway starts anew, and knows what it was given at the start only.
-    pub fn forgets(&mut self, gateway: u32) {
-        self.endpoint_notified.retain(|(told, _), _| *told != gateway);
-        self.cordons.retain(|(told, _), _| *told != gateway);
-        self.told_start.retain(|(told, ..)| *told != gateway);
+    /// A gateway has restarted and knows only what it received at its start.
+    pub fn forget_gateway(&mut self, gateway: u32) {
+        self.endpoint_notified.retain(|(informed_gateway, _), _| *informed_gateway != gateway);
+        self.cordons.retain(|(informed_gateway, _), _| *informed_gateway != gateway);
+        self.start_notified.retain(|(informed_gateway, ..)| *informed_gateway != gateway);
     }
 
-    /// An operator took a box out of use at a gateway, or called it back, and heard yes.
-    pub fn cordoned(&mut self, gateway: u32, box_: &str, out: bool, at: Micros) {
-        let key = (gateway, box_.to_string());
+    /// A gateway has confirmed an operator's request to cordon or uncordon a server.
+    pub fn cordoned(&mut self, gateway: u32, server: &str, out: bool, at: Micros) {
+        let key = (gateway, server.to_string());
         if out {
             self.cordons.entry(key).or_insert(at);
         } else {
@@ -530,18 +547,18 @@
         }
     }
 
-    /// A client that means harm has had its turn.
+    /// A misbehaving client has finished.
     pub fn misbehavior_ended(&mut self, at: Micros, gateway: u32, got: MisbehaviorOutcome) {
         self.hostile.sent += 1;
         match got {
-            MisbehaviorOutcome::Answered => self.hostile.told += 1,
+            MisbehaviorOutcome::Answered => self.hostile.answered += 1,
             MisbehaviorOutcome::Ignored => self.hostile.ignored += 1,
             MisbehaviorOutcome::Served(what) => {
                 self.hostile.served += 1;
-                self.breaks(
+                self.add_violation(
                     0,
                     at,
-                    format!("gateway {gateway} served what nobody could have asked: '{what}'"),
+                    format!("gateway {gateway} served a request that no client could have sent: '{what}'"),
                 );
             }
         }
@@ -549,30 +566,33 @@
 
     // Figures.
 
-    /// All transactions, as (ask, inside its quota, fate, time from its last byte to its end).
-    pub fn fates(&self) -> impl Iterator<Item = (&ClientRequest, bool, Fate, Option<Micros>)> {
-        self.transactions.values().map(|transaction| {
-            let took = transaction.written.zip(transaction.ended).map(|(from, to)| to.saturating_sub(from));
-            (&transaction.ask, transaction.inside, transaction.fate, took)
+    /// All requests: the request, whether it is within its tenant's quota, its outcome, and the time from its last byte to its
+    /// end.
+    pub fn outcomes(&self) -> impl Iterator<Item = (&ClientRequest, bool, RequestOutcome, Option<Micros>)> {
+        self.requests.values().map(|request| {
+            let elapsed = request.written.zip(request.ended).map(|(from, to)| to.saturating_sub(from));
+            (&request.client_request, request.within_quota, request.outcome, elapsed)
         })
     }
 
     pub fn has_attempt(&self, id: u64) -> bool {
-        self.transactions.get(&id).is_some_and(|transaction| !transaction.trips.is_empty())
+        self.requests.get(&id).is_some_and(|request| !request.attempts.is_empty())
     }
 
     pub fn attempt_count(&self) -> usize {
-        self.came
+        self.attempt_total
     }
 
-    /// Keys that had more than one effect, however many transactions carried them.
+    /// Number of idempotency keys that had more than one effect, over all requests with the same key.
     pub fn doubled_keys(&self) -> u64 {
         let mut effects: BTreeMap<(u64, u64), u32> = BTreeMap::new();
-        for transaction in self.transactions.values() {
-            let Some(key) = transaction.ask.key else { continue };
-            let ran = |trip: &&usize| matches!(self.trips[**trip].ran, Some(AttemptEnd::Ran { first: true }));
-            let count = transaction.trips.iter().filter(ran).count() as u32;
-            *effects.entry((transaction.ask.tenant, key)).or_default() += count;
+        for request in self.requests.values() {
+            let Some(key) = request.client_request.key else { continue };
+            let ran = |attempt: &&usize| {
+                matches!(self.attempts[**attempt].end, Some(AttemptEnd::Ran { first: true }))
+            };
+            let count = request.attempts.iter().filter(ran).count() as u32;
+            *effects.entry((request.client_request.tenant, key)).or_default() += count;
         }
         effects.values().filter(|count| **count > 1).count() as u64
     }
@@ -581,7 +601,7 @@
 impl Checker for RequestLedger {
     fn observe(&mut self, at: Micros, event: &Event) {
         match event {
-            Event::RequestCreated { request: ask } => drop(self.request_created(ask)),
+            Event::RequestCreated { request: client_request } => drop(self.request_created(client_request)),
             Event::RequestWritten { id, gateway } => self.written(*id, *gateway, at),
             Event::RequestUnsent { id } => self.unsent(*id),
             Event::Answered { id, answer } => self.answered(*id, at, answer),
@@ -594,14 +614,14 @@
             }
             Event::AttemptArrived { arrival } => drop(self.arrived(arrival)),
             Event::AttemptsApart { id, server, other } => self.attempts_apart(*id, server, *other),
-            Event::AttemptEnded { attempt: trip, end } => self.attempt_ended(*trip, *end),
-            Event::AttemptClosed { attempt: trip } => self.attempt_closed(*trip),
+            Event::AttemptEnded { attempt, end } => self.attempt_ended(*attempt, *end),
+            Event::AttemptClosed { attempt } => self.attempt_closed(*attempt),
             Event::ServerCollapsed { name } => self.server_collapsed(name, at),
             Event::EndpointNotified { gateway, name, status, started } => {
                 self.endpoint_notified(*gateway, name, *status, *started, at);
             }
             Event::Cordoned { gateway, name, out } => self.cordoned(*gateway, name, *out, at),
-            Event::Started { gateway } => self.forgets(*gateway),
+            Event::Started { gateway } => self.forget_gateway(*gateway),
             Event::Killed { gateway } => self.killed(*gateway, at),
             Event::Crashed { gateway } => self.crashed(*gateway, at),
             Event::Paused { gateway } => self.paused(*gateway, true, at),
@@ -619,13 +639,13 @@
     }
 }
 
-/// What a client that means harm got.
+/// How a gateway treated a misbehaving client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MisbehaviorOutcome {
-    /// An error, or the end of its connection, in time.
+    /// The client got an error, or its connection was closed, in time.
     #[serde(rename = "Told")]
     Answered,
     Ignored,
-    /// It was served as though what it asked had run.
+    /// The client got an answer as if its request had run.
     Served(String),
 }
--- a/crates/lab/src/request_ledger/attempt_rules.rs
+++ b/crates/lab/src/request_ledger/attempt_rules.rs
@@ -1,87 +1,89 @@
-//! What the ledger judges when an attempt comes to a server: effects, drains, clients that have left, slow start, ceilings.
+//! The rules that the ledger checks when a server receives an attempt: effects, drains, disconnected clients, slow start and
+//! hard ceilings.
 
-use super::{Arrival, Link, RequestLedger, Trip, SOCKETS};
+use super::{Arrival, ForwardedAttempt, Link, RequestLedger, SOCKET_ALLOWANCE};
 use crate::model::clients::{Idempotency, KeyScope};
 use crate::model::discovery::Status;
 use crate::model::server::AttemptEnd;
 use crate::{Micros, MILLISECOND, SECOND};
 
-/// Nothing is sent on for a transaction so long after its client has left.
-const LEFT: Micros = 300 * MILLISECOND;
-/// What a ceiling's store may miss, as part of its burst; or one of the largest transactions, if that is more.
-const CEILING_SLACK: f64 = 0.1;
-/// For how long sockets let the ceiling's rate run on.
-const CEILING_SOCKETS: Micros = 150 * MILLISECOND;
-/// A cold box is pushed over by those who knew, if so large a part of the push was theirs.
-const KNOWING: f64 = 2.0 / 3.0;
+/// How long after a client disconnects its gateway may still forward the request.
+const MAX_FORWARD_AFTER_DISCONNECT: Micros = 300 * MILLISECOND;
+/// Allowed excess over a hard ceiling, as a share of its burst; one request of the largest size if that is more.
+const CEILING_SLACK_SHARE: f64 = 0.1;
+/// Time for which sockets may delay attempts, so that the ceiling's rate counts for longer.
+const CEILING_SOCKET_ALLOWANCE: Micros = 150 * MILLISECOND;
+/// Share of the work sent to a server in slow start above which gateways that knew of its start are responsible.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// The number of the rule on effects.
+/// Index of the rule on effects.
 const EFFECTS: usize = 1;
 
 impl RequestLedger {
-    /// Judges an attempt of a request that has had others before.
-    pub(super) fn sent_again(&mut self, arrival: &Arrival, earlier: &[usize]) {
-        self.judge_in_flight_together(arrival, earlier);
-        self.judge_repetition(arrival, earlier);
+    /// Checks an attempt of a request that has earlier attempts.
+    pub(super) fn check_further_attempt(&mut self, arrival: &Arrival, earlier: &[usize]) {
+        self.check_in_flight_together(arrival, earlier);
+        self.check_repetition(arrival, earlier);
     }
 
-    /// No two attempts of a request are in flight together.
-    fn judge_in_flight_together(&mut self, arrival: &Arrival, earlier: &[usize]) {
+    /// Checks that no two attempts of a request are in flight together.
+    fn check_in_flight_together(&mut self, arrival: &Arrival, earlier: &[usize]) {
         let apart = self.apart.remove(&(arrival.id, arrival.server.clone())).unwrap_or_default();
         let in_flight = |number: &&usize| {
-            let attempt = &self.trips[**number];
-            !attempt.over && !self.is_link_faulty(arrival, attempt)
+            let attempt = &self.attempts[**number];
+            !attempt.closed && !self.is_link_faulty(arrival, attempt)
         };
         let (overtaken, together): (Vec<&usize>, Vec<&usize>) =
             earlier.iter().filter(in_flight).partition(|number| apart.contains(*number));
         let is_broken = !together.is_empty();
         self.overtaken += overtaken.len() as u64;
         if is_broken {
-            let what =
-                format!("transaction {:x} has a trip to {} while another is out", arrival.id, arrival.server);
-            self.breaks(EFFECTS, arrival.at, what);
+            let what = format!(
+                "request {:x} has an attempt to {} while another is in flight",
+                arrival.id, arrival.server
+            );
+            self.add_violation(EFFECTS, arrival.at, what);
         }
     }
 
-    /// Whether a link of either attempt was faulty since the earlier one came: one that holds bytes back makes two at once of what
-    /// were one after the other.
-    fn is_link_faulty(&self, arrival: &Arrival, earlier: &Trip) -> bool {
+    /// Whether a link of either attempt was faulty since the earlier attempt arrived. A link that delays bytes can make attempts
+    /// overlap that the gateway sent one after the other.
+    fn is_link_faulty(&self, arrival: &Arrival, earlier: &ForwardedAttempt) -> bool {
         let link = |server: &str| Link::Server(arrival.gateway, server.into());
-        let links = [link(&earlier.box_), link(&arrival.server)];
-        links.iter().any(|link| self.faulty(link, earlier.arrived, arrival.at))
+        let links = [link(&earlier.server), link(&arrival.server)];
+        links.iter().any(|link| self.was_faulty(link, earlier.arrived, arrival.at))
     }
 
-    /// A request is sent again after an attempt that may have run only as its class allows.
-    fn judge_repetition(&mut self, arrival: &Arrival, earlier: &[usize]) {
-        let Some(transaction) = self.transactions.get(&arrival.id) else { return };
-        let class = self.terms.lanes[transaction.ask.class].clone();
-        let may_have_run = |number: &&usize| self.trips[**number].ran != Some(AttemptEnd::Rejected);
-        let Some(first) = earlier.iter().find(may_have_run).map(|number| &self.trips[*number]) else {
+    /// Checks that a request is retried after an attempt that may have run only if its class allows that.
+    fn check_repetition(&mut self, arrival: &Arrival, earlier: &[usize]) {
+        let Some(request) = self.requests.get(&arrival.id) else { return };
+        let class = self.bounds.classes[request.client_request.class].clone();
+        let may_have_run = |number: &&usize| self.attempts[**number].end != Some(AttemptEnd::Rejected);
+        let Some(first) = earlier.iter().find(may_have_run).map(|number| &self.attempts[*number]) else {
             return;
         };
-        let (first_server, first_at) = (first.box_.clone(), first.arrived);
+        let (first_server, first_at) = (first.server.clone(), first.arrived);
         let (id, at, server) = (arrival.id, arrival.at, &arrival.server);
         let why = match class.idempotency {
             Idempotency::Idempotent => return,
             Idempotency::NonIdempotent => {
-                let what =
-                    format!("transaction {id:x} went to {server} after {first_server} may have run it");
-                return self.breaks(EFFECTS, at, what);
+                let what = format!("request {id:x} went to {server} after {first_server} may have run it");
+                return self.add_violation(EFFECTS, at, what);
             }
-            Idempotency::Keyed if !self.share_keys(class.scope, &first_server, server) => "another group",
-            Idempotency::Keyed if at > first_at + class.retention + self.terms.slack => {
-                "its key is forgotten"
+            Idempotency::Keyed if !self.share_keys(class.scope, &first_server, server) => "another key scope",
+            Idempotency::Keyed if at > first_at + class.retention + self.bounds.slack => {
+                "the retention of its key is over"
             }
             Idempotency::Keyed => return,
         };
-        let what = format!("labelled transaction {id:x} went from {first_server} to {server}: {why}");
-        self.breaks(EFFECTS, at, what);
+        let what = format!("keyed request {id:x} went from {first_server} to {server}: {why}");
+        self.add_violation(EFFECTS, at, what);
     }
 
-    /// Whether two servers remember keys together.
+    /// Whether two servers share their memory of keys.
     fn share_keys(&self, scope: KeyScope, one: &str, other: &str) -> bool {
-        let zone = |name: &str| self.boxes.get(name).map(|known| &known.zone);
-        let cell = |name: &str| self.boxes.get(name).map(|known| (&known.zone, known.cell));
+        let zone = |name: &str| self.servers.get(name).map(|known| &known.zone);
+        let cell = |name: &str| self.servers.get(name).map(|known| (&known.zone, known.cell));
         match scope {
             KeyScope::All => true,
             KeyScope::Zone => zone(one) == zone(other),
@@ -89,99 +91,108 @@
         }
     }
 
-    pub(super) fn drain_kept(&mut self, arrival: &Arrival) {
+    pub(super) fn check_drain(&mut self, arrival: &Arrival) {
         let key = (arrival.gateway, arrival.server.clone());
-        let told = match self.endpoint_notified.get(&key) {
-            Some((Status::Terminating | Status::Terminated, told)) => Some(told),
+        let notified_at = match self.endpoint_notified.get(&key) {
+            Some((Status::Terminating | Status::Terminated, notified_at)) => Some(notified_at),
             _ => None,
         };
-        let Some(told) = told.into_iter().chain(self.cordons.get(&key)).min() else { return };
-        let until = told + self.terms.grace + self.terms.slack;
-        let held = self.faulty(&Link::Server(arrival.gateway, arrival.server.clone()), *told, arrival.at);
-        if arrival.began > until && !held {
-            let late = (arrival.began - told) / MILLISECOND;
+        let Some(notified_at) = notified_at.into_iter().chain(self.cordons.get(&key)).min() else { return };
+        let deadline = notified_at + self.bounds.grace + self.bounds.slack;
+        let link_was_faulty =
+            self.was_faulty(&Link::Server(arrival.gateway, arrival.server.clone()), *notified_at, arrival.at);
+        if arrival.began > deadline && !link_was_faulty {
+            let late = (arrival.began - notified_at) / MILLISECOND;
             let what = format!(
-                "gateway {} sent to {} {late} ms after it heard of its end",
+                "gateway {} sent to {} {late} ms after it was notified of the drain or cordon",
                 arrival.gateway, arrival.server
             );
-            self.breaks(2, arrival.at, what);
+            self.add_violation(2, arrival.at, what);
         }
     }
 
-    pub(super) fn left_kept(&mut self, arrival: &Arrival) {
-        let left = self.transactions.get(&arrival.id).and_then(|transaction| transaction.left);
-        let Some(left) = left.filter(|left| arrival.began > left + LEFT + SOCKETS + self.terms.slack) else {
+    pub(super) fn check_client_left(&mut self, arrival: &Arrival) {
+        let left = self.requests.get(&arrival.id).and_then(|request| request.left);
+        let Some(left) = left.filter(|left| {
+            arrival.began > left + MAX_FORWARD_AFTER_DISCONNECT + SOCKET_ALLOWANCE + self.bounds.slack
+        }) else {
             return;
         };
         let gateway = arrival.gateway;
         let links = [Link::Server(gateway, arrival.server.clone()), Link::Clients(gateway)];
-        let held = links.iter().any(|link| self.faulty(link, left, arrival.at));
-        if !held && !self.stood(gateway, left, arrival.at) {
+        let link_was_faulty = links.iter().any(|link| self.was_faulty(link, left, arrival.at));
+        if !link_was_faulty && !self.was_paused(gateway, left, arrival.at) {
             let late = (arrival.began - left) / MILLISECOND;
             let what = format!(
-                "gateway {gateway} sent transaction {:x} to {} {late} ms after its client had left",
+                "gateway {gateway} sent request {:x} to {} {late} ms after its client disconnected",
                 arrival.id, arrival.server
             );
-            self.breaks(5, arrival.at, what);
+            self.add_violation(5, arrival.at, what);
         }
     }
 
-    pub(super) fn cold_kept(&mut self, arrival: &Arrival) {
-        let Some(known) = self.boxes.get_mut(&arrival.server) else { return };
+    pub(super) fn check_slow_start(&mut self, arrival: &Arrival) {
+        let Some(known) = self.servers.get_mut(&arrival.server) else { return };
         let Some(started) = known.started else { return };
         let age = arrival.at.saturating_sub(started);
-        if age >= known.cold.warm_up || known.pushed_over {
+        if age >= known.cold.warm_up || known.overloaded {
             return;
         }
-        let knew = self.told_start.contains(&(arrival.gateway, arrival.server.clone(), started));
-        known.pushes.push_back((arrival.at, arrival.work, knew));
-        while known.pushes.front().is_some_and(|(at, ..)| at + known.cold.window <= arrival.at) {
-            known.pushes.pop_front();
+        let informed = self.start_notified.contains(&(arrival.gateway, arrival.server.clone(), started));
+        known.window_arrivals.push_back((arrival.at, arrival.work, informed));
+        while known.window_arrivals.front().is_some_and(|(at, ..)| at + known.cold.window <= arrival.at) {
+            known.window_arrivals.pop_front();
         }
-        let push: Micros = known.pushes.iter().map(|(_, work, _)| work).sum();
-        let largest = known.pushes.iter().map(|(_, work, _)| *work).max().unwrap_or(0);
-        let knowing: Micros = known.pushes.iter().filter(|(.., knew)| *knew).map(|(_, work, _)| work).sum();
-        let can = known.cold.capacity(age) * known.power * known.cold.window as f64;
-        known.knew = knowing as f64 >= KNOWING * push as f64;
-        let over = push as f64 > known.cold.multiple * can + largest as f64;
-        if over && known.knew {
-            known.pushed_over = true;
-            let (times, old) = (push as f64 / can, age / MILLISECOND);
-            let what = format!("{} was sent {times:.1} times what it can do, {old} ms old", arrival.server);
-            self.breaks(3, arrival.at, what);
+        let window_work: Micros = known.window_arrivals.iter().map(|(_, work, _)| work).sum();
+        let largest = known.window_arrivals.iter().map(|(_, work, _)| *work).max().unwrap_or(0);
+        let informed_work: Micros =
+            known.window_arrivals.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
+        let capacity = known.cold.capacity(age) * known.power * known.cold.window as f64;
+        known.informed = informed_work as f64 >= INFORMED_SHARE * window_work as f64;
+        let is_overloaded = window_work as f64 > known.cold.multiple * capacity + largest as f64;
+        if is_overloaded && known.informed {
+            known.overloaded = true;
+            let (times, old) = (window_work as f64 / capacity, age / MILLISECOND);
+            let what =
+                format!("{} was sent {times:.1} times its capacity {old} ms after its start", arrival.server);
+            self.add_violation(3, arrival.at, what);
         }
     }
 
-    /// A box has fallen under the trip that came last: those who sent the last window's have pushed it over, if they
-    /// knew.
-    pub fn server_collapsed(&mut self, box_: &str, at: Micros) {
-        let fallen = self.boxes.get_mut(box_).filter(|known| known.knew && !known.pushed_over);
-        let Some(known) = fallen else { return };
-        known.pushed_over = true;
+    /// A server collapsed under the last attempt. The gateways that sent the last window's work overloaded it if they knew of its
+    /// start.
+    pub fn server_collapsed(&mut self, server: &str, at: Micros) {
+        let overloaded = self.servers.get_mut(server).filter(|known| known.informed && !known.overloaded);
+        let Some(known) = overloaded else { return };
+        known.overloaded = true;
         let age = at.saturating_sub(known.started.unwrap_or(at)) / MILLISECOND;
-        self.breaks(3, at, format!("{box_} fell, {age} ms old, under what it was sent"));
+        self.add_violation(
+            3,
+            at,
+            format!("{server} collapsed under the work sent to it {age} ms after its start"),
+        );
     }
 
-    pub(super) fn ceiling_kept(&mut self, arrival: &Arrival) {
-        let Some(transaction) = self.transactions.get(&arrival.id) else { return };
-        let (customer, units, plan) = (
-            transaction.ask.tenant,
-            f64::from(transaction.ask.units),
-            &self.terms.plans[transaction.ask.plan],
+    pub(super) fn check_ceiling(&mut self, arrival: &Arrival) {
+        let Some(request) = self.requests.get(&arrival.id) else { return };
+        let (tenant, units, plan) = (
+            request.client_request.tenant,
+            f64::from(request.client_request.units),
+            &self.bounds.plans[request.client_request.plan],
         );
         let Some((rate, burst)) = plan.ceiling else { return };
         let at = arrival.at;
-        let (level, since) = self.ceilings.entry(customer).or_insert((burst, at));
-        let gone = at.saturating_sub(*since) as f64 / SECOND as f64;
-        (*level, *since) = ((*level + gone * rate).min(burst) - units, at);
-        let sockets = (CEILING_SOCKETS + self.terms.slack) as f64 / SECOND as f64 * rate;
-        let slack = (CEILING_SLACK * burst).max(self.terms.largest) + sockets;
+        let (level, since) = self.ceilings.entry(tenant).or_insert((burst, at));
+        let elapsed = at.saturating_sub(*since) as f64 / SECOND as f64;
+        (*level, *since) = ((*level + elapsed * rate).min(burst) - units, at);
+        let socket_units = (CEILING_SOCKET_ALLOWANCE + self.bounds.slack) as f64 / SECOND as f64 * rate;
+        let slack = (CEILING_SLACK_SHARE * burst).max(self.bounds.max_units) + socket_units;
         if *level < -slack {
-            let over = -*level;
-            self.breaks(
+            let excess = -*level;
+            self.add_violation(
                 4,
                 at,
-                format!("customer {customer:x} is {over:.1} units over its ceiling, {slack:.1} allowed"),
+                format!("tenant {tenant:x} is {excess:.1} units over its ceiling, {slack:.1} allowed"),
             );
         }
     }
