--- a/crates/lab/src/scenario/faults.rs
+++ b/crates/lab/src/scenario/faults.rs
@@ -1,25 +1,25 @@
-//! What a scenario can break, and how.
+//! The faults that a scenario can contain.
 
 use serde::{Deserialize, Serialize};
 
 use super::{whole, Time};
 use crate::history::LinkTraffic;
 
-/// Something that is broken on purpose; one of the kinds each.
+/// A fault; exactly one of the kinds is set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
     pub at: Time,
-    /// Until it is mended; without it to the end, where it can be mended at all.
+    /// How long the fault lasts; if absent, until the end of the scenario. Faults without an end ignore it.
     #[serde(rename = "for")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub for_: Option<Time>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub when: Option<When>,
+    pub when: Option<FaultTrigger>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateway: Option<GatewayFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub boxes: Option<BoxesFault>,
+    pub boxes: Option<ServerFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub counter: Option<CounterFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -27,9 +27,9 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub link: Option<LinkFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub between: Option<BetweenFault>,
+    pub between: Option<GatewayLinkFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<FleetFault>,
+    pub fleet: Option<PartitionFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub clock: Option<ClockFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -37,11 +37,11 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load: Option<LoadFault>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub hostile: Option<HostileFault>,
+    pub hostile: Option<MisbehavingClientsFault>,
 }
 
 impl Fault {
-    /// What it breaks, in a word.
+    /// The key of the fault's kind.
     pub fn kind(&self) -> &'static str {
         match self {
             Fault { gateway: Some(_), .. } => "gateway",
@@ -59,16 +59,16 @@
     }
 }
 
-/// It begins when a gateway has said something, and at its time at the earliest.
+/// Delays a fault until a gateway has logged an event; the fault's time is the earliest start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct When {
-    /// The event of the record.
+pub struct FaultTrigger {
+    /// Name of the log event.
     pub event: String,
-    /// Who says it; anybody, without.
+    /// The gateway that logs the event; any gateway if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateway: Option<u32>,
-    /// For how long it is waited for; if it has not come by then, the run says so and is no success.
+    /// How long to wait for the event; if it does not come, the run reports that and fails.
     pub within: Time,
 }
 
@@ -76,128 +76,128 @@
 #[serde(deny_unknown_fields)]
 pub struct GatewayFault {
     pub which: Vec<u32>,
-    pub how: Stop,
-    /// What it finds in its folder when it starts again.
+    pub how: GatewayFaultKind,
+    /// State of the gateway's folder when it restarts.
     #[serde(default)]
-    pub folder: Folder,
-    /// Time between one and the next.
+    pub folder: RestartFolder,
+    /// Time between one gateway and the next.
     #[serde(default)]
     pub each: Time,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stop {
-    /// At once; it starts again when the fault is over.
+pub enum GatewayFaultKind {
+    /// SIGKILL; the gateway starts again when the fault ends.
     Kill,
-    /// SIGTERM, and a start when it has ended.
+    /// SIGTERM; the gateway starts again when its process has ended.
     Restart,
-    /// SIGSTOP, and SIGCONT when the fault is over.
+    /// SIGSTOP, and SIGCONT when the fault ends.
     Pause,
-    /// One that is away comes.
+    /// Starts a gateway that is not running.
     Start,
-    /// SIGTERM, and it is away from then on.
+    /// SIGTERM; the gateway does not start again.
     Leave,
-    /// SIGHUP again and again, then SIGTERM among more of both, and a start when it has ended.
+    /// Repeated SIGHUP, then SIGTERM together with more of both signals; the gateway starts again when its process has ended.
     Series,
-    /// Another process beside it, on the same addresses; SIGTERM to the old one once the new one serves.
+    /// A hot restart: a new process starts on the same addresses, and the old process gets SIGTERM when the new one serves.
     Upgrade,
-    /// Its folder is kept by, as it is now, for `folder = "earlier"`.
+    /// Copies the gateway's folder for a later `folder = "earlier"`.
     Keep,
 }
 
-/// A gateway's folder, when it starts again.
+/// State of a gateway's folder when it restarts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Folder {
+pub enum RestartFolder {
     #[default]
     Kept,
-    /// Empty: its disk is lost.
+    /// Empty, as after the loss of a disk.
     Lost,
-    /// As it was when it was last kept by, or empty: a restored disk.
+    /// The state at the last copy, or empty without one, as after restoring a backup.
     Earlier,
 }
 
-/// Something between gateways. Each ordered pair has its own fate.
+/// A fault between gateways; it acts on each ordered pair independently.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct BetweenFault {
+pub struct GatewayLinkFault {
     pub from: Vec<u32>,
-    /// All others, if none is named.
+    /// All other gateways if empty.
     #[serde(default)]
     pub to: Vec<u32>,
-    /// The way back, too.
+    /// Whether the fault also affects the opposite direction.
     #[serde(default)]
     pub both: bool,
-    pub how: BetweenIll,
+    pub how: GatewayLinkFaultKind,
     /// A share, milliseconds of delay, or bytes a second.
     #[serde(default = "whole")]
     pub amount: f64,
-    /// Milliseconds by which delays differ, or by which what is overtaken is held.
+    /// Range of the delays in milliseconds, or how long overtaken datagrams are held.
     #[serde(default)]
     pub spread: f64,
-    /// Datagrams or streams only.
+    /// Restricts the fault to datagrams or to streams.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub goods: Option<LinkTraffic>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum BetweenIll {
-    /// Datagrams are lost, streams reset and refused.
+pub enum GatewayLinkFaultKind {
+    /// Datagrams are lost; streams are reset and refused.
     Cut,
-    /// Datagrams are lost; what is written on streams is held until the fault is over.
+    /// Datagrams are lost; bytes written to streams are held until the fault ends.
     Blackhole,
-    /// Each stream is reset once, in the middle of what next passes.
+    /// Each stream is reset once, in the middle of the next bytes that pass.
     Reset,
     /// This share of the datagrams is lost.
     Lose,
     Delay,
-    /// This share of the datagrams comes twice.
+    /// This share of the datagrams is duplicated.
     Double,
-    /// This share of the datagrams is held for a while, so that later ones come before.
+    /// This share of the datagrams is held, so that later datagrams overtake them.
     Overtake,
-    /// This share of the datagrams, or of what is read of streams at once, has one byte changed.
+    /// This share of the datagrams, or of the reads from streams, has one byte changed.
     Corrupt,
     Throttle,
 }
 
-/// The fleet falls into groups. Those in one group reach each other, and nobody else.
+/// A network partition of the fleet. The gateways of a group reach each other and no others.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct FleetFault {
+pub struct PartitionFault {
     pub groups: Vec<Vec<u32>>,
-    /// Gateways that may stand in several groups: they see both sides.
+    /// Gateways that may be in several groups, so that they reach both sides.
     #[serde(default)]
     pub bridges: Vec<u32>,
-    /// The groups, counted from 0, that reach the counter, and those that reach discovery; all, without.
+    /// Indices of the groups that reach the counter, and of those that reach discovery; all groups if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub counter: Option<Vec<usize>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<Vec<usize>>,
 }
 
-impl FleetFault {
-    /// Whether some group has both.
-    pub fn joins(&self, one: u32, other: u32) -> bool {
-        self.groups.iter().any(|group| group.contains(&one) && group.contains(&other))
+impl PartitionFault {
+    /// Whether a group contains both gateways.
+    pub fn connects(&self, first: u32, second: u32) -> bool {
+        self.groups.iter().any(|group| group.contains(&first) && group.contains(&second))
     }
 
-    /// Whether a gateway stands on the other side than the counter, or discovery.
-    pub fn out_of_reach(&self, gateway: u32, of: LinkEnd) -> bool {
-        let groups = match of {
+    /// Whether the partition separates a gateway from the counter, or from discovery.
+    pub fn is_cut_off(&self, gateway: u32, end: LinkEnd) -> bool {
+        let groups = match end {
             LinkEnd::Counter => &self.counter,
             LinkEnd::Discovery => &self.discovery,
-            LinkEnd::Clients | LinkEnd::Boxes => &None,
+            LinkEnd::Clients | LinkEnd::Servers => &None,
         };
-        let near = |groups: &Vec<usize>| {
+        let is_connected = |groups: &Vec<usize>| {
             groups.iter().filter_map(|at| self.groups.get(*at)).any(|group| group.contains(&gateway))
         };
-        groups.as_ref().is_some_and(|groups| !near(groups))
+        groups.as_ref().is_some_and(|groups| !is_connected(groups))
     }
 }
 
-/// The clock that all share is off at these gateways; it is set right when the fault is over.
+/// The wall clock of these gateways is wrong until the fault ends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockFault {
@@ -209,80 +209,80 @@
 }
 
 impl ClockFault {
-    pub fn off(&self) -> i64 {
+    pub fn offset_us(&self) -> i64 {
         self.ahead.0 as i64 - self.behind.0 as i64
     }
 }
 
-/// The folder of the store is ill at these gateways, and well again when the fault is over.
+/// The store's folder is faulty at these gateways until the fault ends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FolderFault {
     pub which: Vec<u32>,
-    pub how: FolderIll,
-    /// Milliseconds by which each sync is slow.
+    pub how: FolderFaultKind,
+    /// Milliseconds by which each sync is delayed.
     #[serde(default = "whole")]
     pub amount: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum FolderIll {
-    /// No file grows any more.
+pub enum FolderFaultKind {
+    /// No file can grow.
     Full,
-    /// Each sync takes so much longer.
+    /// Each sync takes longer by `amount`.
     Slow,
-    /// No sync succeeds.
+    /// Every sync fails.
     Fail,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct BoxesFault {
+pub struct ServerFault {
     pub which: Vec<u32>,
-    pub how: BoxIll,
+    pub how: ServerFaultKind,
     #[serde(default)]
     pub each: Time,
-    /// How slow, or the share of trips or answers it meets.
+    /// Factor of slowness, or the share of affected attempts or answers.
     #[serde(default = "whole")]
     pub amount: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum BoxIll {
-    /// Told as terminating; in service again when the fault is over.
+pub enum ServerFaultKind {
+    /// Discovery reports the server as terminating, and as in service again when the fault ends.
     Drain,
-    /// Drains, and a cold one of another name takes its place at once.
+    /// The server drains, and a server in slow start with another name replaces it immediately.
     Replace,
-    /// Gone without a word; comes back cold when the fault is over.
+    /// The server is killed without notice; it returns in slow start when the fault ends.
     Kill,
     Slow,
     Fail,
     Busy,
     Silent,
     Garble,
-    /// The operators take it out of use at every gateway, and call it back when the fault is over.
+    /// Operators cordon the server at every gateway, and uncordon it when the fault ends.
     Cordon,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CounterFault {
-    pub how: CounterIll,
+    pub how: CounterFaultKind,
     #[serde(default = "whole")]
     pub amount: f64,
-    /// For a split: the gateways that see the other one.
+    /// For a split: the gateways that reach the copy.
     #[serde(default)]
     pub which: Vec<u32>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum CounterIll {
+pub enum CounterFaultKind {
     /// Connections are reset and new ones refused; totals are kept.
     Refuse,
-    /// As refused, and it comes back empty.
+    /// As `Refuse`, and the totals are lost.
     Kill,
     Busy,
     Silent,
@@ -290,11 +290,11 @@
     Slow,
     Old,
     Garble,
-    /// All totals are gone, at once and without a word.
+    /// All totals are lost immediately, without notice.
     Empty,
-    /// Some gateways see a copy that goes on by itself; healed, they see the first again.
+    /// Some gateways reach an independent copy; when the fault ends, they reach the original again.
     Split,
-    /// Another, empty one answers from now on; connections are reset.
+    /// An empty counter replaces the present one; connections are reset.
     Swap,
 }
 
@@ -303,21 +303,21 @@
 pub struct DiscoveryFault {
     pub which: Vec<u32>,
     #[serde(default)]
-    pub how: DiscoveryIll,
-    /// Milliseconds by which it is late.
+    pub how: DiscoveryFaultKind,
+    /// Milliseconds by which discovery's answers are late.
     #[serde(default = "whole")]
     pub amount: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum DiscoveryIll {
-    /// These gateways hear nothing.
+pub enum DiscoveryFaultKind {
+    /// These gateways get no answers.
     #[default]
     Silent,
-    /// They hear of everything so much later.
+    /// These gateways get all answers later by `amount`.
     Late,
-    /// The watches that are open now fall silent; new ones do not. What they miss counts as told some seconds later.
+    /// The watches that are open now get no more events; new watches do. The missed events count as notified some seconds later.
     Watches,
 }
 
@@ -326,8 +326,8 @@
 pub struct LinkFault {
     pub which: Vec<u32>,
     pub to: LinkEnd,
-    pub how: LinkIll,
-    /// Milliseconds of delay, bytes a second, or the share of reads spoilt.
+    pub how: LinkFaultKind,
+    /// Milliseconds of delay, bytes a second, or the share of corrupted reads.
     #[serde(default = "whole")]
     pub amount: f64,
 }
@@ -336,19 +336,20 @@
 #[serde(rename_all = "kebab-case")]
 pub enum LinkEnd {
     Clients,
-    Boxes,
+    #[serde(rename = "boxes")]
+    Servers,
     Counter,
     Discovery,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum LinkIll {
+pub enum LinkFaultKind {
     /// Connections are reset and new ones refused.
     Cut,
-    /// Connections stay open and new ones come up, but nothing passes.
+    /// Connections stay open and new ones are accepted, but no bytes pass.
     Blackhole,
-    /// Each connection is reset once, in the middle of what next passes.
+    /// Each connection is reset once, in the middle of the next bytes that pass.
     Reset,
     Delay,
     Throttle,
@@ -358,21 +359,21 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFault {
-    /// A group of customers, or "all".
+    /// Name of a tenant group, or "all".
     pub customers: String,
     #[serde(default = "whole")]
     pub times: f64,
-    /// Their traffic comes by gateways so many further on, for good.
+    /// Shifts the group's traffic by this number of gateways; the shift does not end with the fault.
     #[serde(default)]
     pub shift: u32,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct HostileFault {
-    /// Clients that mean harm, to each gateway a second.
+pub struct MisbehavingClientsFault {
+    /// Misbehaving clients a second at each gateway.
     pub a_second: f64,
-    /// Connections that say nothing, to each gateway at once.
+    /// Silent connections open to each gateway at the same time.
     #[serde(default)]
     pub silent: u32,
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenario files: a fleet, a load, a timeline of faults, and claims on the figures at the end. `faults` has what can be
-//! broken, `check` whether the parts fit each other, `lower` what the models are made from.
+//! Scenario files: a fleet, a load, a timeline of faults, and claims on the figures at the end. `faults` defines the faults,
+//! `check` checks that the parts are consistent, `lower` converts a scenario to the specifications of the models.
 
 mod check;
 mod faults;
@@ -17,14 +17,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("'{path}' can't be read: {why}")]
-    Unread { path: String, why: std::io::Error },
+    ReadError { path: String, why: std::io::Error },
     #[error("'{path}': {why}")]
-    Unclear { path: String, why: String },
+    ParseError { path: String, why: String },
     #[error("'{path}': {place}: {why}")]
-    Wrong { path: String, place: String, why: String },
+    Invalid { path: String, place: String, why: String },
 }
 
-/// A time with its unit.
+/// A duration, written with its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Time(pub Micros);
 
@@ -46,10 +46,10 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
     pub name: String,
-    /// What it is to show, for the report.
+    /// What the scenario demonstrates, for the report.
     pub about: String,
     pub lasts: Time,
-    /// Until then nothing counts for the figures; the rules hold from the first moment.
+    /// Requests before this time do not count in the figures; the rules hold from the start.
     #[serde(default)]
     pub settle_in: Time,
     #[serde(default = "one")]
@@ -59,12 +59,12 @@
     pub counter: Option<Counter>,
     #[serde(default)]
     pub slack: Slack,
-    pub lanes: Vec<Lane>,
+    pub lanes: Vec<ClassSpec>,
     pub plans: Vec<Plan>,
-    pub customers: Vec<Customers>,
+    pub customers: Vec<TenantSpec>,
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What storms are drawn from.
+    /// Distribution from which random fault schedules are drawn.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub storm: Option<FaultDistribution>,
     #[serde(default)]
@@ -92,45 +92,45 @@
     pub cancels: bool,
     #[serde(default)]
     pub reports: bool,
-    /// The answer tells the true units, from half to one and a half of the guess.
+    /// Answers report the true units, from half to one and a half of the estimate.
     #[serde(default)]
     pub settles: bool,
     #[serde(default = "one_u32")]
     pub zones: u32,
     #[serde(default = "one_u32")]
     pub cells: u32,
-    /// The gateways speak with each other.
+    /// The gateways communicate with each other.
     #[serde(default)]
     pub mesh: bool,
-    /// In which all must see the same members, once nothing is broken any more.
+    /// When no fault is active any more, all gateways must see the same members within this time.
     #[serde(default = "agree_within")]
     pub agree_within: Time,
-    /// How unevenly each gateway's even clock runs, in the order of the gateways; true where none is named.
+    /// Pace of each gateway's monotonic clock, in the order of the gateways; 1 for gateways that are not named.
     #[serde(default)]
     pub paces: Vec<f64>,
-    /// Discovery answers only when it is asked, and at once; absent, it pushes.
+    /// Discovery answers only polls, and immediately; if absent, it pushes changes to watches.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on_request: Option<OnRequest>,
-    /// Jobs that one gateway at a time does.
+    /// Leases that one gateway at a time holds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub owners: Option<Owners>,
-    /// Servers are dealt out among the gateways.
+    /// Each gateway uses a subset of the servers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub subsets: Option<Subsets>,
-    /// Gateways tell each other what boxes are like. With several zones they stand in them by turns, as boxes do.
+    /// Gateways share load reports about servers. With several zones, gateways are assigned to zones round-robin, as servers are.
     #[serde(default)]
     pub signals: bool,
-    /// The gateways log each request and attempt, which is kept in the history.
+    /// The gateways log each request and attempt; the history contains these records.
     #[serde(default)]
     pub debug_log: bool,
-    /// Clients send on the connections that stay open until a gateway that was told to end is killed, which is when the
-    /// longest deadline and 0.7 s are over; what the kill finds unanswered is lost. Without, they leave it before.
+    /// Clients keep sending on their open connections to a gateway that shuts down, until the gateway is killed after the longest
+    /// deadline and 0.7 s; requests without an answer are lost then. If false, clients disconnect before.
     #[serde(default)]
     pub clients_stay: bool,
-    /// Gateways that are not there at first.
+    /// Gateways that do not run at the start.
     #[serde(default)]
     pub absent: Vec<u32>,
-    /// Gateways that go by the name of the first of them, by mistake.
+    /// Gateways that are all configured with the name of the first of them, by mistake.
     #[serde(default)]
     pub same_name: Vec<u32>,
     #[serde(default = "grace")]
@@ -153,51 +153,51 @@
     pub memory_mb: u32,
 }
 
-/// A discovery that bears few calls. Gateways are taken for told of a change so long after it, whether they asked or not.
+/// Discovery with a limited number of calls. A gateway counts as notified of a change after `within`, whether it polled or not.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OnRequest {
     pub within: Time,
-    /// Calls a second; more are turned away.
+    /// Calls a second; further calls are rejected.
     pub capacity: f64,
 }
 
-/// Jobs of the fleet, and the stand-in that takes in what their owners do.
+/// Leases of the fleet, and the stand-in that receives the effects of their holders.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Owners {
     pub voters: Vec<u32>,
     #[serde(default = "lease")]
     pub lease: Time,
-    /// How unevenly any two of their clocks run at the most, as they are told.
+    /// Maximum drift between any two of the gateways' clocks, as configured.
     #[serde(default = "drift")]
     pub drift: f64,
     #[serde(default)]
     pub jobs: Vec<String>,
-    /// Between two effects of one job.
+    /// Time between two effects of one lease.
     #[serde(default = "every")]
     pub every: Time,
-    /// Between the look at the lease and the effect.
+    /// Time between the check of the lease and the effect.
     #[serde(default = "every")]
     pub pause: Time,
-    /// The gateways ask discovery for each other.
+    /// The gateways find each other through discovery.
     #[serde(default)]
     pub list: bool,
-    /// Where effects are taken in, less than the highest term is refused.
+    /// The stand-in that receives effects refuses terms below the highest (fencing check).
     #[serde(default = "yes")]
     pub fenced: bool,
 }
 
-/// How boxes are dealt out; and how the work comes to them is judged.
+/// Subsetting of the servers, and the check of how the load spreads over them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Subsets {
-    /// Boxes of a gateway, and gateways of a box, at the least.
+    /// Minimum number of servers of a gateway, and of gateways of a server.
     pub least: u32,
-    /// Gateways stand in the zones by turns, as boxes do, and have their own first.
+    /// Gateways are assigned to zones round-robin, as servers are, and prefer servers of their own zone.
     #[serde(default)]
     pub zones: bool,
-    /// Without, the work is judged all the same, and each gateway takes a row by its number.
+    /// If false, the load is checked all the same, and each gateway uses servers by its number.
     #[serde(default = "yes")]
     pub on: bool,
 }
@@ -214,13 +214,13 @@
     pub wait: Time,
 }
 
-/// What a busy machine may do to times, and when a run says nothing.
+/// Allowances for a busy machine, and the limit beyond which a run is void.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Slack {
-    /// On every bound of the rules that is a time.
+    /// Added to every bound of the rules that is a time.
     pub time: Time,
-    /// The load may be so late, in 99 of 100 transactions; beyond it the run is void.
+    /// Allowed lateness of the load for 99 of 100 requests; beyond it the run is void.
     pub behind: Time,
 }
 
@@ -232,7 +232,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum Repeatability {
     Redoable,
     Labelled,
     Irreversible,
@@ -240,7 +240,7 @@
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Who {
+pub enum KeyGroup {
     #[default]
     All,
     Zone,
@@ -249,11 +249,11 @@
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Lane {
+pub struct ClassSpec {
     pub name: String,
-    pub repeat: Repeat,
+    pub repeat: Repeatability,
     #[serde(default)]
-    pub group: Who,
+    pub group: KeyGroup,
     #[serde(default)]
     pub memory: Time,
     pub agreed: Time,
@@ -287,17 +287,17 @@
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Customers {
+pub struct TenantSpec {
     pub name: String,
     pub plan: String,
     pub count: u32,
-    /// Units offered by each, as a multiple of the plan's rate.
+    /// Units offered by each tenant, as a multiple of the plan's rate.
     pub load: f64,
     #[serde(default = "one_u32")]
     pub spread: u32,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_share: Option<f64>,
-    /// Lanes and their weights; none: all alike.
+    /// Request classes and their weights; equal weights for all classes if empty.
     #[serde(default)]
     pub lanes: std::collections::BTreeMap<String, f64>,
     #[serde(default = "units")]
@@ -308,12 +308,12 @@
     pub again: f64,
     #[serde(default = "two")]
     pub most_again: u32,
-    /// Share of the transactions whose client closes its connection within the agreed time.
+    /// Share of the requests whose client disconnects within the latency objective.
     #[serde(default)]
     pub leaves: f64,
 }
 
-/// A bound on a figure of the report, by its place there as in `transactions.lost`.
+/// A bound on a figure of the report, which is named by its path, as in `transactions.lost`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
@@ -405,17 +405,18 @@
 }
 
 pub fn read(path: &Path) -> Result<Scenario, Error> {
-    let shown = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|why| Error::Unread { path: shown.clone(), why })?;
-    parse(&shown, &text)
+    let path_text = path.display().to_string();
+    let text =
+        std::fs::read_to_string(path).map_err(|why| Error::ReadError { path: path_text.clone(), why })?;
+    parse(&path_text, &text)
 }
 
-/// Reads a scenario's text, and checks that its parts fit each other.
+/// Parses a scenario's text, and checks that its parts are consistent.
 pub fn parse(path: &str, text: &str) -> Result<Scenario, Error> {
     let scenario: Scenario = toml::from_str(text).map_err(|why| {
         let at = why.span().map_or(0, |span| span.start).min(text.len());
         let line = text[..at].matches('\n').count() + 1;
-        Error::Unclear { path: path.into(), why: format!("line {line}: {}", why.message()) }
+        Error::ParseError { path: path.into(), why: format!("line {line}: {}", why.message()) }
     })?;
     scenario.check(path, text)?;
     Ok(scenario)
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -1,11 +1,11 @@
-//! RESP2 as the parties speak it: commands of bulk strings one way, any value the other.
+//! RESP2 for the simulated clients and servers: commands are arrays of bulk strings, answers are any values.
 
 use std::fmt::Write;
 
-/// Longest message that a stand-in takes: a value of 64 KiB with its words.
+/// Longest message that a simulated client or server accepts: a value of 64 KiB with the other arguments.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// Most words of a command, and most values of an answer.
-const MOST_WORDS: usize = 64;
+/// Most arguments of a command, and most values in an array.
+const MAX_ITEMS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
@@ -16,31 +16,31 @@
     Array(Option<Vec<Value>>),
 }
 
-/// What stands at the front of some bytes: nothing whole yet, or a thing and its length.
+/// The result of parsing a prefix of the bytes: `None` if it is incomplete, otherwise the parsed item and its length.
 pub type Scanned<T> = Result<Option<(T, usize)>, &'static str>;
 
-fn line(bytes: &[u8]) -> Option<(&[u8], usize)> {
+fn split_line(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let end = bytes.windows(2).position(|pair| pair == b"\r\n")?;
     Some((&bytes[..end], end + 2))
 }
 
 fn number(text: &[u8]) -> Result<i64, &'static str> {
-    std::str::from_utf8(text).ok().and_then(|text| text.parse().ok()).ok_or("a length that is no number")
+    std::str::from_utf8(text).ok().and_then(|text| text.parse().ok()).ok_or("a length that is not a number")
 }
 
 pub fn value(bytes: &[u8]) -> Scanned<Value> {
     let Some(kind) = bytes.first() else { return Ok(None) };
     if !b"+-:$*".contains(kind) {
-        return Err("no RESP2 value");
+        return Err("not a RESP2 value");
     }
-    let Some((text, mut used)) = line(&bytes[1..]) else {
+    let Some((text, mut used)) = split_line(&bytes[1..]) else {
         return if bytes.len() > MAX_MESSAGE_BYTES { Err("a line without an end") } else { Ok(None) };
     };
     used += 1;
-    let words = || String::from_utf8_lossy(text).into_owned();
+    let text_of_line = || String::from_utf8_lossy(text).into_owned();
     let value = match kind {
-        b'+' => Value::Simple(words()),
-        b'-' => Value::Error(words()),
+        b'+' => Value::Simple(text_of_line()),
+        b'-' => Value::Error(text_of_line()),
         b':' => Value::Number(number(text)?),
         b'$' => match number(text)? {
             -1 => Value::Bulk(None),
@@ -48,7 +48,7 @@
                 let length = length as usize;
                 let Some(body) = bytes.get(used..used + length + 2) else { return Ok(None) };
                 if &body[length..] != b"\r\n" {
-                    return Err("a bulk string with another length");
+                    return Err("a bulk string whose length does not match");
                 }
                 used += length + 2;
                 Value::Bulk(Some(body[..length].to_vec()))
@@ -57,7 +57,7 @@
         },
         _ => match number(text)? {
             -1 => Value::Array(None),
-            count if (0..=MOST_WORDS as i64).contains(&count) => {
+            count if (0..=MAX_ITEMS as i64).contains(&count) => {
                 let mut items = Vec::new();
                 for _ in 0..count {
                     let Some((item, length)) = value(&bytes[used..])? else { return Ok(None) };
@@ -72,44 +72,44 @@
     Ok(Some((value, used)))
 }
 
-/// A command: an array of bulk strings, one at least.
+/// Parses a command: an array of at least one bulk string.
 pub fn command(bytes: &[u8]) -> Scanned<Vec<Vec<u8>>> {
     if bytes.first().is_some_and(|first| *first != b'*') {
-        return Err("no command");
+        return Err("not a command");
     }
     let Some((Value::Array(Some(items)), used)) = value(bytes)? else { return Ok(None) };
-    let words = items.into_iter().map(|item| match item {
-        Value::Bulk(Some(word)) => Ok(word),
-        _ => Err("a command with something else than words"),
+    let arguments = items.into_iter().map(|item| match item {
+        Value::Bulk(Some(argument)) => Ok(argument),
+        _ => Err("a command with an argument that is not a bulk string"),
     });
-    let words: Vec<_> = words.collect::<Result<_, _>>()?;
-    if words.is_empty() {
+    let arguments: Vec<_> = arguments.collect::<Result<_, _>>()?;
+    if arguments.is_empty() {
         Err("an empty command")
     } else {
-        Ok(Some((words, used)))
+        Ok(Some((arguments, used)))
     }
 }
 
-pub fn write_command(words: &[&[u8]]) -> Vec<u8> {
-    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-    words.iter().for_each(|word| bulk(&mut bytes, word));
+pub fn write_command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
+    arguments.iter().for_each(|argument| bulk(&mut bytes, argument));
     bytes
 }
 
-pub fn bulk(to: &mut Vec<u8>, word: &[u8]) {
-    to.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-    to.extend_from_slice(word);
-    to.extend_from_slice(b"\r\n");
+pub fn bulk(buffer: &mut Vec<u8>, argument: &[u8]) {
+    buffer.extend_from_slice(format!("${}\r\n", argument.len()).as_bytes());
+    buffer.extend_from_slice(argument);
+    buffer.extend_from_slice(b"\r\n");
 }
 
-/// A transaction as a client asks it or a box gets it.
+/// A request as a client sends it, or an attempt as a server receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    pub customer: String,
+    pub tenant: String,
     pub id: String,
-    pub lane: String,
+    pub class: String,
     pub plan: String,
-    /// Milliseconds that the asker will wait.
+    /// Milliseconds that the sender waits for the answer.
     pub wait_ms: f64,
     pub key: Option<String>,
     pub units: f64,
@@ -120,36 +120,39 @@
 }
 
 impl Call {
-    pub fn write(&self, redoable: bool) -> Vec<u8> {
-        let mut list = format!("c={},t={},d={}", self.lane, self.plan, self.wait_ms);
+    pub fn write(&self, is_idempotent: bool) -> Vec<u8> {
+        let mut parameters = format!("c={},t={},d={}", self.class, self.plan, self.wait_ms);
         if let Some(key) = &self.key {
-            let _ = write!(list, ",k={key}");
+            let _ = write!(parameters, ",k={key}");
         }
         if self.repeat {
-            list.push_str(",r=1");
+            parameters.push_str(",r=1");
         }
-        let _ = write!(list, ",units={},spread={},first={}", self.units, self.spread, self.first);
-        let verb: &[u8] = if redoable { b"CALL.GET" } else { b"CALL.POST" };
-        let mut words = vec![verb, self.customer.as_bytes(), self.id.as_bytes(), list.as_bytes()];
-        words.extend(self.body.as_deref());
-        write_command(&words)
+        let _ = write!(parameters, ",units={},spread={},first={}", self.units, self.spread, self.first);
+        let command_name: &[u8] = if is_idempotent { b"CALL.GET" } else { b"CALL.POST" };
+        let mut arguments =
+            vec![command_name, self.tenant.as_bytes(), self.id.as_bytes(), parameters.as_bytes()];
+        arguments.extend(self.body.as_deref());
+        write_command(&arguments)
     }
 
-    /// Reads the words of a command; `None` where it is no call, or one in a form that no client sends.
-    pub fn read(words: &[Vec<u8>]) -> Option<Call> {
-        let (verb, customer, id, list, body) = match words {
-            [verb, customer, id, list] => (verb, customer, id, list, None),
-            [verb, customer, id, list, body] => (verb, customer, id, list, Some(body.clone())),
+    /// Reads the arguments of a command; `None` if it is not a call, or in a form that no client sends.
+    pub fn read(arguments: &[Vec<u8>]) -> Option<Call> {
+        let (command_name, tenant, id, parameters, body) = match arguments {
+            [command_name, tenant, id, parameters] => (command_name, tenant, id, parameters, None),
+            [command_name, tenant, id, parameters, body] => {
+                (command_name, tenant, id, parameters, Some(body.clone()))
+            }
             _ => return None,
         };
-        if verb != b"CALL.GET" && verb != b"CALL.POST" {
+        if command_name != b"CALL.GET" && command_name != b"CALL.POST" {
             return None;
         }
-        let text = |word: &[u8]| String::from_utf8(word.to_vec()).ok();
+        let text = |argument: &[u8]| String::from_utf8(argument.to_vec()).ok();
         let mut call = Call {
-            customer: text(customer)?,
+            tenant: text(tenant)?,
             id: text(id)?,
-            lane: String::new(),
+            class: String::new(),
             plan: String::new(),
             wait_ms: -1.0,
             key: None,
@@ -159,10 +162,10 @@
             repeat: false,
             body,
         };
-        for part in text(list)?.split(',') {
+        for part in text(parameters)?.split(',') {
             let (name, value) = part.split_once('=')?;
             match name {
-                "c" => call.lane = value.into(),
+                "c" => call.class = value.into(),
                 "t" => call.plan = value.into(),
                 "d" => call.wait_ms = value.parse().ok()?,
                 "k" => call.key = Some(value.into()),
@@ -173,11 +176,11 @@
                 _ => return None,
             }
         }
-        (call.wait_ms >= 0.0 && !call.lane.is_empty()).then_some(call)
+        (call.wait_ms >= 0.0 && !call.class.is_empty()).then_some(call)
     }
 }
 
-/// What a client makes of a gateway's answer.
+/// A client's interpretation of a gateway's answer.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Answer {
     #[serde(rename = "Settled")]
@@ -189,17 +192,17 @@
 }
 
 impl Answer {
-    pub fn of(value: Value) -> Answer {
+    pub fn from_value(value: Value) -> Answer {
         match value {
             Value::Bulk(Some(value)) => Answer::Completed(value),
             Value::Array(Some(items)) => match items.into_iter().next() {
                 Some(Value::Bulk(Some(value))) => Answer::Completed(value),
                 _ => Answer::Failed,
             },
-            Value::Error(line) => {
-                let mut words = line.split(' ');
-                match words.next() {
-                    Some("BUSY") => Answer::Rejected { wait_ms: words.next().and_then(|ms| ms.parse().ok()) },
+            Value::Error(message) => {
+                let mut parts = message.split(' ');
+                match parts.next() {
+                    Some("BUSY") => Answer::Rejected { wait_ms: parts.next().and_then(|ms| ms.parse().ok()) },
                     _ => Answer::Failed,
                 }
             }
--- a/crates/lab/tests/fault_schedules.rs
+++ b/crates/lab/tests/fault_schedules.rs
@@ -1,7 +1,7 @@
 //! Storms and the faults of a fleet: what is drawn can be read, what fails is made smaller, what makes no sense is refused.
 
 use fernscale_lab::fault_schedule::{draw, least};
-use fernscale_lab::scenario::{parse, Scenario, Stop, Time};
+use fernscale_lab::scenario::{parse, GatewayFaultKind, Scenario, Time};
 use fernscale_lab::virtual_time;
 use fernscale_lab::{MILLISECOND, SECOND};
 
@@ -99,7 +99,10 @@
         assert_eq!(toml::to_string(&draw(&base, &menu, seed)).expect("written"), text, "seed {seed}");
         for fault in &storm.faults {
             let (gateway, lasts) = (fault.gateway.as_ref().expect("gateways"), fault.for_.expect("an end").0);
-            assert!(gateway.how == Stop::Pause && !gateway.which.is_empty(), "seed {seed}: {fault:?}");
+            assert!(
+                gateway.how == GatewayFaultKind::Pause && !gateway.which.is_empty(),
+                "seed {seed}: {fault:?}"
+            );
             assert!((100 * MILLISECOND..=900 * MILLISECOND).contains(&lasts), "seed {seed}: {fault:?}");
             assert!(
                 fault.at >= Time(2 * SECOND) && fault.at.0 + lasts <= 30 * SECOND,
--- a/crates/lab/tests/histories.rs
+++ b/crates/lab/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Guards kept histories: one line of every kind of event, with the head of one, as they were recorded. What is read
-//! is written again to the same line, and the whole is judged as it was.
+//! Guards the format of stored histories with a recorded head and recorded lines of the kinds of events. Each line is read and
+//! written back unchanged, and checking the history gives the recorded result.
 
 use std::path::{Path, PathBuf};
 
@@ -17,7 +17,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/histories/every-event.jsonl")
 }
 
-/// Kinds of events, as their lines name them.
+/// Kinds of events, by their names in the lines.
 const KINDS: [&str; 34] = [
     "asked",
     "written",
@@ -56,8 +56,8 @@
 ];
 
 #[test]
-fn every_line_is_read_and_written_as_it_was() {
-    let text = std::fs::read_to_string(file()).expect("it is read");
+fn every_line_is_read_and_written_back_unchanged() {
+    let text = std::fs::read_to_string(file()).expect("the file is read");
     let (head, lines) = text.split_once('\n').expect("a head");
     let read: Head = serde_json::from_str(head).expect("the head is read");
     assert_eq!(serde_json::to_string(&read).expect("written"), head);
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn it_is_judged_as_it_was() {
-    let (head, court) = check(&file()).expect("it is judged");
-    let verdict: Vec<String> =
-        court.rules().iter().map(|(rule, broken)| format!("{rule} {}", broken.count)).collect();
-    assert_eq!((head.scenario.as_str(), head.seed, court.recorded), ("every-event", 7, 88));
+fn checking_the_history_gives_the_recorded_result() {
+    let (head, recorder) = check(&file()).expect("the history is checked");
+    let counts: Vec<String> =
+        recorder.rules().iter().map(|(rule, broken)| format!("{rule} {}", broken.count)).collect();
+    assert_eq!((head.scenario.as_str(), head.seed, recorder.recorded), ("every-event", 7, 88));
     assert_eq!(
-        verdict,
+        counts,
         [
             "answers 6",
             "effects 1",
--- a/crates/lab/tests/overtaken_attempts.rs
+++ b/crates/lab/tests/overtaken_attempts.rs
@@ -1,5 +1,6 @@
-//! Guards against `signals: effects`: an attempt that its gateway had given up, read at its server after the next one, was
-//! taken for a second one in flight. One that was sent while another's connection was open still is.
+//! Guards against a false violation of `effects` in the scenario `signals`: a server read an attempt after the next attempt had
+//! arrived, though the gateway had cancelled it before, and the ledger counted two attempts in flight. Attempts that the
+//! gateway sends while another attempt's connection is open still count.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,11 +17,11 @@
 use fernscale_lab::{MILLISECOND, SECOND};
 
 const REQUEST: u64 = 7;
-/// The link to the first server takes so long.
+/// Delay of the link to the first server.
 const DELAY: u64 = 60 * MILLISECOND;
-/// Well within it.
+/// Much shorter than the delay.
 const SOON: u64 = 10 * MILLISECOND;
-/// The second server works for longer.
+/// Work of the request at the second server, longer than the delay.
 const WORK: u64 = 200 * MILLISECOND;
 
 fn class() -> RequestClass {
@@ -39,7 +40,7 @@
 fn recorder() -> Recorder {
     let plan = Plan { name: "team".into(), rate: 10.0, burst: 10.0, price: 1.0, ceiling: None };
     let bounds =
-        RuleBounds { grace: SECOND, slack: 0, lanes: vec![class()], plans: vec![plan], largest: 1.0 };
+        RuleBounds { grace: SECOND, slack: 0, classes: vec![class()], plans: vec![plan], max_units: 1.0 };
     Recorder::with_ledger(RequestLedger::new(bounds))
 }
 
@@ -83,9 +84,9 @@
 
 fn command() -> Vec<u8> {
     let call = Call {
-        customer: format!("{:016x}", 1),
+        tenant: format!("{:016x}", 1),
         id: format!("{REQUEST:016x}"),
-        lane: "lookup".into(),
+        class: "lookup".into(),
         plan: "team".into(),
         wait_ms: 2_000.0,
         key: None,
@@ -100,14 +101,14 @@
 
 /// When the gateway ends the first attempt's connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Ends {
+enum FirstEnds {
     BeforeTheSecond,
     AfterTheSecond,
 }
 
-/// Sends an attempt over a slow link and a second one to another server, which comes first. Gives how often the rule on
-/// effects was broken.
-fn broken_effects(ends: Ends) -> u64 {
+/// Sends an attempt over a slow link and then one to another server, which arrives first. Returns the number of violations of
+/// the rule on effects.
+fn broken_effects(first_ends: FirstEnds) -> u64 {
     let executor = Rc::new(LocalExecutor::new());
     let main = executor.clone();
     let broken = RefCell::new(None);
@@ -118,11 +119,11 @@
         relay.begin(RouteFault::Delay { by: DELAY, spread: 0 });
         world.happens(Event::RequestCreated { request: request() });
         world.happens(Event::RequestWritten { id: REQUEST, gateway: 0 });
-        let given_up = Stream::dial(relay.address(), SECOND).await.expect("connected");
-        given_up.write(&command()).await.expect("written");
+        let cancelled = Stream::dial(relay.address(), SECOND).await.expect("connected");
+        cancelled.write(&command()).await.expect("written");
         sleep(SOON).await;
-        let mut open = Some(given_up);
-        if ends == Ends::BeforeTheSecond {
+        let mut open = Some(cancelled);
+        if first_ends == FirstEnds::BeforeTheSecond {
             open = None;
         }
         let mut retry = Stream::dial(second.address(0), SECOND).await.expect("connected");
@@ -131,7 +132,7 @@
         drop(open);
         retry.next(wire::value).await.expect("an answer");
         let ledger = world.ledger();
-        assert_eq!(ledger.attempt_count(), 2, "both have come");
+        assert_eq!(ledger.attempt_count(), 2, "both attempts have arrived");
         let effects = ledger.broken().find(|(rule, _)| *rule == "effects").expect("the rule");
         *broken.borrow_mut() = Some(effects.1.count);
     }));
@@ -139,11 +140,11 @@
 }
 
 #[test]
-fn an_attempt_that_was_given_up_and_overtaken_is_no_second_one_in_flight() {
-    assert_eq!(broken_effects(Ends::BeforeTheSecond), 0);
+fn a_cancelled_attempt_that_was_overtaken_is_not_in_flight() {
+    assert_eq!(broken_effects(FirstEnds::BeforeTheSecond), 0);
 }
 
 #[test]
-fn an_attempt_sent_while_an_overtaken_one_is_open_is_caught() {
-    assert_eq!(broken_effects(Ends::AfterTheSecond), 1);
+fn an_attempt_sent_while_the_overtaken_attempt_is_open_is_a_violation() {
+    assert_eq!(broken_effects(FirstEnds::AfterTheSecond), 1);
 }
--- a/crates/lab/tests/request_ledger.rs
+++ b/crates/lab/tests/request_ledger.rs
@@ -1,49 +1,50 @@
-//! The ledger's hard cases, one event after the other: whose loss a kill is, what a broken link explains, what it does not.
+//! Edge cases of the request ledger, as sequences of events: which losses a kill explains, and which a link fault explains.
 
 use fernscale_lab::model::clients::{ClientRequest, Idempotency, KeyScope, Plan, RequestClass};
 use fernscale_lab::model::discovery::Status;
 use fernscale_lab::model::server::{AttemptEnd, SlowStart};
-use fernscale_lab::request_ledger::{Arrival, Fate, Link, RequestLedger, RuleBounds};
+use fernscale_lab::request_ledger::{Arrival, Link, RequestLedger, RequestOutcome, RuleBounds};
 use fernscale_lab::wire::Answer;
 use fernscale_lab::{Micros, MILLISECOND, SECOND};
 
-const HARD_STOP: Micros = SECOND;
+const DEADLINE: Micros = SECOND;
 const SLACK: Micros = 100 * MILLISECOND;
-const COLD: SlowStart = SlowStart { share: 0.2, warm_up: 10 * SECOND, multiple: 3.0, window: SECOND };
+const SLOW_START: SlowStart = SlowStart { share: 0.2, warm_up: 10 * SECOND, multiple: 3.0, window: SECOND };
 
-fn ledger(group: KeyScope) -> RequestLedger {
-    let lane = |name: &str, kind| RequestClass {
+fn ledger(scope: KeyScope) -> RequestLedger {
+    let class = |name: &str, kind| RequestClass {
         name: name.into(),
         idempotency: kind,
         retention: 5 * SECOND,
-        scope: group,
-        latency_objective: HARD_STOP / 2,
-        deadline: HARD_STOP,
+        scope,
+        latency_objective: DEADLINE / 2,
+        deadline: DEADLINE,
         priority_weight: 1.0,
         work: MILLISECOND,
     };
-    let lanes = vec![
-        lane("get", Idempotency::Idempotent),
-        lane("book", Idempotency::Keyed),
-        lane("pay", Idempotency::NonIdempotent),
+    let classes = vec![
+        class("get", Idempotency::Idempotent),
+        class("book", Idempotency::Keyed),
+        class("pay", Idempotency::NonIdempotent),
     ];
     let plan = Plan { name: "p".into(), rate: 10.0, burst: 10.0, price: 1.0, ceiling: Some((10.0, 20.0)) };
-    let terms = RuleBounds { grace: 500 * MILLISECOND, slack: SLACK, lanes, plans: vec![plan], largest: 1.0 };
-    let mut ledger = RequestLedger::new(terms);
+    let bounds =
+        RuleBounds { grace: 500 * MILLISECOND, slack: SLACK, classes, plans: vec![plan], max_units: 1.0 };
+    let mut ledger = RequestLedger::new(bounds);
     for (number, name) in ["a", "b"].into_iter().enumerate() {
-        ledger.server_started(name, (&format!("zone-{number}"), number as u32), None, 1.0, COLD);
+        ledger.server_started(name, (&format!("zone-{number}"), number as u32), None, 1.0, SLOW_START);
     }
     ledger
 }
 
-fn ask(id: u64, lane: usize, at: Micros) -> ClientRequest {
+fn request(id: u64, class: usize, at: Micros) -> ClientRequest {
     ClientRequest {
         at,
         id,
         group: 0,
         tenant: 1,
         plan: 0,
-        class: lane,
+        class,
         units: 1,
         first_gateway: 0,
         gateway_spread: 1,
@@ -55,27 +56,27 @@
     }
 }
 
-fn asked(ledger: &mut RequestLedger, id: u64, lane: usize, at: Micros) {
-    ledger.request_created(&ask(id, lane, at));
+fn send_request(ledger: &mut RequestLedger, id: u64, class: usize, at: Micros) {
+    ledger.request_created(&request(id, class, at));
     ledger.written(id, 0, at);
 }
 
-fn arrive(ledger: &mut RequestLedger, id: u64, box_: &str, at: Micros) -> usize {
-    ledger.arrived(&Arrival { at, began: at, server: box_.into(), gateway: 0, id, work: MILLISECOND })
+fn attempt_arrives(ledger: &mut RequestLedger, id: u64, server: &str, at: Micros) -> usize {
+    ledger.arrived(&Arrival { at, began: at, server: server.into(), gateway: 0, id, work: MILLISECOND })
 }
 
-/// A trip that runs and is answered.
-fn serve(ledger: &mut RequestLedger, id: u64, box_: &str, at: Micros, end: AttemptEnd) {
-    let trip = arrive(ledger, id, box_, at);
-    ledger.attempt_ended(trip, end);
-    ledger.attempt_closed(trip);
+/// An attempt that arrives, ends and is answered.
+fn serve(ledger: &mut RequestLedger, id: u64, server: &str, at: Micros, end: AttemptEnd) {
+    let attempt = attempt_arrives(ledger, id, server, at);
+    ledger.attempt_ended(attempt, end);
+    ledger.attempt_closed(attempt);
 }
 
-fn settled(id: u64, box_: &str) -> Answer {
-    Answer::Completed(format!("{id:016x}:{box_}").into_bytes())
+fn completed_by(id: u64, server: &str) -> Answer {
+    Answer::Completed(format!("{id:016x}:{server}").into_bytes())
 }
 
-/// How often the rules were broken, in their order.
+/// Number of violations of each rule, in the order of the rules.
 fn broken(ledger: &RequestLedger) -> [u64; 6] {
     let counts: Vec<u64> = ledger.broken().map(|(_, rule)| rule.count).collect();
     counts.try_into().expect("six rules")
@@ -84,75 +85,75 @@
 const RAN: AttemptEnd = AttemptEnd::Ran { first: true };
 
 #[test]
-fn a_gateway_killed_in_mid_answer_loses_nothing_by_itself() {
+fn a_kill_during_the_answer_explains_the_loss() {
     let mut ledger = ledger(KeyScope::All);
-    asked(&mut ledger, 1, 0, 0);
+    send_request(&mut ledger, 1, 0, 0);
     ledger.killed(0, 10 * MILLISECOND);
     ledger.unanswered(1, 10 * MILLISECOND, true);
-    // Asked after the kill, of the one that started anew: its own loss.
-    asked(&mut ledger, 2, 0, SECOND);
+    // Sent after the kill, to the restarted gateway: that gateway lost the request.
+    send_request(&mut ledger, 2, 0, SECOND);
     ledger.unanswered(2, SECOND + MILLISECOND, true);
     assert_eq!(broken(&ledger), [1, 0, 0, 0, 0, 0]);
-    let fates: Vec<Fate> = ledger.fates().map(|(_, _, fate, _)| fate).collect();
-    assert_eq!(fates, [Fate::Excused, Fate::Lost]);
+    let outcomes: Vec<RequestOutcome> = ledger.outcomes().map(|(_, _, outcome, _)| outcome).collect();
+    assert_eq!(outcomes, [RequestOutcome::Excused, RequestOutcome::Lost]);
 }
 
 #[test]
-fn a_try_written_in_the_same_millisecond_as_a_cut_is_the_cuts() {
+fn a_cut_explains_the_loss_of_a_request_written_at_the_same_moment() {
     let mut ledger = ledger(KeyScope::All);
-    asked(&mut ledger, 1, 0, 1000);
+    send_request(&mut ledger, 1, 0, 1000);
     ledger.link_broken(Link::Clients(0), 1000);
     ledger.unanswered(1, 1000, true);
     ledger.link_restored(&Link::Clients(0), 2000);
-    // Written at the moment of the mend; and after it.
-    asked(&mut ledger, 2, 0, 2000);
+    // One request is written at the moment at which the cut ends, another after it.
+    send_request(&mut ledger, 2, 0, 2000);
     ledger.unanswered(2, 3000, true);
     assert_eq!(broken(&ledger), [0; 6]);
-    asked(&mut ledger, 3, 0, 2001);
+    send_request(&mut ledger, 3, 0, 2001);
     ledger.unanswered(3, 3000, true);
     assert_eq!(broken(&ledger)[0], 1);
 }
 
 #[test]
-fn another_gateways_fault_excuses_nobody() {
+fn a_fault_of_another_gateway_explains_no_loss() {
     let mut ledger = ledger(KeyScope::All);
     ledger.link_broken(Link::Clients(1), 0);
     ledger.killed(1, 5);
-    asked(&mut ledger, 1, 0, 1);
+    send_request(&mut ledger, 1, 0, 1);
     ledger.unanswered(1, 10, true);
     assert_eq!(broken(&ledger)[0], 1);
 }
 
 #[test]
-fn an_answer_is_in_time_up_to_the_slack_and_late_beyond_it() {
+fn an_answer_is_on_time_up_to_the_slack_and_late_beyond_it() {
     let mut ledger = ledger(KeyScope::All);
-    let last = HARD_STOP + 50 * MILLISECOND + SLACK;
-    for (id, took) in [(1, last), (2, last + 1)] {
-        asked(&mut ledger, id, 0, 0);
-        ledger.answered(id, took, &Answer::Failed);
+    let last = DEADLINE + 50 * MILLISECOND + SLACK;
+    for (id, elapsed) in [(1, last), (2, last + 1)] {
+        send_request(&mut ledger, id, 0, 0);
+        ledger.answered(id, elapsed, &Answer::Failed);
     }
     assert_eq!(broken(&ledger), [1, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn a_value_must_be_of_this_transaction_and_of_a_box_that_ran_it() {
-    for (answer, end, wrong) in [
-        (settled(1, "a"), RAN, 0),
-        (settled(1, "b"), RAN, 1),
-        (settled(2, "a"), RAN, 1),
-        (settled(1, "a"), AttemptEnd::Rejected, 1),
+fn a_value_must_belong_to_the_request_and_come_from_a_server_that_ran_it() {
+    for (answer, end, violations) in [
+        (completed_by(1, "a"), RAN, 0),
+        (completed_by(1, "b"), RAN, 1),
+        (completed_by(2, "a"), RAN, 1),
+        (completed_by(1, "a"), AttemptEnd::Rejected, 1),
     ] {
         let mut ledger = ledger(KeyScope::All);
-        asked(&mut ledger, 1, 0, 0);
+        send_request(&mut ledger, 1, 0, 0);
         serve(&mut ledger, 1, "a", 10, end);
         ledger.answered(1, 20, &answer);
-        assert_eq!(broken(&ledger), [wrong, 0, 0, 0, 0, 0], "{answer:?}");
+        assert_eq!(broken(&ledger), [violations, 0, 0, 0, 0, 0], "{answer:?}");
     }
 }
 
 #[test]
-fn what_never_ran_may_go_again_and_what_may_have_run_by_its_lane_only() {
-    for (lane, end, wrong) in [
+fn an_attempt_that_may_have_run_is_retried_only_if_its_class_allows_it() {
+    for (class, end, violations) in [
         (0, RAN, 0),
         (0, AttemptEnd::Rejected, 0),
         (1, RAN, 0),
@@ -162,16 +163,16 @@
         (2, RAN, 1),
     ] {
         let mut ledger = ledger(KeyScope::All);
-        asked(&mut ledger, 1, lane, 0);
+        send_request(&mut ledger, 1, class, 0);
         serve(&mut ledger, 1, "a", 10, end);
         serve(&mut ledger, 1, "b", 20, RAN);
-        assert_eq!(broken(&ledger), [0, wrong, 0, 0, 0, 0], "lane {lane}, {end:?}");
+        assert_eq!(broken(&ledger), [0, violations, 0, 0, 0, 0], "class {class}, {end:?}");
     }
 }
 
 #[test]
-fn a_labelled_one_stays_in_its_group_while_the_group_remembers() {
-    for (group, box_, at, wrong) in [
+fn a_keyed_request_is_retried_within_its_key_scope_and_retention_only() {
+    for (scope, server, at, violations) in [
         (KeyScope::Cell, "a", SECOND, 0),
         (KeyScope::Cell, "b", SECOND, 1),
         (KeyScope::Zone, "b", SECOND, 1),
@@ -179,17 +180,17 @@
         (KeyScope::All, "b", 5 * SECOND + SLACK + 1, 0),
         (KeyScope::All, "b", 5 * SECOND + SLACK + 11, 1),
     ] {
-        let mut ledger = ledger(group);
-        asked(&mut ledger, 1, 1, 0);
+        let mut ledger = ledger(scope);
+        send_request(&mut ledger, 1, 1, 0);
         serve(&mut ledger, 1, "a", 10, AttemptEnd::Failed);
-        serve(&mut ledger, 1, box_, at, RAN);
-        assert_eq!(broken(&ledger), [0, wrong, 0, 0, 0, 0], "{group:?} {box_} {at}");
+        serve(&mut ledger, 1, server, at, RAN);
+        assert_eq!(broken(&ledger), [0, violations, 0, 0, 0, 0], "{scope:?} {server} {at}");
     }
 }
 
 #[test]
-fn a_nack_after_a_trip_that_may_have_run_is_a_break_where_a_repeat_would_harm() {
-    for (group, lane, end, wrong) in [
+fn rejecting_a_request_that_may_have_run_is_a_violation_if_a_retry_would_be_harmful() {
+    for (scope, class, end, violations) in [
         (KeyScope::All, 0, RAN, 0),
         (KeyScope::All, 1, RAN, 0),
         (KeyScope::Cell, 1, RAN, 1),
@@ -197,100 +198,100 @@
         (KeyScope::All, 2, RAN, 1),
         (KeyScope::All, 2, AttemptEnd::Rejected, 0),
     ] {
-        let mut ledger = ledger(group);
-        asked(&mut ledger, 1, lane, 0);
+        let mut ledger = ledger(scope);
+        send_request(&mut ledger, 1, class, 0);
         serve(&mut ledger, 1, "a", 10, end);
         ledger.answered(1, 20, &Answer::Rejected { wait_ms: None });
-        assert_eq!(broken(&ledger), [0, wrong, 0, 0, 0, 0], "{group:?} lane {lane} {end:?}");
+        assert_eq!(broken(&ledger), [0, violations, 0, 0, 0, 0], "{scope:?} class {class} {end:?}");
     }
 }
 
 #[test]
-fn two_trips_out_at_once_are_a_break_unless_a_link_held_the_first_back() {
-    for held in [false, true] {
+fn two_attempts_in_flight_are_a_violation_unless_a_link_fault_delayed_the_first() {
+    for is_link_faulty in [false, true] {
         let mut ledger = ledger(KeyScope::All);
-        asked(&mut ledger, 1, 0, 0);
-        if held {
+        send_request(&mut ledger, 1, 0, 0);
+        if is_link_faulty {
             ledger.link_broken(Link::Server(0, "a".into()), 5);
         }
-        arrive(&mut ledger, 1, "a", 10);
-        arrive(&mut ledger, 1, "b", 20);
-        assert_eq!(broken(&ledger), [0, u64::from(!held), 0, 0, 0, 0]);
+        attempt_arrives(&mut ledger, 1, "a", 10);
+        attempt_arrives(&mut ledger, 1, "b", 20);
+        assert_eq!(broken(&ledger), [0, u64::from(!is_link_faulty), 0, 0, 0, 0]);
     }
 }
 
 #[test]
-fn a_drain_counts_from_when_this_gateway_was_first_told() {
+fn a_drain_counts_from_the_first_notification_of_the_gateway() {
     let mut ledger = ledger(KeyScope::All);
-    let until = 500 * MILLISECOND + SLACK;
+    let deadline = 500 * MILLISECOND + SLACK;
     ledger.endpoint_notified(0, "a", Status::Terminating, None, 0);
     ledger.endpoint_notified(0, "a", Status::Terminated, None, 400 * MILLISECOND);
     ledger.endpoint_notified(1, "b", Status::Terminating, None, 0);
-    arrive(&mut ledger, 1, "a", until);
-    arrive(&mut ledger, 2, "b", until + 1);
+    attempt_arrives(&mut ledger, 1, "a", deadline);
+    attempt_arrives(&mut ledger, 2, "b", deadline + 1);
     assert_eq!(broken(&ledger), [0; 6]);
-    arrive(&mut ledger, 3, "a", until + 1);
+    attempt_arrives(&mut ledger, 3, "a", deadline + 1);
     assert_eq!(broken(&ledger), [0, 0, 1, 0, 0, 0]);
     ledger.endpoint_notified(0, "a", Status::InService, None, 2 * SECOND);
-    arrive(&mut ledger, 4, "a", 2 * SECOND + 1);
+    attempt_arrives(&mut ledger, 4, "a", 2 * SECOND + 1);
     assert_eq!(broken(&ledger), [0, 0, 1, 0, 0, 0], "in service again");
 }
 
 #[test]
-fn a_cold_box_is_pushed_over_only_by_those_who_knew() {
-    for (told, wrong) in [(false, 0), (true, 1)] {
+fn overloading_a_server_in_slow_start_is_a_violation_only_for_notified_gateways() {
+    for (is_notified, violations) in [(false, 0), (true, 1)] {
         let mut ledger = ledger(KeyScope::All);
-        ledger.server_started("new", ("zone-0", 0), Some(0), 1.0, COLD);
-        if told {
+        ledger.server_started("new", ("zone-0", 0), Some(0), 1.0, SLOW_START);
+        if is_notified {
             ledger.endpoint_notified(0, "new", Status::InService, Some(0), 0);
         }
-        // It can do a fifth of a second of work in a second, and falls at three times that.
+        // The server's capacity is a fifth of a second of work in a second, and it collapses at three times that.
         for at in 0..80 {
             let (at, work) = (at * 10 * MILLISECOND, 10 * MILLISECOND);
             ledger.arrived(&Arrival { at, began: at, server: "new".into(), gateway: 0, id: 1000 + at, work });
         }
-        assert_eq!(broken(&ledger), [0, 0, 0, wrong, 0, 0]);
+        assert_eq!(broken(&ledger), [0, 0, 0, violations, 0, 0]);
     }
 }
 
 #[test]
-fn a_ceiling_counts_first_trips_only() {
+fn a_ceiling_counts_the_first_attempt_of_a_request_only() {
     let mut ledger = ledger(KeyScope::All);
-    // A burst of 20; two units of slack, and 10 a second in a quarter of one.
+    // A burst of 20, two units of slack, and 10 units a second for a quarter of a second.
     for id in 0..24 {
-        asked(&mut ledger, id, 0, 0);
+        send_request(&mut ledger, id, 0, 0);
         serve(&mut ledger, id, "a", 0, AttemptEnd::Rejected);
         serve(&mut ledger, id, "b", 0, RAN);
     }
     assert_eq!(broken(&ledger), [0; 6]);
     for id in 24..25 {
-        asked(&mut ledger, id, 0, 0);
+        send_request(&mut ledger, id, 0, 0);
         serve(&mut ledger, id, "a", 0, RAN);
     }
     assert_eq!(broken(&ledger), [0, 0, 0, 0, 1, 0]);
 }
 
 #[test]
-fn a_key_with_two_effects_is_counted_whatever_ids_it_came_under() {
+fn a_key_with_two_effects_is_counted_over_all_request_ids() {
     let mut ledger = ledger(KeyScope::Cell);
-    for (id, box_) in [(1, "a"), (2, "b")] {
-        let again = ClientRequest { key: Some(77), attempt: id as u32 - 1, origin: 1, ..ask(id, 1, id) };
+    for (id, server) in [(1, "a"), (2, "b")] {
+        let again = ClientRequest { key: Some(77), attempt: id as u32 - 1, origin: 1, ..request(id, 1, id) };
         ledger.request_created(&again);
         ledger.written(id, 0, id);
-        serve(&mut ledger, id, box_, id, RAN);
+        serve(&mut ledger, id, server, id, RAN);
     }
     assert_eq!(ledger.doubled_keys(), 1);
-    assert_eq!(broken(&ledger), [0; 6], "each transaction has kept to its own group");
+    assert_eq!(broken(&ledger), [0; 6], "each request has stayed within its key scope");
 }
 
 #[test]
-fn what_is_sent_on_for_a_client_that_left_is_a_break_beyond_the_slack() {
-    // 300 ms, 50 of sockets, and the slack.
-    for (after, wrong) in [(0, 0), (440, 0), (460, 1)] {
+fn forwarding_for_a_disconnected_client_is_a_violation_beyond_the_slack() {
+    // The limit is 300 ms, 50 ms for sockets, and the slack of 100 ms.
+    for (after, violations) in [(0, 0), (440, 0), (460, 1)] {
         let mut ledger = ledger(KeyScope::All);
-        asked(&mut ledger, 1, 0, SECOND);
+        send_request(&mut ledger, 1, 0, SECOND);
         ledger.client_disconnected(1, SECOND);
-        arrive(&mut ledger, 1, "a", SECOND + after * MILLISECOND);
-        assert_eq!(broken(&ledger), [0, 0, 0, 0, 0, wrong], "{after} ms after");
+        attempt_arrives(&mut ledger, 1, "a", SECOND + after * MILLISECOND);
+        assert_eq!(broken(&ledger), [0, 0, 0, 0, 0, violations], "{after} ms after");
     }
 }
--- a/crates/lab/tests/stalls.rs
+++ b/crates/lab/tests/stalls.rs
@@ -1,5 +1,5 @@
-//! Stalls of single gateways on an idle fleet: the claims of the scenario fail where a gateway takes its own standstill for
-//! slow servers, and hold where it does not.
+//! Stalls of single gateways in an idle fleet: the claims of the scenario fail if a gateway blames slow servers for its own
+//! stall, and hold if it does not.
 
 use std::path::PathBuf;
 use std::thread;
@@ -13,7 +13,7 @@
 
 const SCENARIO: &str = include_str!("../../../scenarios/stalls.toml");
 
-/// The scenario, but only its first seconds.
+/// The first seconds of the scenario.
 fn first_seconds() -> Scenario {
     let mut scenario = parse("stalls", SCENARIO).expect("a scenario");
     scenario.lasts = Time(8 * SECOND);
@@ -23,7 +23,7 @@
     scenario
 }
 
-/// The report of a misbehaving gateway with this fault.
+/// Plays the scenario with misbehaving gateways that have this fault. Returns the report.
 fn played(fault: &str) -> Value {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_fernscale-lab"));
     let arguments = vec!["rogue".into(), fault.into()];
@@ -38,11 +38,11 @@
     failed.map(|claim| claim["figure"].as_str().expect("a figure")).collect()
 }
 
-/// Guards against a scenario that passes though a gateway rejects requests within quota after its own standstill, or that
-/// fails whatever a gateway does.
+/// Guards against a scenario that passes although a gateway rejects requests within quota after its own stall, and against one
+/// that fails regardless of the gateway.
 #[test]
-fn a_gateway_that_rejects_after_its_own_standstill_fails_just_the_claim_on_rejections() {
-    // Without a fault of its own the misbehaving gateway sends on all that it reads.
+fn a_gateway_that_rejects_after_its_own_stall_fails_only_the_claim_on_rejections() {
+    // Without a fault in this scenario, the misbehaving gateway forwards everything that it reads.
     let calm = thread::spawn(|| played("ceilings"));
     let report = played("standstill");
     assert_eq!(failed_figures(&report), ["within.inside_nacked"], "{:#}", report["claims"]);
