--- a/crates/lab/src/fault_schedule.rs
+++ b/crates/lab/src/fault_schedule.rs
@@ -155,7 +155,7 @@
     let lasts = steps(chance, menu.longest.0 / 20, menu.longest.0);
     let at = steps(chance, base.settle_in.0, base.lasts.0 - lasts.0);
     let mut fault = Fault { at, for_: Some(lasts), ..Fault::default() };
-    let between = |from: Vec<u32>, how: BetweenIll, amount: f64, spread: f64| BetweenFault {
+    let between = |from: Vec<u32>, how: GatewayLinkFaultKind, amount: f64, spread: f64| GatewayLinkFault {
         from,
         to: Vec::new(),
         both: false,
@@ -164,8 +164,12 @@
         spread,
         goods: None,
     };
-    let stop =
-        |which: Vec<u32>, how: Stop| GatewayFault { which, how, folder: Folder::Kept, each: Time::default() };
+    let stop = |which: Vec<u32>, how: GatewayFaultKind| GatewayFault {
+        which,
+        how,
+        folder: RestartFolder::Kept,
+        each: Time::default(),
+    };
     let third = count.div_ceil(3);
     match kind {
         Kind::Part => {
@@ -178,91 +182,107 @@
             }
             groups.iter_mut().for_each(|group| group.sort_unstable());
             groups.retain(|group| !group.is_empty());
-            fault.fleet = Some(FleetFault { groups, bridges, counter: None, discovery: None });
+            fault.fleet = Some(PartitionFault { groups, bridges, counter: None, discovery: None });
         }
         Kind::OneWay => {
             let (one, others) = (vec![all[0]], all[1..].to_vec());
             let (from, to) = if chance.gen_bool(0.5) { (one, others) } else { (others, one) };
-            fault.between = Some(BetweenFault { to, ..between(from, BetweenIll::Blackhole, 1.0, 0.0) });
+            fault.between =
+                Some(GatewayLinkFault { to, ..between(from, GatewayLinkFaultKind::Blackhole, 1.0, 0.0) });
         }
         Kind::Lose => {
             let share = f64::from(chance.gen_range(1..=4u32)) / 10.0;
-            fault.between = Some(between(some(chance, count), BetweenIll::Lose, share, 0.0));
+            fault.between = Some(between(some(chance, count), GatewayLinkFaultKind::Lose, share, 0.0));
         }
         Kind::Delay => {
             let spread = f64::from(chance.gen_range(10..=150u32));
-            fault.between = Some(between(some(chance, count), BetweenIll::Delay, 5.0, spread));
+            fault.between = Some(between(some(chance, count), GatewayLinkFaultKind::Delay, 5.0, spread));
+        }
+        Kind::Double => {
+            fault.between = Some(between(some(chance, count), GatewayLinkFaultKind::Double, 0.3, 0.0));
         }
-        Kind::Double => fault.between = Some(between(some(chance, count), BetweenIll::Double, 0.3, 0.0)),
         Kind::Overtake => {
-            fault.between = Some(between(some(chance, count), BetweenIll::Overtake, 0.3, 80.0));
+            fault.between = Some(between(some(chance, count), GatewayLinkFaultKind::Overtake, 0.3, 80.0));
+        }
+        Kind::Corrupt => {
+            fault.between = Some(between(some(chance, third), GatewayLinkFaultKind::Corrupt, 0.2, 0.0));
         }
-        Kind::Corrupt => fault.between = Some(between(some(chance, third), BetweenIll::Corrupt, 0.2, 0.0)),
         Kind::Streams => {
-            let cut = between(some(chance, count), BetweenIll::Cut, 1.0, 0.0);
-            fault.between =
-                Some(BetweenFault { goods: Some(crate::history::LinkTraffic::Streams), both: true, ..cut });
+            let cut = between(some(chance, count), GatewayLinkFaultKind::Cut, 1.0, 0.0);
+            fault.between = Some(GatewayLinkFault {
+                goods: Some(crate::history::LinkTraffic::Streams),
+                both: true,
+                ..cut
+            });
         }
-        Kind::Pause => fault.gateway = Some(stop(some(chance, third), Stop::Pause)),
+        Kind::Pause => fault.gateway = Some(stop(some(chance, third), GatewayFaultKind::Pause)),
         Kind::Stall => {
             let lasts = in_steps_of(STALL_STEP, chance, STALL_SHORTEST, STALL_LONGEST);
             fault.at = in_steps_of(STALL_STEP, chance, base.settle_in.0, base.lasts.0 - lasts.0);
             fault.for_ = Some(lasts);
-            fault.gateway = Some(stop(some(chance, count), Stop::Pause));
+            fault.gateway = Some(stop(some(chance, count), GatewayFaultKind::Pause));
         }
-        Kind::Kill => fault.gateway = Some(stop(some(chance, third), Stop::Kill)),
-        Kind::Restart => fault.gateway = Some(stop(some(chance, third), Stop::Restart)),
-        Kind::Series => fault.gateway = Some(stop(vec![all[0]], Stop::Series)),
-        Kind::Upgrade => fault.gateway = Some(stop(vec![all[0]], Stop::Upgrade)),
-        Kind::Leave => fault.gateway = Some(stop(vec![all[0]], Stop::Restart)),
+        Kind::Kill => fault.gateway = Some(stop(some(chance, third), GatewayFaultKind::Kill)),
+        Kind::Restart => fault.gateway = Some(stop(some(chance, third), GatewayFaultKind::Restart)),
+        Kind::Series => fault.gateway = Some(stop(vec![all[0]], GatewayFaultKind::Series)),
+        Kind::Upgrade => fault.gateway = Some(stop(vec![all[0]], GatewayFaultKind::Upgrade)),
+        Kind::Leave => fault.gateway = Some(stop(vec![all[0]], GatewayFaultKind::Restart)),
         Kind::Clock => {
             let off = steps(chance, SECOND / 2, 8 * SECOND);
             let (ahead, behind) = if chance.gen_bool(0.5) { (off, Time(0)) } else { (Time(0), off) };
             fault.clock = Some(ClockFault { which: some(chance, third), ahead, behind });
         }
         Kind::Counter => {
-            fault.counter = Some(CounterFault { how: CounterIll::Silent, amount: 1.0, which: Vec::new() });
+            fault.counter =
+                Some(CounterFault { how: CounterFaultKind::Silent, amount: 1.0, which: Vec::new() });
         }
         Kind::Discovery => {
             let which = some(chance, count);
-            fault.discovery = Some(DiscoveryFault { which, how: DiscoveryIll::Silent, amount: 1.0 });
+            fault.discovery = Some(DiscoveryFault { which, how: DiscoveryFaultKind::Silent, amount: 1.0 });
         }
         Kind::Folder => {
-            let ills = [FolderIll::Full, FolderIll::Slow, FolderIll::Fail];
-            let how = ills.choose(chance).copied().unwrap_or(FolderIll::Slow);
+            let ills = [FolderFaultKind::Full, FolderFaultKind::Slow, FolderFaultKind::Fail];
+            let how = ills.choose(chance).copied().unwrap_or(FolderFaultKind::Slow);
             let amount = f64::from(chance.gen_range(50..=800u32));
             fault.folder = Some(FolderFault { which: some(chance, third), how, amount });
         }
         Kind::LoseDisk => {
             let voter = base.fleet.owners.iter().flat_map(|owners| &owners.voters).next();
-            let lost = stop(voter.into_iter().copied().collect(), Stop::Kill);
-            fault.gateway = Some(GatewayFault { folder: Folder::Lost, ..lost });
+            let lost = stop(voter.into_iter().copied().collect(), GatewayFaultKind::Kill);
+            fault.gateway = Some(GatewayFault { folder: RestartFolder::Lost, ..lost });
         }
         Kind::Ill => {
             let which = vec![chance.gen_range(0..base.fleet.boxes)];
-            let ills = [(BoxIll::Fail, 0.5), (BoxIll::Slow, 8.0), (BoxIll::Silent, 1.0)];
+            let ills =
+                [(ServerFaultKind::Fail, 0.5), (ServerFaultKind::Slow, 8.0), (ServerFaultKind::Silent, 1.0)];
             let (how, amount) = ills.choose(chance).copied().unwrap_or(ills[0]);
-            fault.boxes = Some(BoxesFault { which, how, each: Time::default(), amount });
+            fault.boxes = Some(ServerFault { which, how, each: Time::default(), amount });
         }
         Kind::Unreached => {
-            let (which, to) = (vec![all[0]], LinkEnd::Boxes);
-            fault.link = Some(LinkFault { which, to, how: LinkIll::Cut, amount: 1.0 });
+            let (which, to) = (vec![all[0]], LinkEnd::Servers);
+            fault.link = Some(LinkFault { which, to, how: LinkFaultKind::Cut, amount: 1.0 });
         }
         Kind::Drain => {
             let which = vec![chance.gen_range(0..base.fleet.boxes)];
-            fault.boxes = Some(BoxesFault { which, how: BoxIll::Drain, each: Time::default(), amount: 1.0 });
+            fault.boxes =
+                Some(ServerFault { which, how: ServerFaultKind::Drain, each: Time::default(), amount: 1.0 });
         }
         Kind::Crowd => {
-            fault.hostile = Some(HostileFault { a_second: CROWD_MISBEHAVING, silent: CROWD_SILENT });
+            fault.hostile =
+                Some(MisbehavingClientsFault { a_second: CROWD_MISBEHAVING, silent: CROWD_SILENT });
         }
         Kind::Reset => {
-            let (which, to) = (vec![all[0]], LinkEnd::Boxes);
-            fault.link = Some(LinkFault { which, to, how: LinkIll::Reset, amount: 1.0 });
+            let (which, to) = (vec![all[0]], LinkEnd::Servers);
+            fault.link = Some(LinkFault { which, to, how: LinkFaultKind::Reset, amount: 1.0 });
         }
         Kind::Replace => {
             let which = vec![chance.gen_range(0..base.fleet.boxes)];
-            fault.boxes =
-                Some(BoxesFault { which, how: BoxIll::Replace, each: Time::default(), amount: 1.0 });
+            fault.boxes = Some(ServerFault {
+                which,
+                how: ServerFaultKind::Replace,
+                each: Time::default(),
+                amount: 1.0,
+            });
         }
     }
     fault
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -14,7 +14,7 @@
 use super::{sleep, World};
 use crate::history::Event;
 use crate::model::clients::{ClientModel, ClientRequest, Idempotency};
-use crate::request_ledger::Fate;
+use crate::request_ledger::RequestOutcome;
 use crate::wire::{self, Answer, Call, Value};
 use crate::{Micros, MILLISECOND, SECOND};
 
@@ -233,9 +233,9 @@
             return self.unsent(&ask);
         };
         let call = Call {
-            customer: format!("{:016x}", ask.tenant),
+            tenant: format!("{:016x}", ask.tenant),
             id: format!("{:016x}", ask.id),
-            lane: lane.name.clone(),
+            class: lane.name.clone(),
             plan,
             wait_ms: lane.deadline as f64 / MILLISECOND as f64,
             key: ask.key.map(|key| format!("{key:016x}")),
@@ -287,7 +287,7 @@
                 Got::Whole(value) => {
                     let now = self.world.now();
                     self.gates[gateway as usize].idle.borrow_mut().push((stream, now));
-                    return self.ended(&ask, Some(Answer::of(value)), false);
+                    return self.ended(&ask, Some(Answer::from_value(value)), false);
                 }
                 Got::Closed(false) if used && !written_once && !self.world.ledger().has_attempt(ask.id) => {
                     // The close crossed the command, and nobody read it.
@@ -330,14 +330,14 @@
 
     fn unsent(self: &Rc<Self>, ask: &ClientRequest) {
         self.world.happens(Event::RequestUnsent { id: ask.id });
-        self.front.borrow_mut().unserved(self.world.now(), ask, true, 0);
+        self.front.borrow_mut().request_unserved(self.world.now(), ask, true, 0);
     }
 
     fn ended(self: &Rc<Self>, ask: &ClientRequest, answer: Option<Answer>, closed: bool) {
         let now = self.world.now();
         let Some(answer) = answer else {
             self.world.happened(now, Event::Unanswered { id: ask.id, closed });
-            return self.front.borrow_mut().unserved(now, ask, false, 0);
+            return self.front.borrow_mut().request_unserved(now, ask, false, 0);
         };
         self.world.happened(now, Event::Answered { id: ask.id, answer: answer.clone() });
         match answer {
@@ -349,16 +349,17 @@
             }
             Answer::Rejected { wait_ms } => {
                 let wait = wait_ms.unwrap_or(0) * MILLISECOND;
-                self.front.borrow_mut().unserved(now, ask, true, wait);
+                self.front.borrow_mut().request_unserved(now, ask, true, wait);
             }
-            Answer::Failed => self.front.borrow_mut().unserved(now, ask, false, 0),
+            Answer::Failed => self.front.borrow_mut().request_unserved(now, ask, false, 0),
         }
     }
 
     /// How the transactions stand, for a line on a terminal: asked, open, settled, nacked.
     pub fn standing(&self) -> (u64, u64, u64, u64) {
         let ledger = self.world.ledger();
-        let count = |fate: Fate| ledger.fates().filter(|(_, _, own, _)| *own == fate).count() as u64;
-        (self.asked.get(), self.open.get(), count(Fate::Completed), count(Fate::Rejected))
+        let count =
+            |fate: RequestOutcome| ledger.outcomes().filter(|(_, _, own, _)| *own == fate).count() as u64;
+        (self.asked.get(), self.open.get(), count(RequestOutcome::Completed), count(RequestOutcome::Rejected))
     }
 }
--- a/crates/lab/src/live/counter.rs
+++ b/crates/lab/src/live/counter.rs
@@ -141,7 +141,7 @@
         let model = &mut models[self.sees[gateway].get()];
         let life = life.saturating_mul(1000);
         let (said, at) = model.add(now, text(1), amount, life);
-        if said != Reply::Busy && model.ill != ReplyFault::Deaf {
+        if said != Reply::Busy && model.fault != ReplyFault::Deaf {
             let (gateway, count) = (gateway as u32, text(1).to_string());
             self.world.happened(now, Event::CounterAdded { gateway, key: count, amount, lifetime: life });
         }
@@ -152,7 +152,7 @@
                 Some(bytes)
             }
             Reply::Busy => Some(b"-BUSY\r\n".to_vec()),
-            Reply::Spoilt => Some(b"$3\r\n?a!\r\n".to_vec()),
+            Reply::Malformed => Some(b"$3\r\n?a!\r\n".to_vec()),
             Reply::Nothing => None,
         };
         (bytes, at)
--- a/crates/lab/src/live/faults.rs
+++ b/crates/lab/src/live/faults.rs
@@ -83,7 +83,7 @@
             }
             Fault { fleet: Some(fleet), .. } => self.part(fleet, for_).await,
             Fault { clock: Some(clock), .. } => {
-                self.set_clocks(clock, clock.off());
+                self.set_clocks(clock, clock.offset_us());
                 if let Some(time) = for_ {
                     sleep(time).await;
                     self.set_clocks(clock, 0);
@@ -113,9 +113,9 @@
     async fn harm_discovery(&self, discovery: &DiscoveryFault, for_: Option<Micros>) {
         let late = (discovery.amount * MILLISECOND as f64) as Micros;
         discovery.which.iter().for_each(|gateway| match discovery.how {
-            DiscoveryIll::Silent => self.list.silence(*gateway, true),
-            DiscoveryIll::Late => self.list.delay(*gateway, late),
-            DiscoveryIll::Watches => self.list.silence_watches(*gateway),
+            DiscoveryFaultKind::Silent => self.list.silence(*gateway, true),
+            DiscoveryFaultKind::Late => self.list.delay(*gateway, late),
+            DiscoveryFaultKind::Watches => self.list.silence_watches(*gateway),
         });
         if let Some(time) = for_ {
             sleep(time).await;
@@ -139,7 +139,7 @@
         }
     }
 
-    async fn harm_by_clients(&self, harm: &HostileFault, for_: Option<Micros>) {
+    async fn harm_by_clients(&self, harm: &MisbehavingClientsFault, for_: Option<Micros>) {
         let usual = misbehaving_client::Usual {
             lane: self.scenario.lanes.first().map(|lane| lane.name.clone()).unwrap_or_default(),
             plan: self.scenario.plans.first().map(|plan| plan.name.clone()).unwrap_or_default(),
@@ -174,7 +174,7 @@
         }
     }
 
-    fn set_folders(&self, folder: &FolderFault, ill: Option<(FolderIll, f64)>) {
+    fn set_folders(&self, folder: &FolderFault, ill: Option<(FolderFaultKind, f64)>) {
         for number in &folder.which {
             if let Err(why) = self.gateways[*number as usize].set_folder(ill) {
                 eprintln!("fernscale-lab: the folder of gateway {number} can't be changed: {why}");
@@ -183,7 +183,7 @@
     }
 
     /// The ordered pairs that a fault between gateways is about, with the goods.
-    fn ways_between(&self, fault: &BetweenFault) -> BTreeSet<(u32, u32, LinkTraffic)> {
+    fn ways_between(&self, fault: &GatewayLinkFault) -> BTreeSet<(u32, u32, LinkTraffic)> {
         let all: Vec<u32> = (0..self.scenario.fleet.gateways).collect();
         let to = if fault.to.is_empty() { &all } else { &fault.to };
         let mut ways = BTreeSet::new();
@@ -231,15 +231,15 @@
     }
 
     /// The fleet falls apart; the counter and discovery stand on one of the sides.
-    async fn part(self: Rc<Self>, fleet: &FleetFault, for_: Option<Micros>) -> u64 {
+    async fn part(self: Rc<Self>, fleet: &PartitionFault, for_: Option<Micros>) -> u64 {
         let all = 0..self.scenario.fleet.gateways;
         let pairs = all.clone().flat_map(|one| all.clone().map(move |other| (one, other)));
-        let ways = pairs.filter(|(one, other)| one != other && !fleet.joins(*one, *other)).flat_map(
+        let ways = pairs.filter(|(one, other)| one != other && !fleet.connects(*one, *other)).flat_map(
             |(one, other)| [LinkTraffic::Datagrams, LinkTraffic::Streams].map(|goods| (one, other, goods)),
         );
         let far = |link: &Link| match link {
-            Link::Counter(own) => fleet.out_of_reach(*own, LinkEnd::Counter),
-            Link::List(own) => fleet.out_of_reach(*own, LinkEnd::Discovery),
+            Link::Counter(own) => fleet.is_cut_off(*own, LinkEnd::Counter),
+            Link::List(own) => fleet.is_cut_off(*own, LinkEnd::Discovery),
             _ => false,
         };
         let links = self.harm_links(far, RouteFault::Blackhole, for_);
@@ -257,7 +257,7 @@
                 sleep(wait).await;
                 let there = run.gateways[number as usize].runs();
                 run.stop_gateway(number, how, folder, for_).await;
-                u64::from(there != (how == Stop::Start))
+                u64::from(there != (how == GatewayFaultKind::Start))
             }));
         }
         let mut felt = 0;
@@ -267,7 +267,13 @@
         felt
     }
 
-    async fn stop_gateway(&self, number: u32, how: Stop, folder: Folder, for_: Option<Micros>) {
+    async fn stop_gateway(
+        &self,
+        number: u32,
+        how: GatewayFaultKind,
+        folder: RestartFolder,
+        for_: Option<Micros>,
+    ) {
         let gateway = &self.gateways[number as usize];
         let stays = self.scenario.fleet.clients_stay;
         let occupied = gateway.occupy();
@@ -286,12 +292,12 @@
             self.front.leave(number);
         };
         match how {
-            Stop::Pause if gateway.runs() => {
+            GatewayFaultKind::Pause if gateway.runs() => {
                 gateway.pause(true);
                 sleep(for_.unwrap_or(SECOND)).await;
                 gateway.pause(false);
             }
-            Stop::Kill if gateway.runs() => {
+            GatewayFaultKind::Kill if gateway.runs() => {
                 self.world.happens(Event::Killed { gateway: number });
                 gateway.kill();
                 self.front.leave(number);
@@ -301,8 +307,10 @@
                     starts().await;
                 }
             }
-            Stop::Restart | Stop::Leave | Stop::Series if gateway.runs() => {
-                if how == Stop::Series {
+            GatewayFaultKind::Restart | GatewayFaultKind::Leave | GatewayFaultKind::Series
+                if gateway.runs() =>
+            {
+                if how == GatewayFaultKind::Series {
                     for _ in 0..SERIES {
                         gateway.reload();
                         sleep(BETWEEN_SIGNALS).await;
@@ -321,35 +329,35 @@
                 });
                 gateway.end(longest, !stays).await;
                 self.world.happens(Event::Ended { gateway: number });
-                if how != Stop::Leave {
+                if how != GatewayFaultKind::Leave {
                     sleep(for_.unwrap_or(0)).await;
                     starts().await;
                 }
             }
-            Stop::Start if !gateway.runs() => starts().await,
-            Stop::Upgrade if gateway.runs() => {
+            GatewayFaultKind::Start if !gateway.runs() => starts().await,
+            GatewayFaultKind::Upgrade if gateway.runs() => {
                 said("is not upgraded", gateway.upgrade(&self.scenario, &self.list, longest).await);
             }
-            Stop::Keep => said("can't have its folder kept by", gateway.keep_folder()),
+            GatewayFaultKind::Keep => said("can't have its folder kept by", gateway.keep_folder()),
             // Nobody is there to feel it.
             _ => {}
         }
     }
 
-    async fn harm_box(self: Rc<Self>, place: u32, how: BoxIll, amount: f64, for_: Option<Micros>) {
+    async fn harm_box(self: Rc<Self>, place: u32, how: ServerFaultKind, amount: f64, for_: Option<Micros>) {
         let host = self.boxes.borrow()[place as usize].clone();
         let mend = |host: &servers::Host, amount: f64| {
             host.with(|model| match how {
-                BoxIll::Slow => model.faults.slow = amount,
-                BoxIll::Fail => model.faults.fails = amount,
-                BoxIll::Busy => model.faults.busy = amount,
-                BoxIll::Silent => model.faults.silent = amount,
-                BoxIll::Garble => model.faults.garbles = amount,
+                ServerFaultKind::Slow => model.faults.slow = amount,
+                ServerFaultKind::Fail => model.faults.fails = amount,
+                ServerFaultKind::Busy => model.faults.busy = amount,
+                ServerFaultKind::Silent => model.faults.silent = amount,
+                ServerFaultKind::Garble => model.faults.garbles = amount,
                 _ => {}
             });
         };
         match how {
-            BoxIll::Drain => {
+            ServerFaultKind::Drain => {
                 self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
                 host.with(super::super::model::server::Server::drain);
                 let Some(time) = for_ else { return };
@@ -357,7 +365,7 @@
                 self.list.list.borrow_mut().set_status(&host.name, Status::InService);
                 host.with(super::super::model::server::Server::serve_again);
             }
-            BoxIll::Replace => {
+            ServerFaultKind::Replace => {
                 self.list.list.borrow_mut().set_status(&host.name, Status::Terminating);
                 host.with(super::super::model::server::Server::drain);
                 self.replaced.set(self.replaced.get() + 1);
@@ -370,7 +378,7 @@
                 self.list.list.borrow_mut().set_status(&host.name, Status::Terminated);
                 host.kill();
             }
-            BoxIll::Kill => {
+            ServerFaultKind::Kill => {
                 host.kill();
                 let Some(time) = for_ else { return };
                 sleep(time).await;
@@ -381,7 +389,7 @@
                     Err(why) => eprintln!("fernscale-lab: {} does not start again: {why}", host.name),
                 }
             }
-            BoxIll::Cordon => {
+            ServerFaultKind::Cordon => {
                 self.cordon(&host.name, true).await;
                 let Some(time) = for_ else { return };
                 sleep(time).await;
@@ -391,38 +399,38 @@
                 mend(&host, amount);
                 let Some(time) = for_ else { return };
                 sleep(time).await;
-                mend(&host, if how == BoxIll::Slow { 1.0 } else { 0.0 });
+                mend(&host, if how == ServerFaultKind::Slow { 1.0 } else { 0.0 });
             }
         }
     }
 
     async fn harm_counter(&self, fault: &CounterFault, counter: &Rc<counter::Host>, for_: Option<Micros>) {
         let ill = match fault.how {
-            CounterIll::Busy => Some(CounterBad::Busy),
-            CounterIll::Silent => Some(CounterBad::Silent),
-            CounterIll::Deaf => Some(CounterBad::Deaf),
-            CounterIll::Slow => Some(CounterBad::Slow(fault.amount)),
-            CounterIll::Old => Some(CounterBad::Old((fault.amount * MILLISECOND as f64) as Micros)),
-            CounterIll::Garble => Some(CounterBad::Garbled),
+            CounterFaultKind::Busy => Some(CounterBad::Busy),
+            CounterFaultKind::Silent => Some(CounterBad::Silent),
+            CounterFaultKind::Deaf => Some(CounterBad::Deaf),
+            CounterFaultKind::Slow => Some(CounterBad::Slow(fault.amount)),
+            CounterFaultKind::Old => Some(CounterBad::Old((fault.amount * MILLISECOND as f64) as Micros)),
+            CounterFaultKind::Garble => Some(CounterBad::Garbled),
             _ => None,
         };
         match fault.how {
-            CounterIll::Refuse => counter.shut(),
-            CounterIll::Kill => {
+            CounterFaultKind::Refuse => counter.shut(),
+            CounterFaultKind::Kill => {
                 counter.shut();
                 counter.each(super::super::model::counter::Counter::empty);
             }
-            CounterIll::Empty => counter.each(super::super::model::counter::Counter::empty),
-            CounterIll::Swap => counter.swap(),
-            CounterIll::Split => counter.split(&fault.which),
+            CounterFaultKind::Empty => counter.each(super::super::model::counter::Counter::empty),
+            CounterFaultKind::Swap => counter.swap(),
+            CounterFaultKind::Split => counter.split(&fault.which),
             _ => {}
         }
         if let Some(ill) = ill {
-            counter.each(|model| model.ill = ill);
+            counter.each(|model| model.fault = ill);
         }
         let Some(time) = for_ else { return };
         sleep(time).await;
-        counter.each(|model| model.ill = CounterBad::Well);
+        counter.each(|model| model.fault = CounterBad::Healthy);
         counter.heal();
         if let Err(why) = counter.reopen().await {
             eprintln!("fernscale-lab: the counter does not come back: {why}");
@@ -472,7 +480,7 @@
 fn wanted(fault: &LinkFault, link: &Link) -> bool {
     let end = match link {
         Link::Clients(_) => LinkEnd::Clients,
-        Link::Server(..) => LinkEnd::Boxes,
+        Link::Server(..) => LinkEnd::Servers,
         Link::List(_) => LinkEnd::Discovery,
         Link::Counter(_) => LinkEnd::Counter,
     };
@@ -485,26 +493,26 @@
 
 fn link_ill(fault: &LinkFault) -> RouteFault {
     match fault.how {
-        LinkIll::Cut => RouteFault::Cut,
-        LinkIll::Blackhole => RouteFault::Blackhole,
-        LinkIll::Reset => RouteFault::Reset,
-        LinkIll::Delay => RouteFault::Delay { by: ms(fault.amount), spread: 0 },
-        LinkIll::Throttle => RouteFault::Throttle(fault.amount),
-        LinkIll::Corrupt => RouteFault::Corrupt(fault.amount.clamp(0.0, 1.0)),
+        LinkFaultKind::Cut => RouteFault::Cut,
+        LinkFaultKind::Blackhole => RouteFault::Blackhole,
+        LinkFaultKind::Reset => RouteFault::Reset,
+        LinkFaultKind::Delay => RouteFault::Delay { by: ms(fault.amount), spread: 0 },
+        LinkFaultKind::Throttle => RouteFault::Throttle(fault.amount),
+        LinkFaultKind::Corrupt => RouteFault::Corrupt(fault.amount.clamp(0.0, 1.0)),
     }
 }
 
-pub fn between_ill(fault: &BetweenFault) -> RouteFault {
+pub fn between_ill(fault: &GatewayLinkFault) -> RouteFault {
     match fault.how {
-        BetweenIll::Cut => RouteFault::Cut,
-        BetweenIll::Blackhole => RouteFault::Blackhole,
-        BetweenIll::Reset => RouteFault::Reset,
-        BetweenIll::Lose => RouteFault::Lose(fault.amount),
-        BetweenIll::Delay => RouteFault::Delay { by: ms(fault.amount), spread: ms(fault.spread) },
-        BetweenIll::Double => RouteFault::Double(fault.amount),
-        BetweenIll::Overtake => RouteFault::Overtake { share: fault.amount, by: ms(fault.spread) },
-        BetweenIll::Corrupt => RouteFault::Corrupt(fault.amount),
-        BetweenIll::Throttle => RouteFault::Throttle(fault.amount),
+        GatewayLinkFaultKind::Cut => RouteFault::Cut,
+        GatewayLinkFaultKind::Blackhole => RouteFault::Blackhole,
+        GatewayLinkFaultKind::Reset => RouteFault::Reset,
+        GatewayLinkFaultKind::Lose => RouteFault::Lose(fault.amount),
+        GatewayLinkFaultKind::Delay => RouteFault::Delay { by: ms(fault.amount), spread: ms(fault.spread) },
+        GatewayLinkFaultKind::Double => RouteFault::Double(fault.amount),
+        GatewayLinkFaultKind::Overtake => RouteFault::Overtake { share: fault.amount, by: ms(fault.spread) },
+        GatewayLinkFaultKind::Corrupt => RouteFault::Corrupt(fault.amount),
+        GatewayLinkFaultKind::Throttle => RouteFault::Throttle(fault.amount),
     }
 }
 
@@ -576,11 +584,11 @@
 
 /// Who waits for a record of which event.
 #[derive(Default)]
-pub(super) struct Waits(RefCell<Vec<(When, async_channel::Sender<()>)>>);
+pub(super) struct Waits(RefCell<Vec<(FaultTrigger, async_channel::Sender<()>)>>);
 
 impl Waits {
     /// Whether a record comes within the time that is waited for it.
-    async fn comes(&self, when: &When) -> bool {
+    async fn comes(&self, when: &FaultTrigger) -> bool {
         let (heard, hears) = async_channel::bounded(1);
         self.0.borrow_mut().push((when.clone(), heard));
         let came = async { hears.recv().await.is_ok() };
--- a/crates/lab/src/live/gateway.rs
+++ b/crates/lab/src/live/gateway.rs
@@ -17,7 +17,7 @@
 use super::{discovery, queries, sleep, World};
 use crate::history::Event;
 use crate::model::clients::Idempotency;
-use crate::scenario::{Fleet, Folder, FolderIll, Scenario, Who};
+use crate::scenario::{Fleet, FolderFaultKind, KeyGroup, RestartFolder, Scenario};
 use crate::{seed_of, Micros, MILLISECOND, SECOND};
 
 /// How often a process that is to end is looked at.
@@ -67,7 +67,7 @@
     /// How far its shared clock is ahead, in microseconds.
     pub ahead: Cell<i64>,
     /// What is wrong with its folder.
-    folder_ill: Cell<Option<(FolderIll, f64)>>,
+    folder_ill: Cell<Option<(FolderFaultKind, f64)>>,
     /// What its own file says beside that, the same at each start.
     jobs: String,
     /// What it has logged, and not been read yet, of each process.
@@ -156,10 +156,10 @@
             }
         };
         command.args(&self.program.arguments);
-        if scenario.own_file() {
+        if scenario.needs_config_file() {
             command.arg("--config").arg(self.own_file()?);
         }
-        if scenario.operated() {
+        if scenario.needs_operator_address() {
             let operator = self.world.reserve()?;
             self.operator.set(Some(operator));
             command.env("BALANCER_OPERATOR", operator.to_string());
@@ -176,7 +176,7 @@
             .stdin(stdin)
             .stdout(Stdio::null())
             .stderr(File::create(&log)?);
-        if scenario.own_file() {
+        if scenario.needs_config_file() {
             self.logs.borrow_mut().push(Log::open(&log, self.world.now())?);
         }
         let (to, spawned) = async_channel::bounded(1);
@@ -207,9 +207,9 @@
         }
         text += &match self.folder_ill.get() {
             None => String::new(),
-            Some((FolderIll::Full, _)) => "folder-quota = \"0B\"\n".into(),
-            Some((FolderIll::Slow, amount)) => format!("folder-slow = \"{}ms\"\n", amount as u64),
-            Some((FolderIll::Fail, _)) => "folder-fails = true\n".into(),
+            Some((FolderFaultKind::Full, _)) => "folder-quota = \"0B\"\n".into(),
+            Some((FolderFaultKind::Slow, amount)) => format!("folder-slow = \"{}ms\"\n", amount as u64),
+            Some((FolderFaultKind::Fail, _)) => "folder-fails = true\n".into(),
         };
         std::fs::write(&file, text)?;
         Ok(file)
@@ -230,11 +230,11 @@
     }
 
     /// Makes its folder, before it starts again, what the scenario says.
-    pub fn mend_folder(&self, folder: Folder) -> io::Result<()> {
+    pub fn mend_folder(&self, folder: RestartFolder) -> io::Result<()> {
         match folder {
-            Folder::Kept => Ok(()),
-            Folder::Lost => std::fs::remove_dir_all(self.own_folder()),
-            Folder::Earlier => copy_folder(&self.kept_folder(), &self.own_folder()),
+            RestartFolder::Kept => Ok(()),
+            RestartFolder::Lost => std::fs::remove_dir_all(self.own_folder()),
+            RestartFolder::Earlier => copy_folder(&self.kept_folder(), &self.own_folder()),
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Makes the folder of its store ill, or well again, while it runs.
-    pub fn set_folder(&self, ill: Option<(FolderIll, f64)>) -> io::Result<()> {
+    pub fn set_folder(&self, ill: Option<(FolderFaultKind, f64)>) -> io::Result<()> {
         self.folder_ill.set(ill);
         self.own_file()?;
         self.signal(Signal::HUP);
@@ -531,8 +531,8 @@
     let ms = |time: Micros| time as f64 / MILLISECOND as f64;
     let lane = |lane: &crate::model::clients::RequestClass| {
         let group = match scenario.lanes.iter().find(|own| own.name == lane.name).map(|own| own.group) {
-            Some(Who::Zone) => "zone",
-            Some(Who::Cell) => "cell",
+            Some(KeyGroup::Zone) => "zone",
+            Some(KeyGroup::Cell) => "cell",
             _ => "all",
         };
         json!({
@@ -578,7 +578,7 @@
             "discovery": if fleet.on_request.is_some() { "on_request" } else { "pushed" },
             "zones": names(fleet.zones, "zone-"),
             "kinds": ["box"],
-            "lanes": scenario.front_lanes().iter().map(lane).collect::<Vec<_>>(),
+            "lanes": scenario.request_classes().iter().map(lane).collect::<Vec<_>>(),
             "tiersOfService": scenario.plans.iter().map(plan).collect::<Vec<_>>(),
             "ceilings": {
                 "cancel": fleet.cancels,
@@ -599,7 +599,7 @@
             "specifics": {
                 "sharedCounter": places.counter.is_some(),
                 "countWaitMs": scenario.counter.as_ref().map_or(50.0, |counter| ms(counter.wait.0)),
-                "mostUnits": scenario.largest(),
+                "mostUnits": scenario.max_request_units(),
                 "settles": fleet.settles,
             },
             "telemetry": { "how": if fleet.reports { "answers" } else { "none" },
--- a/crates/lab/src/live/load.rs
+++ b/crates/lab/src/live/load.rs
@@ -146,9 +146,9 @@
             all => self.chance.borrow_mut().gen_range(0..all),
         };
         let call = Call {
-            customer: format!("{customer:016x}"),
+            tenant: format!("{customer:016x}"),
             id: format!("{number:016x}"),
-            lane: self.load.lane.clone(),
+            class: self.load.lane.clone(),
             plan: self.load.plan.clone(),
             wait_ms: self.load.wait as f64 / MILLISECOND as f64,
             key: None,
@@ -182,7 +182,7 @@
         let _ = self.behind.borrow_mut().record((self.world.now() - due).max(1));
         let value = stream.next(wire::value).await?;
         self.idle.borrow_mut().push(stream);
-        Ok(Answer::of(value))
+        Ok(Answer::from_value(value))
     }
 }
 
--- a/crates/lab/src/live/play.rs
+++ b/crates/lab/src/live/play.rs
@@ -125,20 +125,20 @@
                 (temporary.path().to_path_buf(), Some(temporary))
             }
         };
-        let lanes = Rc::new(scenario.front_lanes());
-        let terms = RuleBounds {
+        let lanes = Rc::new(scenario.request_classes());
+        let bounds = RuleBounds {
             grace: scenario.fleet.grace.0,
             slack: scenario.slack.time.0,
-            lanes: scenario.front_lanes(),
-            plans: scenario.front_plans(),
-            largest: scenario.largest(),
+            classes: scenario.request_classes(),
+            plans: scenario.client_plans(),
+            max_units: scenario.max_request_units(),
         };
         descriptors();
         let count = scenario.fleet.gateways;
         let mut head = Head {
             scenario: scenario.name.clone(),
             seed: scenario.seed,
-            terms,
+            bounds,
             fleet: None,
             owners: None,
             subsets: None,
@@ -164,7 +164,7 @@
             head.fleet = Some(MembershipBounds {
                 gateways: count,
                 addresses: (0..count).map(|number| between.advertised(number).to_string()).collect(),
-                settles: scenario.fleet.agree_within.0,
+                settle_time: scenario.fleet.agree_within.0,
                 counter_knows: scenario.counter_knows(),
             });
             head.owners = scenario.fleet.owners.as_ref().map(|owners| lease::LeaseBounds {
@@ -172,7 +172,7 @@
                 acceptors: owners.voters.clone(),
                 leases: owners.jobs.clone(),
                 lease: owners.lease.0,
-                settles: scenario.fleet.agree_within.0,
+                settle_time: scenario.fleet.agree_within.0,
             });
             *world.court.borrow_mut() = Recorder::new(&head);
         }
@@ -190,7 +190,7 @@
         let counter = counter.transpose().map_err(failed("the counter"))?;
         let mut relays = Vec::new();
         let mut by = |number: u32, end: LinkEnd, link: Link, to: SocketAddr| -> Result<SocketAddr, Error> {
-            if !scenario.relayed(number, end) {
+            if !scenario.needs_relay(number, end) {
                 return Ok(to);
             }
             let relay = Relay::start(&world, to, seed_of(scenario.seed, "relay") + relays.len() as u64);
@@ -203,11 +203,11 @@
         let seeds: Vec<SocketAddr> = between
             .iter()
             .flat_map(|between| {
-                scenario.first().into_iter().take(SEEDS).map(|number| between.advertised(number))
+                scenario.initial_gateways().into_iter().take(SEEDS).map(|number| between.advertised(number))
             })
             .collect();
         for number in 0..count {
-            let passed = if scenario.passed(number) {
+            let passed = if scenario.passes_socket(number) {
                 let listener = TcpListener::bind((world.host(), 0)).map_err(failed("a socket to pass on"))?;
                 rustix::net::listen(&listener, AWAITING)
                     .map_err(|why| failed("a socket to pass on")(why.into()))?;
@@ -242,7 +242,7 @@
             gateways.push(host);
         }
         let (lanes_, plans, groups) =
-            (scenario.front_lanes(), scenario.front_plans(), scenario.front_customers());
+            (scenario.request_classes(), scenario.client_plans(), scenario.tenant_groups());
         let front = ClientModel::new(lanes_, plans, groups, count, seed_of(scenario.seed, "front"));
         let run = Rc::new(Run {
             scenario: scenario.clone(),
@@ -312,7 +312,7 @@
         host.by_client.set(common);
         for gateway in 0..self.scenario.fleet.gateways {
             let mut address = host.address(if common { 0 } else { gateway });
-            if self.scenario.relayed(gateway, LinkEnd::Boxes) {
+            if self.scenario.needs_relay(gateway, LinkEnd::Servers) {
                 let link = Link::Server(gateway, name.to_string());
                 let seed = seed_of(self.scenario.seed, name) + u64::from(gateway);
                 let known =
@@ -345,7 +345,7 @@
     }
 
     async fn play(self: Rc<Self>, options: &Options) -> Result<Value, Error> {
-        let first = self.scenario.first();
+        let first = self.scenario.initial_gateways();
         for number in &first {
             let gateway = &self.gateways[*number as usize];
             gateway.start(&self.scenario, &self.list).await.map_err(failed("a gateway"))?;
@@ -547,10 +547,10 @@
                 json!({ "calls": calls, "turned_away": turned_away,
                     "calls_a_second": calls as f64 * SECOND as f64 / played as f64 })
             }),
-            "hostile": { "sent": ledger.hostile.sent, "told": ledger.hostile.told,
+            "hostile": { "sent": ledger.hostile.sent, "told": ledger.hostile.answered,
                 "ignored": ledger.hostile.ignored, "served": ledger.hostile.served,
                 "share_told": if ledger.hostile.sent == 0 { 1.0 } else {
-                    ledger.hostile.told as f64 / ledger.hostile.sent as f64 } },
+                    ledger.hostile.answered as f64 / ledger.hostile.sent as f64 } },
             "faults": self.faults.borrow().shown(),
             "between": self.between.as_ref().map(|between| json!({
                 "datagrams_a_second": between.passed.get() as f64 * SECOND as f64 / played as f64,
@@ -607,7 +607,7 @@
 
 /// What is measured of ill boxes, where gateways may tell each other of them.
 fn measures_signals(scenario: &Scenario) -> Option<outlier_detection::OutlierBounds> {
-    use BoxIll::{Fail, Garble, Kill, Silent, Slow};
+    use ServerFaultKind::{Fail, Garble, Kill, Silent, Slow};
     let faults = || scenario.faults.iter().enumerate();
     let ill = faults().filter_map(|(number, fault)| {
         let boxes = fault.boxes.as_ref()?;
@@ -615,7 +615,7 @@
         ill.then(|| (number, boxes.which.iter().map(|place| format!("box-{place}")).collect()))
     });
     let links = faults().filter_map(|(number, fault)| {
-        let link = fault.link.as_ref().filter(|link| link.to == LinkEnd::Boxes)?;
+        let link = fault.link.as_ref().filter(|link| link.to == LinkEnd::Servers)?;
         Some((number, link.which.clone()))
     });
     let size = outlier_detection::OutlierBounds {
--- a/crates/lab/src/live/servers.rs
+++ b/crates/lab/src/live/servers.rs
@@ -169,7 +169,7 @@
             _ => {}
         }
         let known = Call::read(words)
-            .and_then(|call| Some((self.lanes.iter().find(|lane| lane.name == call.lane)?.clone(), call)));
+            .and_then(|call| Some((self.lanes.iter().find(|lane| lane.name == call.class)?.clone(), call)));
         let Some((lane, call)) = known else {
             self.misworded.set(self.misworded.get() + 1);
             return stream.write(b"-SYNTAX\r\n").await;
@@ -196,7 +196,7 @@
             .map(|key| (key, lane.scope, lane.retention));
         let trip = Attempt {
             ticket: number as u64,
-            tenant: call.customer.clone(),
+            tenant: call.tenant.clone(),
             key,
             work,
             is_first_on_connection: fresh,
@@ -268,9 +268,9 @@
         }
         let told = self.model.borrow_mut().answer();
         match told {
-            AnswerFault::Well => stream.write(&bytes).await,
+            AnswerFault::Intact => stream.write(&bytes).await,
             AnswerFault::Nothing => Ok(()),
-            AnswerFault::Spoilt(way) => {
+            AnswerFault::Malformed(way) => {
                 let spoilt: &[u8] = match way {
                     0 => b"?what is this\r\n",
                     1 => b"*3\r\n$3000000000\r\nand it comes",
--- a/crates/lab/src/quota_simulation.rs
+++ b/crates/lab/src/quota_simulation.rs
@@ -266,7 +266,7 @@
                 Act::Refuse(id) => {
                     if let Some((ask, inside)) = self.open.remove(&id) {
                         self.truth.decided(&ask, inside, false, now);
-                        self.front.unserved(now, &ask, true, WAIT);
+                        self.front.request_unserved(now, &ask, true, WAIT);
                     }
                 }
                 Act::Alarm(delay, token) => self.at(now + delay, Due::Alarm(gateway, token)),
@@ -353,12 +353,12 @@
             load,
             spread,
             first_share: None,
-            lanes: vec![(0, 1.0)],
+            classes: vec![(0, 1.0)],
             units: (1, 1),
-            once: false,
-            again: 0.7,
-            most_again: 2,
-            leaves: 0.0,
+            single_use: false,
+            retry_share: 0.7,
+            max_retries: 2,
+            leave_share: 0.0,
         })
     });
     ClientModel::new(lanes.to_vec(), plans.to_vec(), groups.collect(), day.gateways, day.seed)
@@ -383,7 +383,7 @@
         let (inside, seems) = late.asked(&ask);
         late.decided(&ask, inside, seems, ask.at);
         if !seems {
-            asks.unserved(ask.at, &ask, true, WAIT);
+            asks.request_unserved(ask.at, &ask, true, WAIT);
         }
     }
 
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -15,7 +15,7 @@
 use crate::live::faults::between_ill;
 use crate::live::route::RouteFault;
 use crate::membership_simulation::{address, LinkFaults, SimulatedFleet};
-use crate::scenario::{Fault, Scenario, Stop};
+use crate::scenario::{Fault, GatewayFaultKind, Scenario};
 use crate::{Micros, MILLISECOND, SECOND};
 
 /// How often each gateway adds to some count, and by which gateways a count is shared.
@@ -32,9 +32,9 @@
 enum Act {
     Begin(usize),
     End(usize),
-    Stop(u32, Stop),
+    Stop(u32, GatewayFaultKind),
     /// What a stop is followed by.
-    Again(u32, Stop),
+    Again(u32, GatewayFaultKind),
     /// One that was told to end is gone.
     Gone(u32),
 }
@@ -62,7 +62,7 @@
     let size = MembershipBounds {
         gateways: count,
         addresses: (0..count).map(|at| address(at as usize).to_string()).collect(),
-        settles: scenario.fleet.agree_within.0,
+        settle_time: scenario.fleet.agree_within.0,
         counter_knows: true,
     };
     let mut run = Run {
@@ -143,13 +143,13 @@
                     let at = at + gateway.each.0 * place as u64;
                     self.plans(at, Act::Stop(*which, gateway.how));
                     match (gateway.how, lasts) {
-                        (Stop::Pause, lasts) => {
+                        (GatewayFaultKind::Pause, lasts) => {
                             self.plans(at + lasts.unwrap_or(SECOND), Act::Again(*which, gateway.how));
                         }
-                        (Stop::Kill, Some(lasts)) => {
+                        (GatewayFaultKind::Kill, Some(lasts)) => {
                             self.plans(at + lasts, Act::Again(*which, gateway.how));
                         }
-                        (Stop::Restart, lasts) => {
+                        (GatewayFaultKind::Restart, lasts) => {
                             self.plans(at + lasts.unwrap_or(0) + SECOND, Act::Again(*which, gateway.how));
                         }
                         _ => {}
@@ -179,22 +179,22 @@
                 let at = gateway as usize;
                 let runs = self.mesh.node(at).is_some();
                 match how {
-                    Stop::Pause if runs => {
+                    GatewayFaultKind::Pause if runs => {
                         self.tell(Event::Paused { gateway });
                         self.mesh.pause(at);
                     }
-                    Stop::Kill if runs => {
+                    GatewayFaultKind::Kill if runs => {
                         self.tell(Event::Killed { gateway });
                         self.mesh.kill(at);
                     }
-                    Stop::Leave | Stop::Restart if runs => {
+                    GatewayFaultKind::Leave | GatewayFaultKind::Restart if runs => {
                         // It adds nothing more, and leaves a while later, as a process does.
                         self.tell(Event::ShutdownRequested { gateway });
                         self.ends.insert(at);
                         let after = self.mesh.now + ENDS - MET;
                         self.plans(after, Act::Gone(gateway));
                     }
-                    Stop::Start if !runs => self.start(gateway),
+                    GatewayFaultKind::Start if !runs => self.start(gateway),
                     _ => {}
                 }
             }
@@ -202,7 +202,7 @@
                 self.mesh.leave(gateway as usize);
                 self.ends.remove(&(gateway as usize));
             }
-            Act::Again(gateway, Stop::Pause) => {
+            Act::Again(gateway, GatewayFaultKind::Pause) => {
                 if self.mesh.node(gateway as usize).is_some() {
                     self.mesh.resume(gateway as usize);
                     self.tell(Event::Resumed { gateway });
@@ -236,7 +236,7 @@
         let (ill, pairs, goods): (RouteFault, Vec<(u32, u32)>, Option<LinkTraffic>) = match fault {
             Fault { fleet: Some(fleet), .. } => (
                 RouteFault::Blackhole,
-                pairs.filter(|(one, other)| !fleet.joins(*one, *other)).collect(),
+                pairs.filter(|(one, other)| !fleet.connects(*one, *other)).collect(),
                 None,
             ),
             Fault { between: Some(between), .. } => {
