--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -142,7 +142,7 @@
             matches!(fault.how, Lose | Double | Overtake | Corrupt) && !(0.0..=1.0).contains(&fault.amount)
         };
         if fault.between.as_ref().as_ref().is_some_and(is_invalid_share) {
-            return Some("'amount' must be a share from 0 to 1 here".into());
+            return Some("'amount' is a share here, from 0 to 1".into());
         }
         if fault
             .between
