--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -104,6 +104,6 @@
 
 /// The same for an answer that may be a stream.
 pub(super) fn send_final(reply: ReplyHandle, last: FinalReply) {
-    let ReplyHandle { number, to, places, .. } = reply;
-    let _ = to.try_send((number, last, places));
+    let ReplyHandle { number, sender, reservations, .. } = reply;
+    let _ = sender.try_send((number, last, reservations));
 }
--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -67,8 +67,8 @@
     async fn handle_call(&mut self, call: Call) {
         let shared = &self.context.shared;
         let class = call.request.class;
-        let places = match self.reserve(&call) {
-            Ok(places) => places,
+        let reservations = match self.reserve(&call) {
+            Ok(reservations) => reservations,
             Err(rejection) => {
                 rejection.record(&shared.log, &shared.metrics.unserved, Some(&call.request.id));
                 let response = FinalAnswer::Rejected(shared.platform.max_retry_after).write();
@@ -81,7 +81,7 @@
         let id = call.request.id.clone();
         let open = OpenRequest { id, ticket, client_gone: call.client_gone.clone() };
         let number = self.pipeline.push_open(open, class);
-        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places };
+        let reply = ReplyHandle { ticket, number, sender: self.reply_sender.clone(), reservations };
         // Danger: a process that stood still would tell a server more time than the client has left.
         let now = Instant::now();
         let received_at = now.checked_sub(self.input_delay).unwrap_or(now);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -198,9 +198,9 @@
     /// Position of the request on its connection.
     pub number: u64,
     /// The connection's task.
-    pub to: Sender<(u64, FinalReply, Reservations)>,
-    /// What the request has reserved.
-    pub places: Reservations,
+    pub sender: Sender<(u64, FinalReply, Reservations)>,
+    /// Reservations that the request holds.
+    pub reservations: Reservations,
 }
 
 /// The final reply to a client.
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -255,9 +255,9 @@
     let (id, list) = (format!("t{ticket}"), format!("c=read,t=team,d={}", client_time.as_millis()));
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", id.as_bytes(), list.as_bytes()];
     let Ok(Command::Call(call)) = call::command(&words, &shared.platform) else { panic!("a call") };
-    let (to, replies) = async_channel::bounded(1);
-    let places = [&shared.limits.open, &shared.limits.bytes].map(|slots| slots.reserve(1).expect("a slot"));
-    let reply = ReplyHandle { ticket, number: 0, to, places };
+    let (sender, replies) = async_channel::bounded(1);
+    let reservations = [&shared.limits.open, &shared.limits.bytes].map(|slots| slots.reserve(1).expect("a slot"));
+    let reply = ReplyHandle { ticket, number: 0, sender, reservations };
     let received = ReceivedRequest { call, reply, received_at: Instant::now() };
     events.send(Event::RequestReceived(received)).await.expect("the dispatcher runs");
     match replies.recv().await.expect("an answer").1 {
