--- a/crates/gateway/src/dispatcher/action_queue.rs
+++ b/crates/gateway/src/dispatcher/action_queue.rs
@@ -1,7 +1,7 @@
-//! The queue of actions between the engine and the dispatcher.
+//! The queue of actions from the engine to the dispatcher.
 //!
-//! The engine calls its [`Host`] in the middle of a decision. Nothing may be carried out there, so this host only
-//! records each call, and the dispatcher performs the actions in their order once the engine has returned.
+//! The engine calls its [`Host`] in the middle of a decision, when no action may be performed yet. [`ActionQueue`] is a host
+//! that only records each call. The dispatcher performs the recorded actions in order after the engine has returned.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,26 +16,27 @@
 use crate::protocol::call::FinalAnswer;
 use crate::upstream;
 
-/// One call of the engine on its host, to be performed by the dispatcher.
+/// A call that the engine made on its host, to be performed by the dispatcher.
 pub(super) enum Action {
-    /// Forward a request to a server; a `limit` of 0 means as long as the request's deadline allows.
+    /// Forward a request to a server. The attempt may take `limit` microseconds; 0 means until the request's deadline.
     Forward { request: Id, server: Id, limit: Micros },
-    /// Cancel an attempt, numbered from 0 within its request.
+    /// Cancel an attempt. Attempts are numbered from 0 within their request.
     Cancel { request: Id, attempt: usize },
-    /// Answer a request without a server's reply.
+    /// Reject or fail a request without a reply from a server.
     Answer { request: Id, answer: FinalAnswer, reason: RejectReason },
-    /// Call the engine back at a time of the gateway's clock, with this token.
+    /// Notify the engine at this time of the gateway's clock, with this token.
     SetTimer { at: Micros, token: Box<str> },
-    /// Give an order to the connections of a server.
+    /// Send an order to the upstream actor of a server.
     Upstream { server: Id, order: upstream::Order },
     /// Add an amount to a shared counter.
     UpdateCounter(CounterUpdate),
-    /// Give an order to discovery.
+    /// Send an order to the discovery actor.
     Discovery(discovery::Order),
 }
 
-/// The actions that wait, and the time that the engine reads. Clones are handles to the same queue: the engine holds one as its
-/// host, the dispatcher another.
+/// The recorded actions, and the time that the engine reads.
+///
+/// Clones are handles to the same queue. The engine holds one as its host, the dispatcher holds another.
 #[derive(Clone)]
 pub(super) struct ActionQueue(Rc<State>);
 
@@ -50,7 +51,7 @@
         ActionQueue(Rc::new(State { now: Cell::new(now), actions: RefCell::default(), log }))
     }
 
-    /// Sets the time that the engine reads from now on. It stands still during one decision.
+    /// Sets the time that the engine reads. This time is constant during one decision.
     pub(super) fn set_now(&self, now: Micros) {
         self.0.now.set(now);
     }
@@ -113,10 +114,10 @@
     }
 
     fn send_message(&mut self, _gateway: Option<u32>, _data: &[u8]) {
-        // The engine's messages between gateways have no transport here, and the engine stands their loss.
+        // This gateway has no transport for the engine's messages between gateways. The engine tolerates their loss.
     }
 
     fn log(&mut self, text: &str) {
-        info!(self.0.log, #"module.says", "module"; "text" => text);
+        info!(self.0.log, #"module.says", "message of the decision engine"; "text" => text);
     }
 }
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! How the dispatcher performs the actions that the engine has queued.
+//! Performs the actions that the engine has queued.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 use crate::upstream;
 
 impl Dispatcher {
-    /// Performs the queued actions, and notifies the engine of what follows from them at once, until neither is left.
+    /// Performs the queued actions and handles their follow-up events, until none of either is left.
     pub(super) async fn perform_actions(&mut self) {
         loop {
             if let Some(action) = self.actions.pop() {
@@ -52,7 +52,8 @@
 
     fn answer(&mut self, id: &Id, answer: FinalAnswer, reason: RejectReason) {
         if let Some(reply) = self.requests.take_reply(id) {
-            debug!(self.shared.log, #"request.answered", "given up"; "id" => &**id, "as" => ?answer,
+            debug!(self.shared.log, #"request.answered", "request answered without a server's reply";
+                "id" => &**id, "as" => ?answer,
                 "why" => reason.name());
             self.shared.metrics.unserved.count(reason.name());
             send_answer(reply, answer);
@@ -60,8 +61,8 @@
         self.requests.remove_if_completed(id);
     }
 
-    /// Passes an order on to a server's upstream actor. Only a health check starts that actor: where it does not run, there are
-    /// no idle connections to close.
+    /// Sends an order to a server's upstream actor. Only a health check starts the actor; without an actor there are no idle
+    /// connections to close.
     async fn order_upstream(&mut self, server: &Id, order: upstream::Order) {
         if !self.servers.is_started(server) && !matches!(order, upstream::Order::CheckHealth) {
             return;
@@ -75,7 +76,7 @@
         let now = self.shared.clock.now();
         let mailbox = self.servers.mailbox(&server);
         let Some(request) = self.requests.get_mut(&id) else {
-            return warn!(self.shared.log, #"trip.not-open", "a trip of what is not open"; "id" => &*id);
+            return warn!(self.shared.log, #"trip.not-open", "attempt for a request that is not in flight"; "id" => &*id);
         };
         if let Some(subsetting) = self.shared.subsetting.get() {
             subsetting.attempt_forwarded();
@@ -86,7 +87,7 @@
         let attempt = request.begin_attempt(mailbox.clone());
         let time_left = request.deadline.saturating_sub(now);
         let limit = if limit == 0 { time_left } else { limit.min(time_left) };
-        debug!(self.shared.log, #"attempt.begun", "an attempt"; "id" => &*id, "attempt" => attempt,
+        debug!(self.shared.log, #"attempt.begun", "attempt begun"; "id" => &*id, "attempt" => attempt,
             "server" => &*server, "limit_us" => limit);
         if let Some(mailbox) = mailbox.filter(|_| time_left > 0) {
             let call = request.call.clone();
--- a/crates/gateway/src/dispatcher/counter_calls.rs
+++ b/crates/gateway/src/dispatcher/counter_calls.rs
@@ -1,7 +1,7 @@
-//! Updates of the shared counters: to the counter service, and by gossip to the other gateways.
+//! Sends updates of the shared counters to the counter service and, by gossip, to the other gateways.
 //!
-//! Where gateways gossip, a [`CounterMonitor`] compares the service's replies with the gossip totals, and stands in while the
-//! service is lost.
+//! If gateways gossip, a [`CounterMonitor`] compares the replies of the counter service with the gossip totals, and replies in
+//! place of the service while the service is lost.
 
 use std::rc::Rc;
 
@@ -16,32 +16,32 @@
 use crate::outcome::{CounterCallEnd, CounterTotal};
 use crate::shared::{Event, Shared};
 
-/// The mailbox of the counter actor, and what is known of its counters besides its replies.
+/// Sends updates to the counter actor, and replaces its replies by gossip totals while the counter service is lost.
 pub(super) struct CounterCalls {
     shared: Rc<Shared>,
-    /// None where no counter service is configured.
-    calls: Option<Sender<CounterUpdate>>,
-    /// Only where gateways gossip; from the first update on.
+    /// The mailbox of the counter actor; none if no counter service is configured.
+    mailbox: Option<Sender<CounterUpdate>>,
+    /// Present from the first update on, if gateways gossip.
     monitor: Option<CounterMonitor>,
 }
 
 impl CounterCalls {
-    pub(super) fn new(shared: Rc<Shared>, calls: Option<Sender<CounterUpdate>>) -> Self {
-        CounterCalls { shared, calls, monitor: None }
+    pub(super) fn new(shared: Rc<Shared>, mailbox: Option<Sender<CounterUpdate>>) -> Self {
+        CounterCalls { shared, mailbox, monitor: None }
     }
 
-    /// From now on calls go to another counter actor, or to none.
-    pub(super) fn replace(&mut self, calls: Option<Sender<CounterUpdate>>) {
-        self.calls = calls;
+    /// From now on sends updates to another counter actor, or to none.
+    pub(super) fn replace(&mut self, mailbox: Option<Sender<CounterUpdate>>) {
+        self.mailbox = mailbox;
     }
 
-    /// Gossips an update, and passes it to the counter service unless that is lost. Gives the event that follows at once,
-    /// if there is one.
+    /// Gossips an update, and sends it to the counter service unless the service is lost. Returns an event if the result is
+    /// known at once.
     pub(super) fn update(&mut self, now: Micros, mut update: CounterUpdate) -> Option<Event> {
         if self.shared.joins_membership {
-            let known = self.gossip(now, &update.key, update.amount, update.lifetime);
+            let known_total = self.gossip(now, &update.key, update.amount, update.lifetime);
             let monitor = self.monitor.get_or_insert_with(|| CounterMonitor::new(now));
-            match monitor.add(now, &update.key, update.amount, update.lifetime, known) {
+            match monitor.add(now, &update.key, update.amount, update.lifetime, known_total) {
                 AddStep::Forward(amount) => update.amount = amount,
                 AddStep::Reply(total) => {
                     let end = Ok(CounterTotal::Total(total));
@@ -52,10 +52,10 @@
         self.call(update)
     }
 
-    /// Passes an update to the counter actor. That one waits for the dispatcher at times, so the dispatcher must not wait for it:
-    /// where its mailbox is full, the call has ended without being made.
+    /// Sends an update to the counter actor without waiting. The counter actor sometimes waits for the dispatcher, so waiting
+    /// for it here could deadlock. If its mailbox is full, the call ends as overloaded without being made.
     fn call(&self, update: CounterUpdate) -> Option<Event> {
-        match self.calls.as_ref()?.try_send(update) {
+        match self.mailbox.as_ref()?.try_send(update) {
             Ok(()) => None,
             Err(TrySendError::Full(update) | TrySendError::Closed(update)) => {
                 let end = Ok(CounterTotal::Full);
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Gossips an amount, and gives the total that the gateways know together. While another process of this gateway is the
-    /// member of the fleet, the amount is retained until this process is.
+    /// Gossips an amount, and returns the gossip total of all gateways. While another process of this gateway is the member of
+    /// the fleet, keeps the amount until this process is the member, and returns none.
     fn gossip(&self, now: Micros, key: &str, amount: f64, lifetime: Micros) -> Option<GossipTotal> {
         match self.shared.membership.get() {
             Some(membership) => membership.add_to_counter(key, amount, lifetime),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes the end of a call, and gives the end that the engine is to get.
+    /// Passes the result of a call to the monitor, and returns the result for the engine.
     pub(super) fn completed(
         &mut self,
         now: Micros,
@@ -98,7 +98,7 @@
         match reply {
             CounterReply::Total(total) => CounterCallEnd { outcome: Outcome::Ok, total },
             CounterReply::NotApplied(amount) => {
-                // The engine takes the amount as not added and adds it again: it must not be gossiped twice.
+                // The engine treats the amount as not added and adds it again, so the first gossip is taken back.
                 self.gossip(now, key, -amount, 0);
                 CounterCallEnd { outcome: end.outcome, total: 0.0 }
             }
@@ -106,13 +106,14 @@
         }
     }
 
-    fn publish_health(&self, before: CounterHealth, now: CounterHealth) {
+    /// Publishes the counter's health to operators' queries, and logs a change.
+    fn publish_health(&self, before: CounterHealth, after: CounterHealth) {
         if let Some(membership) = self.shared.membership.get() {
-            membership.counter_health.set(now);
+            membership.counter_health.set(after);
         }
-        if now != before {
-            info!(self.shared.log, #"counter.stands", "the counter stands otherwise";
-                "from" => before.name(), "to" => now.name());
+        if after != before {
+            info!(self.shared.log, #"counter.stands", "health of the shared counter changed";
+                "from" => before.name(), "to" => after.name());
         }
     }
 }
--- a/crates/gateway/src/dispatcher/events.rs
+++ b/crates/gateway/src/dispatcher/events.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does with each event: it brings its own records up to date and notifies the engine.
+//! Handles events: updates the dispatcher's own state and notifies the engine.
 
 use std::time::Instant;
 
@@ -6,7 +6,7 @@
 use slog::debug;
 
 use super::action_queue::Action;
-use super::requests::{send_answer, send_final, RequestInFlight};
+use super::requests::{send_answer, send_final_reply, RequestInFlight};
 use super::Dispatcher;
 use crate::fleet::outlier_detection;
 use crate::fleet::subsetting::SubsetChange;
@@ -23,21 +23,21 @@
         match event {
             Event::RequestReceived(received) => self.request_received(received),
             Event::ClientDisconnected(id, ticket) => self.client_disconnected(&id, ticket),
-            Event::ResponseStarted { request, attempt, flow } => {
-                self.response_started(&request, attempt, flow);
+            Event::ResponseStarted { request, attempt, response } => {
+                self.response_started(&request, attempt, response);
             }
             Event::AttemptCompleted(completed) => self.attempt_completed(completed),
             Event::HealthCheckCompleted { server, end } => {
-                let outcome = outcome::of_health_check(&end);
+                let outcome = outcome::health_check_outcome(&end);
                 self.engine.health_check_completed(&server, outcome, end.unwrap_or_default());
             }
             Event::CounterReplied { key, end, elapsed } => {
-                let end = outcome::of_counter_call(&end);
+                let end = outcome::counter_call_end(&end);
                 let end = self.counter.completed(self.actions.now(), &key, end, elapsed);
                 self.engine.counter_replied(&key, end.outcome, end.total, elapsed);
             }
             Event::GossipTotalKnown { key, end } => {
-                let end = outcome::of_counter_call(&end);
+                let end = outcome::counter_call_end(&end);
                 self.engine.counter_replied(&key, end.outcome, end.total, 0);
             }
             Event::CounterReplaced(counter) => self.counter.replace(counter),
@@ -67,32 +67,32 @@
         let waited = elapsed_since(received_at);
         request.time_left = request.time_left.saturating_sub(waited);
         let deadline = self.actions.now() + request.time_left;
-        debug!(self.shared.log, #"request.accepted", "a request"; "id" => &*request.id,
+        debug!(self.shared.log, #"request.accepted", "request accepted"; "id" => &*request.id,
             "tenant" => &*request.tenant, "class" => request.class, "left_us" => request.time_left);
         self.requests.insert(request.id.clone(), RequestInFlight::new(call, reply, deadline));
         self.engine.request_received(request);
     }
 
     fn client_disconnected(&mut self, id: &Id, ticket: u64) {
-        if self.requests.take_reply_of_ticket(id, ticket).is_none() {
+        if self.requests.take_reply_with_ticket(id, ticket).is_none() {
             return;
         }
-        debug!(self.shared.log, #"request.cancelled", "its client has left"; "id" => &**id);
+        debug!(self.shared.log, #"request.cancelled", "client disconnected before the answer"; "id" => &**id);
         self.engine.client_disconnected(id);
         self.requests.remove_if_completed(id);
     }
 
     fn response_started(&mut self, id: &Id, attempt: usize, stream: ResponseStream) {
         let Some(reply) = self.requests.take_reply(id) else { return };
-        debug!(self.shared.log, #"request.answered", "served, as it comes"; "id" => &**id, "as" => "served");
-        send_final(reply, FinalReply::Streamed(stream));
+        debug!(self.shared.log, #"request.answered", "request served, value streamed"; "id" => &**id, "as" => "served");
+        send_final_reply(reply, FinalReply::Streamed(stream));
         self.engine.response_started(id, attempt);
     }
 
     fn attempt_completed(&mut self, completed: CompletedAttempt) {
         let CompletedAttempt { request: id, attempt, server, end, elapsed, read_delay } = completed;
-        let outcome = outcome::of_attempt(&end);
-        debug!(self.shared.log, #"attempt.ended", "an attempt has ended"; "id" => &*id, "attempt" => attempt,
+        let outcome = outcome::attempt_outcome(&end);
+        debug!(self.shared.log, #"attempt.ended", "attempt ended"; "id" => &*id, "attempt" => attempt,
             "server" => &*server, "outcome" => ?outcome, "how" => ?end.as_ref().err(), "took_us" => elapsed,
             "read_late_us" => read_delay);
         self.shared.metrics.unserved.observe_read_delay(read_delay);
@@ -122,12 +122,13 @@
         self.requests.remove_if_completed(&id);
     }
 
-    /// Answers a request with a server's reply unless another attempt has; gives the units that the server reports.
+    /// Answers a request with a server's reply unless the request has been answered. Returns the units that the server
+    /// reported.
     fn deliver(&mut self, id: &Id, reply: ServerReply) -> Option<f64> {
         match reply {
             ServerReply::Completed { value, units } => {
                 if let Some(handle) = self.requests.take_reply(id) {
-                    debug!(self.shared.log, #"request.answered", "served"; "id" => &**id, "as" => "served");
+                    debug!(self.shared.log, #"request.answered", "request served"; "id" => &**id, "as" => "served");
                     send_answer(handle, FinalAnswer::Completed(value));
                 }
                 units
@@ -142,26 +143,27 @@
         self.report_changes();
     }
 
-    /// Gives the engine the next pending changes of the endpoint list.
+    /// Notifies the engine of the next pending changes of the endpoint list.
     pub(super) fn report_changes(&mut self) {
         let changes = self.servers.take_changes();
         self.engine.endpoints_updated(false, &changes);
     }
 
-    /// Discovery's answer was rejected, but named these servers as draining: until a newer list they get no new attempts.
+    /// Marks servers as draining that a rejected discovery response names as draining. They get no new attempts until a newer
+    /// list has them in service.
     fn mark_draining(&mut self, servers: &[Id]) {
         let index = self.shared.draining.borrow().index();
-        // Where all of them are draining already nothing is new, and the engine's backoff before its next poll goes on growing.
+        // If all of them drain already, the engine is not notified, so that its backoff before the next poll keeps growing.
         if let Some(update) = self.servers.draining_update(servers, index) {
             self.apply_update(update);
         }
     }
 
-    /// Takes the subset of the servers that this gateway is to use from now on, where subsetting is configured.
+    /// Passes this gateway's new subset of the servers to the engine, if subsetting is configured.
     fn update_subset(&mut self) {
         let Some(subsetting) = self.shared.subsetting.get() else { return };
-        let slots = self.servers.iter().map(|(id, endpoint)| (endpoint, self.engine.is_avoided(id)));
-        let SubsetChange { subset, opens, leaves } = subsetting.update(slots);
+        let candidates = self.servers.iter().map(|(id, endpoint)| (endpoint, self.engine.is_avoided(id)));
+        let SubsetChange { subset, opens, leaves } = subsetting.update(candidates);
         if subset.is_some() {
             self.engine.set_subset(subset);
         }
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Takes the ejections that the gateways have agreed on, where outlier detection is configured.
+    /// Passes the ejections that the gateways have agreed on to the engine, if outlier detection is configured.
     fn update_ejections(&mut self) {
         let Some(detection) = self.shared.outlier_detection.get() else { return };
         for change in detection.update(self.servers.iter().map(|(_, endpoint)| endpoint)) {
@@ -181,7 +183,8 @@
         }
     }
 
-    /// The gateway is ready once discovery has answered or failed to, and a server is ready, be it from before the start.
+    /// Called when discovery has answered, has failed or is late. From the first such event on the gateway is ready if a server
+    /// is ready, also one that is known from the configuration only.
     fn update_readiness(&self) {
         self.shared.ready.set(self.servers.has_ready());
     }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,9 +1,9 @@
-//! The actor round the decision engine.
+//! The actor that runs the decision engine.
 //!
-//! It owns the [`Engine`] and what the engine's decisions act on: the requests in flight, the table of servers, the timers
-//! and the calls to the shared counter. It hands the engine one event after another (`events`) and performs the actions that
-//! the engine queues (`actions`). It decides nothing itself, and does no I/O: connections are the business of
-//! [`upstream`](crate::upstream) and [`downstream`](crate::downstream).
+//! The dispatcher owns the [`Engine`] and the state that the engine's decisions act on: the requests in flight, the server
+//! table, the timers and the calls to the shared counter. It notifies the engine of one event after another (`events`) and
+//! performs the actions that the engine queues (`actions`). It makes no decisions and does no I/O:
+//! [`upstream`](crate::upstream) and [`downstream`](crate::downstream) own the connections.
 
 mod action_queue;
 mod actions;
@@ -36,35 +36,35 @@
 use crate::transport::clock::{yield_between_slices, yield_to_arrivals, DeadlineTimer};
 use crate::transport::loop_timer::LoopIteration;
 
-/// The actor. [`Dispatcher::run`] serves it for the life of the process.
+/// The actor. [`Dispatcher::run`] runs until the process ends.
 pub struct Dispatcher {
     shared: Rc<Shared>,
     engine: Engine<ActionQueue>,
-    /// What the engine wants done.
+    /// The actions that the engine has queued.
     actions: ActionQueue,
     counter: CounterCalls,
     discovery: Sender<discovery::Order>,
     requests: RequestsInFlight,
     servers: ServerTable,
     timers: Timers,
-    /// Events that follow from performed actions; the engine gets them before anything from the mailbox.
+    /// Events that result from performed actions. They are handled before events from the mailbox.
     follow_ups: VecDeque<Event>,
 }
 
-/// Lateness of a timer, in microseconds, from which this process is taken to have stood still.
+/// If a timer is at least this late, in microseconds, the process was stalled.
 const STALL_LATENESS: Micros = 20_000;
 
-/// What the actor handles next.
+/// The next input of the actor.
 enum Input {
     Operator(operator::Order),
     Event(Event),
-    /// Nothing but what is done after every input: timers and pending changes.
+    /// No input of its own. Timers and pending changes are handled after every input.
     Timer,
 }
 
 impl Dispatcher {
-    /// An actor that has handled nothing yet. `events` is the sending end of its own mailbox, for the upstream actors that it
-    /// starts; `counter` the mailbox of the counter actor, if there is one; `discovery` that of the discovery actor.
+    /// Creates the actor. `events` is the sender of its own mailbox, which it hands to the upstream actors that it starts.
+    /// `counter` and `discovery` are the mailboxes of those actors.
     pub fn new(
         shared: &Rc<Shared>,
         settings: Settings,
@@ -86,16 +86,16 @@
         }
     }
 
-    /// Handles what comes, for ever. `known` is the endpoint list from before the start, if there is one. Orders of `operators`
-    /// go before all else, as operators are owed an answer under any load.
+    /// Handles inputs forever. `known_list` is the endpoint list from the configuration, if there is one. Orders of operators
+    /// take precedence over all other inputs, as operators must get an answer under any load.
     pub async fn run(
         mut self,
-        known: Option<EndpointUpdate>,
+        known_list: Option<EndpointUpdate>,
         events: Receiver<Event>,
         operators: Receiver<operator::Order>,
     ) {
         let mut events = std::pin::pin!(events);
-        self.apply_known_list(known).await;
+        self.apply_known_list(known_list).await;
         let mut timer = DeadlineTimer::new();
         loop {
             if self.servers.has_pending_changes() {
@@ -106,7 +106,7 @@
             }
             let deadline = self.timers.next_deadline().map(|at| self.shared.clock.instant(at));
             if let Ok(order) = operators.try_recv() {
-                self.handle_operator(order);
+                self.handle_operator_order(order);
                 self.perform_actions().await;
                 continue;
             }
@@ -116,7 +116,7 @@
                 Err(_) => next_input(&operators, events.as_mut(), &mut timer, deadline).await,
             };
             match input {
-                Input::Operator(order) => self.handle_operator(order),
+                Input::Operator(order) => self.handle_operator_order(order),
                 Input::Event(event) => self.handle_timed_event(event),
                 Input::Timer => {}
             }
@@ -129,11 +129,11 @@
         }
     }
 
-    /// Applies the list from before the start, at once and complete: no request waits yet.
-    async fn apply_known_list(&mut self, known: Option<EndpointUpdate>) {
-        if let Some(mut known) = known {
-            self.shared.apply_known_list(&mut known);
-            self.apply_update(known);
+    /// Applies the endpoint list from the configuration. All its changes are reported to the engine at once, as no request waits yet.
+    async fn apply_known_list(&mut self, known_list: Option<EndpointUpdate>) {
+        if let Some(mut known_list) = known_list {
+            self.shared.apply_known_list(&mut known_list);
+            self.apply_update(known_list);
         }
         while self.servers.has_pending_changes() {
             self.report_changes();
@@ -141,8 +141,8 @@
         self.perform_actions().await;
     }
 
-    /// Handles what has come while this process stood still. Danger: an answer that came in time would lose to a timer that is
-    /// as late as the answer is read.
+    /// Handles the events that arrived while this process was stalled, before expired timers fire. Otherwise a reply that
+    /// arrived in time could lose to a timer that expired during the same stall.
     async fn catch_up(&mut self, events: Pin<&mut Receiver<Event>>) {
         yield_to_arrivals().await;
         for _ in 0..MAX_QUEUED_EVENTS {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Handles an event, and records it if that holds the loop for long.
+    /// Handles an event, and logs the event's name if that blocks the event loop for long.
     fn handle_timed_event(&mut self, event: Event) {
         let iteration = LoopIteration::begin(event.name());
         self.handle_event(event);
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Sets the time that the engine reads to the present one.
+    /// Sets the time that the engine reads to the current time.
     fn update_clock(&self) {
         self.actions.set_now(self.shared.clock.now());
     }
 
-    fn handle_operator(&mut self, order: operator::Order) {
+    fn handle_operator_order(&mut self, order: operator::Order) {
         self.update_clock();
         match order {
             operator::Order::QueryPool(reply) => {
@@ -191,13 +191,14 @@
                 }
                 let _ = done.try_send(is_known);
             }
-            operator::Order::CordonFromProcess { server, lifted_at: back } => self.set_cordon(&server, back),
-            operator::Order::ProcessShare(part) => self.engine.set_process_share(part),
+            operator::Order::CordonFromProcess { server, lifted_at: uncordoned_at } => {
+                self.set_cordon(&server, uncordoned_at)
+            }
+            operator::Order::ProcessShare(share) => self.engine.set_process_share(share),
         }
     }
 
-    /// Cordons a server, or lifts the cordon as of the time given. No attempt begins at a server from the moment that it is
-    /// cordoned.
+    /// Cordons a server, or uncordons it as of `lifted_at`. From the moment of the cordon no attempt begins at the server.
     fn set_cordon(&mut self, server: &Id, lifted_at: Option<Micros>) {
         let mut cordoned = self.shared.cordoned.borrow_mut();
         match lifted_at {
@@ -213,7 +214,7 @@
     }
 }
 
-/// Waits for the first of an operator's order, an event and the deadline, in this order of precedence.
+/// Waits for an operator's order, an event or the deadline. If several are ready, the precedence is in this order.
 async fn next_input(
     operators: &Receiver<operator::Order>,
     mut events: Pin<&mut Receiver<Event>>,
--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: those that have no final answer yet, or still have attempts at servers.
+//! The requests in flight. A request is in flight until it has its final answer and all of its attempts have ended.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,14 +10,14 @@
 use crate::shared::{FinalReply, ReplyHandle};
 use crate::upstream;
 
-/// A request from its arrival until it is answered and none of its attempts is in flight.
+/// A request that is not answered, or has attempts in flight.
 pub(super) struct RequestInFlight {
     pub(super) call: Rc<Call>,
-    /// Where the final answer goes; none once it has been given, or the client has disconnected.
+    /// The handle for the final answer; none after the answer was sent or the client has disconnected.
     pub(super) reply: Option<ReplyHandle>,
-    /// By the gateway's clock.
+    /// The deadline by the gateway's clock.
     pub(super) deadline: Micros,
-    /// The mailbox of the server of each attempt, by the attempt's number.
+    /// The mailbox of the upstream actor of each attempt, by the attempt's number.
     mailboxes: Vec<Option<Sender<upstream::Order>>>,
     attempts_in_flight: usize,
 }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Records an attempt at the server with this mailbox, and gives the attempt's number.
+    /// Adds an attempt at the server with this mailbox, and returns the attempt's number.
     pub(super) fn begin_attempt(&mut self, mailbox: Option<Sender<upstream::Order>>) -> usize {
         let attempt = self.mailboxes.len();
         self.mailboxes.push(mailbox);
@@ -41,7 +41,7 @@
         attempt
     }
 
-    /// Records that one of the attempts in flight has ended.
+    /// Counts one of the attempts in flight as ended.
     pub(super) fn end_attempt(&mut self) {
         self.attempts_in_flight -= 1;
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The requests in flight by their ids.
+/// The requests in flight, by id.
 #[derive(Default)]
 pub(super) struct RequestsInFlight(HashMap<Id, RequestInFlight>);
 
@@ -68,28 +68,28 @@
         self.0.get_mut(id)
     }
 
-    /// The mailbox of the server that an attempt went to.
+    /// The mailbox of the upstream actor that an attempt was sent to.
     pub(super) fn mailbox(&self, id: &Id, attempt: usize) -> Option<Sender<upstream::Order>> {
         self.0.get(id)?.mailboxes.get(attempt)?.clone()
     }
 
-    /// Takes the handle for the final answer; none where the request has been answered.
+    /// Takes the handle for the final answer; none if the request has been answered.
     pub(super) fn take_reply(&mut self, id: &Id) -> Option<ReplyHandle> {
         self.0.get_mut(id)?.reply.take()
     }
 
-    /// Takes the handle for the final answer if it was given out under this ticket. Another client may use the same id,
-    /// and its disconnection must not cost the first one its answer.
-    pub(super) fn take_reply_of_ticket(&mut self, id: &Id, ticket: u64) -> Option<ReplyHandle> {
+    /// Takes the handle for the final answer if the handle has this ticket. Another client may use the same request id, and
+    /// the disconnection of that client must not cost this client its answer.
+    pub(super) fn take_reply_with_ticket(&mut self, id: &Id, ticket: u64) -> Option<ReplyHandle> {
         self.0.get_mut(id)?.reply.take_if(|reply| reply.ticket == ticket)
     }
 
-    /// Whether a request has been answered, or its client has disconnected.
+    /// Whether a request has been answered or its client has disconnected.
     pub(super) fn is_answered(&self, id: &Id) -> bool {
         self.0.get(id).is_none_or(|request| request.reply.is_none())
     }
 
-    /// Removes a request that is answered and has no attempt in flight; keeps any other.
+    /// Removes a request if it is answered and has no attempt in flight.
     pub(super) fn remove_if_completed(&mut self, id: &Id) {
         if self.0.get(id).is_some_and(RequestInFlight::is_completed) {
             self.0.remove(id);
@@ -97,13 +97,13 @@
     }
 }
 
-/// Hands the final answer to the client's connection task. Where that has ended, nobody waits for the answer.
+/// Sends the final answer to the client's connection task. If that task has ended, the answer is dropped.
 pub(super) fn send_answer(reply: ReplyHandle, answer: FinalAnswer) {
-    send_final(reply, FinalReply::Complete(answer));
+    send_final_reply(reply, FinalReply::Complete(answer));
 }
 
-/// The same for an answer that may be a stream.
-pub(super) fn send_final(reply: ReplyHandle, last: FinalReply) {
+/// As [`send_answer`], for a reply that may be a stream.
+pub(super) fn send_final_reply(reply: ReplyHandle, final_reply: FinalReply) {
     let ReplyHandle { number, sender, reservations, .. } = reply;
-    let _ = sender.try_send((number, last, reservations));
+    let _ = sender.try_send((number, final_reply, reservations));
 }
--- a/crates/gateway/src/dispatcher/servers.rs
+++ b/crates/gateway/src/dispatcher/servers.rs
@@ -1,4 +1,5 @@
-//! The servers of the endpoint list, the mailboxes of their upstream actors, and the changes that the engine has yet to get.
+//! The servers of the endpoint list, the mailboxes of their upstream actors, and the changes that the engine has not been
+//! notified of.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -12,22 +13,22 @@
 use crate::shared::{Event, Shared};
 use crate::upstream;
 
-/// Changes that the engine gets in one loop iteration, where a list changes many endpoints.
+/// The most changes that the engine is notified of in one loop iteration. A list may change many endpoints.
 const MAX_CHANGES_PER_ITERATION: usize = 256;
 
 struct Server {
-    /// The mailbox of its upstream actor, once there was an order for it.
+    /// The mailbox of the upstream actor; none until the actor is started by the first order.
     mailbox: Option<Sender<upstream::Order>>,
     address: SocketAddr,
     endpoint: Endpoint,
 }
 
-/// The servers that endpoint lists have named and not removed.
+/// The servers that the endpoint lists have added and not removed.
 pub(super) struct ServerTable {
     shared: Rc<Shared>,
     events: Sender<Event>,
     servers: BTreeMap<Id, Server>,
-    /// Changes of lists that the engine has not got yet, in their order.
+    /// Changes that the engine has not been notified of, in order.
     pending_changes: VecDeque<Endpoint>,
 }
 
@@ -36,8 +37,8 @@
         ServerTable { shared, events, servers: BTreeMap::new(), pending_changes: VecDeque::new() }
     }
 
-    /// Applies a list. What is new in it becomes pending, as most of a complete list is not new. Upstream actors whose
-    /// servers have another address are given it through `actions`.
+    /// Applies a list. Only changed endpoints become pending, as most entries of a complete list have not changed. Upstream
+    /// actors get a new address through `actions`.
     pub(super) fn apply(&mut self, update: EndpointUpdate, actions: &ActionQueue) {
         let mut changed = if update.full { self.remove_unlisted(&update) } else { Vec::new() };
         for (endpoint, address) in update.servers {
@@ -48,18 +49,18 @@
                 changed.push(endpoint);
             }
         }
-        // Servers that are not ready any more come first: attempts there fail from now on.
+        // Servers that are no longer ready come first, as attempts there fail from now on.
         let (ready, others): (Vec<_>, Vec<_>) =
             changed.into_iter().partition(|endpoint| endpoint.state == EndpointState::Ready);
         self.pending_changes.extend(others);
         self.pending_changes.extend(ready);
     }
 
-    /// Removes the servers that a complete list does not have, and gives the change of each.
+    /// Removes the servers that are missing from a complete list, and returns a change for each.
     fn remove_unlisted(&mut self, update: &EndpointUpdate) -> Vec<Endpoint> {
         let listed: HashSet<&Id> = update.servers.iter().map(|(endpoint, _)| &endpoint.server).collect();
         let mut removed = Vec::new();
-        // Requests keep the mailboxes of their attempts, so that attempts in flight there end as any other.
+        // Requests keep the mailboxes of their attempts, so attempts in flight at a removed server end as usual.
         self.servers.retain(|id, server| {
             let is_listed = listed.contains(id);
             if !is_listed {
@@ -70,7 +71,7 @@
         removed
     }
 
-    /// Adds or updates a server; whether anything but its address is new.
+    /// Adds or updates a server. Returns whether anything but the address has changed.
     fn upsert(&mut self, endpoint: &Endpoint, address: SocketAddr, actions: &ActionQueue) -> bool {
         let Some(server) = self.servers.get_mut(&endpoint.server) else {
             let server = Server { mailbox: None, address, endpoint: endpoint.clone() };
@@ -95,14 +96,14 @@
         !self.pending_changes.is_empty()
     }
 
-    /// Takes the next pending changes, as many as the engine may get in one loop iteration.
+    /// Takes the pending changes for one loop iteration.
     pub(super) fn take_changes(&mut self) -> Vec<Endpoint> {
         let count = self.pending_changes.len().min(MAX_CHANGES_PER_ITERATION);
         self.pending_changes.drain(..count).collect()
     }
 
-    /// The mailbox of a server's upstream actor. The actor starts with the first order to it, as a gateway uses only a few of
-    /// the servers that are listed.
+    /// The mailbox of a server's upstream actor. Starts the actor if it does not run: a gateway uses only a few of the listed
+    /// servers, so actors are started by their first order.
     pub(super) fn mailbox(&mut self, id: &Id) -> Option<Sender<upstream::Order>> {
         let server = self.servers.get_mut(id)?;
         let mailbox = server
@@ -116,7 +117,7 @@
         self.servers.get(id).is_some_and(|server| server.mailbox.is_some())
     }
 
-    /// An update that marks those of these servers as draining that are ready; none where no server is.
+    /// An update that marks those of the given servers as draining that are ready; none if none of them is ready.
     pub(super) fn draining_update(&self, ids: &[Id], index: u64) -> Option<EndpointUpdate> {
         let ready = ids
             .iter()
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -4,32 +4,32 @@
 
 use fernscale_policy::Micros;
 
-/// Timers by deadline; of those with the same deadline, the one set first expires first.
+/// Timers by deadline. Timers with the same deadline expire in the order in which they were set.
 #[derive(Default)]
 pub(super) struct Timers {
     by_deadline: BTreeMap<(Micros, u64), Box<str>>,
-    /// How many have been set, as the second part of the key.
+    /// The number of timers that have been set. Makes the keys unique, as their second part.
     count: u64,
 }
 
 impl Timers {
-    /// Sets a timer for a time of the gateway's clock.
+    /// Sets a timer that expires at this time of the gateway's clock.
     pub(super) fn set(&mut self, at: Micros, token: Box<str>) {
         self.count += 1;
         self.by_deadline.insert((at, self.count), token);
     }
 
-    /// When the next timer expires.
+    /// The deadline of the next timer.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         self.by_deadline.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// By how much the next timer is overdue at `now`; 0 where it is not.
+    /// By how much the next timer is overdue at `now`; 0 if it is not overdue.
     pub(super) fn lateness(&self, now: Micros) -> Micros {
         self.next_deadline().map_or(0, |deadline| now.saturating_sub(deadline))
     }
 
-    /// Removes the next timer that has expired by `now`, and gives its token.
+    /// Removes the first timer that has expired by `now`, and returns its token.
     pub(super) fn pop_expired(&mut self, now: Micros) -> Option<Box<str>> {
         let next = self.by_deadline.first_entry().filter(|timer| timer.key().0 <= now)?;
         Some(next.remove())
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,13 @@
-//! One gateway on sockets. `transport` and `protocol` know bytes; `downstream` serves clients and `upstream` servers;
-//! `dispatcher` runs the decision module between them; `discovery`, `counter` and `operator` speak with the services
-//! around; `fleet` works with the other gateways and `hot_restart` with other processes of this one; `program` reads the
-//! configuration, starts all of these and ends them. `shared` is the state between the actors.
+//! The gateway process.
+//!
+//! - `transport` and `protocol` handle sockets, buffers and message formats.
+//! - `downstream` serves client connections, `upstream` forwards attempts to servers.
+//! - `dispatcher` runs the decision engine between `downstream` and `upstream`.
+//! - `discovery` and `counter` are the clients of those services; `operator` serves operators.
+//! - `fleet` works with the other gateways, `hot_restart` with other processes of this gateway.
+//! - `program` reads the configuration, and starts and stops all of these.
+//! - `shared` holds the state that the actors share, `outcome` interprets how connections end, and `rejection` records
+//!   requests that are rejected before the engine gets them.
 
 pub mod counter;
 pub mod discovery;
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,4 +1,5 @@
-//! What the end of a connection means for the attempt, health check or counter call on it. Nowhere else is this decided.
+//! Maps the end of a connection to the outcome of the attempt, health check or counter call on it. Only this module decides
+//! that.
 
 use fernscale_outlier_detection::detector::AttemptResult;
 use fernscale_policy::{Micros, Outcome};
@@ -9,29 +10,29 @@
 /// The counter's answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterTotal {
-    /// The update was applied, and this is the total.
+    /// The update was applied. The value is the counter's new total.
     Total(f64),
-    /// The counter is overloaded, and nothing was applied.
+    /// The counter is overloaded and applied nothing.
     Full,
-    /// The counter rejected the call, and nothing was applied.
+    /// The counter rejected the call and applied nothing.
     Error,
 }
 
-/// The connection ended before the reply had come.
+/// The connection ended before a complete reply was received. Log records print this struct with its field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
     pub how: ConnectionEnd,
-    /// The last byte of the command had been written: the server may have executed it.
+    /// Whether the last byte of the command was written, so that the server may have executed it.
     pub written: bool,
 }
 
 impl AttemptFailure {
-    /// The command had not been written to its last byte: the server can't have executed it.
+    /// The last byte of the command was not written, so the server can't have executed it.
     pub fn unsent(how: ConnectionEnd) -> Self {
         AttemptFailure { how, written: false }
     }
 
-    /// The command had been written to its last byte.
+    /// The whole command was written, and no reply was received.
     pub fn unanswered(how: ConnectionEnd) -> Self {
         AttemptFailure { how, written: true }
     }
@@ -54,7 +55,7 @@
                 | ConnectionEnd::ShuttingDown,
                 true,
             ) => Outcome::Reset,
-            // Nothing can have been written on a connection that was never made, or on which nothing was to begin.
+            // These ends come before the first byte is written, so `written: true` does not occur with them.
             (
                 ConnectionEnd::Refused
                 | ConnectionEnd::ConnectTimeout
@@ -66,8 +67,8 @@
     }
 }
 
-/// The outcome of an attempt, for the engine.
-pub fn of_attempt<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
+/// The outcome of an attempt, as the engine is notified of it.
+pub fn attempt_outcome<T>(end: &Result<(ServerReply, T), AttemptFailure>) -> Outcome {
     match end {
         Ok((ServerReply::Completed { .. } | ServerReply::Streamed { .. }, _)) => Outcome::Ok,
         Ok((ServerReply::Failed, _)) => Outcome::Error,
@@ -76,14 +77,16 @@
     }
 }
 
-/// What an attempt that took so long tells outlier detection of its server: nothing where its end is not the server's doing, or may
-/// come from overload; and nothing of its latency where the answer lay here unread for some of that time.
+/// The result of an attempt that outlier detection records for the server.
+///
+/// None where the server did not cause the end, or overload may be the cause. Where the reply waited unread in this process
+/// (`read_delay`), or the value was streamed, the result carries no latency.
 pub fn observed_result<T>(
     elapsed: Micros,
     read_delay: Micros,
     end: &Result<(ServerReply, T), AttemptFailure>,
 ) -> Option<AttemptResult> {
-    match (of_attempt(end), end) {
+    match (attempt_outcome(end), end) {
         (Outcome::Ok, Ok((ServerReply::Streamed { .. }, _))) => Some(AttemptResult::Forwarded),
         (Outcome::Ok, _) if read_delay > 0 => Some(AttemptResult::Forwarded),
         (Outcome::Ok, _) => Some(AttemptResult::Answered(elapsed)),
@@ -94,22 +97,26 @@
     }
 }
 
-/// The outcome of a health check, for the engine.
-pub fn of_health_check<T>(end: &Result<T, AttemptFailure>) -> Outcome {
+/// The outcome of a health check, as the engine is notified of it.
+pub fn health_check_outcome<T>(end: &Result<T, AttemptFailure>) -> Outcome {
     end.as_ref().map_or_else(|failure| failure.outcome(), |_| Outcome::Ok)
 }
 
-/// The end of a call to the counter, as the engine distinguishes ends.
+/// The result of a call to the shared counter, as the engine is notified of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCallEnd {
     pub outcome: Outcome,
-    /// The counter's total where the outcome is [`Outcome::Ok`], else 0.
+    /// The counter's total if the outcome is [`Outcome::Ok`], else 0.
     pub total: f64,
 }
 
-/// Four cases of a call to the counter matter: it has a total, nothing was added, something may have been added and the
-/// counter was too slow, or something may have been added and the answer was malformed or lost with its connection.
-pub fn of_counter_call(end: &Result<CounterTotal, AttemptFailure>) -> CounterCallEnd {
+/// Maps the end of a call to the shared counter to one of four cases:
+///
+/// - the counter replied with a total ([`Outcome::Ok`]);
+/// - nothing was added;
+/// - the amount may have been added, and the counter was too slow ([`Outcome::TimedOut`]);
+/// - the amount may have been added, and the answer was malformed or lost with the connection ([`Outcome::Error`]).
+pub fn counter_call_end(end: &Result<CounterTotal, AttemptFailure>) -> CounterCallEnd {
     let failed = |outcome| CounterCallEnd { outcome, total: 0.0 };
     match end {
         Ok(CounterTotal::Total(total)) => CounterCallEnd { outcome: Outcome::Ok, total: *total },
--- a/crates/gateway/src/rejection.rs
+++ b/crates/gateway/src/rejection.rs
@@ -1,26 +1,27 @@
-//! Why a request is rejected before the decision engine gets it, for the records that operators read.
+//! Reasons for which a request is rejected before the decision engine gets it, and their log records.
 
 use slog::{debug, Logger};
 
 use crate::operator::unserved::UnservedRequests;
 
-/// The reason of a rejection before the engine.
+/// Why a request is rejected before the engine gets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlyRejection {
-    /// The connection came when all slots were taken, and has only one of those for rejected clients.
+    /// All connection slots were taken when the client connected. The connection has one of the slots that are reserved for
+    /// rejecting clients.
     NoConnectionSlot,
-    /// As many requests, or as many bytes of requests, are in flight as the memory allows.
+    /// The number of requests in flight, or the number of their bytes, has reached the limit set by the memory.
     NoRequestSlot,
-    /// The memory for what clients send is used up.
+    /// The memory for data received from clients is used up.
     NoMemory,
-    /// The gateway shuts down, and has accepted new requests for long enough.
+    /// The gateway is shutting down, and the period in which it still accepts new requests is over.
     ShuttingDown,
-    /// Another request with this id is not answered yet.
+    /// Another request with this id has not been answered yet.
     IdInUse,
 }
 
 impl EarlyRejection {
-    /// The name in records.
+    /// The name in log records.
     pub fn name(self) -> &'static str {
         match self {
             EarlyRejection::NoConnectionSlot => "no-connection-place",
@@ -31,9 +32,10 @@
         }
     }
 
-    /// Counts a rejection and writes its record; without an id where the request could not be read.
+    /// Counts the rejection and logs it. `id` is none if the request could not be read.
     pub fn record(self, log: &Logger, unserved: &UnservedRequests, id: Option<&str>) {
         unserved.count(self.name());
-        debug!(log, #"request.refused", "not taken"; "id" => id.unwrap_or(""), "why" => self.name());
+        debug!(log, #"request.refused", "request rejected before the decision engine";
+            "id" => id.unwrap_or(""), "why" => self.name());
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,6 +1,7 @@
-//! The state that the actors of one gateway share, and the events by which they reach the dispatcher. An actor with a
-//! mailbox runs for each server, for discovery, for the shared counter and for the dispatcher, and a task for each client
-//! connection. Nothing here decides or does I/O.
+//! The state that the actors of one gateway share, and the events that they send to the dispatcher.
+//!
+//! The dispatcher, discovery, the shared counter and each server have an actor with a mailbox. Each client connection has a
+//! task. This module makes no decisions and does no I/O.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeSet;
@@ -23,58 +24,58 @@
 use crate::transport::limits::{Limits, Reservation};
 use crate::{counter, hot_restart};
 
-/// Events that wait in a mailbox, which has many senders. A sender of more waits.
+/// Capacity of a mailbox for events, which has many senders. A sender waits while the mailbox is full.
 pub const MAX_QUEUED_EVENTS: usize = 256;
-/// Orders that wait in a mailbox, which has one sender. A sender of more waits.
+/// Capacity of a mailbox for orders, which has one sender. The sender waits while the mailbox is full.
 pub const MAX_QUEUED_ORDERS: usize = 64;
 
 /// The state that all actors of one gateway share.
 pub struct Shared {
-    /// Where all tasks run.
+    /// Runs all tasks of the gateway.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The log.
     pub log: Logger,
     /// The clock of the decision module.
     pub clock: Clock,
-    /// Limits on descriptors and memory, with what is reserved of them.
+    /// Limits on descriptors and memory, and the current reservations.
     pub limits: Limits,
     /// Notified when the limits are lowered, so that idle client connections are closed.
     pub limits_lowered: event_listener::Event,
-    /// Settings of the protocols and of what lies around the decision module.
+    /// Settings of the protocols and the actors, outside the decision module.
     pub platform: PlatformSettings,
-    /// Figures for operators.
+    /// Metrics for operators.
     pub metrics: metrics::Metrics,
-    /// Servers that operators have cordoned: no attempt at one of them begins.
+    /// Servers that operators have cordoned. No attempt begins there.
     pub cordoned: RefCell<BTreeSet<Id>>,
     /// Start times of servers by this gateway's clock.
     pub start_times: RefCell<start_times::StartTimes>,
-    /// Servers that the endpoint list says are draining: no attempt begins there either.
+    /// Servers that drain or were removed according to the endpoint list. No attempt begins there.
     pub draining: RefCell<draining::DrainingEndpoints>,
-    /// Until when the endpoint list may be used, in microseconds of `boottime`. Later no attempt begins.
+    /// When the endpoint list expires, in microseconds of `boottime`. After that no attempt begins.
     pub endpoints_fresh_until: Cell<Micros>,
-    /// Whether servers are known, so that requests can be served.
+    /// Whether a server is ready, so that requests can be served.
     pub ready: Cell<bool>,
-    /// Whether clients are accepted.
+    /// Whether the gateway accepts client connections.
     pub listening: Cell<bool>,
-    /// When the graceful shutdown began, if it has.
+    /// When the graceful shutdown began; none before that.
     pub shutting_down_since: Cell<Option<Instant>>,
-    /// From when on a client may get a reply to a protocol error again.
+    /// The earliest time of the next reply to a protocol error. Limits the rate of these replies.
     pub next_protocol_error: Cell<Instant>,
     /// The ticket of the next reply handle.
     pub next_ticket: Cell<u64>,
-    /// The exchange with the other processes of this gateway, where the listening socket is inherited.
+    /// The link to the other processes of this gateway, if the listening socket is inherited.
     pub hot_restart: OnceCell<Rc<hot_restart::Link>>,
-    /// Whether membership is configured. It may start late, when another process of this gateway lets its address go.
+    /// Whether membership is configured. It may start late, once another process of this gateway releases the address.
     pub joins_membership: bool,
-    /// Updates of shared counters to deliver when membership starts.
+    /// Updates of shared counters that are gossiped once membership starts.
     pub undelivered_updates: RefCell<membership::UndeliveredUpdates>,
     /// Membership, once it runs.
     pub membership: OnceCell<Rc<membership::Membership>>,
     /// Leases of the fleet, once they run.
     pub leases: OnceCell<Rc<leases::Leases>>,
-    /// Subsetting, where it is configured and runs.
+    /// Subsetting, if it is configured and runs.
     pub subsetting: OnceCell<Rc<subsetting::Subsetting>>,
-    /// Shared outlier detection, where it is configured and runs.
+    /// Shared outlier detection, if it is configured and runs.
     pub outlier_detection: OnceCell<Rc<outlier_detection::OutlierDetection>>,
 }
 
@@ -84,85 +85,85 @@
         self.ready.get() && self.listening.get() && self.shutting_down_since.get().is_none()
     }
 
-    /// Whether another process of this gateway accepts clients from the same socket once this one ends.
+    /// Whether another process of this gateway accepts clients from the same socket after this process ends.
     pub fn has_successor(&self) -> bool {
         self.hot_restart.get().is_some_and(|link| link.has_successor())
     }
 
-    /// Applies the start times and draining servers of a list from discovery. They count from now on, also before the
-    /// dispatcher handles the list.
-    pub fn apply_list(&self, members: &mut EndpointUpdate) {
+    /// Applies the start times and draining servers of a list from discovery. They take effect at once, before the dispatcher
+    /// handles the list.
+    pub fn apply_list(&self, update: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
-        self.start_times.borrow_mut().apply_new(self.clock.now(), least_age, members);
-        self.draining.borrow_mut().apply(members);
+        self.start_times.borrow_mut().apply_new(self.clock.now(), least_age, update);
+        self.draining.borrow_mut().apply(update);
     }
 
-    /// The same for the list that was known before the gateway started.
-    pub fn apply_known_list(&self, members: &mut EndpointUpdate) {
+    /// As [`Shared::apply_list`], for the endpoint list from the configuration, which is known before discovery replies.
+    pub fn apply_known_list(&self, update: &mut EndpointUpdate) {
         let least_age = |unix| self.clock.least_age(unix);
-        self.start_times.borrow_mut().apply(self.clock.now(), least_age, members);
-        self.draining.borrow_mut().apply(members);
+        self.start_times.borrow_mut().apply(self.clock.now(), least_age, update);
+        self.draining.borrow_mut().apply(update);
     }
 }
 
-/// What the dispatcher handles.
+/// An event for the dispatcher.
 pub enum Event {
-    /// A client has sent a request.
+    /// A client sent a request.
     RequestReceived(ReceivedRequest),
-    /// The client of a request, by its id and the ticket of its reply handle, has disconnected.
+    /// The client of a request disconnected. The request is given by its id and the ticket of its reply handle.
     ClientDisconnected(Id, u64),
-    /// A response has begun that is too long to be buffered whole.
+    /// A response that is too long to be buffered whole has begun to arrive.
     ResponseStarted {
         /// The id of the request.
         request: Id,
         /// The number of the attempt.
         attempt: usize,
         /// The response as it arrives.
-        flow: ResponseStream,
+        response: ResponseStream,
     },
-    /// An attempt has a result.
+    /// An attempt ended.
     AttemptCompleted(CompletedAttempt),
-    /// A health check has a result.
+    /// A health check ended.
     HealthCheckCompleted {
         /// The server.
         server: Id,
-        /// Its load report, or why there is none.
+        /// The server's load report, or why there is none.
         end: Result<LoadReport, AttemptFailure>,
     },
-    /// A query of the shared counter has a result.
+    /// A call to the shared counter ended.
     CounterReplied {
         /// The counter's key.
         key: Box<str>,
         /// The total, or why there is none.
         end: Result<CounterTotal, AttemptFailure>,
-        /// How long the query took, in microseconds.
+        /// How long the call took, in microseconds.
         elapsed: Micros,
     },
-    /// The total that the gateways know by gossip, as the shared counter is lost.
+    /// The total that the gateways have gossiped, in place of a reply of the shared counter, which is lost.
     GossipTotalKnown {
         /// The counter's key.
         key: Box<str>,
         /// The total, or why there is none.
         end: Result<CounterTotal, AttemptFailure>,
     },
-    /// Queries of the shared counter go to another actor from now on.
+    /// From now on calls to the shared counter go to this actor, or to none.
     CounterReplaced(Option<Sender<counter::CounterUpdate>>),
-    /// There is an update of the endpoint list.
+    /// The endpoint list was updated.
     EndpointsUpdated(EndpointUpdate),
-    /// Discovery has given no list that can be used.
+    /// Discovery returned no usable list.
     EndpointsUnavailable,
-    /// These endpoints are draining by a list that can't be used otherwise.
+    /// These endpoints are draining according to a list that was otherwise rejected.
     EndpointsDraining(Vec<Id>),
     /// The subset of this gateway is to be updated.
     SubsettingDue,
     /// Shared outlier detection is to be updated.
     OutlierDetectionDue,
-    /// Discovery has given no list in time after the start.
+    /// Discovery returned no list in time after the start of the gateway.
     EndpointsLate,
 }
 
 impl Event {
-    /// The log's name for a loop iteration that handles this event.
+    /// The name that log records have for a loop iteration that handles this event.
     pub fn name(&self) -> &'static str {
         match self {
             Event::RequestReceived(_) => "request",
@@ -181,23 +182,23 @@
     }
 }
 
-/// A request as it arrives at the dispatcher.
+/// A request on its way to the dispatcher.
 pub struct ReceivedRequest {
-    /// What the client wants.
+    /// The request as the client sent it.
     pub call: Call,
-    /// Where the reply goes.
+    /// Receives the final reply.
     pub reply: ReplyHandle,
-    /// When the request was complete.
+    /// When the last byte of the request was received.
     pub received_at: Instant,
 }
 
-/// Where the final reply goes, with the limits that the request uses until the reply is written.
+/// Sends the final reply to the client's connection task. Holds the request's reservations until the reply is written.
 pub struct ReplyHandle {
-    /// Unique in the gateway, as several clients may use one request id.
+    /// Identifies the handle in this gateway. The request id does not, as several clients may use the same one.
     pub ticket: u64,
-    /// Position of the request on its connection.
+    /// The number of the request on its connection.
     pub number: u64,
-    /// The connection's task.
+    /// The mailbox of the connection's task.
     pub sender: Sender<(u64, FinalReply, Reservations)>,
     /// Reservations that the request holds.
     pub reservations: Reservations,
@@ -205,15 +206,15 @@
 
 /// The final reply to a client.
 pub enum FinalReply {
-    /// It is all there.
+    /// The whole reply.
     Complete(FinalAnswer),
-    /// It is a value that is still arriving.
+    /// A value that is still arriving from the server.
     Streamed(ResponseStream),
 }
 
-/// A value that is forwarded as it arrives. Where the pieces end without [`Piece::End`], the value is incomplete.
+/// A value that is forwarded while it arrives. If the channel closes before [`Piece::End`], the value is incomplete.
 pub struct ResponseStream {
-    /// Length of the whole value in bytes.
+    /// The length of the whole value in bytes.
     pub length: usize,
     /// The value in pieces.
     pub pieces: Receiver<Piece>,
@@ -227,10 +228,10 @@
     End,
 }
 
-/// The reservation of one open request, and that of its bytes.
+/// The reservations of a request in flight: one request, and the request's bytes.
 pub type Reservations = [Reservation; 2];
 
-/// The result of one attempt.
+/// How one attempt ended.
 pub struct CompletedAttempt {
     /// The id of the request.
     pub request: Id,
@@ -240,8 +241,8 @@
     pub server: Id,
     /// The server's reply and load report, or why there are none.
     pub end: Result<(ServerReply, LoadReport), AttemptFailure>,
-    /// How long the attempt took until its end was seen here, in microseconds.
+    /// How long the attempt took until this process noticed its end, in microseconds.
     pub elapsed: Micros,
-    /// For how much of that time what had come from the server lay here unread, in microseconds.
+    /// For how long of that time data from the server waited unread in this process, in microseconds.
     pub read_delay: Micros,
 }
--- a/crates/gateway/src/upstream/duplicate.rs
+++ b/crates/gateway/src/upstream/duplicate.rs
@@ -1,12 +1,13 @@
-//! Tells the reply to a call from a duplicate of the reply before it on the same connection.
+//! Distinguishes the reply to a call from a duplicate of the previous reply on the same connection.
 //!
-//! Replies carry no id: they belong to commands by their order alone. A server may write a reply twice, and the second one may
-//! come when the connection has been taken for the next call, however long it was idle. So a value that equals the one before it
-//! on its connection is not passed on until the server has answered a fence, a command without effect that is written behind the
-//! call: the reply to the call comes before that to the fence. A duplicate is skipped; nothing is decided by how long anything
-//! takes. Where a server's values have been equal, the fence is written together with the call, and costs no time.
+//! Replies carry no id; they are assigned to commands by their order alone. A server may write a reply twice, and the duplicate
+//! may arrive after the connection was reused for the next call, however long the connection was idle. So if a value equals the
+//! previous value on its connection, it is not passed on at once. First the server must answer a fence: a command without effect
+//! that is written after the call, so that the reply to the call arrives before the reply to the fence. Duplicates are skipped.
+//! No decision depends on timing. If a server's recent values were equal, the fence is written together with the call and
+//! adds no delay.
 //!
-//! A duplicate of an error line, or of a value too long to be kept complete, is not recognised.
+//! Duplicates of error lines, and of values that are too long to be buffered whole, are not recognized.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -14,7 +15,7 @@
 use fernscale_policy::Id;
 use slog::{debug, warn};
 
-use super::exchange::Exchanged;
+use super::exchange::CompletedExchange;
 use super::Upstream;
 use crate::outcome::AttemptFailure;
 use crate::protocol::call::{self, ReceivedReply, ServerReply, ValueFingerprint};
@@ -23,101 +24,102 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// A command that servers answer with a simple string, which no call is answered with.
+/// A command without effect. Servers answer it with a simple string, and answer no call with a simple string.
 const FENCE: &[&[u8]] = &[b"SELECT", b"0"];
 
-/// What comes behind a value that may be a duplicate.
-enum Following {
-    /// The fence's reply: all replies to what was written before it have come.
+/// A message received after a value that may be a duplicate.
+enum NextMessage {
+    /// The reply to the fence. All replies to earlier commands have been received.
     Fence,
+    /// Another reply.
     Reply(ReceivedReply),
 }
 
 impl Upstream {
-    /// Whether the value of the next call on this connection is likely to equal the last one.
+    /// Whether the next value on this connection is likely to equal the previous one.
     pub(super) fn expects_equal_value(&self, connection: &Connection) -> bool {
-        connection.last_value.is_some() && self.values_repeat.get()
+        connection.last_value.is_some() && self.last_value_repeated.get()
     }
 
-    /// Gives the reply to the call of this id, the first that came for it or one behind that. At once, unless the first one
-    /// equals the value before it on its connection.
+    /// Returns the reply to a call: `received`, or a later reply if `received` is a duplicate. Returns at once unless `received`
+    /// equals the previous value on its connection.
     ///
     /// # Errors
     ///
-    /// [`AttemptFailure::unanswered`] where the connection ends, or the time is over, before a possible duplicate is told from
-    /// the reply, and where an error line comes behind it: the call may have been executed.
+    /// [`AttemptFailure::unanswered`] if the connection ends or the deadline passes before a possible duplicate is distinguished
+    /// from the reply, or if an error line follows it. The server may have executed the call.
     pub(super) async fn skip_duplicates(
         &self,
-        received: Exchanged<ReceivedReply>,
-        until: Instant,
+        received: CompletedExchange<ReceivedReply>,
+        deadline: Instant,
         request: &Id,
-    ) -> Result<Exchanged<ReceivedReply>, AttemptFailure> {
+    ) -> Result<CompletedExchange<ReceivedReply>, AttemptFailure> {
         let Some(last_value) = received.connection.last_value else { return Ok(received) };
         if is_error(&received.reply) {
             return Ok(received);
         }
         if !is_value(&received.reply, last_value) {
-            self.values_repeat.set(false);
+            self.last_value_repeated.set(false);
             return Ok(received);
         }
-        let resolved = self.resolve(received, last_value, until).await;
-        let is_equal = resolved.as_ref().is_ok_and(|exchanged| is_value(&exchanged.reply, last_value));
-        self.values_repeat.set(is_equal);
+        let result = self.resolve_duplicate(received, last_value, deadline).await;
+        let is_equal = result.as_ref().is_ok_and(|completed| is_value(&completed.reply, last_value));
+        self.last_value_repeated.set(is_equal);
         if is_equal {
-            debug!(self.shared.log, #"reply.equal", "a call has the value of the call before it on its connection";
+            debug!(self.shared.log, #"reply.equal", "reply equals the previous reply on its connection";
                 "id" => &**request, "server" => &*self.server);
         } else {
-            let end = resolved.as_ref().map_or_else(|failure| failure.how.name(), |_| "Answered");
-            warn!(self.shared.log, #"reply.duplicate", "a server wrote a reply twice, or may have";
+            let end = result.as_ref().map_or_else(|failure| failure.how.name(), |_| "Answered");
+            warn!(self.shared.log, #"reply.duplicate", "server wrote, or may have written, a reply twice";
                 "id" => &**request, "server" => &*self.server, "end" => end);
         }
-        resolved
+        result
     }
 
-    /// Reads on behind a value that equals the last one, until it is certain which reply is the call's.
-    async fn resolve(
+    /// Reads the messages after a value that equals the previous one, until it is certain which reply belongs to the call.
+    async fn resolve_duplicate(
         &self,
-        candidate: Exchanged<ReceivedReply>,
+        candidate: CompletedExchange<ReceivedReply>,
         last_value: ValueFingerprint,
-        until: Instant,
-    ) -> Result<Exchanged<ReceivedReply>, AttemptFailure> {
-        let Exchanged { reply: equal_value, mut connection, mut read_delay } = candidate;
+        deadline: Instant,
+    ) -> Result<CompletedExchange<ReceivedReply>, AttemptFailure> {
+        let CompletedExchange { reply: equal_value, mut connection, mut read_delay } = candidate;
         if !connection.fence_pending {
-            write_fence(&mut connection, until).await;
+            write_fence(&mut connection, deadline).await;
         }
         loop {
             if connection.desynchronized {
                 return Err(AttemptFailure::unanswered(ConnectionEnd::Malformed));
             }
             connection.acknowledge();
-            let scan = |bytes: &[u8], ended: bool| self.scan_following(bytes, ended);
-            let next = self.receive(connection, Instant::now(), until, scan).await?;
+            let scan = |bytes: &[u8], ended: bool| self.scan_next_message(bytes, ended);
+            let next = self.receive(connection, Instant::now(), deadline, scan).await?;
             connection = next.connection;
             read_delay += next.read_delay;
             match next.reply {
-                Following::Fence => {
+                NextMessage::Fence => {
                     connection.fence_pending = false;
-                    return Ok(Exchanged { reply: equal_value, connection, read_delay });
+                    return Ok(CompletedExchange { reply: equal_value, connection, read_delay });
                 }
-                Following::Reply(reply) if is_value(&reply, last_value) => {}
-                Following::Reply(reply) if is_error(&reply) => {
-                    // Danger: it may be the fence's, and `-BUSY` would be taken for a call that was never executed.
+                NextMessage::Reply(reply) if is_value(&reply, last_value) => {}
+                NextMessage::Reply(reply) if is_error(&reply) => {
+                    // The error may answer the fence. As the call's reply, `-BUSY` would mean that the call was not executed.
                     return Err(AttemptFailure::unanswered(ConnectionEnd::Malformed));
                 }
-                Following::Reply(reply) => return Ok(Exchanged { reply, connection, read_delay }),
+                NextMessage::Reply(reply) => return Ok(CompletedExchange { reply, connection, read_delay }),
             }
         }
     }
 
-    fn scan_following(&self, bytes: &[u8], ended: bool) -> Scanned<Following> {
+    fn scan_next_message(&self, bytes: &[u8], ended: bool) -> Scanned<NextMessage> {
         if let Some(length) = fence_reply(bytes) {
-            return Ok(Some((Following::Fence, length)));
+            return Ok(Some((NextMessage::Fence, length)));
         }
         let reply = call::scan_reply(bytes, ended, self.load_fields())?;
-        Ok(reply.map(|(reply, length)| (Following::Reply(reply), length)))
+        Ok(reply.map(|(reply, length)| (NextMessage::Reply(reply), length)))
     }
 
-    /// Gives a connection back to the pool, once the reply to its fence has come.
+    /// Returns a connection to the pool. If its fence is unanswered, first waits for that reply in the background.
     pub(super) fn release(self: &Rc<Self>, connection: Connection) {
         if connection.fence_pending {
             let upstream = self.clone();
@@ -128,13 +130,13 @@
         }
     }
 
-    /// Waits for the fence's reply, and closes the connection where something else comes.
+    /// Waits for the reply to the fence. Closes the connection if anything else is received.
     async fn release_after_fence(&self, mut connection: Connection) {
         let timeout = self.message_timeout();
         let scan = |bytes: &[u8]| match resp::reply(bytes)? {
-            Some(_) => {
-                fence_reply(bytes).map(|length| Some(((), length))).ok_or("a reply that nobody waits for")
-            }
+            Some(_) => fence_reply(bytes)
+                .map(|length| Some(((), length)))
+                .ok_or("unexpected reply after the call's reply"),
             None => Ok(None),
         };
         if connection.message(scan, Instant::now() + timeout, timeout).await.is_ok() {
@@ -144,14 +146,15 @@
     }
 }
 
-/// Writes the fence. Where that fails, what has come already may still be read, and the connection's end after it.
-pub(super) async fn write_fence(connection: &mut Connection, until: Instant) {
+/// Writes the fence. An error is ignored: data received before it can still be read, and the reader then sees the connection's
+/// end.
+pub(super) async fn write_fence(connection: &mut Connection, deadline: Instant) {
     let fence = resp::write_command(FENCE);
-    let _ = within(until, ConnectionEnd::TimedOut, connection.write(&fence)).await;
+    let _ = within(deadline, ConnectionEnd::TimedOut, connection.write(&fence)).await;
     connection.fence_pending = true;
 }
 
-/// The length of a fence's reply, if one is at the front.
+/// The length of the reply to a fence, if `bytes` begins with one.
 fn fence_reply(bytes: &[u8]) -> Option<usize> {
     match resp::reply(bytes) {
         Ok(Some((Reply::Simple(_), length))) => Some(length),
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
-//! One exchange with a server: a command is written on a connection of its own, and its reply read.
+//! One exchange with a server: writes a command on a connection that no other exchange uses, and reads the reply.
 //!
-//! It owns the last look at whether an attempt may still begin, and the passing on of values too long to be kept complete.
-//! Whether a reply belongs to the command at all is the business of [`duplicate`](super::duplicate).
+//! This module also makes the last check whether an attempt may still begin, and streams values that are too long to be buffered
+//! whole. [`duplicate`](super::duplicate) decides whether a reply belongs to the command.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,42 +21,42 @@
 use crate::transport::connection::{within, Connection};
 use crate::transport::ending::ConnectionEnd;
 
-/// How long a server may send no byte of a long value. As long as some come it is not cut off, since its client has begun
-/// to get the value and can't be given another server's.
+/// How long a server may pause in the middle of a long value. There is no limit on the whole value: its client has received a
+/// part of it, so no other server could serve the request.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A reply that has been read, and the connection it came on.
-pub(super) struct Exchanged<T> {
+/// A reply, and the connection that it was received on.
+pub(super) struct CompletedExchange<T> {
     pub(super) reply: T,
     pub(super) connection: Connection,
-    /// For how long the connection's establishing and the reply had waited for this process.
+    /// For how long this process did not notice the established connection and the received reply.
     pub(super) read_delay: Duration,
 }
 
-/// A server's answer to an attempt.
-pub(super) struct ServedAttempt {
+/// A server's reply to an attempt.
+pub(super) struct AttemptReply {
     pub(super) reply: ServerReply,
     pub(super) load: LoadReport,
-    /// For how long what had come from the server lay here unread.
+    /// For how long data from the server waited unread in this process.
     pub(super) read_delay: Duration,
 }
 
 impl Upstream {
-    /// Forwards a call, and gives the server's reply once it is complete. A long value has been passed on by then.
+    /// Forwards a call, and returns the server's reply once it is complete. A long value has been streamed to the client by then.
     pub(super) async fn forward(
         self: &Rc<Self>,
         call: &Call,
         attempt: usize,
         limit: Micros,
         created_at: Instant,
-    ) -> Result<ServedAttempt, AttemptFailure> {
-        let until = created_at + Duration::from_micros(limit);
-        // What the order waited, and its connection took to come up, its client does not have any more.
-        let command = || call.command(micros(until.saturating_duration_since(Instant::now())).min(limit));
+    ) -> Result<AttemptReply, AttemptFailure> {
+        let deadline = created_at + Duration::from_micros(limit);
+        // The server is told the time that is left after the order has waited and the connection has been established.
+        let command = || call.command(micros(deadline.saturating_duration_since(Instant::now())).min(limit));
         let scan = |bytes: &[u8], ended: bool| call::scan_reply(bytes, ended, self.load_fields());
-        let received = self.exchange(command, until, Some(call), scan).await?;
-        let Exchanged { reply, mut connection, read_delay } =
-            self.skip_duplicates(received, until, &call.request.id).await?;
+        let received = self.exchange(command, deadline, Some(call), scan).await?;
+        let CompletedExchange { reply, mut connection, read_delay } =
+            self.skip_duplicates(received, deadline, &call.request.id).await?;
         let (reply, load) = match reply {
             ReceivedReply::Complete((reply, load)) => {
                 connection.last_value = reply.fingerprint();
@@ -68,19 +68,20 @@
                 self.stream_value(head, connection, call.request.id.clone(), attempt).await?
             }
         };
-        Ok(ServedAttempt { reply, load, read_delay })
+        Ok(AttemptReply { reply, load, read_delay })
     }
 
-    /// Asks the server whether it is there.
+    /// Sends a health check.
     pub(super) async fn check_health(&self) -> Result<LoadReport, AttemptFailure> {
-        let until = Instant::now() + self.message_timeout();
+        let deadline = Instant::now() + self.message_timeout();
         let command = || resp::write_command(&[b"PING"]);
         let scan = |bytes: &[u8], _ended: bool| match resp::reply(bytes)? {
             Some((Reply::Simple(_), length)) => Ok(Some((LoadReport::default(), length))),
-            Some(_) => Err("no good word"),
+            Some(_) => Err("the reply to a health check is not a simple string"),
             None => Ok(None),
         };
-        let Exchanged { reply, connection, .. } = self.exchange(command, until, None, scan).await?;
+        let CompletedExchange { reply, connection, .. } =
+            self.exchange(command, deadline, None, scan).await?;
         self.pool.release(connection);
         Ok(reply)
     }
@@ -89,61 +90,64 @@
         &self.shared.platform.load_fields
     }
 
-    /// How long a message may take from its first byte to its end: a reply that has begun comes in one piece, and needs no
-    /// longer than a connection does.
+    /// How long a message may take from its first byte to its last. Servers write a reply in one piece, so it needs no longer
+    /// than establishing a connection.
     pub(super) fn message_timeout(&self) -> Duration {
         Duration::from_micros(self.shared.platform.connect_timeout)
     }
 
-    /// Has a command answered on a connection of its own. `call` is the client's call that the command is for, if it is for one;
-    /// `scan` is given what has come, and whether no more will.
+    /// Writes a command on a connection and reads its reply. `call` is the client's call that the command forwards; none for a
+    /// health check. `scan` parses the received bytes, and is told whether the connection has ended.
     async fn exchange<T>(
         &self,
         command: impl FnOnce() -> Vec<u8>,
-        until: Instant,
+        deadline: Instant,
         call: Option<&Call>,
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
-    ) -> Result<Exchanged<T>, AttemptFailure> {
+    ) -> Result<CompletedExchange<T>, AttemptFailure> {
         let began_at = Instant::now();
-        let checkout = within(until, ConnectionEnd::ConnectTimeout, self.pool.acquire());
+        let checkout = within(deadline, ConnectionEnd::ConnectTimeout, self.pool.acquire());
         let Checkout { connection, idle_for } = checkout.await.map_err(AttemptFailure::unsent)?;
-        let dial_delay = if idle_for.is_none() { connection.read_delay(began_at) } else { Duration::ZERO };
-        // There must be no await between this check and the first byte.
-        if let Err(how) = self.check_may_begin(&connection, until, call) {
+        let connect_delay = if idle_for.is_none() { connection.read_delay(began_at) } else { Duration::ZERO };
+        // There must be no await between this check and the first write.
+        if let Err(how) = self.check_may_begin(&connection, deadline, call) {
             if how == ConnectionEnd::NotNeeded {
                 self.pool.release(connection);
             }
             return Err(AttemptFailure::unsent(how));
         }
-        let end = self.exchange_on(connection, &command(), until, call, scan).await;
+        let end = self.write_and_receive(connection, &command(), deadline, call, scan).await;
         self.pool.adjust_idle_limit(idle_for, &end);
-        end.map(|exchanged| Exchanged { read_delay: dial_delay + exchanged.read_delay, ..exchanged })
+        end.map(|completed| CompletedExchange {
+            read_delay: connect_delay + completed.read_delay,
+            ..completed
+        })
     }
 
-    /// Whether the first byte may still be written on this connection. What held when an attempt was created may not hold once
-    /// it has waited for this actor, or for its connection.
+    /// Checks whether the first byte may still be written. Conditions that held when the attempt was created may have changed
+    /// while it waited for this actor or for its connection.
     fn check_may_begin(
         &self,
         connection: &Connection,
-        until: Instant,
+        deadline: Instant,
         call: Option<&Call>,
     ) -> Result<(), ConnectionEnd> {
-        // Danger: this process was suspended, and nobody waits for what the server would do.
-        if Instant::now() >= until {
+        // The deadline has passed, for instance because this process was suspended. Nobody waits for a reply.
+        if Instant::now() >= deadline {
             return Err(ConnectionEnd::NotNeeded);
         }
-        // Danger: the client has disconnected meanwhile. To begin nothing is not a cancellation, and always allowed.
+        // The client has disconnected. Not beginning an attempt is no cancellation, so it is always allowed.
         if call.is_some_and(|call| call.client_gone.get()) {
             return Err(ConnectionEnd::NotNeeded);
         }
-        // Danger: the server has been cordoned meanwhile, drains, was removed, or has another address.
+        // The server was cordoned, drains, was removed or has another address.
         if self.shared.cordoned.borrow().contains(&self.server) {
             return Err(ConnectionEnd::Cordoned);
         }
         if self.shared.draining.borrow().contains(&self.server) || !self.pool.is_connected(connection) {
             return Err(ConnectionEnd::EndpointChanged);
         }
-        // Danger: this process was suspended, and resumes with an endpoint list that has expired.
+        // The endpoint list has expired, for instance because this process was suspended.
         let fresh_until = self.shared.endpoints_fresh_until.get();
         if fresh_until < Micros::MAX && boottime() >= fresh_until {
             return Err(ConnectionEnd::StaleEndpoints);
@@ -151,55 +155,55 @@
         Ok(())
     }
 
-    /// Writes the command and reads the reply.
-    async fn exchange_on<T>(
+    /// Writes the command, and the fence if it is likely to be needed, and reads the reply.
+    async fn write_and_receive<T>(
         &self,
         mut connection: Connection,
         command: &[u8],
-        until: Instant,
+        deadline: Instant,
         call: Option<&Call>,
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
-    ) -> Result<Exchanged<T>, AttemptFailure> {
+    ) -> Result<CompletedExchange<T>, AttemptFailure> {
         let written_at = Instant::now();
-        within(until, ConnectionEnd::TimedOut, connection.write(command))
+        within(deadline, ConnectionEnd::TimedOut, connection.write(command))
             .await
             .map_err(AttemptFailure::unsent)?;
         if call.is_some() {
             self.shared.metrics.attempt_forwarded();
             if self.expects_equal_value(&connection) {
-                write_fence(&mut connection, until).await;
+                write_fence(&mut connection, deadline).await;
             }
         }
-        self.receive(connection, written_at, until, scan).await
+        self.receive(connection, written_at, deadline, scan).await
     }
 
-    /// Reads the next reply on a connection that has been waited on from `since` on.
+    /// Reads the next reply. `waited_since` is when the wait for it began.
     pub(super) async fn receive<T>(
         &self,
         mut connection: Connection,
-        since: Instant,
-        until: Instant,
+        waited_since: Instant,
+        deadline: Instant,
         scan: impl Fn(&[u8], bool) -> Scanned<T>,
-    ) -> Result<Exchanged<T>, AttemptFailure> {
-        let received = connection.message(|bytes| scan(bytes, false), until, self.message_timeout()).await;
+    ) -> Result<CompletedExchange<T>, AttemptFailure> {
+        let received = connection.message(|bytes| scan(bytes, false), deadline, self.message_timeout()).await;
         match received {
             Ok(reply) => {
-                let read_delay = connection.read_delay(since);
-                Ok(Exchanged { reply, connection, read_delay })
+                let read_delay = connection.read_delay(waited_since);
+                Ok(CompletedExchange { reply, connection, read_delay })
             }
             Err(how) => match scan(connection.buffer.filled(), true) {
-                // All that matters has come, and the connection can't be used again.
+                // Everything that matters was received, but the connection can't be reused.
                 Ok(Some((reply, _))) => {
                     connection.desynchronized = true;
-                    // The wait for what was missing is the server's.
-                    Ok(Exchanged { reply, connection, read_delay: Duration::ZERO })
+                    // The server caused the wait for the missing bytes.
+                    Ok(CompletedExchange { reply, connection, read_delay: Duration::ZERO })
                 }
                 _ => Err(AttemptFailure::unanswered(how)),
             },
         }
     }
 
-    /// Passes a long value on as it comes, and reads what follows it.
+    /// Streams a long value to the client, and reads the items that follow it.
     async fn stream_value(
         self: &Rc<Self>,
         head: Opening,
@@ -208,9 +212,9 @@
         attempt: usize,
     ) -> Result<(ServerReply, LoadReport), AttemptFailure> {
         let (sender, pieces) = async_channel::bounded(1);
-        let flow = ResponseStream { length: head.length, pieces };
-        drop(self.events.send(Event::ResponseStarted { request, attempt, flow }).await);
-        pass_on(&mut connection, head.length, &sender).await?;
+        let response = ResponseStream { length: head.length, pieces };
+        drop(self.events.send(Event::ResponseStarted { request, attempt, response }).await);
+        forward_value(&mut connection, head.length, &sender).await?;
         drop(sender);
         let following_items = head.items - 1;
         let timeout = self.message_timeout();
@@ -231,8 +235,8 @@
     }
 }
 
-/// Passes a value of so many bytes on to the client's connection task, up to the line end behind it, which stays unread.
-async fn pass_on(
+/// Streams a value of `length` bytes to the client's connection task. The line end after the value is checked but not consumed.
+async fn forward_value(
     connection: &mut Connection,
     length: usize,
     pieces: &Sender<Piece>,
@@ -240,21 +244,21 @@
     let client_gone = |_| AttemptFailure::unanswered(ConnectionEnd::Cancelled);
     let mut remaining = length;
     while remaining > 0 {
-        let until = Instant::now() + STREAM_STALL_TIMEOUT;
-        let piece = within(until, ConnectionEnd::Stalled, connection.read_chunk(remaining))
+        let deadline = Instant::now() + STREAM_STALL_TIMEOUT;
+        let piece = within(deadline, ConnectionEnd::Stalled, connection.read_chunk(remaining))
             .await
             .map_err(AttemptFailure::unanswered)?;
         remaining -= piece.len();
-        // The client's task takes a piece once it has written the one before: a slow client slows the server down.
+        // The client's task takes a piece after it has written the previous one, so a slow client slows the server down.
         pieces.send(Piece::Bytes(piece)).await.map_err(client_gone)?;
     }
-    // The value is complete as soon as its line end has come; its client does not wait for what follows.
+    // The value is complete once its line end has arrived. The client does not wait for the items that follow.
     let line_end = |bytes: &[u8]| match bytes {
         [b'\r', b'\n', ..] => Ok(Some(((), 0))),
         [] | [b'\r'] => Ok(None),
-        _ => Err("a value does not end where it should"),
+        _ => Err("a value has no line end after its last byte"),
     };
-    let until = Instant::now() + STREAM_STALL_TIMEOUT;
-    connection.message(line_end, until, STREAM_STALL_TIMEOUT).await.map_err(AttemptFailure::unanswered)?;
+    let deadline = Instant::now() + STREAM_STALL_TIMEOUT;
+    connection.message(line_end, deadline, STREAM_STALL_TIMEOUT).await.map_err(AttemptFailure::unanswered)?;
     pieces.send(Piece::End).await.map_err(client_gone)
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! The actor of one server: the attempts and health checks there, each on a connection of its own.
+//! The actor of one server. It runs the attempts and health checks there, each on its own connection.
 //!
-//! An attempt is cancelled by closing its connection, so that no other exchange is disturbed. The actor carries out orders of
-//! the dispatcher; it never chooses a server, and never retries.
+//! An attempt is cancelled by closing its connection, so that no other exchange is affected. The actor performs the orders of the
+//! dispatcher. It never chooses a server and never retries.
 
 mod duplicate;
 mod exchange;
@@ -25,27 +25,27 @@
 use crate::transport::clock::{micros, DeadlineTimer};
 use crate::transport::ending::ConnectionEnd;
 
-/// How often idle connections that can't be used again are closed.
+/// How often idle connections that can't be reused are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An order of the dispatcher.
 pub enum Order {
-    /// Forward a call. It ends with an [`Event::AttemptCompleted`].
+    /// Forward a call. The attempt ends with an [`Event::AttemptCompleted`].
     Attempt {
         call: Rc<Call>,
         /// The attempt's number within its request, from 0.
         attempt: usize,
-        /// From `created_at` on, in microseconds.
+        /// How long the attempt may take from `created_at` on, in microseconds.
         limit: Micros,
         created_at: Instant,
     },
-    /// Cancel an attempt; does nothing where it has ended.
+    /// Cancel an attempt. Has no effect if the attempt has ended.
     Cancel { request: Id, attempt: usize },
-    /// Ask the server whether it is there. It ends with an [`Event::HealthCheckCompleted`].
+    /// Send a health check. It ends with an [`Event::HealthCheckCompleted`].
     CheckHealth,
-    /// Close the connections that are idle.
+    /// Close the idle connections.
     CloseIdle,
-    /// The server has another address from now on.
+    /// Use another address of the server from now on.
     ChangeAddress(SocketAddr),
 }
 
@@ -63,29 +63,29 @@
     server: Id,
     pool: ConnectionPool,
     attempts: RefCell<HashMap<AttemptKey, RunningAttempt>>,
-    /// Whether the last value that was compared with the one before it on its connection equalled that.
-    values_repeat: Cell<bool>,
+    /// Whether the last value that was compared with the previous value on its connection was equal to it.
+    last_value_repeated: Cell<bool>,
     shared: Rc<Shared>,
     events: Sender<Event>,
 }
 
-/// What the actor handles next.
+/// The next input of the actor.
 enum Input {
     Order(Order),
-    /// Idle connections are to be looked at.
+    /// It is time to close the idle connections that can't be reused.
     Sweep,
-    /// No more orders will come.
+    /// The mailbox is closed.
     Closed,
 }
 
-/// Starts the actor of a server. It ends once its mailbox is closed; attempts in flight then end on their own.
+/// Starts the actor of a server. The actor ends once its mailbox is closed. Attempts in flight then go on until they end.
 pub fn start(shared: &Rc<Shared>, events: &Sender<Event>, server: &Id, address: SocketAddr) -> Sender<Order> {
     let (orders, mailbox) = async_channel::bounded(MAX_QUEUED_ORDERS);
     let upstream = Rc::new(Upstream {
         server: server.clone(),
         pool: ConnectionPool::new(shared.clone(), address),
         attempts: RefCell::default(),
-        values_repeat: Cell::default(),
+        last_value_repeated: Cell::default(),
         shared: shared.clone(),
         events: events.clone(),
     });
@@ -136,7 +136,7 @@
     fn start_attempt(self: &Rc<Self>, call: Rc<Call>, attempt: usize, limit: Micros, created_at: Instant) {
         let key = (call.request.id.clone(), attempt);
         let upstream = self.clone();
-        // What the order waited for this process is not the server's time.
+        // The time that the order waited in the mailbox is not attributed to the server.
         let began_at = Instant::now();
         let task =
             self.shared.executor.spawn(upstream.run_attempt(call, attempt, limit, created_at, began_at));
@@ -153,7 +153,7 @@
     ) {
         let served = self.forward(&call, attempt, limit, created_at).await;
         let request = call.request.id.clone();
-        // Danger: an attempt that were still listed here could be cancelled now, and would be completed twice.
+        // Removes the attempt first, so that it can't be cancelled any more and be reported twice.
         if let Some(attempt) = self.attempts.borrow_mut().remove(&(request.clone(), attempt)) {
             attempt.task.detach();
         }
@@ -165,7 +165,7 @@
         drop(self.events.send(Event::AttemptCompleted(completed)).await);
     }
 
-    /// Closes the attempt's connection, and only then reports its end.
+    /// Closes the attempt's connection, and then reports the end of the attempt.
     async fn cancel_attempt(&self, request: Id, attempt: usize) {
         let running = self.attempts.borrow_mut().remove(&(request.clone(), attempt));
         let Some(RunningAttempt { task, began_at }) = running else { return };
@@ -178,7 +178,7 @@
             elapsed: micros(began_at.elapsed()),
             read_delay: 0,
         };
-        // Danger: the dispatcher waits for this actor's mailbox at times, so this actor must never wait for the dispatcher's.
+        // The dispatcher sometimes waits for this actor's mailbox. Waiting for the dispatcher's mailbox here could deadlock.
         let events = self.events.clone();
         let report = async move { drop(events.send(Event::AttemptCompleted(completed)).await) };
         self.shared.executor.spawn(report).detach();
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,7 +1,7 @@
-//! The connections to one server that are idle, and new ones.
+//! The connection pool of one server.
 //!
-//! The pool decides which connection is safe to use again and for how long one is retained. It neither writes nor reads on
-//! them: that is the business of [`exchange`](super::exchange).
+//! The pool opens connections, and decides which idle connection can be reused and how long idle connections are kept.
+//! [`exchange`](super::exchange) writes to and reads from them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,31 +17,32 @@
 use crate::transport::connection::Connection;
 use crate::transport::ending::ConnectionEnd;
 
-/// How long a connection rests after each reply. A duplicate of the reply that comes meanwhile is seen on the idle connection,
-/// which is then closed; one that comes later is recognised by [`duplicate`](super::duplicate).
-const REST_AFTER_REPLY: Duration = Duration::from_millis(20);
-/// Part of the platform's idle timeout for which a connection is retained at most: later the server may close it while an
-/// attempt is on its way.
+/// How long a connection stays idle after a reply before it is reused. If a duplicate of the reply arrives in this time, the idle
+/// connection is closed. A later duplicate is recognized by [`duplicate`](super::duplicate).
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
+/// The fraction of the platform's idle timeout for which an idle connection is kept at most. Later the server may close the
+/// connection while an attempt is being sent.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
-/// Where a connection breaks under an attempt after it was idle, something on the path drops idle connections earlier than the
-/// platform's timeout. The limit falls to the time that this one was idle, divided by this.
+/// If a connection that was idle breaks during an attempt, something on the path drops idle connections earlier than the
+/// platform's timeout. The idle limit is then set to the connection's idle time, divided by this.
 const EARLY_CLOSE_DIVISOR: u32 = 2;
-/// What the limit regains with each reply.
+/// How much the idle limit grows again with each reply.
 const IDLE_LIMIT_RECOVERY: Duration = Duration::from_millis(2);
 
-/// A connection for one exchange.
+/// A connection that was taken from the pool for one exchange.
 pub(super) struct Checkout {
     pub(super) connection: Connection,
-    /// How long it was idle; none where it is new.
+    /// How long the connection was idle; none if it is new.
     pub(super) idle_for: Option<Duration>,
 }
 
+/// The idle connections to one server, and the address for new ones.
 pub(super) struct ConnectionPool {
     shared: Rc<Shared>,
     address: Cell<SocketAddr>,
-    /// In the order of their last use.
+    /// The idle connections, least recently used first.
     idle: RefCell<Vec<Connection>>,
-    /// How long a connection may be idle and still be used.
+    /// How long a connection may be idle and still be reused.
     idle_limit: Cell<Duration>,
 }
 
@@ -51,12 +52,13 @@
         ConnectionPool { shared, address: Cell::new(address), idle: RefCell::default(), idle_limit }
     }
 
-    /// Uses another address from now on; connections to the former one are not used again.
+    /// Uses another address from now on. Connections to the previous address are not reused.
     pub(super) fn change_address(&self, address: SocketAddr) {
         self.address.set(address);
         self.close_idle();
     }
 
+    /// Whether a connection was opened to the current address.
     pub(super) fn is_connected(&self, connection: &Connection) -> bool {
         connection.is_connected_to(self.address.get())
     }
@@ -69,18 +71,18 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the idle connections that can't be used again.
+    /// Closes the idle connections that can't be reused.
     pub(super) fn sweep(&self) {
         self.idle.borrow_mut().retain(|connection| self.is_reusable(connection));
     }
 
-    /// An idle connection, or else a new one.
+    /// Takes an idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// [`ConnectionEnd::NoDescriptor`] where no descriptor is left, else the way in which the dial failed.
+    /// [`ConnectionEnd::NoDescriptor`] if no descriptor is left, else why the connection was not established.
     pub(super) async fn acquire(&self) -> Result<Checkout, ConnectionEnd> {
-        match self.take_rested() {
+        match self.take_reusable() {
             Some(connection) => {
                 let idle_for = Some(connection.last_used.elapsed());
                 Ok(Checkout { connection, idle_for })
@@ -89,17 +91,18 @@
         }
     }
 
-    /// Takes a connection back, and closes it unless it can be used again and descriptors are left for other servers.
+    /// Returns a connection to the pool. Closes the connection unless it can be reused and enough descriptors are left for other
+    /// servers.
     pub(super) fn release(&self, mut connection: Connection) {
-        let owes_nothing = connection.buffer.is_empty() && !connection.fence_pending;
-        let is_reusable = owes_nothing && !connection.desynchronized && self.is_connected(&connection);
+        let is_drained = connection.buffer.is_empty() && !connection.fence_pending;
+        let is_reusable = is_drained && !connection.desynchronized && self.is_connected(&connection);
         if is_reusable && self.shared.limits.servers.is_mostly_free() {
             connection.last_used = Instant::now();
             self.idle.borrow_mut().push(connection);
         }
     }
 
-    /// Adjusts the idle limit by the end of an exchange, on a connection that had been idle for so long.
+    /// Adjusts the idle limit after an exchange on a connection that had been idle for `idle_for`.
     pub(super) fn adjust_idle_limit<T>(&self, idle_for: Option<Duration>, end: &Result<T, AttemptFailure>) {
         match (idle_for, end) {
             (_, Ok(_)) => {
@@ -114,21 +117,21 @@
         }
     }
 
-    /// Whether an idle connection is open, and young enough that the server won't close it under an attempt.
+    /// Whether an idle connection is open and has not been idle for so long that the server may close it during an attempt.
     fn is_reusable(&self, connection: &Connection) -> bool {
         connection.last_used.elapsed() < self.idle_limit.get() && connection.has_no_input()
     }
 
-    /// The reusable connection used last, so that those not needed any more grow old.
-    fn take_rested(&self) -> Option<Connection> {
+    /// Takes the most recently used connection that can be reused, so that surplus connections reach the idle limit.
+    fn take_reusable(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        // One reading of the clock for all: a reading for each connection would cost more than the search.
+        // The clock is read once: a reading for each connection would cost more than the search.
         let now = Instant::now();
-        let mut rested =
-            idle.partition_point(|connection| now.duration_since(connection.last_used) >= REST_AFTER_REPLY);
-        while rested > 0 {
-            rested -= 1;
-            let connection = idle.remove(rested);
+        let mut candidates = idle
+            .partition_point(|connection| now.duration_since(connection.last_used) >= MIN_IDLE_BEFORE_REUSE);
+        while candidates > 0 {
+            candidates -= 1;
+            let connection = idle.remove(candidates);
             if self.is_reusable(&connection) {
                 return Some(connection);
             }
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -1,4 +1,4 @@
-//! A gateway whose one thread stands still for a while, among servers and clients that don't.
+//! A gateway whose single thread is stalled for a while, with servers and clients that keep running.
 
 mod support;
 
@@ -28,14 +28,14 @@
 
 const SERVERS: usize = 3;
 const CLIENTS: usize = 8;
-/// What each server takes for a call.
+/// How long each server takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// So many calls of each client teach the gateway how fast its servers are.
+/// Calls of each client before a stall. From these the gateway learns the latency of its servers.
 const ROUNDS_BEFORE: usize = 20;
-/// What a client waits.
-const CLIENT_TIME: Duration = Duration::from_millis(1_200);
-/// Far shorter than a client waits.
-const STANDSTILL: Duration = Duration::from_millis(300);
+/// How long a client waits for an answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The length of a stall, far shorter than [`CLIENT_TIMEOUT`].
+const STALL: Duration = Duration::from_millis(300);
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 fn platform() -> PlatformSettings {
@@ -85,23 +85,23 @@
     Rc::new(support::shared(platform()))
 }
 
-/// Servers with a thread of their own for each connection.
+/// Servers with one thread for each connection.
 #[derive(Clone)]
 struct Servers {
     addresses: Vec<SocketAddr>,
-    /// The calls that have come to all of them.
+    /// The number of calls that all servers have received.
     calls: Arc<AtomicUsize>,
-    /// What each of them takes for a call, in milliseconds.
+    /// How long each server takes for a call, in milliseconds.
     service_time_ms: Arc<AtomicU64>,
-    /// The call that came last, as it was written.
+    /// The bytes of the call that was received last.
     last_call: Arc<Mutex<String>>,
-    /// The length of the values that they answer with.
+    /// The length of the values in replies.
     value_length: usize,
-    /// Calls are answered only while this is open.
+    /// While the gate is closed, calls are not answered.
     gate: Arc<Gate>,
 }
 
-/// Holds threads up while it is closed.
+/// Blocks threads while it is closed.
 #[derive(Default)]
 struct Gate {
     closed: Mutex<bool>,
@@ -118,7 +118,7 @@
         self.opened.notify_all();
     }
 
-    /// Waits until it is open.
+    /// Waits until the gate is open.
     fn pass(&self) {
         let closed = self.closed.lock().expect("the gate");
         drop(self.opened.wait_while(closed, |closed| *closed).expect("the gate"));
@@ -139,11 +139,11 @@
             value_length,
             gate: Arc::default(),
         };
-        servers.addresses = (0..count).map(|_| servers.start_one()).collect();
+        servers.addresses = (0..count).map(|_| servers.start_server()).collect();
         servers
     }
 
-    fn start_one(&self) -> SocketAddr {
+    fn start_server(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let servers = self.clone();
@@ -156,16 +156,16 @@
         address
     }
 
-    /// Answers the commands of a connection in their order, `SELECT` at once, until it ends.
+    /// Answers the commands on a connection in order until the connection ends. Answers `SELECT`, the fence, without delay.
     fn answer(&self, stream: &mut TcpStream) {
-        let (mut bytes, mut part) = (Vec::new(), [0; 1024]);
-        while let Ok(count @ 1..) = stream.read(&mut part) {
-            bytes.extend_from_slice(&part[..count]);
-            while let Some((words, length)) = resp::command(&bytes).expect("a command in good form") {
-                // All values are equal here, so that the gateway has it answered behind each call.
-                let is_select = words[0] == b"SELECT";
+        let (mut bytes, mut chunk) = (Vec::new(), [0; 1024]);
+        while let Ok(count @ 1..) = stream.read(&mut chunk) {
+            bytes.extend_from_slice(&chunk[..count]);
+            while let Some((words, length)) = resp::command(&bytes).expect("a valid command") {
+                // All values are equal here, so the gateway writes a fence after each call.
+                let is_fence = words[0] == b"SELECT";
                 let command: Vec<u8> = bytes.drain(..length).collect();
-                let answer = if is_select { "+OK\r\n".into() } else { self.answer_call(&command) };
+                let answer = if is_fence { "+OK\r\n".into() } else { self.answer_call(&command) };
                 let _ = stream.write_all(answer.as_bytes());
             }
         }
@@ -185,7 +185,7 @@
     }
 }
 
-fn list(addresses: &[SocketAddr]) -> EndpointUpdate {
+fn endpoint_list(addresses: &[SocketAddr]) -> EndpointUpdate {
     let listed = |(at, address): (usize, &SocketAddr)| {
         let endpoint = Endpoint {
             server: Id::from(format!("s{at}")),
@@ -203,43 +203,45 @@
     EndpointUpdate { index: 1, full: true, moved: false, servers }
 }
 
-/// A gateway on this thread: where the thread sleeps, all of its tasks stand still.
+/// A gateway on this thread. While the thread sleeps, all tasks of the gateway are stalled.
 struct Gateway {
     shared: Rc<Shared>,
     events: Sender<Event>,
 }
 
 impl Gateway {
-    /// Runs some work beside a gateway of these servers.
+    /// Runs `work` with a gateway that uses these servers.
     fn run<T>(servers: &Servers, work: impl AsyncFnOnce(Gateway) -> T) -> T {
         let shared = shared();
         let (events, mailbox) = async_channel::bounded(256);
         let (_operators, operator_mailbox) = async_channel::bounded(1);
         let (discovery, _discovery_mailbox) = async_channel::bounded(1);
         let dispatcher = Dispatcher::new(&shared, settings(), &events, None, discovery);
-        let list = list(&servers.addresses);
+        let list = endpoint_list(&servers.addresses);
         shared.executor.spawn(dispatcher.run(Some(list), mailbox, operator_mailbox)).detach();
         let gateway = Gateway { shared: shared.clone(), events };
         async_io::block_on(shared.executor.run(work(gateway)))
     }
 
-    /// Has so many clients ask at once that wait so long.
-    fn ask(&self, clients: usize, client_time: Duration) -> Vec<Task<FinalAnswer>> {
-        let ask = |_| self.shared.executor.spawn(ask(self.shared.clone(), self.events.clone(), client_time));
-        (0..clients).map(ask).collect()
+    /// Sends a request from each of `clients` clients at once. Each waits for `client_timeout`.
+    fn send_requests(&self, clients: usize, client_timeout: Duration) -> Vec<Task<FinalAnswer>> {
+        let request = |_| {
+            self.shared.executor.spawn(send_request(self.shared.clone(), self.events.clone(), client_timeout))
+        };
+        (0..clients).map(request).collect()
     }
 
-    /// Has all clients ask so often, all at once each time; how many were not served.
+    /// Sends requests from all clients at once, `rounds` times. Returns how many were not served.
     async fn rounds(&self, rounds: usize) -> usize {
-        let mut refusals = 0;
+        let mut unserved = 0;
         for _ in 0..rounds {
-            refusals += refused(self.ask(CLIENTS, CLIENT_TIME)).await;
+            unserved += count_unserved(self.send_requests(CLIENTS, CLIENT_TIMEOUT)).await;
         }
-        refusals
+        unserved
     }
 
-    /// Stands still once so many calls have come to the servers in all. Calls that they held up are answered from then on.
-    async fn stand_still(&self, servers: &Servers, calls: usize, time: Duration) {
+    /// Waits until the servers have received `calls` calls in all, opens their gate, and stalls the gateway for `time`.
+    async fn stall_after(&self, servers: &Servers, calls: usize, time: Duration) {
         while servers.calls() < calls {
             Timer::after(POLL_INTERVAL).await;
         }
@@ -248,160 +250,161 @@
     }
 }
 
-/// What a client that waits so long is answered.
-async fn ask(shared: Rc<Shared>, events: Sender<Event>, client_time: Duration) -> FinalAnswer {
+/// Sends a request of a client that waits for `client_timeout`, and returns the answer.
+async fn send_request(shared: Rc<Shared>, events: Sender<Event>, client_timeout: Duration) -> FinalAnswer {
     let ticket = shared.next_ticket.get();
     shared.next_ticket.set(ticket + 1);
-    let (id, list) = (format!("t{ticket}"), format!("c=read,t=team,d={}", client_time.as_millis()));
+    let (id, list) = (format!("t{ticket}"), format!("c=read,t=team,d={}", client_timeout.as_millis()));
     let words = [&b"CALL.GET"[..], b"00000000b4d65521", id.as_bytes(), list.as_bytes()];
     let Ok(Command::Call(call)) = call::command(&words, &shared.platform) else { panic!("a call") };
     let (sender, replies) = async_channel::bounded(1);
-    let reservations = [&shared.limits.open, &shared.limits.bytes].map(|slots| slots.reserve(1).expect("a slot"));
+    let reservations =
+        [&shared.limits.open, &shared.limits.bytes].map(|slots| slots.reserve(1).expect("a slot"));
     let reply = ReplyHandle { ticket, number: 0, sender, reservations };
     let received = ReceivedRequest { call, reply, received_at: Instant::now() };
     events.send(Event::RequestReceived(received)).await.expect("the dispatcher runs");
     match replies.recv().await.expect("an answer").1 {
         FinalReply::Complete(answer) => answer,
-        FinalReply::Streamed(_) => panic!("a value that short is not streamed"),
+        FinalReply::Streamed(_) => panic!("a short value is not streamed"),
     }
 }
 
-/// How many were not served.
-async fn refused(asked: Vec<Task<FinalAnswer>>) -> usize {
-    let mut refused = 0;
+/// How many of the requests were not served.
+async fn count_unserved(asked: Vec<Task<FinalAnswer>>) -> usize {
+    let mut unserved = 0;
     for answer in asked {
-        refused += usize::from(!matches!(answer.await, FinalAnswer::Completed(_)));
+        unserved += usize::from(!matches!(answer.await, FinalAnswer::Completed(_)));
     }
-    refused
+    unserved
 }
 
-/// How many were refused before, during and after a standstill under a round of calls.
-fn refused_around(standstill: Duration, rounds_before: usize) -> [usize; 3] {
+/// How many requests were not served before, during and after a stall in the middle of a round of requests.
+fn unserved_around_stall(stall: Duration, rounds_before: usize) -> [usize; 3] {
     let servers = Servers::start(SERVERS);
     Gateway::run(&servers, async |gateway| {
         let before = gateway.rounds(rounds_before).await;
-        let during = gateway.ask(CLIENTS, CLIENT_TIME);
-        gateway.stand_still(&servers, (rounds_before + 1) * CLIENTS, standstill).await;
-        [before, refused(during).await, gateway.rounds(10).await]
+        let during = gateway.send_requests(CLIENTS, CLIENT_TIMEOUT);
+        gateway.stall_after(&servers, (rounds_before + 1) * CLIENTS, stall).await;
+        [before, count_unserved(during).await, gateway.rounds(10).await]
     })
 }
 
-/// Guards against requests shed after a short standstill of the gateway, which it took for overload of its servers.
+/// Guards against shedding requests after a short stall of the gateway, because the gateway takes the stall for overload of its
+/// servers.
 #[test]
-fn a_gateway_that_stood_still_for_a_moment_serves_what_it_served_before() {
+fn a_short_stall_costs_no_request_its_answer() {
     assert_eq!(
-        refused_around(STANDSTILL, ROUNDS_BEFORE),
+        unserved_around_stall(STALL, ROUNDS_BEFORE),
         [0, 0, 0],
-        "refused before, during and after the standstill"
+        "not served before, during and after the stall"
     );
 }
 
-/// The same for standstills of an eighth to three quarters of what clients wait.
+/// The same for stalls of an eighth to three quarters of the time that clients wait.
 #[test]
-fn a_gateway_that_stood_still_for_less_than_its_clients_wait_serves_what_it_served_before() {
-    for standstill in [150, 600, 900].map(Duration::from_millis) {
-        assert_eq!(refused_around(standstill, ROUNDS_BEFORE), [0, 0, 0], "a standstill of {standstill:?}");
+fn a_stall_that_is_shorter_than_the_client_timeout_costs_no_request_its_answer() {
+    for stall in [150, 600, 900].map(Duration::from_millis) {
+        assert_eq!(unserved_around_stall(stall, ROUNDS_BEFORE), [0, 0, 0], "a stall of {stall:?}");
     }
 }
 
-/// The same where nothing is known of the servers yet.
+/// The same before the gateway has measured its servers.
 #[test]
-fn a_gateway_that_stands_still_right_after_its_start_serves_all() {
-    assert_eq!(refused_around(STANDSTILL, 0), [0, 0, 0]);
+fn a_stall_right_after_the_start_costs_no_request_its_answer() {
+    assert_eq!(unserved_around_stall(STALL, 0), [0, 0, 0]);
 }
 
-/// The same where it happens on and on, for half of the time.
+/// The same for repeated stalls that take half of the time.
 #[test]
-fn a_gateway_that_stands_still_again_and_again_serves_all() {
+fn repeated_stalls_cost_no_request_its_answer() {
     let servers = Servers::start(SERVERS);
-    let standstill = Duration::from_millis(50);
-    let refusals = Gateway::run(&servers, async |gateway| {
-        let mut refusals = gateway.rounds(ROUNDS_BEFORE).await;
+    let stall = Duration::from_millis(50);
+    let unserved = Gateway::run(&servers, async |gateway| {
+        let mut unserved = gateway.rounds(ROUNDS_BEFORE).await;
         for _ in 0..20 {
-            let during = gateway.ask(CLIENTS, CLIENT_TIME);
-            gateway.stand_still(&servers, servers.calls() + CLIENTS, standstill).await;
-            refusals += refused(during).await;
-            Timer::after(standstill).await;
+            let during = gateway.send_requests(CLIENTS, CLIENT_TIMEOUT);
+            gateway.stall_after(&servers, servers.calls() + CLIENTS, stall).await;
+            unserved += count_unserved(during).await;
+            Timer::after(stall).await;
         }
-        refusals
+        unserved
     });
-    assert_eq!(refusals, 0);
+    assert_eq!(unserved, 0);
 }
 
-/// Guards against an answer that came in time, and is read late, losing to the timer that gives its request up.
+/// Guards against a reply that arrived in time, but is read late, losing to the timer that fails its request.
 #[test]
-fn an_answer_that_came_in_time_reaches_its_client_though_its_timer_has_expired() {
-    // Values that one read of the gateway's takes, and values that take several.
+fn a_reply_that_arrived_in_time_reaches_its_client_although_the_timer_has_expired() {
+    // Values that the gateway reads in one piece, and values that take several reads.
     for value_length in [1, 4_000, 40_000] {
         let servers = Servers::with_values(SERVERS, value_length);
-        let refusals = Gateway::run(&servers, async |gateway| {
+        let unserved = Gateway::run(&servers, async |gateway| {
             let before = gateway.rounds(ROUNDS_BEFORE).await;
-            let during = gateway.ask(CLIENTS, Duration::from_millis(300));
-            gateway.stand_still(&servers, (ROUNDS_BEFORE + 1) * CLIENTS, Duration::from_millis(400)).await;
-            [before, refused(during).await]
+            let during = gateway.send_requests(CLIENTS, Duration::from_millis(300));
+            gateway.stall_after(&servers, (ROUNDS_BEFORE + 1) * CLIENTS, Duration::from_millis(400)).await;
+            [before, count_unserved(during).await]
         });
-        assert_eq!(refusals, [0, 0], "values of {value_length} bytes");
+        assert_eq!(unserved, [0, 0], "values of {value_length} bytes");
     }
 }
 
-/// Guards against a request that waited through a standstill beyond its time being sent all the same, with an endless limit.
+/// Guards against forwarding a request whose deadline passed during a stall, without a time limit.
 #[test]
-fn a_request_whose_time_ran_out_in_a_standstill_is_sent_to_no_server() {
-    for (client_time, standstill) in [(300, 400), (200, 230), (200, 195)] {
+fn a_request_whose_deadline_passed_during_a_stall_is_sent_to_no_server() {
+    for (client_timeout, stall) in [(300, 400), (200, 230), (200, 195)] {
         let servers = Servers::start(1);
-        // Danger: an answer that is read before the standstill makes room for a call that waits.
+        // Otherwise a reply that is read before the stall would let a queued request through.
         servers.gate.close();
-        let (client_time, standstill) =
-            (Duration::from_millis(client_time), Duration::from_millis(standstill));
-        let refusals = Gateway::run(&servers, async |gateway| {
-            let during = gateway.ask(6, client_time);
-            gateway.stand_still(&servers, 4, standstill).await;
-            let refusals = refused(during).await;
+        let (client_timeout, stall) = (Duration::from_millis(client_timeout), Duration::from_millis(stall));
+        let unserved = Gateway::run(&servers, async |gateway| {
+            let during = gateway.send_requests(6, client_timeout);
+            gateway.stall_after(&servers, 4, stall).await;
+            let unserved = count_unserved(during).await;
             Timer::after(5 * SERVICE_TIME).await;
-            refusals
+            unserved
         });
         assert_eq!(
-            (refusals, servers.calls()),
+            (unserved, servers.calls()),
             (2, 4),
-            "{client_time:?} left, a standstill of {standstill:?}"
+            "a client timeout of {client_timeout:?}, a stall of {stall:?}"
         );
     }
 }
 
-/// Guards against requests that waited for a server through a standstill being given up for that wait, with servers free.
+/// Guards against rejecting requests for the time that they were queued during a stall, although servers are free.
 #[test]
-fn a_request_that_waited_through_a_standstill_is_served_where_servers_are_free() {
-    // A server that nothing is known of gets four; two more wait, for a quarter of the latency objective at the most.
+fn a_request_that_was_queued_during_a_stall_is_served_if_servers_are_free() {
+    // An unmeasured server gets four attempts. Two more requests are queued, for at most a quarter of the latency objective.
     let servers = Servers::start(1);
     servers.gate.close();
-    let refusals = Gateway::run(&servers, async |gateway| {
-        let during = gateway.ask(6, CLIENT_TIME);
-        gateway.stand_still(&servers, 4, Duration::from_millis(270)).await;
-        refused(during).await
+    let unserved = Gateway::run(&servers, async |gateway| {
+        let during = gateway.send_requests(6, CLIENT_TIMEOUT);
+        gateway.stall_after(&servers, 4, Duration::from_millis(270)).await;
+        count_unserved(during).await
     });
-    assert_eq!(refusals, 0);
+    assert_eq!(unserved, 0);
 }
 
-/// Guards against one moment in which all servers stand still counting as a long time of slow answers, one for each attempt that
-/// it held up: requests were rejected that idle servers could have answered.
+/// Guards against counting one stall of all servers as a long period of slow replies, once for each attempt that it delayed.
+/// Requests were rejected then that idle servers could have served.
 #[test]
-fn a_moment_in_which_all_servers_stand_still_costs_no_request_its_answer() {
-    for standstill in [150, 300].map(Duration::from_millis) {
+fn a_short_stall_of_all_servers_costs_no_request_its_answer() {
+    for stall in [150, 300].map(Duration::from_millis) {
         let servers = Servers::start(SERVERS);
-        let refusals = Gateway::run(&servers, async |gateway| {
+        let unserved = Gateway::run(&servers, async |gateway| {
             let before = gateway.rounds(ROUNDS_BEFORE).await;
-            servers.service_time_ms.store(standstill.as_millis() as u64, Ordering::SeqCst);
+            servers.service_time_ms.store(stall.as_millis() as u64, Ordering::SeqCst);
             let during = gateway.rounds(1).await;
             servers.service_time_ms.store(SERVICE_TIME.as_millis() as u64, Ordering::SeqCst);
             [before, during, gateway.rounds(10).await]
         });
-        assert_eq!(refusals, [0, 0, 0], "servers that stood still for {standstill:?}");
+        assert_eq!(unserved, [0, 0, 0], "servers that were stalled for {stall:?}");
     }
 }
 
-/// What a client is answered that asks a second time while the gateway stands still, and the time in milliseconds that the server
-/// was told to have. Something may happen right before the standstill.
-fn asked_in_a_standstill(standstill: Duration, before: impl FnOnce(&Shared, Sender<()>)) -> (String, u64) {
+/// Sends a client's second request while the gateway is stalled. Returns the answer, and the time limit in milliseconds that the
+/// server was told. `before` runs right before the stall.
+fn ask_during_stall(stall: Duration, before: impl FnOnce(&Shared, Sender<()>)) -> (String, u64) {
     let servers = Servers::start(1);
     let answer = Gateway::run(&servers, async |gateway| {
         let (stop_accepting, shutdown) = async_channel::bounded(1);
@@ -409,7 +412,7 @@
         let address = listener.get_ref().local_addr().expect("an address");
         let accepts = Listener::new(&gateway.shared, &gateway.events, shutdown);
         gateway.shared.executor.spawn(async move { accepts.run(&listener).await }).detach();
-        let (go_on, may_go_on) = mpsc::channel();
+        let (continue_sender, continue_receiver) = mpsc::channel();
         let (asked, answers) = async_channel::bounded(2);
         let client = thread::spawn(move || {
             let mut stream = TcpStream::connect(address).expect("connected");
@@ -419,54 +422,58 @@
                 stream.write_all(&resp::write_command(&words)).expect("written");
                 let count = stream.read(&mut answer).expect("an answer");
                 let text = String::from_utf8_lossy(&answer[..count]).into_owned();
-                asked.send_blocking(text).expect("heard");
-                let _ = may_go_on.recv();
+                asked.send_blocking(text).expect("the test waits");
+                let _ = continue_receiver.recv();
             }
         });
         answers.recv().await.expect("the first answer");
         before(&gateway.shared, stop_accepting);
-        go_on.send(()).expect("the client waits");
-        thread::sleep(standstill);
+        continue_sender.send(()).expect("the client waits");
+        thread::sleep(stall);
         let answer = answers.recv().await.expect("the second answer");
-        drop(go_on);
-        client.join().expect("it ends");
+        drop(continue_sender);
+        client.join().expect("the client ends");
         answer
     });
     let call = servers.last_call.lock().expect("the last call").clone();
-    let told = call.split("d=").nth(1).and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next());
-    (answer, told.and_then(|told| told.parse().ok()).expect("a time"))
+    let told_ms = call.split("d=").nth(1).and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next());
+    (answer, told_ms.and_then(|told_ms| told_ms.parse().ok()).expect("a time"))
 }
 
-/// Guards against a server being told more time than its client has left: more than 0.15 s over breaks the platform's rule.
+/// Guards against telling a server a longer time limit than its client has left. The platform's rule allows 0.15 s more.
 #[test]
-fn a_server_is_told_what_the_client_has_left_though_its_request_was_read_late() {
-    let (answer, told) = asked_in_a_standstill(Duration::from_millis(500), |_, _| {});
+fn a_server_is_told_the_clients_remaining_time_although_the_request_was_read_late() {
+    let (answer, told_ms) = ask_during_stall(Duration::from_millis(500), |_, _| {});
     assert_eq!(answer, "$1\r\nv\r\n");
-    assert!(told <= 1_200 - 500 + 150, "{told} ms");
+    assert!(told_ms <= 1_200 - 500 + 150, "{told_ms} ms");
 }
 
-/// Guards against a request rejected as too late in a shutdown that came at its very beginning, and was read after a standstill.
+/// Guards against rejecting a request as too late in a graceful shutdown, although it arrived at the shutdown's beginning and was
+/// only read late, after a stall.
 #[test]
-fn a_request_that_came_early_in_a_shutdown_is_served_though_it_is_read_late() {
-    let (answer, _) = asked_in_a_standstill(Duration::from_millis(900), |shared, stop_accepting| {
+fn a_request_that_arrived_early_in_a_shutdown_is_served_although_it_is_read_late() {
+    let (answer, _) = ask_during_stall(Duration::from_millis(900), |shared, stop_accepting| {
         shared.shutting_down_since.set(Some(Instant::now()));
         stop_accepting.close();
     });
     assert_eq!(answer, "$1\r\nv\r\n");
 }
 
-/// Guards against a dial that was answered while the gateway stood still passing for one that nobody answered.
+/// Guards against treating a connection that was established during a stall as a connect timeout.
 #[test]
-fn a_connection_that_was_established_in_a_standstill_is_used() {
+fn a_connection_that_was_established_during_a_stall_is_used() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let limit = Duration::from_millis(50);
     let connected = async_io::block_on(async {
-        // Danger: after a standstill another thread looks at the sockets, and the dial is told of its end one look late.
+        // Waits once first: otherwise another thread polls the sockets after the stall, and the dial is notified one poll late.
         Timer::after(POLL_INTERVAL).await;
         thread::sleep(2 * limit);
         let mut dial = pin!(Connection::connect(address, limit, Buffer::new(1_024, None), None));
-        assert!(future::poll_once(&mut dial).await.is_none(), "a dial takes a turn of the event loop");
+        assert!(
+            future::poll_once(&mut dial).await.is_none(),
+            "connecting takes an iteration of the event loop"
+        );
         thread::sleep(2 * limit);
         dial.await.is_ok()
     });
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of single actors share: the state that all actors of a gateway read.
+//! The shared state of a gateway, for tests that run a single actor.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use fernscale_gateway::transport::limits::Limits;
 use fernscale_policy::settings::PlatformSettings;
 
-/// A gateway that is ready, alone, and writes no log, on this platform.
+/// The state of a gateway that is ready, is not part of a fleet and discards its log.
 pub fn shared(platform: PlatformSettings) -> Shared {
     Shared {
         executor: Rc::new(LocalExecutor::new()),
