--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -191,9 +191,7 @@
                 }
                 let _ = done.try_send(is_known);
             }
-            operator::Order::CordonFromProcess { server, lifted_at: uncordoned_at } => {
-                self.set_cordon(&server, uncordoned_at)
-            }
+            operator::Order::CordonFromProcess { server, lifted_at: at } => self.set_cordon(&server, at),
             operator::Order::ProcessShare(share) => self.engine.set_process_share(share),
         }
     }
--- a/crates/gateway/src/upstream/duplicate.rs
+++ b/crates/gateway/src/upstream/duplicate.rs
@@ -134,9 +134,9 @@
     async fn release_after_fence(&self, mut connection: Connection) {
         let timeout = self.message_timeout();
         let scan = |bytes: &[u8]| match resp::reply(bytes)? {
-            Some(_) => fence_reply(bytes)
-                .map(|length| Some(((), length)))
-                .ok_or("unexpected reply after the call's reply"),
+            Some(_) => {
+                fence_reply(bytes).map(|length| Some(((), length))).ok_or("unexpected reply to the fence")
+            }
             None => Ok(None),
         };
         if connection.message(scan, Instant::now() + timeout, timeout).await.is_ok() {
--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -576,7 +576,7 @@
     };
     let outcome = async_io::block_on(shared.executor.run(outcome));
     drop((orders, shared));
-    (outcome, server.join().expect("it ends"))
+    (outcome, server.join().expect("the thread ends"))
 }
 
 #[test]
@@ -636,7 +636,7 @@
             (&accepted).read(&mut [0; 1024]).expect("the end of the connection, or bytes")
         });
         let Event::AttemptCompleted(completed) = event_mailbox.recv().await.expect("the actor runs") else {
-            panic!("another")
+            panic!("another event")
         };
         drop(completed.request);
         let outcome = attempt_outcome(&completed.end);
@@ -649,7 +649,7 @@
     };
     let (outcome, server) = async_io::block_on(shared.executor.run(outcome));
     drop((orders, shared));
-    (outcome, server.join().expect("it ends"))
+    (outcome, server.join().expect("the thread ends"))
 }
 
 #[test]
@@ -815,7 +815,7 @@
             thread::sleep(Duration::from_millis(stall_ms));
             let Event::AttemptCompleted(completed) = event_mailbox.recv().await.expect("the actor runs")
             else {
-                panic!("another")
+                panic!("another event")
             };
             // A connection that was established too late for the attempt is kept idle. It is closed so that the server sees that
             // it received nothing.
@@ -862,7 +862,7 @@
                 None
             });
         let end = async_io::block_on(end);
-        let delay = ends.join().expect("it ends").elapsed();
+        let delay = ends.join().expect("the thread ends").elapsed();
         assert!(matches!(end, Some(Err(ConnectionEnd::Closed | ConnectionEnd::IoError))), "{end:?}");
         assert!(delay < Duration::from_millis(300), "noticed after {delay:?}");
     }
