--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -14,7 +14,7 @@
 use futures_lite::future::{self, BoxedLocal};
 use slog::{info, warn};
 
-use crate::outcome::{AttemptFailure, CounterTotal};
+use crate::outcome::{AttemptFailure, CounterAnswer};
 use crate::protocol::resp::{self, Reply};
 use crate::shared::{Event, Shared, MAX_QUEUED_EVENTS};
 use crate::transport::buffer::Buffer;
@@ -325,21 +325,21 @@
         self.report(update.key, Err(AttemptFailure::unsent(end)), update.created_at).await;
     }
 
-    async fn report(&self, key: Box<str>, end: Result<CounterTotal, AttemptFailure>, created_at: Instant) {
+    async fn report(&self, key: Box<str>, end: Result<CounterAnswer, AttemptFailure>, created_at: Instant) {
         let elapsed = micros(created_at.elapsed());
         drop(self.events.send(Event::CounterReplied { key, end, elapsed }).await);
     }
 }
 
 /// What an answer says; none where it is malformed.
-fn total_of(reply: &Reply) -> Option<CounterTotal> {
+fn total_of(reply: &Reply) -> Option<CounterAnswer> {
     match reply {
         Reply::Bulk(Some(total)) => {
             let total: f64 = std::str::from_utf8(total).ok()?.parse().ok()?;
-            total.is_finite().then_some(CounterTotal::Total(total))
+            total.is_finite().then_some(CounterAnswer::Total(total))
         }
-        Reply::Error(line) if line.starts_with(b"BUSY") => Some(CounterTotal::Full),
-        Reply::Error(_) => Some(CounterTotal::Error),
+        Reply::Error(line) if line.starts_with(b"BUSY") => Some(CounterAnswer::Overloaded),
+        Reply::Error(_) => Some(CounterAnswer::Error),
         _ => None,
     }
 }
--- a/crates/gateway/src/dispatcher/counter_calls.rs
+++ b/crates/gateway/src/dispatcher/counter_calls.rs
@@ -13,7 +13,7 @@
 use slog::info;
 
 use crate::counter::CounterUpdate;
-use crate::outcome::{CounterCallEnd, CounterTotal};
+use crate::outcome::{CounterAnswer, CounterCallEnd};
 use crate::shared::{Event, Shared};
 
 /// Sends updates to the counter actor, and replaces its replies by gossip totals while the counter service is lost.
@@ -44,7 +44,7 @@
             match monitor.add(now, &update.key, update.amount, update.lifetime, known_total) {
                 AddStep::Forward(amount) => update.amount = amount,
                 AddStep::Reply(total) => {
-                    let end = Ok(CounterTotal::Total(total));
+                    let end = Ok(CounterAnswer::Total(total));
                     return Some(Event::GossipTotalKnown { key: update.key, end });
                 }
             }
@@ -58,7 +58,7 @@
         match self.mailbox.as_ref()?.try_send(update) {
             Ok(()) => None,
             Err(TrySendError::Full(update) | TrySendError::Closed(update)) => {
-                let end = Ok(CounterTotal::Full);
+                let end = Ok(CounterAnswer::Overloaded);
                 Some(Event::CounterReplied { key: update.key, end, elapsed: 0 })
             }
         }
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -9,11 +9,11 @@
 
 /// The counter's answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CounterTotal {
+pub enum CounterAnswer {
     /// The update was applied. The value is the counter's new total.
     Total(f64),
     /// The counter is overloaded and applied nothing.
-    Full,
+    Overloaded,
     /// The counter rejected the call and applied nothing.
     Error,
 }
@@ -116,11 +116,11 @@
 /// - nothing was added;
 /// - the amount may have been added, and the counter was too slow ([`Outcome::TimedOut`]);
 /// - the amount may have been added, and the answer was malformed or lost with the connection ([`Outcome::Error`]).
-pub fn counter_call_end(end: &Result<CounterTotal, AttemptFailure>) -> CounterCallEnd {
+pub fn counter_call_end(end: &Result<CounterAnswer, AttemptFailure>) -> CounterCallEnd {
     let failed = |outcome| CounterCallEnd { outcome, total: 0.0 };
     match end {
-        Ok(CounterTotal::Total(total)) => CounterCallEnd { outcome: Outcome::Ok, total: *total },
-        Ok(CounterTotal::Full | CounterTotal::Error) => failed(Outcome::Overloaded),
+        Ok(CounterAnswer::Total(total)) => CounterCallEnd { outcome: Outcome::Ok, total: *total },
+        Ok(CounterAnswer::Overloaded | CounterAnswer::Error) => failed(Outcome::Overloaded),
         Err(AttemptFailure { how: ConnectionEnd::TimedOut, written: true }) => failed(Outcome::TimedOut),
         Err(failure) if failure.written => failed(Outcome::Error),
         Err(failure) => failed(failure.outcome()),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -17,7 +17,7 @@
 use crate::discovery::{draining, start_times};
 use crate::fleet::{leases, membership, outlier_detection, subsetting};
 use crate::operator::metrics;
-use crate::outcome::{AttemptFailure, CounterTotal};
+use crate::outcome::{AttemptFailure, CounterAnswer};
 use crate::protocol::call::{Call, FinalAnswer, ServerReply};
 use crate::protocol::catalog::EndpointUpdate;
 use crate::transport::clock::Clock;
@@ -135,7 +135,7 @@
         /// The counter's key.
         key: Box<str>,
         /// The total, or why there is none.
-        end: Result<CounterTotal, AttemptFailure>,
+        end: Result<CounterAnswer, AttemptFailure>,
         /// How long the call took, in microseconds.
         elapsed: Micros,
     },
@@ -144,7 +144,7 @@
         /// The counter's key.
         key: Box<str>,
         /// The total, or why there is none.
-        end: Result<CounterTotal, AttemptFailure>,
+        end: Result<CounterAnswer, AttemptFailure>,
     },
     /// From now on calls to the shared counter go to this actor, or to none.
     CounterReplaced(Option<Sender<counter::CounterUpdate>>),
