--- a/crates/gateway/tests/actors.rs
+++ b/crates/gateway/tests/actors.rs
@@ -348,16 +348,16 @@
 #[test]
 fn a_list_is_received_within_half_a_second_of_an_agents_return() {
     // The agent answers no request that it received before its return. It is silent from the start, or after a first answer.
-    for speaks_first in [false, true] {
+    for answers_first in [false, true] {
         let began = Instant::now();
         let (silent_from, returns_at) =
             (began + Duration::from_millis(300), began + Duration::from_millis(6_000));
         let (address, requests) = start_agent(move |_, path| {
             let now = Instant::now();
-            let first = speaks_first && now < silent_from && path.contains("since=3");
+            let first = answers_first && now < silent_from && path.contains("since=3");
             (first || now >= returns_at).then(|| (0, changes(if first { 4 } else { 5 })))
         });
-        let reported = follow_agent(address, 1 + usize::from(speaks_first));
+        let reported = follow_agent(address, 1 + usize::from(answers_first));
         let (index, received) = *reported.last().expect("a list");
         let delay = received.saturating_duration_since(returns_at);
         assert!(index == 5 && received >= returns_at && delay < Duration::from_millis(450), "{delay:?} late");
@@ -496,8 +496,8 @@
             (leaving, failed, index),
             (expected.iter().map(std::string::ToString::to_string).collect(), 1, 6)
         );
-        let since: Vec<String> = requests.iter().take(2).map(|(_, path)| path).collect();
-        assert!(since.iter().all(|path| path.starts_with("/catalog/members?since=3&")), "{since:?}");
+        let paths: Vec<String> = requests.iter().take(2).map(|(_, path)| path).collect();
+        assert!(paths.iter().all(|path| path.starts_with("/catalog/members?since=3&")), "{paths:?}");
     }
 }
 
