--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admit, wait or shed: the decision on one request by quota, deadline and ceiling, and who waits for the counter.
+//! Decides whether one request is admitted, by quota, deadline and hard ceiling, and keeps the requests that
+//! wait for a reply of the shared counter.
 
 use crate::concurrency_limit::Utilization;
 use crate::deadline::DEADLINE_MARGIN;
@@ -6,35 +7,35 @@
 use crate::rejection::RejectReason;
 use crate::settings::Plan;
 
-/// Utilization up to which a request beyond its quota may be forwarded, where the plan pays for it.
+/// Highest utilization at which a request beyond its quota may be forwarded, if the plan makes that profitable.
 const MAX_EXCESS_UTILIZATION: f64 = 0.7;
 
-/// What the decision on one request goes by.
+/// The inputs of the decision on one request.
 pub struct AdmissionCheck<'a> {
     /// The tenant's plan.
     pub plan: &'a Plan,
     /// The request is within its quota.
     pub within_quota: bool,
-    /// This gateway's part of the ceiling holds its units.
+    /// This gateway's share of the hard ceiling has enough tokens for the request's units.
     pub within_ceiling: bool,
     /// The utilization of the servers in use.
     pub utilization: Utilization,
-    /// Other requests wait for a server.
+    /// Other requests are queued.
     pub queue_waits: bool,
-    /// The usual latency of its class, in microseconds.
+    /// The usual latency of the request's class, in microseconds.
     pub usual_latency: f64,
     /// The client's deadline.
     pub deadline: Micros,
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
 impl AdmissionCheck<'_> {
-    /// Whether the request may wait for a server.
+    /// Checks whether the request may be queued for a server.
     ///
     /// # Errors
     ///
-    /// The reason of its rejection, where it may not.
+    /// The reason for rejecting the request.
     pub fn decide(&self) -> Result<(), RejectReason> {
         if !self.within_quota && !self.admits_excess() {
             return Err(RejectReason::OverQuota);
@@ -48,7 +49,8 @@
         Ok(())
     }
 
-    /// Whether requests beyond the quota are forwarded: it pays, and no other request has to wait for it.
+    /// Whether requests beyond the quota are forwarded: only if the plan makes that profitable, and no other
+    /// request has to wait for it.
     fn admits_excess(&self) -> bool {
         let pays = self.plan.excess_value > self.plan.excess_cost;
         let is_full = self.utilization.in_flight > MAX_EXCESS_UTILIZATION * self.utilization.limit;
@@ -60,17 +62,17 @@
 #[derive(Default)]
 pub struct AwaitingReply {
     requests: Vec<Id>,
-    /// How many of them, from the first, the update under way reports.
+    /// How many of the requests, from the first, the pending update reports.
     covered: usize,
 }
 
 impl AwaitingReply {
-    /// No request waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Adds a request, which the update under way does not report.
+    /// Adds a request that the pending update does not report.
     pub fn push(&mut self, request: Id) {
         self.requests.push(request);
     }
@@ -80,12 +82,13 @@
         self.requests.pop();
     }
 
-    /// All that wait are reported by the update that is made now, or go without a reply.
+    /// Marks all waiting requests as reported, either because the update sent now includes them or because they
+    /// are decided without a reply.
     pub fn cover_all(&mut self) {
         self.covered = self.requests.len();
     }
 
-    /// Removes the requests that the last update reported.
+    /// Removes and returns the requests that the last update reported.
     pub fn take_covered(&mut self) -> Vec<Id> {
         let covered = self.requests.len().min(self.covered);
         self.requests.drain(..covered).collect()
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,16 +1,17 @@
-//! Adaptive concurrency limits: how many attempts may be in flight at a server and at the fleet, by their latency.
+//! Adaptive concurrency limits: how many attempts may be in flight at a server and at the fleet, adjusted by
+//! their latency.
 
 use crate::event::Micros;
 use crate::latency::ClassLatency;
 use crate::numeric::{update_mean, FAST_MEAN_WEIGHT, SECOND, SLOW_MEAN_WEIGHT};
 
-/// Limit of a server that nothing is known of, for all gateways together: one attempt for each core.
+/// Initial limit of a server, for all gateways together: one attempt for each core.
 const INITIAL_SERVER_LIMIT: f64 = 4.0;
 
-/// Part of that limit for a server in slow start.
+/// Share of the initial limit for a server in slow start.
 const SLOW_START_LIMIT_SHARE: f64 = 0.5;
 
-/// Limit of a server, for all gateways together, below which it never falls: so few attempts overload none.
+/// Minimum limit of a server, for all gateways together: so few attempts overload no server.
 const MIN_SERVER_LIMIT: f64 = 3.0;
 
 /// Latency, as a ratio to the idle fleet's, above which a server's limit falls instead of rising.
@@ -19,34 +20,35 @@
 /// Latency of all servers, as a ratio to the idle fleet's, above which the sum of limits is scaled down.
 const SLOW_FLEET_LATENCY_RATIO: f64 = 1.2;
 
-/// A response counts as at most so slow. Danger: one huge request would pass for a slow server.
+/// Maximum latency ratio of a response. Without it, one very large request would make its server look slow.
 const MAX_LATENCY_RATIO: f64 = 10.0;
 
-/// Responses that end within this time, in microseconds, tell of one moment.
+/// Time in microseconds within which responses form one batch.
 const MOMENT: Micros = 10_000;
 
 /// The longest pause of a gateway whose limits add up to less than one attempt, in microseconds.
 const MAX_SLOT_PAUSE: f64 = SECOND as f64;
 
-/// The attempts in flight at some servers, and how many there may be.
+/// The attempts in flight at a group of servers, and the limit on them.
 #[derive(Clone, Copy)]
 pub struct Utilization {
     /// Attempts in flight.
     pub in_flight: f64,
-    /// The limit on them; it may be below one.
+    /// The limit on attempts in flight; it may be below 1.
     pub limit: f64,
 }
 
-/// A mean that follows observations, in which samples of one moment make up one observation.
+/// A moving average in which the samples of one batch count as one observation.
 ///
-/// Danger: one short standstill ends all attempts in flight at once, and would count as a long time of slow answers.
+/// A short stall ends all attempts in flight at once. If each counted by itself, the stall would look like a
+/// long time of slow answers.
 struct MomentMean {
     mean: f64,
-    /// The mean before this moment.
+    /// The mean before the current batch.
     before: f64,
-    /// When this moment began.
+    /// When the current batch began.
     began_at: Micros,
-    /// The samples of this moment: their sum and number.
+    /// The sum and the number of the samples in the current batch.
     sum: f64,
     count: f64,
 }
@@ -67,12 +69,12 @@
     }
 }
 
-/// The limit of one server, from this gateway. It may be a fraction of one attempt.
+/// The limit on this gateway's attempts at one server. It may be a fraction of an attempt.
 pub struct ServerLimit {
     limit: f64,
-    /// Latency as a ratio to the class on an idle fleet.
+    /// Latency as a ratio to the latency of the class on an idle fleet.
     latency_ratio: MomentMean,
-    /// Latency as a ratio to the class on this fleet now.
+    /// Latency as a ratio to the current latency of the class.
     relative_latency: f64,
 }
 
@@ -83,27 +85,27 @@
 }
 
 impl ServerLimit {
-    /// The limit of a server that has just started: not set yet, with the latency of any other.
+    /// Creates the limit of a server that has just started: not set yet, with the average latency.
     pub fn unset() -> Self {
         ServerLimit { limit: 0.0, latency_ratio: MomentMean::new(1.0), relative_latency: 1.0 }
     }
 
-    /// Whether the limit has yet to be set.
+    /// Whether the limit is not set yet.
     pub fn is_unset(&self) -> bool {
         self.limit == 0.0
     }
 
-    /// The limit.
+    /// The current limit.
     pub fn get(&self) -> f64 {
         self.limit
     }
 
-    /// The server's latency as a ratio to the other servers'.
+    /// The server's latency as a ratio to that of all servers.
     pub fn relative_latency(&self) -> f64 {
         self.relative_latency
     }
 
-    /// Sets the limit where it has yet to be set.
+    /// Sets the limit, if it is not set yet.
     pub fn initialize(&mut self, fleet: &FleetLimit, warming_up: bool) {
         if self.is_unset() {
             let initial = fleet.initial_limit();
@@ -111,22 +113,22 @@
         }
     }
 
-    /// Takes in one response, after which so many attempts are in flight at the server.
+    /// Adjusts the limit to one response, after which `in_flight` attempts remain at the server.
     ///
-    /// A slow machine is not an overloaded one: the server is compared with its own speed.
+    /// The server is compared with its own usual speed, because a slow machine is not an overloaded one.
     pub fn record(&mut self, elapsed: f64, class: ClassLatency, in_flight: u32, min_limit: f64, now: Micros) {
         self.latency_ratio.record(FAST_MEAN_WEIGHT, bounded_ratio(elapsed, class.idle), now);
         update_mean(&mut self.relative_latency, SLOW_MEAN_WEIGHT, bounded_ratio(elapsed, class.usual));
         let change =
             (1.0 - self.latency_ratio.mean / self.relative_latency / MAX_GROWTH_LATENCY_RATIO).max(-1.0);
-        // A limit that is not used up must not grow.
+        // A limit that is not used must not grow.
         if change < 0.0 || f64::from(in_flight) + 2.0 > self.limit {
             self.limit = (self.limit + change * min_limit / self.limit).max(min_limit);
         }
     }
 }
 
-/// The limit of all assigned servers together.
+/// The limit on this gateway's attempts at all assigned servers together.
 pub struct FleetLimit {
     gateways_per_server: f64,
     min_limit: f64,
@@ -135,7 +137,7 @@
 }
 
 impl FleetLimit {
-    /// The state before anything is known.
+    /// Creates the state before any response.
     pub fn new(now: Micros) -> Self {
         FleetLimit {
             gateways_per_server: 1.0,
@@ -156,20 +158,20 @@
         self.min_limit = (MIN_SERVER_LIMIT / gateways).min(1.0);
     }
 
-    /// The least limit of one server, from this gateway.
+    /// The minimum limit of one server for this gateway.
     pub fn min_limit(&self) -> f64 {
         self.min_limit
     }
 
-    /// The limit of a server that nothing is known of, from this gateway.
+    /// The initial limit of a server for this gateway.
     pub fn initial_limit(&self) -> f64 {
         INITIAL_SERVER_LIMIT / self.gateways_per_server
     }
 
     /// Sums up servers, each given by its attempts in flight and its limit.
     ///
-    /// Many gateways see few responses each, and learn of all servers together long before they learn of each: so the
-    /// sum is scaled down at once while all are slow.
+    /// With many gateways, each gateway sees few responses, and learns about all servers together long before
+    /// it learns about each one. The sum is therefore scaled down as soon as all servers are slow.
     pub fn utilization(&self, servers: impl Iterator<Item = (u32, f64)>) -> Utilization {
         let mut count = 0usize;
         let mut in_flight = 0.0;
@@ -184,23 +186,24 @@
         Utilization { in_flight, limit }
     }
 
-    /// How slow all servers are now, as a ratio to the idle fleet's latency; 1 at the least.
+    /// The current latency of all servers as a ratio to the idle fleet's latency; at least 1.
     pub fn slowdown(&self) -> f64 {
         self.latency_ratio.mean.max(1.0)
     }
 
-    /// Takes in the latency of one response.
+    /// Records the latency of one response.
     pub fn record(&mut self, elapsed: f64, class: ClassLatency, now: Micros) {
         self.latency_ratio.record(FAST_MEAN_WEIGHT, bounded_ratio(elapsed, class.idle), now);
     }
 
-    /// Pauses after an attempt where the limit is below one, so that the one slot is used for that part of the time.
+    /// Starts a pause after an attempt if the limit is below 1, so that the single slot is in use for that
+    /// share of the time.
     pub fn pause(&mut self, elapsed: f64, limit: f64, now: Micros) {
         let pause = elapsed * (1.0 / limit.min(1.0) - 1.0);
         self.next_slot_at = now + pause.min(MAX_SLOT_PAUSE) as Micros;
     }
 
-    /// Whether the gateway pauses now.
+    /// Whether the gateway is in such a pause.
     pub fn is_paused(&self, now: Micros) -> bool {
         now < self.next_slot_at
     }
--- a/crates/policy/src/counter.rs
+++ b/crates/policy/src/counter.rs
@@ -10,18 +10,18 @@
 
 use crate::event::{Micros, Outcome};
 
-/// The end of one call to the shared counter.
+/// The result of one call to the shared counter.
 pub struct CounterReply {
-    /// How it ended.
+    /// How the call ended.
     pub outcome: Outcome,
-    /// The total, where it succeeded.
+    /// The total; valid only if the call succeeded.
     pub total: f64,
     /// The time from the call to the reply.
     pub elapsed: Micros,
 }
 
 impl CounterReply {
-    /// Whether the counter may have added the amount.
+    /// Whether the counter may have added the amount of the call.
     pub fn may_have_counted(&self) -> bool {
         matches!(self.outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Error)
     }
--- a/crates/policy/src/counter/key.rs
+++ b/crates/policy/src/counter/key.rs
@@ -1,4 +1,4 @@
-//! Keys of the shared counter. Their first letters are stored by the counter and are part of the protocol.
+//! Keys of the shared counter. The counter stores them, so their prefix letters are part of the protocol.
 
 use std::fmt;
 
@@ -21,9 +21,9 @@
 
 /// The key of one tenant's counter in one window.
 pub struct CounterKey<'a> {
-    /// What it counts.
+    /// What the key counts.
     pub counter: KeyedCounter,
-    /// The window, by its number or its start.
+    /// The window's number or start time.
     pub window: u64,
     /// The tenant.
     pub tenant: &'a Id,
@@ -38,7 +38,7 @@
 }
 
 impl CounterTarget {
-    /// The target of a key; none where it names no tenant.
+    /// Parses a key; `None` if it names no tenant.
     pub fn of_key(key: &str) -> Option<Self> {
         let (kind, tenant) = key.split_once(':')?;
         let tenant = Id::from(tenant);
--- a/crates/policy/src/counter/pacer.rs
+++ b/crates/policy/src/counter/pacer.rs
@@ -1,46 +1,48 @@
-//! How many calls the shared counter stands: a rate that grows while replies are quick and falls while they are not.
+//! Limits the rate of calls to the shared counter. The rate grows while replies are fast and falls while
+//! replies are slow or missing.
 
 use super::CounterReply;
 use crate::event::{Micros, Outcome};
 use crate::numeric::{seconds, update_mean, SECOND, SLOW_MEAN_WEIGHT};
 
-/// The least time between two updates for one tenant, and between two cuts of the rate.
+/// The minimum time between two updates for one tenant, and between two cuts of the rate.
 pub const MIN_UPDATE_INTERVAL: Micros = 200_000;
 
-/// Age of a total beyond which the counter is queried before a decision.
+/// Age of a total beyond which a decision needs a new reply of the counter.
 pub const MAX_TOTAL_AGE: Micros = 2 * SECOND;
 
-/// Calls per second of all gateways together, at first.
+/// Initial calls per second of all gateways together.
 const INITIAL_CALLS_PER_SECOND: f64 = 400.0;
 
-/// Calls per second of all gateways together, at the least.
+/// Minimum calls per second of all gateways together.
 const MIN_CALLS_PER_SECOND: f64 = 250.0;
 
-/// Growth of the rate in a second of quick replies, as a share of it.
+/// Relative growth of the rate in a second of fast replies.
 const RATE_GROWTH_PER_SECOND: f64 = 0.4;
 
-/// The longest time between two quick replies that the rate grows for, in seconds.
+/// The longest time between two fast replies for which the rate grows, in seconds.
 const MAX_GROWTH_SECONDS: f64 = 2.0;
 
-/// What a call without a reply leaves of the rate.
+/// Factor on the rate after a failed call.
 const FAILED_CALL_FACTOR: f64 = 0.7;
 
-/// What a slow reply leaves of the rate.
+/// Factor on the rate after a slow reply.
 const SLOW_REPLY_FACTOR: f64 = 0.9;
 
-/// A reply is slow beyond so many times the quickest one.
+/// A reply that takes more than this multiple of the fastest reply is slow.
 const SLOW_REPLY_RATIO: f64 = 2.5;
 
-/// Time for which unused calls are saved up.
+/// Time over which unused calls accumulate.
 const MAX_SAVED_TIME: Micros = 2 * SECOND;
 
-/// Share of decisions on sparse tenants by a total, from which a decision without one is a rejection.
+/// If at least this share of the decisions on sparse tenants has a total, a decision without a total is a
+/// rejection.
 const MIN_INFORMED_SHARE: f64 = 0.1;
 
-/// The share assumed before the first decision.
+/// The share of decisions with a total that is assumed before the first decision.
 const INITIAL_INFORMED_SHARE: f64 = 0.5;
 
-/// The calls that this gateway may make, and how well the counter replies.
+/// The calls that this gateway may make, and the recent behaviour of the counter.
 pub struct CounterPacer {
     /// Calls per second.
     rate: f64,
@@ -51,12 +53,12 @@
     quick_reply_at: Micros,
     replied_at: Micros,
     quickest_reply: Micros,
-    /// Share of decisions on sparse tenants that a total was known for.
+    /// Share of decisions on sparse tenants that had a total.
     informed_share: f64,
 }
 
 impl CounterPacer {
-    /// The pacer of one of so many gateways.
+    /// Creates the pacer of one of `gateway_count` gateways.
     pub fn new(gateway_count: u32, now: Micros) -> Self {
         let gateways = f64::from(gateway_count.max(1));
         let rate = INITIAL_CALLS_PER_SECOND / gateways;
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Saves up calls until now, and returns the probability with which a call should be made: one while enough are
-    /// saved up, less as they run out.
+    /// Accumulates unused calls up to now. Returns the probability with which a call should be made: 1 while
+    /// enough calls are saved, less as they run out.
     pub fn call_probability(&mut self, now: Micros) -> f64 {
         let elapsed = seconds(now - self.saved_at);
         let max_saved = (self.rate * seconds(MAX_SAVED_TIME)).max(1.0);
@@ -83,12 +85,12 @@
         (2.0 * self.saved_calls / max_saved).clamp(0.0, 1.0)
     }
 
-    /// Takes one call.
+    /// Takes one saved call.
     pub fn spend(&mut self) {
         self.saved_calls -= 1.0;
     }
 
-    /// Takes in how a call ended. An error reply tells nothing of the counter's capacity.
+    /// Adjusts the rate to the result of a call. An error reply says nothing about the counter's capacity.
     pub fn record(&mut self, reply: &CounterReply, now: Micros) {
         let succeeded = reply.outcome == Outcome::Ok;
         if succeeded {
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Raises the rate, if it is used up. Danger: one that is not would grow without a proof, to a flood.
+    /// Raises the rate, if most of it is used. A rate that is not used would grow without evidence that the
+    /// counter can bear it, and could later flood the counter.
     fn grow(&mut self, now: Micros) {
         if 2.0 * self.saved_calls < self.rate * seconds(MAX_SAVED_TIME) {
             let elapsed = seconds(now - self.quick_reply_at).min(MAX_GROWTH_SECONDS);
@@ -118,12 +121,13 @@
         now < self.replied_at + MAX_TOTAL_AGE
     }
 
-    /// Counts a decision on a sparse tenant.
+    /// Records whether a decision on a sparse tenant had a total.
     pub fn count_decision(&mut self, informed: bool) {
         update_mean(&mut self.informed_share, SLOW_MEAN_WEIGHT, f64::from(u8::from(informed)));
     }
 
-    /// Whether so few decisions on sparse tenants are by a total that rejecting the others would be most of them.
+    /// Whether so few decisions on sparse tenants have a total that rejecting the others would reject most
+    /// requests.
     pub fn is_starved(&self) -> bool {
         self.informed_share < MIN_INFORMED_SHARE
     }
--- a/crates/policy/src/counter/units.rs
+++ b/crates/policy/src/counter/units.rs
@@ -1,26 +1,26 @@
-//! The units of one tenant on their way to the shared counter, and what its totals say of all gateways.
+//! The units of one tenant that are reported to the shared counter, and the interpretation of its totals.
 
 use crate::event::Micros;
 use crate::numeric::{NEGLIGIBLE, SECOND};
 use crate::settings::Plan;
 
-/// The longest window of a counter, and the lifetime that the counter is given.
+/// The longest window of a counter key, and the lifetime that the counter gives a key.
 pub const MAX_WINDOW: Micros = 60 * SECOND;
 
-/// Decay times in a window, at most. Danger: at a window's end a unit weighs e to this power, and the counter takes and
-/// reports at most 1e9.
+/// Maximum number of decay times in a window. At the window's end a unit weighs e to this power, and the
+/// counter accepts and reports at most 1e9.
 const MAX_DECAYS_PER_WINDOW: f64 = 16.0;
 
-/// The decay time, as a share of the time in which the bucket fills.
+/// The decay time as a share of the time in which the bucket fills.
 const DECAY_TIME_IN_FILLS: f64 = 0.25;
 
-/// The least decay time, in microseconds.
+/// The minimum decay time, in microseconds.
 const MIN_DECAY_TIME: f64 = 1e6;
 
-/// Updates that a total needs in a decay time where calls are few.
+/// Updates of all gateways that a total needs in a decay time when calls are scarce.
 const SAMPLES_PER_DECAY_TIME: f64 = 6.0;
 
-/// How units of a plan lose weight over time: those of now count e-fold beside those of one decay time ago.
+/// How units of a plan lose weight over time: after one decay time a unit weighs 1/e of a new one.
 #[derive(Clone, Copy)]
 pub struct Decay {
     /// The decay time, in microseconds.
@@ -28,56 +28,57 @@
 }
 
 impl Decay {
-    /// The decay of a plan.
+    /// The decay of a plan's units.
     pub fn of(plan: &Plan) -> Self {
         let fill_time = DECAY_TIME_IN_FILLS * plan.burst / plan.rate.max(NEGLIGIBLE) * SECOND as f64;
         Decay { time: fill_time.max(MIN_DECAY_TIME) }
     }
 
-    /// What a unit of now weighs beside one at the window's start.
+    /// The weight of a unit offered now, relative to a unit offered at the window's start.
     pub fn weight(self, window_start: Micros, now: Micros) -> f64 {
         (now.saturating_sub(window_start) as f64 / self.time).exp()
     }
 
-    /// The part of a weight that is left after some time.
+    /// The share of a weight that remains after `elapsed`.
     pub fn remaining(self, elapsed: Micros) -> f64 {
         (-(elapsed as f64) / self.time).exp()
     }
 
-    /// The start of the window that is open now.
+    /// The start of the current window.
     pub fn window_start(self, now: Micros) -> Micros {
         let length = MAX_WINDOW.min((MAX_DECAYS_PER_WINDOW * self.time) as Micros);
         now - now % length
     }
 }
 
-/// An update under way.
+/// A pending update.
 #[derive(Clone, Copy)]
 pub struct UnitsUpdate {
-    /// What is added to the counter.
+    /// The amount added to the counter.
     pub amount: f64,
-    /// The units offered here that it reports for the first time.
+    /// The units offered here that the update reports for the first time.
     pub pending: f64,
 }
 
-/// What a total says of all gateways.
+/// The figures of all gateways that a total yields.
 pub struct UnitsReading {
-    /// Units offered to all within the last decay time.
+    /// Units offered to all gateways within the last decay time.
     pub offered: f64,
-    /// Units that others added since the last total.
+    /// Units that other gateways added since the last total.
     pub others: f64,
-    /// The part of a decay time that the window covers, from 0 to 1: a young one has not counted all.
+    /// The share of a decay time that the window covers, from 0 to 1: a window that has just begun has not
+    /// counted everything.
     pub coverage: f64,
-    /// The time that `others` begins at.
+    /// The start of the time that `others` covers.
     pub since: Micros,
 }
 
-/// One tenant's units on their way to the counter and back.
+/// One tenant's units, pending and counted.
 #[derive(Default)]
 pub struct UnitsCounter {
     /// Units offered here that no update has reported.
     pending: f64,
-    /// What earlier updates certainly did not add, as far as it still counts.
+    /// Units of earlier updates that the counter certainly did not add, reduced by decay.
     undelivered: f64,
     update: Option<UnitsUpdate>,
     updated_at: Micros,
@@ -87,22 +88,22 @@
 }
 
 impl UnitsCounter {
-    /// Counts units offered here; negative ones correct an estimate.
+    /// Counts units offered here; negative units correct an estimate.
     pub fn add(&mut self, units: f64) {
         self.pending += units;
     }
 
-    /// When the last total came.
+    /// When the last total was received.
     pub fn last_total_at(&self) -> Option<Micros> {
         self.last_total_at
     }
 
-    /// An update is under way.
+    /// Whether an update is pending.
     pub fn is_update_pending(&self) -> bool {
         self.update.is_some()
     }
 
-    /// Whether the last total reached a limit.
+    /// Whether the last total reached `limit`.
     pub fn has_reached(&self, limit: f64) -> bool {
         self.last_total + NEGLIGIBLE >= limit
     }
@@ -112,7 +113,7 @@
         self.updated_at
     }
 
-    /// Goes on to a window; totals of the one before don't count in it.
+    /// Enters a window; totals of the previous window don't count in it.
     pub fn enter_window(&mut self, window: u64) {
         if self.window != window {
             self.window = window;
@@ -125,7 +126,7 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Notes the time of an update of decaying units, made or skipped.
+    /// Records the time of an update of decaying units that is made or skipped.
     pub fn note_update(&mut self, now: Micros) {
         self.updated_at = now;
     }
@@ -135,36 +136,37 @@
         *self.update.insert(UnitsUpdate { amount: pending, pending })
     }
 
-    /// Begins an update of decaying units that is made with this probability, and weighs as much more.
+    /// Begins an update of decaying units that is made with `probability` and is scaled up by its inverse.
     pub fn begin_update(&mut self, pending: f64, probability: f64, decay: Decay, now: Micros) -> UnitsUpdate {
         let amount = (pending + self.undelivered) / probability * decay.weight(self.window, now);
         *self.update.insert(UnitsUpdate { amount, pending })
     }
 
-    /// Ends the update under way.
+    /// Ends the pending update and returns it.
     pub fn take_update(&mut self) -> Option<UnitsUpdate> {
         self.update.take()
     }
 
-    /// Takes in a total of a sparse tenant's window.
+    /// Records a total of a sparse tenant's window.
     pub fn record_total(&mut self, total: f64, now: Micros) {
         self.last_total = total;
         self.last_total_at = Some(now);
     }
 
-    /// Keeps the units that an update may have added out of the next one, or else for it.
+    /// After an update, keeps its units for the next one if the counter did not add them, and else drops them.
     ///
-    /// Danger: what was not added and is forgotten makes each gateway take itself for all; but it decays like the rest.
+    /// If units that were not added were dropped, each gateway would take its own traffic for that of all
+    /// gateways. The units kept decay like the others.
     pub fn settle_update(&mut self, may_have_counted: bool, pending: f64, remaining: f64) {
         self.undelivered = if may_have_counted { 0.0 } else { self.undelivered * remaining + pending };
     }
 
-    /// Assumes that an update without a reply was added.
+    /// Assumes that the counter has added an update without a reply.
     pub fn assume_counted(&mut self, amount: f64) {
         self.last_total += amount;
     }
 
-    /// Takes in a total of decaying units, after an update of this amount.
+    /// Computes the figures of all gateways from a total of decaying units, after an update of `amount`.
     pub fn read_total(&mut self, total: f64, amount: f64, decay: Decay, now: Micros) -> UnitsReading {
         let weight = decay.weight(self.window, now);
         let others = (total - self.last_total - amount).max(0.0) / weight;
@@ -176,8 +178,8 @@
     }
 }
 
-/// The probability of an update where calls run short: no more of them than a total needs, and few for tenants whose
-/// quota is not in doubt.
+/// The probability of an update when calls are scarce: no more updates than a total needs, and few for tenants
+/// whose decisions need no new total.
 pub fn update_probability(
     call_probability: f64,
     pending: f64,
--- a/crates/policy/src/deadline.rs
+++ b/crates/policy/src/deadline.rs
@@ -1,17 +1,17 @@
-//! Expirations of requests and the timer that serves them; what happens at an expiry is decided elsewhere.
+//! Expiry times of requests and the timer for them. Other modules handle the expiry itself.
 
 use std::collections::BTreeSet;
 
 use crate::event::{Id, Micros};
 
-/// Interval at which the queue is served again while something waits in it.
+/// Interval at which the queue is served while requests wait in it.
 pub const QUEUE_POLL_INTERVAL: Micros = 10_000;
 
-/// Answers of this gateway are given so long before the client's deadline: two polls of the queue, so that one that
-/// comes late is still in time.
+/// Time before the client's deadline at which this gateway answers: two intervals of the queue timer, so that a
+/// timer that fires late is still in time.
 pub const DEADLINE_MARGIN: Micros = 2 * QUEUE_POLL_INTERVAL;
 
-// The tokens of timers as hosts carry them: part of the simulator's protocol.
+// Timer tokens as hosts carry them. They are part of the simulator's protocol.
 const WAKEUP_TOKEN: &str = "look";
 const WATCH_TOKEN: &str = "follow";
 const CONCURRENCY_TOKEN_PREFIX: &str = "out:";
@@ -19,16 +19,16 @@
 /// What a timer is set for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TimerToken {
-    /// Serve the queue and the expirations.
+    /// Serve the queue and the expired requests.
     Wakeup,
     /// Open the watch on the endpoint list again.
     Watch,
-    /// Carry a tenant's attempts in flight over to the next window of their counter.
+    /// Carry a tenant's requests in flight over to the next window of their counter.
     ConcurrencyWindow(Id),
 }
 
 impl TimerToken {
-    /// The timer of a token. One that is not known is taken for a wakeup, which never does harm.
+    /// Parses a token. An unknown token counts as a wakeup, which is always harmless.
     pub fn parse(token: &str) -> Self {
         if token == WATCH_TOKEN {
             return TimerToken::Watch;
@@ -50,36 +50,36 @@
     }
 }
 
-/// When requests expire, and when the next wakeup comes.
+/// The expiry times of all requests, and the time of the next wakeup.
 pub struct Expirations {
     by_time: BTreeSet<(Micros, Id)>,
     next_wakeup: Micros,
 }
 
 impl Expirations {
-    /// No expirations, with a wakeup already set.
+    /// Creates an empty set of expiry times, with a wakeup already scheduled.
     pub fn new(next_wakeup: Micros) -> Self {
         Expirations { by_time: BTreeSet::new(), next_wakeup }
     }
 
-    /// Adds a request's expiry.
+    /// Adds a request's expiry time.
     pub fn insert(&mut self, at: Micros, request: &Id) {
         self.by_time.insert((at, request.clone()));
     }
 
-    /// Removes a request's expiry.
+    /// Removes a request's expiry time.
     pub fn remove(&mut self, at: Micros, request: &Id) {
         self.by_time.remove(&(at, request.clone()));
     }
 
-    /// Moves a request's expiry, and the record of it.
+    /// Changes a request's expiry time from `at` to `new`, and sets `at`.
     pub fn reschedule(&mut self, at: &mut Micros, new: Micros, request: &Id) {
         self.remove(*at, request);
         *at = new;
         self.insert(new, request);
     }
 
-    /// Removes the earliest request that has expired.
+    /// Removes and returns the request that expired first, if any has expired.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Id> {
         let (at, _) = self.by_time.first()?;
         if *at > now {
@@ -88,14 +88,15 @@
         self.by_time.pop_first().map(|(_, request)| request)
     }
 
-    /// Notes that a wakeup has fired; one that came early leaves the one that is still set.
+    /// Records that a wakeup has fired. A wakeup that fired early leaves the scheduled one in place.
     pub fn wakeup_fired(&mut self, now: Micros) {
         if now >= self.next_wakeup {
             self.next_wakeup = Micros::MAX;
         }
     }
 
-    /// The delay of a wakeup to be set, if none is set that comes as early.
+    /// Returns the delay of a wakeup that has to be set, or `None` if one is already scheduled at that time or
+    /// earlier.
     pub fn schedule_wakeup(
         &mut self,
         measurement_at: Micros,
@@ -112,17 +113,18 @@
     }
 }
 
-/// When a request that arrives now expires, unless something ends it before.
+/// When a request that arrives now expires, unless it ends before.
 pub fn initial_expiry(deadline: Micros, now: Micros) -> Micros {
     deadline.saturating_sub(DEADLINE_MARGIN).max(now)
 }
 
-/// When a request with an attempt expires.
+/// When a request that has an attempt expires.
 pub fn attempt_expiry(deadline: Micros) -> Micros {
     deadline - DEADLINE_MARGIN
 }
 
-/// Whether it is too late for an attempt: the request has expired, though its timer may not have fired yet.
+/// Whether it is too late to start an attempt: the request has expired, although its timer may not have fired
+/// yet.
 pub fn is_too_late_for_attempt(deadline: Micros, now: Micros) -> bool {
     now + DEADLINE_MARGIN >= deadline
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! The table of known servers and what was learnt of each; it decides neither who is used nor by how much.
+//! The table of known servers and what this gateway has learnt about each. Other modules decide which servers
+//! are used, and how much.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +13,12 @@
 use crate::outlier::FailureRecord;
 use crate::slow_start::SlowStartBudget;
 
-/// How often the backoff before the next poll of the endpoint list doubles. Danger: without backoff a crowd of
-/// gateways stays one; with a long one a discovery that is back stays unheard.
+/// Maximum number of times that the backoff before the next poll of the endpoint list doubles. Without a
+/// backoff, gateways that poll at the same time keep doing so; with a long one, they notice too late that
+/// discovery has recovered.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// One server and what this gateway knows of it.
+/// One server and what this gateway knows about it.
 #[derive(Default)]
 pub struct Server {
     ring_position: u64,
@@ -24,32 +26,32 @@
     pub zone: u32,
     /// Index of its cell.
     pub cell: u32,
-    /// The list has it as taking new attempts.
+    /// The endpoint list says that the server takes new attempts.
     pub ready: bool,
-    /// It is among those that this gateway uses.
+    /// This gateway uses the server.
     pub assigned: bool,
-    /// The operators have taken it out of use.
+    /// The operators have taken the server out of use.
     pub cordoned: bool,
-    /// When the operators took it back into use.
+    /// When the operators took the server back into use.
     uncordoned_at: Option<Micros>,
-    /// Other gateways have found it to be an outlier.
+    /// Other gateways have ejected the server as an outlier.
     pub ejected_by_peers: bool,
-    /// Until then it is retained, whatever the list says.
+    /// The server stays in the table until this time, whatever the list says.
     retained_until: Micros,
-    /// Its weight in the list.
+    /// The server's weight in the endpoint list.
     pub listed_weight: f64,
-    /// Its weight in this gateway's traffic.
+    /// The server's weight in this gateway's traffic.
     pub weight: f64,
     started_at: Option<Micros>,
-    /// Attempts in flight from here.
+    /// This gateway's attempts in flight at the server.
     pub in_flight: u32,
-    /// The limit on them.
+    /// The limit on this gateway's attempts in flight.
     pub limit: ServerLimit,
-    /// Its failures.
+    /// The server's failures and its ejection.
     pub failures: FailureRecord,
-    /// Its credit in weighted round robin.
+    /// The server's credit in weighted round robin.
     pub credit: f64,
-    /// The attempts that it may be sent in slow start.
+    /// The attempts that the server may be sent in slow start.
     pub slow_start: SlowStartBudget,
 }
 
@@ -58,7 +60,8 @@
         Server { ring_position: hash_position(id, Micros::MAX), ..Server::default() }
     }
 
-    /// The same server after a start: nothing learnt of it holds, but what others decided and what is in flight does.
+    /// The same server after a start. What this gateway learnt is dropped; the attempts in flight and the
+    /// decisions of operators and other gateways are kept.
     fn restarted(&self, started_at: Option<Micros>, slow_start: SlowStartBudget) -> Self {
         Server {
             ring_position: self.ring_position,
@@ -74,22 +77,22 @@
         }
     }
 
-    /// When it last started, by the list or by the operators.
+    /// When the server last started, by the list or by the operators' uncordoning.
     pub fn effective_start(&self) -> Option<Micros> {
         self.started_at.max(self.uncordoned_at)
     }
 
-    /// When it last started, by the list.
+    /// When the server last started, by the list.
     pub fn listed_start(&self) -> Option<Micros> {
         self.started_at
     }
 
-    /// Whether an entry of the list is of a server that is new, or has started since.
+    /// Whether a list entry shows a server that is new or has restarted.
     pub fn is_new(&self, entry: &Endpoint) -> bool {
         self.limit.is_unset() || self.started_at != entry.started_at
     }
 
-    /// Takes in an entry of the list.
+    /// Applies a list entry.
     pub fn update(&mut self, entry: &Endpoint) {
         self.zone = entry.zone;
         self.cell = entry.cell;
@@ -97,19 +100,20 @@
         self.ready = entry.state == EndpointState::Ready;
     }
 
-    /// Marks it as used with this weight, or as not used.
+    /// Marks the server as used with this weight, or as not used.
     pub fn assign(&mut self, weight: Option<f64>) {
         self.assigned = weight.is_some();
         self.weight = weight.unwrap_or(self.listed_weight);
     }
 
-    /// Takes it out of use, whatever the list says.
+    /// Takes the server out of use, whatever the list says.
     pub fn cordon(&mut self) {
         self.cordoned = true;
         self.retained_until = Micros::MAX;
     }
 
-    /// Takes it back into use, as started at that time, and serves it next with this budget.
+    /// Takes the server back into use. It counts as started at `at`, gets this slow-start budget, and is the
+    /// next to be selected.
     pub fn uncordon(&mut self, at: Micros, retained_until: Micros, slow_start: SlowStartBudget, now: Micros) {
         self.cordoned = false;
         self.uncordoned_at = Some(at);
@@ -126,32 +130,33 @@
 
 /// All known servers.
 ///
-/// Lists name thousands of servers and a gateway uses some tens: what is done for each request goes by
-/// [`EndpointTable::assigned`] and by id, and only a new list is an occasion to look at all.
+/// An endpoint list names thousands of servers, and a gateway uses some tens of them. The work done for each
+/// request therefore uses only [`EndpointTable::assigned`] and lookups by id; only a new list leads to a pass
+/// over all servers.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// Each server keeps its slot as long as it is known.
+    /// Each server keeps its slot while it is in the table.
     slots: Vec<(Id, Server)>,
     free: Vec<usize>,
     by_id: BTreeMap<Id, usize>,
     /// Slots of the assigned servers, in the order of their ids.
     assigned: Vec<usize>,
-    /// Sum of the failure shares of all servers.
+    /// Sum of all servers' shares of failures.
     failure_share_sum: f64,
 }
 
 impl EndpointTable {
-    /// The server of this id.
+    /// Returns the server with this id.
     pub fn get(&self, id: &Id) -> Option<&Server> {
         self.by_id.get(id).map(|slot| &self.slots[*slot].1)
     }
 
-    /// The server of this id, to be changed.
+    /// Returns the server with this id for modification.
     pub fn get_mut(&mut self, id: &Id) -> Option<&mut Server> {
         self.by_id.get(id).map(|slot| &mut self.slots[*slot].1)
     }
 
-    /// The server of this id; one that was not known is added.
+    /// Returns the server with this id, and adds it if it is unknown.
     pub fn entry(&mut self, id: &Id) -> &mut Server {
         let slot = match self.by_id.get(id) {
             Some(slot) => *slot,
@@ -176,7 +181,7 @@
         slot
     }
 
-    /// Forgets what was learnt of a server that is new or has started since.
+    /// Drops what was learnt about a server that is new or has restarted.
     pub fn reset(&mut self, id: &Id, started_at: Option<Micros>, slow_start: SlowStartBudget) {
         let server = self.entry(id);
         let failure_share = server.failures.share();
@@ -184,12 +189,12 @@
         self.failure_share_sum -= failure_share;
     }
 
-    /// Marks all servers as not ready, before a full list.
+    /// Marks all servers as not ready, before a full list is applied.
     pub fn clear_ready(&mut self) {
         self.slots.iter_mut().for_each(|(_, server)| server.ready = false);
     }
 
-    /// Removes the servers that no list names, that have nothing in flight and need not be retained.
+    /// Removes the servers that are not ready, have nothing in flight and need not be retained.
     pub fn remove_stale(&mut self, now: Micros) {
         let EndpointTable { slots, free, by_id, failure_share_sum, .. } = self;
         by_id.retain(|_, slot| {
@@ -214,7 +219,7 @@
         self.assigned.iter().map(|slot| self.at(*slot))
     }
 
-    /// The assigned servers that first attempts may go to.
+    /// The assigned servers that may get first attempts.
     pub fn in_use(&self) -> impl Iterator<Item = &Server> {
         let servers = self.assigned().map(|(_, server)| server);
         servers.filter(|server| server.ready && server.assigned && !server.cordoned)
@@ -225,8 +230,8 @@
         (id, server)
     }
 
-    /// Assigns servers again: `choose` gets all that are ready and not ejected by peers, in the order of their
-    /// positions on the ring, and marks those that are used.
+    /// Computes the assignment of servers again. `choose` gets all servers that are ready and not ejected by
+    /// other gateways, ordered by their positions on the ring, and marks those that are used.
     pub fn assign(&mut self, choose: impl FnOnce(&mut [(&Id, &mut Server)])) {
         let EndpointTable { slots, by_id, assigned, .. } = self;
         let mut ring: Vec<(&Id, &mut Server)> = Vec::with_capacity(by_id.len());
@@ -244,7 +249,7 @@
         assigned.extend(by_id.values().filter(|slot| slots[**slot].1.assigned));
     }
 
-    /// Takes in whether an attempt at a server failed, as compared with the mean of all servers.
+    /// Records whether an attempt at a server failed, and compares the server with the mean of all servers.
     pub fn record_outcome(&mut self, id: &Id, failed: bool, now: Micros) {
         let fleet_mean = self.failure_share_sum / self.by_id.len().max(1) as f64;
         if let Some(server) = self.get_mut(id) {
@@ -261,13 +266,13 @@
 }
 
 impl ListBackoff {
-    /// A list has come.
+    /// Resets the backoff, after a list was received.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The list could not be had; how long to wait, at random between half and all of a time that doubles, and within
-    /// `poll_interval` where the list has to be polled.
+    /// Returns the wait after a failure: a random time between half and all of a maximum that doubles with each
+    /// failure. If the list has to be polled, the maximum is at most `poll_interval`.
     pub fn next_delay(&mut self, poll_interval: Option<Micros>, rng: &mut impl Rng) -> Micros {
         self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
         let longest = match poll_interval {
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,7 +1,8 @@
-//! The coordinator: takes an event, asks the concerns in order and acts through the host. It has no formula of its own.
+//! The coordinator: receives events, calls the modules that decide, and acts through the host. It contains no
+//! formula of its own.
 //!
-//! `requests` carries a request from its admission to its answer, `quota` speaks with the shared counter, `endpoints`
-//! follows the list of servers and the operators.
+//! `requests` takes a request from admission to its final answer, `quota` updates the shared counter and
+//! handles its replies, and `endpoints` handles the endpoint list and the operators' commands.
 
 mod endpoints;
 mod quota;
@@ -26,20 +27,21 @@
 use crate::settings::Settings;
 use crate::slow_start::{SlowStartRules, WarmLoad};
 
-/// Every decision of one gateway.
+/// Makes every decision of one gateway.
 ///
-/// Call the method named after what happened; the engine acts through its host before the method returns. Times are by
-/// the host's clock, which must not go back.
+/// The caller calls the method named after the event that happened; the engine acts through its host before the
+/// method returns. Times are by the host's clock, which must not go backwards.
 pub struct Engine<H: Host> {
     host: H,
     settings: Settings,
     rng: ChaCha8Rng,
-    /// Since when this process has its present part of the gateway's ceilings.
+    /// When this process received its current share of the gateway's ceilings.
     share_since: Micros,
-    /// The part of the gateway's ceilings and slow-start budgets that this process has; another one has the rest.
+    /// This process's share of the gateway's ceilings and slow-start budgets. During a hot restart the other
+    /// process has the rest.
     process_share: f64,
     servers: EndpointTable,
-    /// The servers assigned to this gateway among all gateways; without them it uses a stretch of the ring.
+    /// The servers assigned to this gateway; without an assignment the gateway uses a segment of the hash ring.
     subset: Option<Subset>,
     list_backoff: ListBackoff,
     fleet_limit: FleetLimit,
@@ -55,8 +57,8 @@
 }
 
 impl<H: Host> Engine<H> {
-    /// An engine that knows no server yet. It sets its first timer, and opens the watch on the endpoint list where that
-    /// has to be polled.
+    /// Creates an engine that knows no servers yet. Sets its first timer, and opens the watch on the endpoint
+    /// list if discovery requires polling.
     pub fn new(settings: Settings, mut host: H) -> Self {
         let now = host.now();
         let warm_load = WarmLoad::new(now);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// A client's request has come in.
+    /// Handles a request that a client has sent.
     pub fn request_received(&mut self, request: Request) {
         let now = self.host.now();
         let id = request.id.clone();
@@ -102,12 +104,12 @@
         self.schedule_wakeup(now);
     }
 
-    /// A response has begun to stream from this attempt: the request has its final answer.
+    /// Handles the start of a response stream: the request has its final answer, from this attempt.
     pub fn response_started(&mut self, request: &Id, attempt: usize) {
         self.complete(request, Some(attempt));
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_completed(&mut self, end: AttemptCompleted) {
         let now = self.host.now();
         let Some(in_flight) = self.in_flight.get_mut(&end.request) else { return };
@@ -132,12 +134,12 @@
         self.schedule_wakeup(now);
     }
 
-    /// The client has gone; its request needs no answer any more.
+    /// Handles the disconnection of a client: its request no longer needs an answer.
     pub fn client_disconnected(&mut self, request: &Id) {
         self.complete(request, None);
     }
 
-    /// A timer that the engine set has fired.
+    /// Handles a timer that the engine has set and that has fired.
     pub fn timer_fired(&mut self, token: &str) {
         match TimerToken::parse(token) {
             TimerToken::Watch => self.host.watch_endpoints(true),
@@ -176,8 +178,8 @@
         }
     }
 
-    /// This process has this part of its gateway's ceilings and slow-start budgets from now on, from 0 to 1. What other
-    /// processes had before counts as used up.
+    /// Sets this process's share of its gateway's ceilings and slow-start budgets, from 0 to 1. Whatever the
+    /// other process held before counts as used up.
     pub fn set_process_share(&mut self, share: f64) {
         let now = self.host.now();
         for tenant in self.tenants.values_mut() {
@@ -187,12 +189,12 @@
         self.share_since = now;
     }
 
-    /// A health check has ended. It has no effect: hosts report every event of the protocol, but attempts tell enough
-    /// of a server.
+    /// Does nothing. Hosts report the end of a health check as they report every event of the protocol, but the
+    /// outcomes of attempts are enough to rate a server.
     pub fn health_check_completed(&mut self, _server: &Id, _outcome: Outcome, _load: LoadReport) {}
 
-    /// A message of another gateway has come. It has no effect: hosts report every event of the protocol, but gateways
-    /// share what they know by the counter alone.
+    /// Does nothing. Hosts report messages of other gateways as they report every event of the protocol, but
+    /// gateways share state through the counter alone.
     pub fn message_received(&mut self, _gateway: u32, _data: &[u8]) {}
 
     fn slow_start_rules(&self, now: Micros) -> SlowStartRules<'_> {
--- a/crates/policy/src/engine/endpoints.rs
+++ b/crates/policy/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engine's part for the list of servers: lists, subsets, ejections by peers and the operators' cordons.
+//! Engine methods for servers: endpoint lists, subsets, ejections by other gateways and operators' cordons.
 
 use rand::Rng;
 
@@ -10,7 +10,7 @@
 use crate::subset::{self, GatewayPosition};
 
 impl<H: Host> Engine<H> {
-    /// A full list of the servers has come, or changes to it.
+    /// Handles a full endpoint list, or changes to it.
     pub fn endpoints_updated(&mut self, full: bool, entries: &[Endpoint]) {
         let now = self.host.now();
         self.list_backoff.reset();
@@ -22,7 +22,8 @@
         }
         for entry in entries {
             if self.servers.entry(&entry.server).is_new(entry) {
-                // All gateways learn of it at once: budgets that start at random keep them from sending in step.
+                // All gateways learn of a new server at the same time. Random initial budgets keep them from
+                // sending to it at the same moment.
                 let budget = SlowStartBudget::new(self.rng.gen(), now);
                 self.servers.reset(&entry.server, entry.started_at, budget);
             }
@@ -32,20 +33,22 @@
         self.assign_servers(now);
     }
 
-    /// The endpoint list could not be had, or the watch on it has ended; it is watched again after a backoff.
+    /// Handles a failed request for the endpoint list or the end of the watch on it: sets a timer that opens
+    /// the watch again after a backoff.
     pub fn endpoints_unavailable(&mut self) {
         let delay = self.list_backoff.next_delay(self.settings.list_poll_interval, &mut self.rng);
         self.host.set_timer(delay, &TimerToken::Watch.to_string());
     }
 
-    /// The servers that this gateway uses from now on, as assigned among all gateways; without them it uses a stretch
-    /// of the ring.
+    /// Sets the subset of servers assigned to this gateway. Without one, the gateway uses a segment of the hash
+    /// ring.
     pub fn set_subset(&mut self, subset: Option<Subset>) {
         self.subset = subset;
         self.assign_servers(self.host.now());
     }
 
-    /// Other gateways have found a server to be an outlier, or no longer: meanwhile no first attempt goes there.
+    /// Records whether other gateways have ejected a server as an outlier. While it is ejected it gets no first
+    /// attempts.
     pub fn set_ejected(&mut self, server: &Id, on: bool) {
         if let Some(server) = self.servers.get_mut(server) {
             server.ejected_by_peers = on;
@@ -68,24 +71,26 @@
         });
     }
 
-    /// The operators take a server out of use, whatever the list says of it.
+    /// Cordons a server: takes it out of use, whatever the endpoint list says.
     pub fn cordon(&mut self, server: &Id) {
         self.host.close_idle_connections(server);
         self.servers.entry(server).cordon();
     }
 
-    /// The operators took a server back into use at that time. It has started since it was cordoned, though the list
-    /// may not say so yet.
+    /// Uncordons a server: takes it back into use. The server counts as started at `at`, although the endpoint
+    /// list may not say so yet.
     pub fn uncordon(&mut self, server: &Id, at: Micros) {
         let now = self.host.now();
         let retained_until = at + self.settings.slow_start_duration;
-        // Some of many gateways serve it at once: operators call all of them at about one time.
+        // Operators uncordon a server at all gateways at about the same time. With many gateways, only a random
+        // part of them sends an attempt to it immediately.
         let attempts = self.fleet_limit.initial_limit().max(self.rng.gen()).min(1.0);
         let budget = SlowStartBudget::new(attempts, now);
         self.servers.entry(server).uncordon(at, retained_until, budget, now);
     }
 
-    /// Whether a server is avoided now, as cordoned or as ejected by this gateway.
+    /// Whether this gateway sends nothing to a server now, because it is cordoned or because this gateway has
+    /// ejected it.
     pub fn is_avoided(&self, server: &Id) -> bool {
         let now = self.host.now();
         let Some(server) = self.servers.get(server) else { return false };
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -1,4 +1,4 @@
-//! The engine's part for quotas: metering of requests, updates of the shared counter and its replies.
+//! Engine methods for quotas: metering of requests, updates of the shared counter and its replies.
 
 use super::Engine;
 use crate::counter::{CounterKey, CounterReply, CounterTarget, KeyedCounter, MAX_WINDOW};
@@ -8,7 +8,8 @@
 use crate::quota::{JudgeContext, TenantState};
 
 impl<H: Host> Engine<H> {
-    /// Counts what is offered. Whether it is within its tenant's quota, or none while the shared counter is queried.
+    /// Counts the units that a request offers. Returns whether the request is within its tenant's quota, or
+    /// `None` if the decision waits for a reply of the shared counter.
     pub(super) fn meter(&mut self, request: &Request, now: Micros) -> Option<bool> {
         let plan = &self.settings.plans[request.plan];
         let tenant = self.tenants.entry(request.tenant.clone()).or_insert_with(|| {
@@ -40,7 +41,7 @@
         tenant.judge(request, context)
     }
 
-    /// Adds what a tenant was offered to its counter, if an update is due.
+    /// Adds a tenant's offered units to the shared counter, if an update is due.
     fn update_units_counter(&mut self, id: &Id, now: Micros) {
         let call_probability = self.counter_pacer.call_probability(now);
         let Some(tenant) = self.tenants.get_mut(id) else { return };
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Keeps the counter of a tenant's requests in flight in step with those here, if an update is due.
+    /// Updates the shared counter of a tenant's requests in flight, if an update is due.
     pub(super) fn update_concurrency_counter(&mut self, id: &Id, now: Micros) {
         let call_probability = self.counter_pacer.call_probability(now);
         let Some(tenant) = self.tenants.get_mut(id) else { return };
@@ -72,7 +73,8 @@
         self.host.update_counter(&key.to_string(), update.amount, MAX_WINDOW);
     }
 
-    /// A call to the shared counter has ended, after the time `elapsed`; `total` counts where it succeeded.
+    /// Handles the end of a call to the shared counter, which took `elapsed`. `total` is valid only if the call
+    /// succeeded.
     pub fn counter_replied(&mut self, key: &str, outcome: Outcome, total: f64, elapsed: Micros) {
         let now = self.host.now();
         let reply = CounterReply { outcome, total, elapsed };
@@ -88,7 +90,7 @@
         let Some(tenant) = self.tenants.get_mut(id) else { return };
         let Some(amount) = tenant.concurrency.take_update() else { return };
         tenant.concurrency.apply_reply(amount, reply, now);
-        // Danger: a counter that rejects calls would be called again at once, without end.
+        // A counter that rejects calls must not be called again immediately: that would loop without end.
         if reply.outcome == Outcome::Ok {
             self.update_concurrency_counter(id, now);
         }
@@ -113,7 +115,8 @@
             let within_quota = self.judge(&request, now);
             self.admit(&waiting, within_quota, now);
         }
-        // What came after the update was not reported by it: it gets an update of its own, or goes without.
+        // Requests that arrived after the update was sent are not in it. They get an update of their own, or
+        // are decided without a reply.
         if !self.tenants.get(id).is_some_and(TenantState::awaits_no_update) {
             return;
         }
--- a/crates/policy/src/engine/requests.rs
+++ b/crates/policy/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! The engine's part for one request: admission, forwarding, retries, and its final answer.
+//! Engine methods for one request: admission, forwarding, retries and the final answer.
 
 use super::Engine;
 use crate::admission::AdmissionCheck;
@@ -15,7 +15,7 @@
 use crate::slow_start::{SlowStartBudget, SlowStartRules};
 
 impl<H: Host> Engine<H> {
-    /// Lets a request wait for a server, or rejects it.
+    /// Queues a request for a server, or rejects it.
     pub(super) fn admit(&mut self, id: &Id, within_quota: bool, now: Micros) {
         let utilization = self.utilization();
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
@@ -51,11 +51,11 @@
         }
     }
 
-    /// Forwards what waits, the highest priority first, as far as servers have capacity.
+    /// Forwards queued requests, highest priority first, while servers have capacity.
     pub(super) fn forward_queued(&mut self, now: Micros) {
         while let Some(id) = self.queue.first().cloned() {
             let in_flight = &self.in_flight[&id];
-            // Danger: a host that was held up reports ends of attempts before the timers that expired meanwhile.
+            // A host that was delayed may report the ends of attempts before the timers that expired meanwhile.
             if is_too_late_for_attempt(in_flight.deadline, now) {
                 self.give_up(&id, RejectReason::NoServer);
                 continue;
@@ -71,7 +71,7 @@
         let class = &self.settings.classes[class];
         let binding = KeyBinding::of(class, attempts, &self.servers);
         let utilization = self.utilization();
-        // Danger: many gateways with a slot for each server would together overload all servers.
+        // Without this limit, many gateways with one slot at each server would together overload all servers.
         if utilization.in_flight >= utilization.limit.max(1.0) {
             return None;
         }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What one more attempt leaves of a server's slow-start budget; none for a warm server.
+    /// The slow-start budget that remains at a server after one more attempt, or `None` for a warm server.
     fn slow_start_budget_after_attempt(&self, server: &Id, now: Micros) -> Option<f64> {
         let server = self.servers.get(server).expect("a selected server is in the table");
         let rules = self.slow_start_rules(now);
@@ -129,7 +129,7 @@
         (!rules.is_warm(started_at)).then(|| rules.budget(started_at, &server.slow_start) - 1.0)
     }
 
-    /// Takes in what the end of an attempt tells of its server and of the fleet.
+    /// Updates latencies, limits and failure rates from the end of an attempt.
     pub(super) fn learn_from_attempt(&mut self, end: &AttemptCompleted, class: usize, now: Micros) {
         let usual_latency = self.latencies.usual(class);
         let service_time = service_time(end.elapsed, end.read_delay, usual_latency);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// After an attempt that failed: another one where the rules allow it, else the final answer.
+    /// Handles a failed attempt: makes another attempt if the rules allow one, else gives the final answer.
     pub(super) fn retry_or_give_up(&mut self, id: &Id, now: Micros) {
         let Some(in_flight) = self.in_flight.get(id) else { return };
         let class = in_flight.request.class;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection where the client may safely send the request again, else a failure.
+    /// Gives the final answer: a rejection if the client may safely send the request again, else a failure.
     pub(super) fn give_up(&mut self, id: &Id, reason: RejectReason) {
         let Some(in_flight) = self.in_flight.get(id).filter(|in_flight| !in_flight.answered) else { return };
         let class = &self.settings.classes[in_flight.request.class];
@@ -189,8 +189,8 @@
         self.complete(id, None);
     }
 
-    /// Marks a request as answered, cancels its attempt unless the answer comes from it, and forgets the request once
-    /// no attempt is running.
+    /// Marks a request as answered and cancels its running attempt, unless the answer comes from that attempt.
+    /// Removes the request when no attempt is running.
     pub(super) fn complete(&mut self, id: &Id, answering_attempt: Option<usize>) {
         let Some(in_flight) = self.in_flight.get_mut(id) else { return };
         let running = in_flight.running_attempt();
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,31 +1,32 @@
-//! The events that reach the decision module and the records that they carry; it holds no state and decides nothing.
+//! The events that the decision module receives and the records that they contain. This module holds no state
+//! and decides nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Microseconds of a clock that all gateways share, or a span of that unit.
+/// A time in microseconds, by a clock that all gateways share, or a duration in microseconds.
 pub type Micros = u64;
 
-/// An identifier exactly as the protocol carries it.
+/// An identifier exactly as in the protocol.
 pub type Id = Arc<str>;
 
 /// A request that a client has sent.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Names the request among those in flight at this gateway.
+    /// Identifies the request among those in flight at this gateway.
     pub id: Id,
     /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
     /// Index into [`Settings::plans`](crate::Settings::plans).
     pub plan: usize,
-    /// The tenant whose quota it uses.
+    /// The tenant whose quota the request uses.
     pub tenant: Id,
-    /// What it takes from the quota.
+    /// The units that the request takes from the quota.
     pub units: f64,
-    /// The tenant's requests come through [`Request::gateway_spread`] gateways in a row, from this number on, modulo the
-    /// number of gateways.
+    /// Number of the first gateway that the tenant uses. Its requests arrive through
+    /// [`Request::gateway_spread`] consecutive gateways from this one on, modulo the number of gateways.
     pub first_gateway: u32,
-    /// How many gateways the tenant's requests come through.
+    /// How many gateways the tenant's requests arrive through.
     pub gateway_spread: u32,
     /// Time until the client's deadline.
     pub time_left: Micros,
@@ -36,15 +37,15 @@
 pub enum Outcome {
     /// It succeeded.
     Ok,
-    /// It was answered with an error.
+    /// The answer was an error.
     Error,
-    /// It was rejected for want of capacity, without having run.
+    /// It was rejected for lack of capacity, without having run.
     Overloaded,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection came up.
+    /// No connection was established.
     NotConnected,
-    /// The connection ended under it.
+    /// The connection ended before the answer.
     Reset,
     /// This gateway cancelled it.
     Cancelled,
@@ -53,18 +54,18 @@
 }
 
 impl Outcome {
-    /// The attempt certainly had no effect.
+    /// Whether the attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::NotConnected | Outcome::NeverSent)
     }
 }
 
-/// A server's report of its load; what it does not report is absent.
+/// A server's report of its load. Values that the server does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests being worked on.
+    /// Requests being processed.
     pub in_flight: Option<f64>,
-    /// Requests waiting to be worked on.
+    /// Requests waiting to be processed.
     pub queued: Option<f64>,
     /// Utilization, from 0 to 1.
     pub utilization: Option<f64>,
@@ -75,34 +76,34 @@
 /// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptCompleted {
-    /// The request that the attempt was made for.
+    /// The request that the attempt belongs to.
     pub request: Id,
     /// The attempt's number, from 0.
     pub attempt: usize,
     /// The server that it was sent to.
     pub server: Id,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time from sending to the end, as this gateway saw it.
+    /// Time from sending the attempt to its end, as this gateway saw it.
     pub elapsed: Micros,
-    /// For how much of that time the answer lay here before this gateway read it; 0 where that is not known.
+    /// The part of `elapsed` for which the answer lay unread at this gateway; 0 if unknown.
     pub read_delay: Micros,
-    /// The request has its final answer, by this attempt or before it.
+    /// Whether the request has its final answer, from this attempt or from an earlier event.
     pub is_final: bool,
-    /// The units that replace the request's estimate.
+    /// The actual units, which replace the request's estimate.
     pub units: Option<f64>,
-    /// The server's load, as its answer reported it.
+    /// The server's load, as reported with the answer.
     pub load: LoadReport,
 }
 
 /// Whether an endpoint takes new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new attempts.
+    /// The server takes new attempts.
     Ready,
-    /// It completes its attempts and takes no new ones.
+    /// The server completes its attempts and takes no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has been removed.
     Removed,
 }
 
@@ -111,26 +112,26 @@
 pub struct Endpoint {
     /// The server's name.
     pub server: Id,
-    /// Index of its zone.
+    /// Index of the server's zone.
     pub zone: u32,
-    /// Index of its hardware type.
+    /// Index of the server's hardware type.
     pub hardware_type: u32,
-    /// Index of its cell (a rack).
+    /// Index of the server's cell (a rack).
     pub cell: u32,
-    /// Whether it takes new attempts.
+    /// Whether the server takes new attempts.
     pub state: EndpointState,
-    /// Its capacity beside the others', as far as the list knows.
+    /// The server's capacity relative to the others, as far as the list knows.
     pub weight: f64,
-    /// When it last started, by the clock that the module is given; absent where that is long past.
+    /// When the server last started, by the clock of the decision module's host; absent if that is long ago.
     pub started_at: Option<Micros>,
-    /// The same as discovery reports it, which is the same number at all gateways.
+    /// The start time as discovery reports it, which is the same number at all gateways.
     pub listed_start: Option<Micros>,
 }
 
-/// The servers that one gateway is to use, as they were assigned among all gateways.
+/// The subset of servers that is assigned to one gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subset {
-    /// Each server's weight in this gateway's traffic; 0 for one held in reserve.
+    /// Each server's weight in this gateway's traffic; 0 for a server in reserve.
     pub weights: BTreeMap<Id, f64>,
     /// How many gateways use a server, on average.
     pub gateways_per_server: f64,
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at this gateway and the attempts made for them; records without any decision.
+//! Records of the requests in flight at this gateway and of their attempts. They decide nothing.
 
 use crate::event::{Id, Micros, Outcome, Request};
 use crate::queue::QueueRank;
@@ -11,39 +11,40 @@
     pub server: Id,
     /// When it was sent.
     pub sent_at: Micros,
-    /// It has not ended yet.
+    /// The attempt has not ended yet.
     pub running: bool,
-    /// It may have had an effect; true until its outcome excludes that.
+    /// The attempt may have had an effect; true until its outcome excludes an effect.
     pub may_have_run: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent now.
     pub fn start(server: Id, now: Micros) -> Self {
         Attempt { server, sent_at: now, running: true, may_have_run: true }
     }
 }
 
-/// A request from its arrival until it has its answer and no attempt is running.
+/// A request, from its arrival until it has its final answer and no attempt is running.
 pub struct InFlight {
-    /// The request as it came.
+    /// The request as received.
     pub request: Request,
-    /// Whether it is within its tenant's quota; unknown while the shared counter is queried.
+    /// Whether the request is within its tenant's quota; `None` while it waits for a reply of the shared
+    /// counter.
     pub within_quota: Option<bool>,
-    /// Its place in the queue; absent until it was admitted.
+    /// The request's rank in the queue; `None` until it is admitted.
     pub rank: Option<QueueRank>,
     /// The client's deadline.
     pub deadline: Micros,
-    /// When this gateway answers it, if no server has by then.
+    /// When this gateway answers the request, if no server has answered before.
     pub expires_at: Micros,
-    /// Its attempts, by number.
+    /// The request's attempts, by number.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer.
+    /// The request has its final answer.
     pub answered: bool,
 }
 
 impl InFlight {
-    /// A request that has just arrived.
+    /// Creates the record of a request that has just arrived.
     pub fn new(request: Request, deadline: Micros, expires_at: Micros) -> Self {
         InFlight {
             request,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Ends a running attempt. False where no such attempt is running.
+    /// Ends a running attempt. Returns false if the attempt is unknown or has already ended.
     pub fn end_attempt(&mut self, number: usize, outcome: Outcome) -> bool {
         let Some(attempt) = self.attempts.get_mut(number).filter(|attempt| attempt.running) else {
             return false;
@@ -76,7 +77,7 @@
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 
-    /// What the request was waiting for, as the reason of an answer at its expiry.
+    /// The reason for answering the request at its expiry: what it was waiting for.
     pub fn expiry_reason(&self) -> RejectReason {
         if self.within_quota.is_none() {
             RejectReason::CounterTimeout
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,35 +1,36 @@
-//! The latency of each request class, as it usually is and as it is on an idle fleet; it decides nothing by them.
+//! The latency of each request class: its usual latency, and its latency on an idle fleet.
 
 use crate::event::Micros;
 use crate::numeric::{update_mean, SLOW_MEAN_WEIGHT};
 use crate::settings::RequestClass;
 
-/// Latency assumed of a class until responses tell, as a share of its objective.
+/// Latency assumed for a class before any response, as a share of its latency objective.
 const INITIAL_LATENCY_SHARE: f64 = 0.2;
 
-/// A response counts for at most so many times the objective.
+/// Maximum latency with which a response counts, as a multiple of the objective.
 const MAX_LATENCY_OBJECTIVES: f64 = 2.0;
 
-/// Part of the way to the usual latency that the idle latency rises with each response. Danger: rising fast, it would
-/// take an overloaded fleet for an idle one.
+/// Weight with which each response raises the idle latency towards the usual latency. If it rose fast, an
+/// overloaded fleet would look idle.
 const IDLE_LATENCY_RISE: f64 = 0.002;
 
-/// The time that a server took, in microseconds, by the time that this gateway saw and for how much of it the answer lay unread.
+/// Estimates the time that a server took, in microseconds. `elapsed` is the time that this gateway saw, and
+/// `read_delay` is the time for which the answer lay unread here.
 ///
-/// Danger: a gateway that stood still would take its servers for slow. How long an answer lay unread is known less exactly than
-/// the rest, so that of the times that are possible the one next to the usual latency counts.
+/// If `elapsed` counted alone, a gateway that stalled would take its servers for slow. The read delay is less
+/// exact than the elapsed time, so the function returns the possible time that is closest to the usual latency.
 pub fn service_time(elapsed: Micros, read_delay: Micros, usual_latency: f64) -> f64 {
     let longest = elapsed as f64;
     let shortest = elapsed.saturating_sub(read_delay) as f64;
     usual_latency.clamp(shortest, longest)
 }
 
-/// Latencies of one class in microseconds.
+/// The latencies of one class, in microseconds.
 #[derive(Clone, Copy)]
 pub struct ClassLatency {
-    /// The mean of recent responses.
+    /// The mean latency of recent responses.
     pub usual: f64,
-    /// The mean when the fleet is idle.
+    /// The mean latency when the fleet is idle.
     pub idle: f64,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl ClassLatencies {
-    /// What is assumed before any response.
+    /// Creates the latencies that are assumed before any response.
     pub fn new(classes: &[RequestClass]) -> Self {
         let assumed = |class: &RequestClass| ClassLatency {
             usual: INITIAL_LATENCY_SHARE * class.latency_objective as f64,
@@ -53,7 +54,7 @@
         self.classes[class].usual
     }
 
-    /// Takes in one response, and returns the latencies with it.
+    /// Records one response, and returns the updated latencies.
     pub fn record(&mut self, class: usize, objective: Micros, elapsed: f64) -> ClassLatency {
         let latency = &mut self.classes[class];
         let longest = MAX_LATENCY_OBJECTIVES * objective as f64;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
 //! The decision module of a fernscale gateway: admission by quota, server selection, retries and deadlines.
 //!
-//! [`Engine`] is a state machine without I/O. Its caller reports each event by the method named after it, and the
-//! engine acts through the [`Host`] that it was given before the method returns. It holds no clock, socket or thread;
-//! its random numbers come from a generator seeded by [`Settings::seed`], so equal events give equal actions.
+//! [`Engine`] is a state machine without I/O. Its caller reports each event by calling the method named after
+//! the event. Before that method returns, the engine acts through its [`Host`]. The engine holds no clock,
+//! socket or thread. Its random numbers come from a generator seeded by [`Settings::seed`], so equal events
+//! give equal actions.
 #![warn(missing_docs)]
 
 mod admission;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,23 +1,24 @@
-//! Detects servers that fail more than the others (outliers) and ejects them for a while; load is no reason here.
+//! Detects servers that fail more often than the others (outliers) and ejects them for a while. Load is no
+//! reason for an ejection.
 
 use crate::event::{Micros, Outcome};
 use crate::numeric::{update_mean, FAST_MEAN_WEIGHT};
 use crate::settings::{Idempotency, RequestClass};
 
-/// Ejection of a server after a failure, times the share of failures by which it exceeds the fleet's mean. Danger: a
-/// server that fails at once looks idle and would draw in all traffic.
+/// Ejection time after a failure; it is multiplied by the amount by which the server's share of failures
+/// exceeds the fleet's mean. Without ejections, a server that fails fast looks idle and attracts all traffic.
 const EJECTION_TIME: Micros = 2_000_000;
 
-/// An attempt cancelled before this many usual latencies tells nothing of its server.
+/// A cancelled attempt that ran for less than this multiple of the usual latency says nothing about its server.
 const CONCLUSIVE_LATENCY_RATIO: f64 = 10.0;
 
-/// Share of failures from which attempts at a server have a time limit by the usual latency.
+/// Share of failures above which attempts at a server get a time limit derived from the usual latency.
 const LOSSY_SERVER_SHARE: f64 = 0.08;
 
-/// That time limit, in usual latencies.
+/// The time limit, as a multiple of the usual latency.
 const LOSSY_SERVER_TIMEOUT_RATIO: f64 = 7.0;
 
-/// A server's failures and its ejection.
+/// A server's share of failures and its ejection.
 #[derive(Default)]
 pub struct FailureRecord {
     share: f64,
@@ -25,7 +26,7 @@
 }
 
 impl FailureRecord {
-    /// The mean share of attempts that fail, recent ones first.
+    /// The share of attempts that fail, as a moving average.
     pub fn share(&self) -> f64 {
         self.share
     }
@@ -40,9 +41,10 @@
         self.ejected_until = now;
     }
 
-    /// Takes in the end of one attempt, and returns by how much the share of failures has changed.
+    /// Records the end of one attempt. Returns by how much the share of failures has changed.
     ///
-    /// Only what a server fails beyond `fleet_mean` counts: where all fail alike the fault lies elsewhere.
+    /// Only the share of failures beyond `fleet_mean` counts: if all servers fail alike, the fault lies
+    /// elsewhere.
     pub fn record(&mut self, failed: bool, fleet_mean: f64, now: Micros) -> f64 {
         let before = self.share;
         let failure = if failed { 1.0 } else { 0.0 };
@@ -52,8 +54,8 @@
         self.share - before
     }
 
-    /// The time limit of an attempt by its server's failures. Danger: a lost answer would hold its slot, and its
-    /// client, until the deadline.
+    /// The time limit of an attempt, if its server fails often. Without the limit, a lost answer would hold its
+    /// slot and its client until the deadline.
     pub fn time_limit(&self, class: &RequestClass, usual_latency: f64) -> Option<Micros> {
         let is_lossy = self.share > LOSSY_SERVER_SHARE;
         let may_repeat = class.idempotency != Idempotency::NonIdempotent;
@@ -61,7 +63,7 @@
     }
 }
 
-/// Whether an outcome tells of its server at all.
+/// Whether an outcome says anything about the server.
 pub fn is_conclusive(outcome: Outcome, elapsed: f64, usual_latency: f64) -> bool {
     match outcome {
         Outcome::NeverSent => false,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,8 +1,9 @@
-//! What this gateway knows of each tenant, and whether a request is within the tenant's quota.
+//! The state of each tenant at this gateway, and the decision whether a request is within its tenant's quota.
 //!
-//! A tenant's requests come through several gateways. Each part of the quota has a file: the token bucket, the
-//! admission fraction, the windows of sparse tenants, requests in flight, and the hard ceiling; `judgement` asks them in
-//! order. Nothing here calls the counter: updates are prepared here and sent by the engine.
+//! A tenant's requests arrive through several gateways. Each component of the quota has a module: the token
+//! bucket, the admission fraction, the windows of sparse tenants, the requests in flight and the hard ceiling.
+//! `judgement` combines them. This module does not call the counter: it prepares updates, which the engine
+//! sends.
 
 mod bucket;
 mod ceiling;
@@ -29,41 +30,43 @@
 pub use judgement::{JudgeContext, QuotaHistory};
 use window::{SparseWindow, WindowAllowance};
 
-/// A tenant without requests for this long is forgotten: any burst has refilled by then.
+/// Time without requests after which a tenant's state is dropped: any burst has refilled by then.
 const TENANT_IDLE_TIMEOUT: Micros = 30 * SECOND;
 
 /// An update of the shared counter.
 pub struct CounterUpdate {
     /// The counter's key.
     pub key: String,
-    /// What is added.
+    /// The amount to add.
     pub amount: f64,
-    /// For how long a new counter is kept.
+    /// How long the counter keeps a new key.
     pub lifetime: Micros,
 }
 
-/// One tenant.
+/// The state of one tenant.
 pub struct TenantState {
     plan: usize,
-    /// How many gateways its requests come through.
+    /// How many gateways the tenant's requests arrive through.
     gateway_spread: f64,
     bucket: TokenBucket,
     ceiling: CeilingShare,
     fraction: AdmissionFraction,
     allowance: WindowAllowance,
-    /// Its requests in flight.
+    /// The tenant's requests in flight.
     pub concurrency: ConcurrencyQuota,
     units: UnitsCounter,
-    /// What is known is too little to decide the last request by.
+    /// The last request can't be decided without a recent total of the shared counter.
     in_doubt: bool,
-    /// Its requests that wait for a reply.
+    /// The tenant's requests that wait for a reply of the counter.
     pub awaiting: AwaitingReply,
 }
 
 impl TenantState {
-    /// A tenant that is new here: it has its even share of the quota until a total is known.
+    /// Creates the state of a tenant that is new at this gateway. The tenant has its even share of the quota
+    /// until a total is known.
     ///
-    /// `process_share` is this process's part of the gateway's ceilings and `age` the time that it has had it for.
+    /// `process_share` is this process's share of the gateway's ceilings, and `age` is the time for which the
+    /// process has had it.
     pub fn new(
         request: &Request,
         plan: &Plan,
@@ -88,22 +91,22 @@
         }
     }
 
-    /// Index of the plan that its first request named.
+    /// Index of the plan that the tenant's first request named.
     pub fn plan(&self) -> usize {
         self.plan
     }
 
-    /// Its requests come through other gateways too.
+    /// Whether the tenant's requests arrive through other gateways too.
     pub fn is_shared(&self) -> bool {
         self.gateway_spread > 1.0
     }
 
-    /// Whether it may be forgotten.
+    /// Whether the tenant's state may be dropped.
     pub fn is_stale(&self, now: Micros) -> bool {
         self.concurrency.is_idle() && self.bucket.refilled_at() + TENANT_IDLE_TIMEOUT <= now
     }
 
-    /// Refills the bucket and the part of the ceiling up to now.
+    /// Refills the bucket and the share of the ceiling up to now.
     pub fn refill(&mut self, plan: &Plan, process_share: f64, now: Micros) {
         let is_known = self.units.last_total_at().is_some();
         let share = if is_known { 1.0 } else { 1.0 / self.gateway_spread };
@@ -111,7 +114,8 @@
         self.ceiling.refill(plan.ceiling, process_share, self.gateway_spread, now);
     }
 
-    /// Counts a request that has arrived, and notes whether what is known is enough to decide it by.
+    /// Counts a request that has arrived, and records whether deciding it needs a recent total of the shared
+    /// counter.
     pub fn begin(&mut self, request: &Request, plan: &Plan, process_share: f64, now: Micros) {
         self.refill(plan, process_share, now);
         self.concurrency.begin();
@@ -127,22 +131,22 @@
         self.awaiting.push(request.id.clone());
     }
 
-    /// Whether the last request has to wait for a reply.
+    /// Whether the last request has to wait for a reply of the counter.
     pub fn needs_reply(&self) -> bool {
         self.concurrency.is_update_pending() || self.in_doubt && self.units.is_update_pending()
     }
 
-    /// Whether requests wait though no update of units is under way.
+    /// Whether requests wait for a reply while no update of units is pending.
     pub fn awaits_no_update(&self) -> bool {
         !self.awaiting.is_empty() && !self.units.is_update_pending()
     }
 
-    /// Whether the part of the ceiling holds so many units.
+    /// Whether this gateway's share of the ceiling has enough tokens for `units`.
     pub fn within_ceiling(&self, plan: &Plan, units: f64) -> bool {
         plan.ceiling.is_none() || self.ceiling.has(units)
     }
 
-    /// Takes the units of a request that waits for a server from now on.
+    /// Takes the units of a request that is queued for a server.
     pub fn reserve(&mut self, units: f64, within_quota: bool) {
         self.ceiling.reserve(units);
         if within_quota {
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Gives back the units of a request that was never forwarded.
+    /// Returns the units of a request that was never forwarded.
     pub fn release(&mut self, units: f64, within_quota: bool) {
         self.ceiling.release(units);
         if within_quota {
@@ -160,12 +164,12 @@
         }
     }
 
-    /// Notes that a request has been forwarded for the first time.
+    /// Records that a request was forwarded for the first time.
     pub fn settle(&mut self, units: f64) {
         self.ceiling.settle(units);
     }
 
-    /// Corrects the units of a request by this difference.
+    /// Adds a correction to the units of a request.
     pub fn correct(&mut self, units: f64, within_quota: bool) {
         self.units.add(units);
         if within_quota {
@@ -177,7 +181,7 @@
         SparseWindow::of(plan, self.gateway_spread)
     }
 
-    /// Prepares the update of this tenant's offered units, if one is due.
+    /// Prepares an update of this tenant's offered units, if one is due.
     pub fn prepare_units_update(
         &mut self,
         id: &Id,
@@ -230,12 +234,12 @@
         CounterUpdate { key: key.to_string(), amount: update.amount, lifetime: period }
     }
 
-    /// Ends the update of units under way.
+    /// Ends the pending update of units and returns it.
     pub fn take_units_update(&mut self) -> Option<UnitsUpdate> {
         self.units.take_update()
     }
 
-    /// Takes in the reply to an update of units; the bucket has to be refilled up to now.
+    /// Applies the reply to an update of units. The bucket must have been refilled up to now.
     pub fn apply_units_reply(
         &mut self,
         update: UnitsUpdate,
@@ -268,7 +272,7 @@
         self.extrapolate(update.pending, plan, now);
     }
 
-    /// Goes on without a total, where one was known before.
+    /// Extrapolates the admission fraction when no new total is available, if one was known before.
     fn extrapolate(&mut self, pending: f64, plan: &Plan, now: Micros) {
         if self.units.last_total_at().is_some() {
             self.fraction.extrapolate(pending, self.gateway_spread, &mut self.bucket, plan, now);
--- a/crates/policy/src/quota/ceiling.rs
+++ b/crates/policy/src/quota/ceiling.rs
@@ -1,32 +1,34 @@
-//! This gateway's part of a tenant's hard ceiling; it depends on no counter and no other gateway.
+//! This gateway's share of a tenant's hard ceiling. It depends neither on the shared counter nor on other
+//! gateways.
 
 use super::TENANT_IDLE_TIMEOUT;
 use crate::event::Micros;
 use crate::numeric::seconds;
 use crate::settings::Ceiling;
 
-/// A token bucket that is this gateway's even part of the ceiling.
+/// A token bucket with this gateway's even share of the ceiling.
 pub struct CeilingShare {
     tokens: f64,
-    /// Units taken for requests that still wait here.
+    /// Units taken for requests that are still queued here.
     reserved_units: f64,
     refilled_at: Micros,
 }
 
 impl CeilingShare {
-    /// The part of a tenant that is new here, where `share` is this process's part of the ceiling and `age` the time
-    /// that it has had it for.
+    /// Creates the share for a tenant that is new at this gateway. `share` is this process's share of the
+    /// ceiling, and `age` is the time for which the process has had it.
     ///
-    /// Danger: a gateway that was killed may have used its part up, so that the part is empty at age zero.
+    /// At age zero the bucket is empty, because a gateway process that was killed may have used up its share.
     pub fn new(ceiling: Option<Ceiling>, share: f64, gateway_spread: f64, age: Micros, now: Micros) -> Self {
         let rate = ceiling.map_or(0.0, |ceiling| share * ceiling.rate / gateway_spread);
         let tokens = rate * seconds(age.min(TENANT_IDLE_TIMEOUT));
         CeilingShare { tokens, reserved_units: 0.0, refilled_at: now }
     }
 
-    /// Refills it up to now.
+    /// Refills the bucket up to now.
     ///
-    /// What waits here is kept out of the burst. Danger: were the part to fill up meanwhile, both could leave at once.
+    /// Reserved units reduce the burst. Otherwise the bucket could fill up while requests are queued, and a
+    /// full burst could leave together with them.
     pub fn refill(&mut self, ceiling: Option<Ceiling>, share: f64, gateway_spread: f64, now: Micros) {
         if let Some(Ceiling { rate, burst }) = ceiling {
             let elapsed = seconds(now - self.refilled_at);
@@ -36,24 +38,24 @@
         self.refilled_at = now;
     }
 
-    /// Whether so many units are left.
+    /// Whether the bucket holds `units`.
     pub fn has(&self, units: f64) -> bool {
         self.tokens >= units
     }
 
-    /// Takes units for a request that waits from now on.
+    /// Reserves units for a request that is queued.
     pub fn reserve(&mut self, units: f64) {
         self.reserved_units += units;
         self.tokens -= units;
     }
 
-    /// Gives back the units of a request that was never forwarded.
+    /// Returns the units of a request that was never forwarded.
     pub fn release(&mut self, units: f64) {
         self.reserved_units -= units;
         self.tokens += units;
     }
 
-    /// Notes that a request which waited has been forwarded.
+    /// Records that a queued request was forwarded.
     pub fn settle(&mut self, units: f64) {
         self.reserved_units -= units;
     }
--- a/crates/policy/src/quota/concurrency.rs
+++ b/crates/policy/src/quota/concurrency.rs
@@ -1,4 +1,5 @@
-//! A tenant's quota on requests in flight at once: those here, and what the shared counter tells of the others.
+//! A tenant's quota on requests in flight: those at this gateway, and those that the shared counter reports for
+//! other gateways.
 
 use rand::Rng;
 
@@ -7,30 +8,30 @@
 use crate::hash::hash_position;
 use crate::numeric::{update_mean, FAST_MEAN_WEIGHT};
 
-/// Length of a window of this counter. Danger: an update that takes a request off and is lost on its way occupies a
-/// slot until the window ends.
+/// Length of a window of the concurrency counter. If an update that subtracts a request is lost, the request
+/// occupies a slot until the window ends.
 const CONCURRENCY_WINDOW: Micros = 5_000_000;
 
-/// An update that the shared counter is to get.
+/// An update of the shared counter of requests in flight.
 pub struct ConcurrencyUpdate {
     /// The window's number.
     pub window: u64,
-    /// What is added; negative where requests have ended.
+    /// The amount to add; negative if requests have ended.
     pub amount: f64,
-    /// The time until the window ends, where what is in flight has to be carried over by then.
+    /// The time until the window ends, if requests in flight then have to be carried over to the next window.
     pub carry_over_in: Option<Micros>,
 }
 
-/// The requests of a tenant in flight, here and elsewhere.
+/// The requests of a tenant in flight at this gateway and at others.
 #[derive(Default)]
 pub struct ConcurrencyQuota {
     in_flight: u32,
-    /// What the open window holds of them, updates under way included.
+    /// How many of this gateway's requests the current window counts, including pending updates.
     reported: f64,
-    /// The amount of the update under way.
+    /// The amount of the pending update.
     update: Option<f64>,
     window: u64,
-    /// What the others had in flight by the last reply, and on average.
+    /// The requests in flight at other gateways: by the last reply, and on average.
     others: f64,
     others_mean: f64,
     replies: f64,
@@ -38,35 +39,35 @@
 }
 
 impl ConcurrencyQuota {
-    /// A request has arrived.
+    /// Counts a request that has arrived.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request has ended.
+    /// Counts a request that has ended.
     pub fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Nothing is in flight here.
+    /// Whether this gateway has none of the tenant's requests in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0
     }
 
-    /// An update is under way.
+    /// Whether an update is pending.
     pub fn is_update_pending(&self) -> bool {
         self.update.is_some()
     }
 
-    /// A reply has come in the past.
+    /// Whether the counter has ever replied.
     pub fn is_known(&self) -> bool {
         self.replied_at.is_some()
     }
 
-    /// Whether one more request, already counted as in flight, keeps to the limit.
+    /// Whether a request that is already counted as in flight keeps within the limit.
     ///
-    /// `counter_responds` says that the counter has replied recently, `likely` what to assume of a tenant that nothing
-    /// is known of.
+    /// `counter_responds` says whether the counter has replied recently. `assumed_within` is the answer assumed
+    /// for a tenant without any reply.
     pub fn admits(
         &self,
         max_concurrency: u32,
@@ -77,7 +78,7 @@
     ) -> bool {
         let limit = f64::from(max_concurrency);
         let here = f64::from(self.in_flight);
-        // Where few slots are spread over many gateways only a reply of this moment is a guide.
+        // If few slots are spread over many gateways, only a reply received at this instant is accurate enough.
         if counter_responds && 2.0 * limit < gateway_spread {
             return self.replied_at == Some(now) && here + self.others <= limit;
         }
@@ -88,10 +89,10 @@
         }
     }
 
-    /// Prepares the update that brings the shared counter in step, if one is due.
+    /// Prepares an update that brings the shared counter up to date, if one is due.
     ///
-    /// What has ended, what is still in flight when a window begins and the first of a window are always reported; else
-    /// `call_probability` decides.
+    /// Three kinds of updates are always made: for requests that have ended, for requests still in flight when
+    /// a window begins, and for the first request in a window. Other updates are made with `call_probability`.
     pub fn prepare_update(
         &mut self,
         tenant: &Id,
@@ -99,7 +100,7 @@
         rng: &mut impl Rng,
         now: Micros,
     ) -> Option<ConcurrencyUpdate> {
-        // Danger: windows of all tenants that begin at one time would bring all updates at one time.
+        // If the windows of all tenants began at the same time, all their updates would be sent at that time.
         let shifted = now + hash_position(tenant, CONCURRENCY_WINDOW);
         let window = shifted / CONCURRENCY_WINDOW;
         let is_new_window = self.window != window;
@@ -121,20 +122,21 @@
         Some(ConcurrencyUpdate { window, amount, carry_over_in: (amount > 0.0).then_some(window_ends_in) })
     }
 
-    /// Ends the update under way, and returns its amount.
+    /// Ends the pending update and returns its amount.
     pub fn take_update(&mut self) -> Option<f64> {
         self.update.take()
     }
 
-    /// Takes in the reply to an update of this amount.
+    /// Applies the reply to an update of `amount`.
     pub fn apply_reply(&mut self, amount: f64, reply: &CounterReply, now: Micros) {
         if reply.outcome == Outcome::Ok {
             self.replied_at = Some(now);
-            // A total below what is in flight here has lost some of it, which the next update adds again.
+            // If the total is below the number in flight here, the counter has lost some requests. The next
+            // update adds them again.
             self.reported = self.reported.min(reply.total.max(0.0));
             self.others = reply.total - self.reported;
             self.replies += 1.0;
-            // The mean of the first replies is theirs alone.
+            // For the first replies this weight gives the plain average.
             let weight = FAST_MEAN_WEIGHT.max(1.0 / self.replies);
             update_mean(&mut self.others_mean, weight, self.others);
         } else if !reply.may_have_counted() {
--- a/crates/policy/src/quota/fraction.rs
+++ b/crates/policy/src/quota/fraction.rs
@@ -1,8 +1,8 @@
-//! The admission fraction of a tenant: the part of its offered units that all gateways admit alike.
+//! The admission fraction of a tenant: the share of its offered units that all gateways admit alike.
 //!
 //! Source: Tesco's write-up "Beyond Quotas: How Tesco Mastered Dynamic Rate Limiting with Envoy", as adapted in
-//! `docs/design.md`: a central service sums the reported use, and every instance admits the same percentage of its own
-//! current traffic. Here each gateway computes the percentage from the total of a shared counter.
+//! `docs/design.md`: a central service sums the reported use, and every instance admits the same percentage of
+//! its own current traffic. Here each gateway computes the percentage from the total of a shared counter.
 
 use super::bucket::TokenBucket;
 use crate::counter::{Decay, UnitsReading, MIN_UPDATE_INTERVAL};
@@ -10,33 +10,36 @@
 use crate::numeric::{NEGLIGIBLE, SECOND};
 use crate::settings::Plan;
 
-/// Units that the last estimate counts as, beside the units seen since. Danger: a few requests would overturn it.
+/// Weight of the previous estimate in units, added to the units seen since. Without it a few requests would
+/// overturn the estimate.
 const PRIOR_UNITS: f64 = 6.0;
 
-/// Decay times between two totals up to which the bucket is followed by their difference; beyond, most has decayed.
+/// Longest time between two totals, in decay times, for which the bucket is adjusted by their difference. After
+/// a longer time most of the difference has decayed.
 const MAX_DECAYS_BETWEEN_TOTALS: f64 = 2.0;
 
-/// What a tenant may have been offered within a decay time, in refills of that time, before its bucket is empty: it may
-/// use its burst on top of the refill.
+/// The units that a tenant may have offered within a decay time before its bucket is empty, as a multiple of
+/// the refill in that time. The burst is available on top of the refill.
 const CAPACITY_IN_REFILLS: f64 = 2.2;
 
-/// The fraction and what it is computed from.
+/// The fraction and the figures that it is computed from.
 pub struct AdmissionFraction {
     fraction: f64,
-    /// Units that the quota gains in a period of the last fraction; none where all is admitted.
+    /// Units refilled in the period of the last fraction; 0 if everything is admitted.
     period_refill: f64,
-    /// Fractions of admitted requests added up; a whole one admits the next request.
+    /// The sum of the fractions of the requests decided; at 1 the next request is admitted.
     credit: f64,
-    /// Units offered to all gateways in a microsecond.
+    /// Units offered to all gateways per microsecond.
     demand: f64,
     computed_at: Micros,
-    /// Units decided on here, and those of them admitted; both halved with each update of the counter.
+    /// Units decided at this gateway, and those of them admitted. Each update of the counter halves both.
     recent_offered: f64,
     recent_admitted: f64,
 }
 
 impl AdmissionFraction {
-    /// All is admitted. The credit starts at random, so that gateways don't admit in step.
+    /// Creates a fraction that admits everything. The initial credit is random, so that gateways don't admit in
+    /// step.
     pub fn new(credit: f64, now: Micros) -> Self {
         AdmissionFraction {
             fraction: 1.0,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Computes the fraction from what all gateways were offered in a period.
+    /// Computes the fraction from the units offered to all gateways in a period.
     ///
     /// fraction = min(1, (rate × period + tokens) / offered), the formula of the source.
     fn compute(&mut self, offered: f64, period: f64, plan: &Plan, tokens: f64, now: Micros) {
@@ -60,7 +63,7 @@
         self.computed_at = now;
     }
 
-    /// Whether a request is admitted: the bucket and its refill hold its units, and the credit has become whole.
+    /// Whether a request is admitted: the bucket and its refill hold its units, and the credit has reached 1.
     pub fn admit(&mut self, units: f64, bucket: &TokenBucket) -> bool {
         let has_tokens = units <= bucket.tokens() + self.period_refill + NEGLIGIBLE;
         let is_partial = self.fraction < 1.0;
@@ -75,9 +78,9 @@
         is_whole
     }
 
-    /// Takes in a total of all gateways: the bucket follows it, and the fraction follows both.
+    /// Applies a total of all gateways: adjusts the bucket to it and computes the fraction from both.
     ///
-    /// `pending` are the units that were offered here and are in the total for the first time.
+    /// `pending` are the units that were offered here and that the total includes for the first time.
     pub fn apply_reading(
         &mut self,
         reading: &UnitsReading,
@@ -90,7 +93,7 @@
         let since = reading.since;
         let gap = (now - since) as f64 / decay_time;
         if gap < MAX_DECAYS_BETWEEN_TOTALS {
-            // What was extrapolated since the last total is taken already.
+            // Units extrapolated since the last total are already taken.
             let not_taken = (now - self.computed_at.max(since)) as f64 / (now - since).max(1) as f64;
             let others = reading.others * gap / (1.0 - (-gap).exp()).max(NEGLIGIBLE);
             bucket.take_for_others(others * not_taken * self.recently_admitted_share());
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Without a total: all gateways are taken to be offered what they were, as far as what came here bears that out.
+    /// Computes the fraction without a new total. It assumes that all gateways are offered as much as before,
+    /// corrected by the units offered here.
     pub fn extrapolate(
         &mut self,
         pending: f64,
@@ -122,17 +126,18 @@
         }
     }
 
-    /// The part of what was offered here that was admitted recently; others are taken to admit as much.
+    /// The share of the recently offered units that this gateway admitted. Other gateways are assumed to admit
+    /// the same share.
     fn recently_admitted_share(&self) -> f64 {
         ((self.recent_admitted + self.fraction) / (self.recent_offered + 1.0)).clamp(0.0, 1.0)
     }
 
-    /// Counts units that are decided on here.
+    /// Counts units that this gateway decides on.
     pub fn count_offered(&mut self, units: f64) {
         self.recent_offered += units;
     }
 
-    /// Counts units that are admitted here; negative units were given up.
+    /// Counts units that this gateway admits; negative units belong to requests that were given up.
     pub fn count_admitted(&mut self, units: f64) {
         self.recent_admitted += units;
     }
@@ -143,12 +148,12 @@
         self.recent_offered /= 2.0;
     }
 
-    /// Whether these units are all that was offered here recently.
+    /// Whether `units` are all that was offered here recently.
     pub fn is_first_offer(&self, units: f64) -> bool {
         self.recent_offered <= units
     }
 
-    /// Units offered to all gateways in a microsecond, as last computed.
+    /// Units offered to all gateways per microsecond, as last computed.
     pub fn demand(&self) -> f64 {
         self.demand
     }
--- a/crates/policy/src/quota/judgement.rs
+++ b/crates/policy/src/quota/judgement.rs
@@ -1,4 +1,5 @@
-//! Whether a request is within its tenant's quota, by what is known or else by a guess; it changes no other tenant.
+//! Decides whether a request is within its tenant's quota, from the counter's totals or else from an estimate.
+//! The decision changes no other tenant's state.
 
 use rand::Rng;
 
@@ -9,22 +10,23 @@
 use crate::numeric::{update_mean, SLOW_MEAN_WEIGHT};
 use crate::settings::Plan;
 
-/// How many times what it may earn beyond the quota a request has to exceed its cost, to be admitted without a total.
+/// Without a total, a request of a tenant that sends again is admitted only if its value, 1 plus the excess
+/// value, exceeds its excess cost by this factor.
 const EXCESS_COST_FACTOR: f64 = 1.5;
 
-/// The share of each plan's requests that were found within their quota, as a guess of those that nothing is known of.
+/// The share of each plan's requests that were within their quota: the estimate for tenants without a total.
 pub struct QuotaHistory {
     within_share: Vec<f64>,
 }
 
 impl QuotaHistory {
-    /// All are taken to be within their quota.
+    /// Creates a history that assumes every request to be within its quota.
     pub fn new(plans: &[Plan]) -> Self {
         QuotaHistory { within_share: vec![1.0; plans.len()] }
     }
 
-    /// The probability that a request is within its quota. The first of a tenant is likelier so than those after it:
-    /// who comes again before any reply asks for much.
+    /// The probability that a request is within its quota. It is higher for the first request of a tenant than
+    /// for later ones: a tenant that sends another request before any reply probably sends many.
     fn probability(&self, plan: usize, is_first: bool) -> f64 {
         let share = self.within_share[plan];
         if is_first {
@@ -39,34 +41,34 @@
     }
 }
 
-/// What a judgement goes by beside the tenant's own state.
+/// The inputs of a decision besides the tenant's own state.
 pub struct JudgeContext<'a, R> {
-    /// The plan that the request names.
+    /// The plan of the request.
     pub plan: &'a Plan,
-    /// The gateways share a counter.
+    /// Whether the gateways share a counter.
     pub has_shared_counter: bool,
-    /// What was found of other tenants.
+    /// The results of earlier decisions on all tenants.
     pub history: &'a mut QuotaHistory,
-    /// How the counter replies.
+    /// The state of the shared counter: whether it replies, and how often it may be called.
     pub pacer: &'a mut CounterPacer,
-    /// Random numbers.
+    /// The generator of random numbers.
     pub rng: &'a mut R,
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
-/// A judgement under way.
+/// The intermediate state of a decision.
 struct Judgement {
-    /// The request is within the quota, as far as was looked at.
+    /// The request is within every component of the quota checked so far.
     within: bool,
-    /// The counter's totals say so, not a guess.
+    /// The decision is based on the counter's totals, not on an estimate.
     known: bool,
-    /// A guess for tenants that nothing is known of.
+    /// The estimate used if there is no total for the tenant.
     likely: bool,
 }
 
 impl TenantState {
-    /// Whether a request is within the quota, by what is known now.
+    /// Decides whether a request is within the quota, from the information available now.
     pub fn judge<R: Rng>(&mut self, request: &Request, context: JudgeContext<R>) -> bool {
         let JudgeContext { plan, has_shared_counter, history, pacer, rng, now } = context;
         self.fraction.count_offered(request.units);
@@ -86,7 +88,8 @@
         if let Some(window) = self.sparse_window(plan) {
             self.judge_sparse(&mut judgement, window, request.units, plan, pacer, now);
         } else if plan.rate > 0.0 && self.units.last_total_at().is_none() && self.is_shared() {
-            // Beyond its even share, a tenant that nothing is known of is taken to be as the others of its plan.
+            // Beyond its even share, a tenant without a total is assumed to behave like the other tenants of
+            // its plan.
             judgement.within &= !self.in_doubt || likely;
             judgement.known = false;
         } else if plan.rate > 0.0 {
@@ -98,7 +101,7 @@
         judgement.within
     }
 
-    /// The judgement on a sparse tenant: by a total of this moment, or else by a guess.
+    /// Decides for a sparse tenant: from a total received at this instant, or else from an estimate.
     fn judge_sparse(
         &mut self,
         judgement: &mut Judgement,
@@ -118,8 +121,9 @@
             }
             return;
         }
-        // Rejected without a total, a request comes again where there may be one; admitted, it is in no count. A
-        // tenant that is here again asks far beyond its quota: what it earns has to exceed what it costs.
+        // A request that is rejected without a total may be sent again to a gateway that has one; a request
+        // that is admitted without a total is not counted anywhere. A tenant that sends again without a total
+        // asks far beyond its quota, so the value of its request has to exceed the cost.
         let pays = self.fraction.is_first_offer(units)
             || EXCESS_COST_FACTOR * plan.excess_cost < 1.0 + plan.excess_value;
         let guesses = !pacer.is_responding(now) || pays && pacer.is_starved();
--- a/crates/policy/src/rejection.rs
+++ b/crates/policy/src/rejection.rs
@@ -1,34 +1,36 @@
-//! Why the decision module rejects or fails a request: for the records of operators, never for clients.
+//! The reasons for which the decision module rejects or fails a request. Operators see them in records; clients
+//! never do.
 
 use std::fmt;
 
-/// The reason of a final answer that is not a server's own.
+/// The reason for a final answer that this gateway gives itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
-    /// The tenant's quota is used up, and what is beyond it does not pay or finds no spare capacity.
+    /// The tenant's quota is used up, and excess requests are unprofitable or there is no spare capacity for
+    /// them.
     OverQuota,
-    /// This gateway's part of the plan's hard ceiling is used up.
+    /// This gateway's share of the plan's hard ceiling is used up.
     Ceiling,
-    /// So little of the client's time is left that no server would answer within it.
+    /// The client's deadline is too close for any server to answer in time.
     DeadlineTooClose,
-    /// More requests wait for a server than can be served in time, and this one has the least priority.
+    /// More requests are queued than can be served in time, and this request has the lowest priority.
     QueueFull,
-    /// No server had capacity in the time that the request may wait here.
+    /// No server had capacity within the time that the request may be queued.
     NoServer,
-    /// The shared counter was queried first, and has not replied in time.
+    /// The decision needed a reply of the shared counter, and the reply did not arrive in time.
     CounterTimeout,
-    /// An attempt was made and has not ended by the client's deadline.
+    /// An attempt was made and did not end by the client's deadline.
     AttemptUnfinished,
-    /// An attempt failed that may have had an effect, and the class allows no second one.
+    /// An attempt that may have had an effect failed, and the class allows no second one.
     NotIdempotent,
     /// An attempt failed, and the retry budget is exhausted.
     RetryBudgetExhausted,
-    /// An attempt failed, and it was the last that one request may have.
+    /// An attempt failed, and the request has had the maximum number of attempts.
     AttemptsExhausted,
 }
 
 impl RejectReason {
-    /// The name of the reason in operators' records; it never changes.
+    /// The name of the reason in operators' records. Names never change.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::OverQuota => "over-quota",
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,5 @@
-//! Whether a request gets another attempt: the retry budget and the rules of the class; not which server gets it.
+//! Decides whether a request gets another attempt, by the retry budget and the rules of its class. Other
+//! modules choose the server.
 
 use crate::deadline::DEADLINE_MARGIN;
 use crate::event::Micros;
@@ -6,45 +7,45 @@
 use crate::rejection::RejectReason;
 use crate::settings::{Idempotency, KeyScope, RequestClass};
 
-/// Retries earned by each first attempt.
+/// Retries added to the budget by each first attempt.
 const RETRIES_PER_REQUEST: f64 = 0.2;
 
-/// The most retries that may be saved up.
+/// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// The retries that this gateway may make, as a share of its first attempts. Danger: without it the retries of a fleet
-/// in trouble multiply its load.
+/// Limits the retries of this gateway to a share of its first attempts. Without the limit, the retries of a
+/// fleet in trouble multiply its load.
 pub struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn full() -> Self {
         RetryBudget { tokens: MAX_SAVED_RETRIES }
     }
 
-    /// Adds what a first attempt earns.
+    /// Adds the retries that a first attempt earns.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry may be made.
+    /// Whether the budget holds a retry.
     pub fn is_available(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one retry.
+    /// Takes one retry from the budget.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// Whether a request whose attempt has failed may have another.
+/// Checks whether a request whose attempt has failed may have another attempt.
 ///
 /// # Errors
 ///
-/// The reason of the final answer, where it may not.
+/// The reason for the final answer, if the request may not.
 pub fn check(
     in_flight: &InFlight,
     class: &RequestClass,
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// Whether the client may safely send the request again after this gateway gave it up.
+/// Whether the client may safely send the request again after this gateway has given up.
 pub fn client_may_repeat(in_flight: &InFlight, class: &RequestClass) -> bool {
     match class.idempotency {
         Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,4 +1,5 @@
-//! Weighted round robin among the servers that may have a request; whether it is sent at all is decided elsewhere.
+//! Selects a server for an attempt by weighted round robin. Other modules decide whether the request is sent at
+//! all.
 
 use crate::endpoints::{EndpointTable, Server};
 use crate::event::{Id, Micros};
@@ -7,18 +8,21 @@
 use crate::settings::{Idempotency, KeyScope, RequestClass};
 use crate::slow_start::SlowStartRules;
 
-/// The servers that a request with an idempotency key is bound to, once an attempt may have run.
+/// Restricts a request with an idempotency key to the servers that remember the key, once an attempt may have
+/// run.
 pub struct KeyBinding {
-    /// The zone or cell, where the scope is one.
+    /// The zone or cell, if the key's scope is one.
     group: Option<u32>,
     /// When the servers forget the key.
     until: Micros,
 }
 
 impl KeyBinding {
-    /// The binding of a request by its attempts; none where the class has no key or nothing may have run.
+    /// The binding of a request with these attempts; `None` if the class has no idempotency key or no attempt
+    /// may have run.
     ///
-    /// A server that has left the table takes the knowledge of its group with it: then no server fits.
+    /// If the server of the first such attempt has left the table, its group is unknown and no server is
+    /// eligible.
     pub fn of(class: &RequestClass, attempts: &[Attempt], servers: &EndpointTable) -> Option<Self> {
         let Idempotency::Keyed { retention, .. } = class.idempotency else { return None };
         let first = attempts.iter().find(|attempt| attempt.may_have_run)?;
@@ -33,7 +37,7 @@
     }
 }
 
-/// The zone or cell whose servers share their memory of keys; none where all do.
+/// The zone or cell whose servers share their memory of keys; `None` if all servers share it.
 fn scope_group(class: &RequestClass, server: &Server) -> Option<u32> {
     match class.idempotency {
         Idempotency::Keyed { scope: KeyScope::Zone, .. } => Some(server.zone),
@@ -42,20 +46,20 @@
     }
 }
 
-/// One choice of a server.
+/// The inputs of one selection.
 pub struct Selection<'a> {
     /// The request's class.
     pub class: &'a RequestClass,
-    /// The attempts that it had.
+    /// The attempts already made for the request.
     pub attempts: &'a [Attempt],
-    /// The servers that it is bound to.
+    /// The binding to the servers that remember its idempotency key.
     pub binding: Option<KeyBinding>,
-    /// The rules for servers that have just started.
+    /// The rules for servers in slow start.
     pub slow_start: SlowStartRules<'a>,
 }
 
 impl Selection<'_> {
-    /// The server that is next, or none where no server has capacity for the request.
+    /// Selects the next server, or returns `None` if no server has capacity for the request.
     pub fn choose(&self, servers: &mut EndpointTable) -> Option<Id> {
         let fits = |(id, server): &(&Id, &Server)| self.fits(id, server);
         let weigh = |(id, server): (&Id, &Server)| (id.clone(), self.weight(server));
@@ -68,7 +72,7 @@
             servers.get_mut(id).expect("a candidate is in the table").credit += weight / sum;
         }
         let credit = |id: &Id| servers.get(id).map_or(0.0, |server| server.credit);
-        // In reverse, as `max_by` returns the last of equal maxima.
+        // Reversed because `max_by` returns the last of equal maxima, and the first is needed.
         let ids = candidates.into_iter().map(|(id, _)| id).rev();
         ids.max_by(|id, other| credit(id).total_cmp(&credit(other)))
     }
@@ -96,7 +100,8 @@
     fn weight(&self, server: &Server) -> f64 {
         let capacity = self.slow_start.capacity_share(server.effective_start());
         let speed = server.weight.max(NEGLIGIBLE) * capacity / server.limit.relative_latency();
-        // A limit below one can't keep a server from its turn: it has to count here.
+        // A limit below 1 never excludes a server, because a server may always have one attempt. It reduces the
+        // weight instead.
         speed * server.limit.get().min(1.0) * (1.0 - server.failures.share())
     }
 }
--- a/crates/policy/src/settings/error.rs
+++ b/crates/policy/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with the platform's settings; texts name the setting as the platform does.
+//! Errors in the platform's settings. Messages use the platform's names of settings.
 
 use thiserror::Error;
 
-/// A setting that can't be used, by its name and the value that was found.
+/// A setting that is missing or invalid, with its name and the value found.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// A setting without a default is absent.
+    /// A required setting is absent.
     #[error("'{key}' is missing")]
     Missing {
         /// The setting's name.
@@ -19,7 +19,7 @@
         /// Its value.
         found: String,
     },
-    /// A whole number from 0 on was expected.
+    /// A non-negative integer was expected.
     #[error("'{key}={found}' is no whole number")]
     NotAWholeNumber {
         /// The setting's name.
@@ -27,7 +27,7 @@
         /// Its value.
         found: String,
     },
-    /// A number from 0 on was expected.
+    /// A non-negative number was expected.
     #[error("'{key}={found}' is below 0")]
     Negative {
         /// The setting's name.
@@ -35,7 +35,7 @@
         /// Its value.
         found: f64,
     },
-    /// A time of more than half a microsecond was expected.
+    /// A time of at least half a microsecond was expected.
     #[error("'{key}={found}' leaves no time")]
     NoTime {
         /// The setting's name.
@@ -57,7 +57,7 @@
         /// The setting's name.
         key: String,
     },
-    /// A way to get the endpoint list was expected.
+    /// The mode of discovery, `pushed` or `on_request`, was expected.
     #[error("'{key}={found}' is neither 'pushed' nor 'on_request'")]
     UnknownDiscovery {
         /// The setting's name.
@@ -89,7 +89,7 @@
         /// Its value.
         found: String,
     },
-    /// Two classes or two plans have one name: which of them a client means can't be known.
+    /// Two classes or two plans have the same name, so a client's choice would be ambiguous.
     #[error("'{key}={found}' comes twice")]
     DuplicateName {
         /// The setting's name.
@@ -106,7 +106,7 @@
 }
 
 impl From<SettingsError> for String {
-    /// The error's text, for callers whose errors are texts.
+    /// Converts the error to its message, for callers whose errors are strings.
     fn from(error: SettingsError) -> Self {
         error.to_string()
     }
--- a/crates/policy/src/settings/platform.rs
+++ b/crates/policy/src/settings/platform.rs
@@ -1,16 +1,17 @@
-//! Reads the platform's settings into the module's types: the one place that knows the platform's names and units.
+//! Reads the platform's settings into the module's types. Only this module knows the platform's names and
+//! units.
 
 use super::{Ceiling, Fields, Idempotency, KeyScope, Plan, RequestClass, Settings, SettingsError};
 use crate::event::{LoadReport, Micros};
 
-/// The most units that a request may take where the settings don't say: a shared counter could not hold more.
+/// Default maximum units of a request: a shared counter could not hold more.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// The settings of the decision module.
+/// Reads the settings of the decision module.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or can't be used.
+/// Returns the first setting that is missing or invalid.
 pub fn policy_settings(from: &impl Fields) -> Result<Settings, SettingsError> {
     Ok(Settings {
         seed: from.whole("prng")?,
@@ -120,7 +121,7 @@
     })
 }
 
-/// What a gateway needs of the platform's settings beside [`Settings`]: names in use outside, and the site's limits.
+/// The platform's settings that a gateway needs besides [`Settings`]: outer names and the site's limits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformSettings {
     /// Names of the request classes, by index.
@@ -131,34 +132,33 @@
     pub zones: Vec<String>,
     /// Names of the hardware types, by index.
     pub hardware_types: Vec<String>,
-    /// Names of the values of a server's load report, in their order.
+    /// Names of the values in a server's load report, in order.
     pub load_fields: Vec<String>,
-    /// A connection that is not up by then never comes up.
+    /// Time after which a connection that is not established is given up.
     pub connect_timeout: Micros,
-    /// A connection that is idle for so long ends.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
     /// The longest wait for a reply of the shared counter.
     pub counter_timeout: Micros,
-    /// The longest that a client of any class waits.
+    /// The longest time that a client of any class waits for an answer.
     pub max_client_wait: Micros,
-    /// The longest Retry-After that a rejection may carry.
+    /// The longest Retry-After of a rejection.
     pub max_retry_after: Micros,
-    /// The endpoint list comes from an agent of this gateway's own, which pushes it; else from a service that all
-    /// gateways poll.
+    /// Whether this gateway's own agent pushes the endpoint list. Otherwise all gateways poll a common service.
     pub list_is_pushed: bool,
     /// How many gateways there are.
     pub gateway_count: u32,
-    /// The most units that a request may take.
+    /// The maximum units of a request.
     pub max_units: f64,
 }
 
-/// The settings of a gateway beside those of the decision module.
+/// Reads the gateway's settings other than those of the decision module.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or can't be used.
+/// Returns the first setting that is missing or invalid.
 pub fn platform_settings(from: &impl Fields) -> Result<PlatformSettings, SettingsError> {
-    // Read first: of several wrong settings this one is reported.
+    // Read first, because only the first of several invalid settings is reported.
     let max_client_wait = max_client_wait(from)?;
     Ok(PlatformSettings {
         class_names: unique_names(from, "lanes")?,
@@ -198,11 +198,11 @@
     Ok(longest)
 }
 
-/// Sets one value of a load report; names that are not known are passed over.
+/// Sets one value of a load report; unknown names are ignored.
 ///
 /// # Errors
 ///
-/// The value is no number.
+/// The value is not a number.
 pub fn parse_load_field(load: &mut LoadReport, name: &str, value: &str) -> Result<(), SettingsError> {
     let Ok(number) = value.parse::<f64>() else {
         return Err(SettingsError::LoadNotANumber { found: value.into() });
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,19 +1,21 @@
-//! Slow start: how much a server that has just started gets, so that all gateways together don't collapse it.
+//! Slow start: limits the attempts at a server that has just started, so that all gateways together don't make
+//! it collapse.
 
 use crate::event::Micros;
 use crate::numeric::{seconds, update_mean, FAST_MEAN_WEIGHT, SECOND};
 use crate::settings::Settings;
 
-/// Part of a server's slow-start budget that is used; the rest is for what other gateways can't see.
+/// Share of a server's slow-start budget that gateways use. The rest is a margin for what they can't see of
+/// each other.
 const BUDGET_USE_SHARE: f64 = 0.4;
 
-/// The least that a server gets from all gateways together in an overload window, in attempts.
+/// Minimum number of attempts that all gateways together send to a server in an overload window.
 const MIN_ATTEMPTS_PER_WINDOW: f64 = 0.5;
 
-/// How often the load of a warm server is measured.
+/// How often the load of warm servers is measured.
 const MEASUREMENT_INTERVAL: Micros = SECOND;
 
-/// The attempts that one server in slow start may be sent, saved up over time.
+/// The attempts that one server in slow start may be sent, accumulated over time.
 #[derive(Default)]
 pub struct SlowStartBudget {
     attempts: f64,
@@ -21,13 +23,13 @@
 }
 
 impl SlowStartBudget {
-    /// A budget that holds so many attempts now.
+    /// Creates a budget that holds `attempts` now.
     pub fn new(attempts: f64, now: Micros) -> Self {
         SlowStartBudget { attempts, updated_at: now }
     }
 }
 
-/// The attempts that a warm server gets from this gateway, measured once a second.
+/// The attempts per second that this gateway sends to a warm server, measured once a second.
 pub struct WarmLoad {
     attempts_per_second: f64,
     sent: u32,
@@ -35,7 +37,7 @@
 }
 
 impl WarmLoad {
-    /// Nothing measured yet.
+    /// Creates a state without any measurement.
     pub fn new(now: Micros) -> Self {
         WarmLoad { attempts_per_second: 0.0, sent: 0, measured_at: now }
     }
@@ -50,9 +52,9 @@
         self.measured_at + MEASUREMENT_INTERVAL
     }
 
-    /// Closes a measurement over so many warm servers.
+    /// Ends a measurement over `warm_servers`.
     ///
-    /// Where none is warm the last figure stays. Danger: taken for no load, it would starve all servers.
+    /// If no server is warm, the last figure is kept: a figure of 0 would starve all servers.
     pub fn measure(&mut self, warm_servers: usize, now: Micros) {
         if warm_servers > 0 {
             let sample = f64::from(self.sent) / warm_servers as f64;
@@ -64,22 +66,22 @@
     }
 }
 
-/// The rules of slow start as they stand at one moment.
+/// The rules of slow start at one moment.
 pub struct SlowStartRules<'a> {
-    /// The platform's figures.
+    /// The settings of slow start.
     pub settings: &'a Settings,
-    /// The load of a warm server.
+    /// The measured load of a warm server.
     pub warm_load: &'a WarmLoad,
-    /// The part of this gateway's budgets that this process has.
+    /// This process's share of the gateway's slow-start budgets.
     pub process_share: f64,
     /// How many gateways use a server.
     pub gateways_per_server: f64,
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
 impl SlowStartRules<'_> {
-    /// The share of its capacity that a server certainly has, by the time since its start.
+    /// The share of its full capacity that a server certainly has, by the time since its start.
     pub fn capacity_share(&self, started_at: Option<Micros>) -> f64 {
         let Some(started_at) = started_at else { return 1.0 };
         let duration = self.settings.slow_start_duration.max(1) as f64;
@@ -93,10 +95,10 @@
         self.capacity_share(started_at) >= 1.0
     }
 
-    /// The attempts that a server in slow start may be sent now; below one it has to wait.
+    /// The attempts that a server in slow start may be sent now. Below 1 the server gets none yet.
     ///
-    /// Each gateway keeps to its part of what the server certainly can do, with many gateways less than one attempt
-    /// at a time.
+    /// Each gateway keeps to its share of the server's certain capacity. With many gateways this share is less
+    /// than one attempt at a time.
     pub fn budget(&self, started_at: Option<Micros>, saved: &SlowStartBudget) -> f64 {
         let window = self.settings.overload_window;
         let capacity = self.capacity_share(started_at) * self.warm_load.attempts_per_second * seconds(window);
@@ -108,7 +110,7 @@
     }
 }
 
-/// Whether a server that started then is in slow start, by the list alone.
+/// Whether a server with this start time is in slow start, according to the endpoint list alone.
 pub fn is_warming_up(started_at: Option<Micros>, settings: &Settings, now: Micros) -> bool {
     started_at.is_some_and(|at| now < at + settings.slow_start_duration)
 }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,28 +1,28 @@
-//! Which servers this gateway uses, where others have not assigned them: a stretch of a ring; it learns nothing of them.
+//! Selects the servers that this gateway uses: the assigned subset, or else a segment of the hash ring.
 
 use crate::endpoints::Server;
 use crate::event::{Id, Subset};
 
-/// Gateways to a server, beyond which each gateway uses only some servers. Danger: one attempt from each of many
-/// gateways overloads a server.
+/// Number of gateways per server above which each gateway uses only a subset of the servers. One attempt from
+/// each of many gateways overloads a server.
 const MAX_GATEWAYS_PER_SERVER: usize = 2;
 
-/// The fewest servers that a gateway uses.
+/// Minimum number of servers that a gateway uses.
 const MIN_SUBSET_SIZE: usize = 8;
 
-/// This gateway among all of them.
+/// This gateway's position among all gateways.
 #[derive(Clone, Copy)]
 pub struct GatewayPosition {
-    /// Its number, from 0.
+    /// The gateway's number, from 0.
     pub index: u32,
     /// How many gateways there are.
     pub count: u32,
 }
 
-/// Marks the servers that this gateway uses, with their weights, and returns how many gateways use a server.
+/// Marks the servers that this gateway uses, with their weights. Returns how many gateways use a server.
 ///
-/// `ring` holds all servers that fit, in the order of their positions. Without a subset the gateway takes a stretch of
-/// the ring that starts at its own position, which a new list moves little.
+/// `ring` holds all eligible servers, ordered by their positions. Without a subset the gateway uses a segment
+/// of the ring that starts at the gateway's own position; a new list changes this segment little.
 pub fn assign(ring: &mut [(&Id, &mut Server)], gateway: GatewayPosition, subset: Option<&Subset>) -> f64 {
     if let Some(subset) = subset {
         for (id, server) in ring.iter_mut() {
