--- a/crates/policy/src/settings/fields.rs
+++ b/crates/policy/src/settings/fields.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns a finite number, if it is present.
-    fn maybe(&self, key: &str) -> Result<Option<f64>, SettingsError> {
+    fn optional_number(&self, key: &str) -> Result<Option<f64>, SettingsError> {
         let Some(text) = self.field(key) else { return Ok(None) };
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
@@ -29,12 +29,12 @@
 
     /// Returns a required finite number.
     fn number(&self, key: &str) -> Result<f64, SettingsError> {
-        self.maybe(key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
+        self.optional_number(key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
     }
 
     /// Returns a finite number, or its default.
     fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
-        Ok(self.maybe(key)?.unwrap_or(default))
+        Ok(self.optional_number(key)?.unwrap_or(default))
     }
 
     /// Returns a required non-negative integer.
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -104,7 +104,7 @@
             elapsed: self.time_or(field::ELAPSED, 0)?,
             read_delay: 0,
             is_final: self.flag(field::IS_FINAL)?,
-            units: self.maybe(field::ACTUAL_UNITS)?.filter(|units| *units > 0.0),
+            units: self.optional_number(field::ACTUAL_UNITS)?.filter(|units| *units > 0.0),
             load: self.load(load_fields)?,
         })
     }
