--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -21,7 +21,7 @@
     /// The utilization of the servers in use.
     pub utilization: Utilization,
     /// Other requests are queued.
-    pub queue_waits: bool,
+    pub has_queued_requests: bool,
     /// The usual latency of the request's class, in microseconds.
     pub usual_latency: f64,
     /// The client's deadline.
@@ -52,9 +52,9 @@
     /// Whether requests beyond the quota are forwarded: only if the plan makes that profitable, and no other
     /// request has to wait for it.
     fn admits_excess(&self) -> bool {
-        let pays = self.plan.excess_value > self.plan.excess_cost;
+        let is_profitable = self.plan.excess_value > self.plan.excess_cost;
         let is_full = self.utilization.in_flight > MAX_EXCESS_UTILIZATION * self.utilization.limit;
-        pays && !is_full && !self.queue_waits
+        is_profitable && !is_full && !self.has_queued_requests
     }
 }
 
@@ -63,7 +63,7 @@
 pub struct AwaitingReply {
     requests: Vec<Id>,
     /// How many of the requests, from the first, the pending update reports.
-    covered: usize,
+    reported: usize,
 }
 
 impl AwaitingReply {
@@ -84,13 +84,13 @@
 
     /// Marks all waiting requests as reported, either because the update sent now includes them or because they
     /// are decided without a reply.
-    pub fn cover_all(&mut self) {
-        self.covered = self.requests.len();
+    pub fn mark_all_reported(&mut self) {
+        self.reported = self.requests.len();
     }
 
     /// Removes and returns the requests that the last update reported.
-    pub fn take_covered(&mut self) -> Vec<Id> {
-        let covered = self.requests.len().min(self.covered);
-        self.requests.drain(..covered).collect()
+    pub fn take_reported(&mut self) -> Vec<Id> {
+        let reported = self.requests.len().min(self.reported);
+        self.requests.drain(..reported).collect()
     }
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -24,7 +24,7 @@
 const MAX_LATENCY_RATIO: f64 = 10.0;
 
 /// Time in microseconds within which responses form one batch.
-const MOMENT: Micros = 10_000;
+const BATCH_DURATION: Micros = 10_000;
 
 /// The longest pause of a gateway whose limits add up to less than one attempt, in microseconds.
 const MAX_SLOT_PAUSE: f64 = SECOND as f64;
@@ -42,29 +42,29 @@
 ///
 /// A short stall ends all attempts in flight at once. If each counted by itself, the stall would look like a
 /// long time of slow answers.
-struct MomentMean {
+struct BatchMean {
     mean: f64,
     /// The mean before the current batch.
-    before: f64,
+    mean_before_batch: f64,
     /// When the current batch began.
-    began_at: Micros,
+    batch_started_at: Micros,
     /// The sum and the number of the samples in the current batch.
     sum: f64,
     count: f64,
 }
 
-impl MomentMean {
+impl BatchMean {
     fn new(mean: f64) -> Self {
-        MomentMean { mean, before: mean, began_at: 0, sum: 0.0, count: 0.0 }
+        BatchMean { mean, mean_before_batch: mean, batch_started_at: 0, sum: 0.0, count: 0.0 }
     }
 
     fn record(&mut self, weight: f64, sample: f64, now: Micros) {
-        if now >= self.began_at + MOMENT {
-            *self = MomentMean { began_at: now, ..MomentMean::new(self.mean) };
+        if now >= self.batch_started_at + BATCH_DURATION {
+            *self = BatchMean { batch_started_at: now, ..BatchMean::new(self.mean) };
         }
         self.sum += sample;
         self.count += 1.0;
-        self.mean = self.before;
+        self.mean = self.mean_before_batch;
         update_mean(&mut self.mean, weight, self.sum / self.count);
     }
 }
@@ -73,21 +73,21 @@
 pub struct ServerLimit {
     limit: f64,
     /// Latency as a ratio to the latency of the class on an idle fleet.
-    latency_ratio: MomentMean,
+    latency_ratio: BatchMean,
     /// Latency as a ratio to the current latency of the class.
     relative_latency: f64,
 }
 
 impl Default for ServerLimit {
     fn default() -> Self {
-        ServerLimit { limit: 0.0, latency_ratio: MomentMean::new(0.0), relative_latency: 0.0 }
+        ServerLimit { limit: 0.0, latency_ratio: BatchMean::new(0.0), relative_latency: 0.0 }
     }
 }
 
 impl ServerLimit {
     /// Creates the limit of a server that has just started: not set yet, with the average latency.
     pub fn unset() -> Self {
-        ServerLimit { limit: 0.0, latency_ratio: MomentMean::new(1.0), relative_latency: 1.0 }
+        ServerLimit { limit: 0.0, latency_ratio: BatchMean::new(1.0), relative_latency: 1.0 }
     }
 
     /// Whether the limit is not set yet.
@@ -132,7 +132,7 @@
 pub struct FleetLimit {
     gateways_per_server: f64,
     min_limit: f64,
-    latency_ratio: MomentMean,
+    latency_ratio: BatchMean,
     next_slot_at: Micros,
 }
 
@@ -142,7 +142,7 @@
         FleetLimit {
             gateways_per_server: 1.0,
             min_limit: 1.0,
-            latency_ratio: MomentMean::new(1.0),
+            latency_ratio: BatchMean::new(1.0),
             next_slot_at: now,
         }
     }
--- a/crates/policy/src/counter/key.rs
+++ b/crates/policy/src/counter/key.rs
@@ -39,7 +39,7 @@
 
 impl CounterTarget {
     /// Parses a key; `None` if it names no tenant.
-    pub fn of_key(key: &str) -> Option<Self> {
+    pub fn parse(key: &str) -> Option<Self> {
         let (kind, tenant) = key.split_once(':')?;
         let tenant = Id::from(tenant);
         let is_concurrency = kind.starts_with(CONCURRENCY_PREFIX);
--- a/crates/policy/src/counter/pacer.rs
+++ b/crates/policy/src/counter/pacer.rs
@@ -50,9 +50,9 @@
     saved_calls: f64,
     saved_at: Micros,
     rate_cut_at: Micros,
-    quick_reply_at: Micros,
+    fast_reply_at: Micros,
     replied_at: Micros,
-    quickest_reply: Micros,
+    fastest_reply: Micros,
     /// Share of decisions on sparse tenants that had a total.
     informed_share: f64,
 }
@@ -68,9 +68,9 @@
             saved_calls: rate * seconds(MAX_SAVED_TIME),
             saved_at: now,
             rate_cut_at: now,
-            quick_reply_at: now,
+            fast_reply_at: now,
             replied_at: 0,
-            quickest_reply: Micros::MAX,
+            fastest_reply: Micros::MAX,
             informed_share: INITIAL_INFORMED_SHARE,
         }
     }
@@ -95,11 +95,11 @@
         let succeeded = reply.outcome == Outcome::Ok;
         if succeeded {
             self.replied_at = now;
-            self.quickest_reply = self.quickest_reply.min(reply.elapsed);
+            self.fastest_reply = self.fastest_reply.min(reply.elapsed);
         }
-        if succeeded && reply.elapsed as f64 <= SLOW_REPLY_RATIO * self.quickest_reply as f64 {
+        if succeeded && reply.elapsed as f64 <= SLOW_REPLY_RATIO * self.fastest_reply as f64 {
             self.grow(now);
-            self.quick_reply_at = now;
+            self.fast_reply_at = now;
         } else if reply.outcome != Outcome::Error && now >= self.rate_cut_at + MIN_UPDATE_INTERVAL {
             let factor = if succeeded { SLOW_REPLY_FACTOR } else { FAILED_CALL_FACTOR };
             self.rate = (self.rate * factor).max(self.min_rate);
@@ -111,7 +111,7 @@
     /// counter can bear it, and could later flood the counter.
     fn grow(&mut self, now: Micros) {
         if 2.0 * self.saved_calls < self.rate * seconds(MAX_SAVED_TIME) {
-            let elapsed = seconds(now - self.quick_reply_at).min(MAX_GROWTH_SECONDS);
+            let elapsed = seconds(now - self.fast_reply_at).min(MAX_GROWTH_SECONDS);
             self.rate *= 1.0 + RATE_GROWTH_PER_SECOND * elapsed;
         }
     }
--- a/crates/policy/src/counter/units.rs
+++ b/crates/policy/src/counter/units.rs
@@ -29,7 +29,7 @@
 
 impl Decay {
     /// The decay of a plan's units.
-    pub fn of(plan: &Plan) -> Self {
+    pub fn for_plan(plan: &Plan) -> Self {
         let fill_time = DECAY_TIME_IN_FILLS * plan.burst / plan.rate.max(NEGLIGIBLE) * SECOND as f64;
         Decay { time: fill_time.max(MIN_DECAY_TIME) }
     }
@@ -127,7 +127,7 @@
     }
 
     /// Records the time of an update of decaying units that is made or skipped.
-    pub fn note_update(&mut self, now: Micros) {
+    pub fn record_update_time(&mut self, now: Micros) {
         self.updated_at = now;
     }
 
@@ -185,11 +185,11 @@
     pending: f64,
     demand: f64,
     decay: Decay,
-    in_doubt: bool,
+    needs_total: bool,
 ) -> f64 {
     if call_probability >= 1.0 {
         return 1.0;
     }
     let needed = (SAMPLES_PER_DECAY_TIME * pending.abs() / (demand * decay.time).max(NEGLIGIBLE)).min(1.0);
-    needed * if in_doubt { call_probability } else { call_probability * call_probability }
+    needed * if needs_total { call_probability } else { call_probability * call_probability }
 }
--- a/crates/policy/src/deadline.rs
+++ b/crates/policy/src/deadline.rs
@@ -100,11 +100,11 @@
     pub fn schedule_wakeup(
         &mut self,
         measurement_at: Micros,
-        queue_waits: bool,
+        has_queued_requests: bool,
         now: Micros,
     ) -> Option<Micros> {
         let earliest = self.by_time.first().map_or(Micros::MAX, |(at, _)| *at).min(measurement_at);
-        let at = if queue_waits { now + QUEUE_POLL_INTERVAL } else { earliest.max(now) };
+        let at = if has_queued_requests { now + QUEUE_POLL_INTERVAL } else { earliest.max(now) };
         if at >= self.next_wakeup {
             return None;
         }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -275,10 +275,10 @@
     /// failure. If the list has to be polled, the maximum is at most `poll_interval`.
     pub fn next_delay(&mut self, poll_interval: Option<Micros>, rng: &mut impl Rng) -> Micros {
         self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
-        let longest = match poll_interval {
+        let max_delay = match poll_interval {
             Some(interval) => interval.min(SECOND << self.failures),
             None => (QUEUE_POLL_INTERVAL / 2) << self.failures,
         };
-        (longest as f64 * rng.gen_range(0.5..1.0)) as Micros
+        (max_delay as f64 * rng.gen_range(0.5..1.0)) as Micros
     }
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -36,7 +36,7 @@
     settings: Settings,
     rng: ChaCha8Rng,
     /// When this process received its current share of the gateway's ceilings.
-    share_since: Micros,
+    process_share_since: Micros,
     /// This process's share of the gateway's ceilings and slow-start budgets. During a hot restart the other
     /// process has the rest.
     process_share: f64,
@@ -69,7 +69,7 @@
         }
         Engine {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            share_since: now,
+            process_share_since: now,
             process_share: 1.0,
             servers: EndpointTable::default(),
             subset: None,
@@ -172,8 +172,8 @@
 
     fn schedule_wakeup(&mut self, now: Micros) {
         let measurement_at = self.warm_load.next_measurement();
-        let queue_waits = !self.queue.is_empty();
-        if let Some(delay) = self.expirations.schedule_wakeup(measurement_at, queue_waits, now) {
+        let has_queued_requests = !self.queue.is_empty();
+        if let Some(delay) = self.expirations.schedule_wakeup(measurement_at, has_queued_requests, now) {
             self.host.set_timer(delay, &TimerToken::Wakeup.to_string());
         }
     }
@@ -186,7 +186,7 @@
             tenant.refill(&self.settings.plans[tenant.plan()], self.process_share, now);
         }
         self.process_share = share;
-        self.share_since = now;
+        self.process_share_since = now;
     }
 
     /// Does nothing. Hosts report the end of a health check as they report every event of the protocol, but the
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -13,7 +13,7 @@
     pub(super) fn meter(&mut self, request: &Request, now: Micros) -> Option<bool> {
         let plan = &self.settings.plans[request.plan];
         let tenant = self.tenants.entry(request.tenant.clone()).or_insert_with(|| {
-            let age = now - self.share_since;
+            let age = now - self.process_share_since;
             let gateways = self.settings.gateway_count;
             TenantState::new(request, plan, gateways, self.process_share, age, &mut self.rng, now)
         });
@@ -79,7 +79,7 @@
         let now = self.host.now();
         let reply = CounterReply { outcome, total, elapsed };
         self.counter_pacer.record(&reply, now);
-        match CounterTarget::of_key(key) {
+        match CounterTarget::parse(key) {
             None => {}
             Some(CounterTarget::Concurrency(id)) => self.concurrency_counter_replied(&id, &reply, now),
             Some(CounterTarget::Units(id)) => self.units_counter_replied(&id, &reply, now),
@@ -109,7 +109,7 @@
     /// Decides the requests that waited for a reply of their tenant's counter.
     fn decide_waiting(&mut self, id: &Id, now: Micros) {
         let Some(tenant) = self.tenants.get_mut(id) else { return };
-        for waiting in tenant.awaiting.take_covered() {
+        for waiting in tenant.awaiting.take_reported() {
             let Some(in_flight) = self.in_flight.get(&waiting) else { continue };
             let request = in_flight.request.clone();
             let within_quota = self.judge(&request, now);
@@ -123,7 +123,7 @@
         self.update_units_counter(id, now);
         let Some(tenant) = self.tenants.get_mut(id) else { return };
         if tenant.awaits_no_update() {
-            tenant.awaiting.cover_all();
+            tenant.awaiting.mark_all_reported();
             self.decide_waiting(id, now);
         }
     }
--- a/crates/policy/src/engine/requests.rs
+++ b/crates/policy/src/engine/requests.rs
@@ -29,7 +29,7 @@
             within_quota,
             within_ceiling: tenant.within_ceiling(plan, request.units),
             utilization,
-            queue_waits: !self.queue.is_empty(),
+            has_queued_requests: !self.queue.is_empty(),
             usual_latency,
             deadline: in_flight.deadline,
             now,
@@ -69,7 +69,7 @@
 
     fn select_server(&mut self, class: usize, attempts: &[Attempt], now: Micros) -> Option<Id> {
         let class = &self.settings.classes[class];
-        let binding = KeyBinding::of(class, attempts, &self.servers);
+        let binding = KeyBinding::from_attempts(class, attempts, &self.servers);
         let utilization = self.utilization();
         // Without this limit, many gateways with one slot at each server would together overload all servers.
         if utilization.in_flight >= utilization.limit.max(1.0) {
@@ -89,13 +89,13 @@
     }
 
     fn forward(&mut self, id: &Id, to: Id, now: Micros) {
-        let budget_left = self.slow_start_budget_after_attempt(&to, now);
+        let remaining_budget = self.slow_start_budget_after_attempt(&to, now);
         let in_flight = self.in_flight.get_mut(id).expect("only a request in flight is forwarded");
         let class = in_flight.request.class;
         let server = self.servers.get_mut(&to).expect("a selected server is in the table");
         server.in_flight += 1;
         server.credit -= 1.0;
-        match budget_left {
+        match remaining_budget {
             Some(attempts) => server.slow_start = SlowStartBudget::new(attempts, now),
             None => self.warm_load.count_attempt(),
         }
@@ -116,7 +116,7 @@
         if let Some(tenant) = self.tenants.get_mut(&in_flight.request.tenant) {
             tenant.refill(&self.settings.plans[tenant.plan()], self.process_share, now);
             if is_first {
-                tenant.settle(in_flight.request.units);
+                tenant.commit(in_flight.request.units);
             }
         }
     }
@@ -181,7 +181,7 @@
     pub(super) fn give_up(&mut self, id: &Id, reason: RejectReason) {
         let Some(in_flight) = self.in_flight.get(id).filter(|in_flight| !in_flight.answered) else { return };
         let class = &self.settings.classes[in_flight.request.class];
-        if retry::client_may_repeat(in_flight, class) {
+        if retry::client_may_retry(in_flight, class) {
             self.host.reject(id, self.settings.max_retry_after, reason);
         } else {
             self.host.fail(id, reason);
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -20,9 +20,9 @@
 /// If `elapsed` counted alone, a gateway that stalled would take its servers for slow. The read delay is less
 /// exact than the elapsed time, so the function returns the possible time that is closest to the usual latency.
 pub fn service_time(elapsed: Micros, read_delay: Micros, usual_latency: f64) -> f64 {
-    let longest = elapsed as f64;
-    let shortest = elapsed.saturating_sub(read_delay) as f64;
-    usual_latency.clamp(shortest, longest)
+    let max_latency = elapsed as f64;
+    let min_latency = elapsed.saturating_sub(read_delay) as f64;
+    usual_latency.clamp(min_latency, max_latency)
 }
 
 /// The latencies of one class, in microseconds.
@@ -57,8 +57,8 @@
     /// Records one response, and returns the updated latencies.
     pub fn record(&mut self, class: usize, objective: Micros, elapsed: f64) -> ClassLatency {
         let latency = &mut self.classes[class];
-        let longest = MAX_LATENCY_OBJECTIVES * objective as f64;
-        update_mean(&mut latency.usual, SLOW_MEAN_WEIGHT, elapsed.min(longest));
+        let max_latency = MAX_LATENCY_OBJECTIVES * objective as f64;
+        update_mean(&mut latency.usual, SLOW_MEAN_WEIGHT, elapsed.min(max_latency));
         if latency.usual < latency.idle {
             latency.idle = latency.usual;
         } else {
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -46,20 +46,20 @@
     /// Only the share of failures beyond `fleet_mean` counts: if all servers fail alike, the fault lies
     /// elsewhere.
     pub fn record(&mut self, failed: bool, fleet_mean: f64, now: Micros) -> f64 {
-        let before = self.share;
+        let previous_share = self.share;
         let failure = if failed { 1.0 } else { 0.0 };
         update_mean(&mut self.share, FAST_MEAN_WEIGHT, failure);
         let excess = (self.share - fleet_mean).max(0.0);
         self.ejected_until = now + (EJECTION_TIME as f64 * failure * excess) as Micros;
-        self.share - before
+        self.share - previous_share
     }
 
     /// The time limit of an attempt, if its server fails often. Without the limit, a lost answer would hold its
     /// slot and its client until the deadline.
     pub fn time_limit(&self, class: &RequestClass, usual_latency: f64) -> Option<Micros> {
         let is_lossy = self.share > LOSSY_SERVER_SHARE;
-        let may_repeat = class.idempotency != Idempotency::NonIdempotent;
-        (is_lossy && may_repeat).then_some((LOSSY_SERVER_TIMEOUT_RATIO * usual_latency) as Micros)
+        let may_retry = class.idempotency != Idempotency::NonIdempotent;
+        (is_lossy && may_retry).then_some((LOSSY_SERVER_TIMEOUT_RATIO * usual_latency) as Micros)
     }
 }
 
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -56,7 +56,7 @@
     pub concurrency: ConcurrencyQuota,
     units: UnitsCounter,
     /// The last request can't be decided without a recent total of the shared counter.
-    in_doubt: bool,
+    needs_total: bool,
     /// The tenant's requests that wait for a reply of the counter.
     pub awaiting: AwaitingReply,
 }
@@ -86,7 +86,7 @@
             allowance: WindowAllowance::default(),
             concurrency: ConcurrencyQuota::default(),
             units: UnitsCounter::default(),
-            in_doubt: false,
+            needs_total: false,
             awaiting: AwaitingReply::default(),
         }
     }
@@ -120,7 +120,7 @@
         self.refill(plan, process_share, now);
         self.concurrency.begin();
         self.units.add(request.units);
-        self.in_doubt = if self.sparse_window(plan).is_some() {
+        self.needs_total = if self.sparse_window(plan).is_some() {
             true
         } else {
             match self.units.last_total_at() {
@@ -133,7 +133,7 @@
 
     /// Whether the last request has to wait for a reply of the counter.
     pub fn needs_reply(&self) -> bool {
-        self.concurrency.is_update_pending() || self.in_doubt && self.units.is_update_pending()
+        self.concurrency.is_update_pending() || self.needs_total && self.units.is_update_pending()
     }
 
     /// Whether requests wait for a reply while no update of units is pending.
@@ -165,8 +165,8 @@
     }
 
     /// Records that a request was forwarded for the first time.
-    pub fn settle(&mut self, units: f64) {
-        self.ceiling.settle(units);
+    pub fn commit(&mut self, units: f64) {
+        self.ceiling.commit(units);
     }
 
     /// Adds a correction to the units of a request.
@@ -178,7 +178,7 @@
     }
 
     fn sparse_window(&self, plan: &Plan) -> Option<SparseWindow> {
-        SparseWindow::of(plan, self.gateway_spread)
+        SparseWindow::for_plan(plan, self.gateway_spread)
     }
 
     /// Prepares an update of this tenant's offered units, if one is due.
@@ -194,7 +194,7 @@
         if self.units.is_update_pending() {
             return None;
         }
-        self.awaiting.cover_all();
+        self.awaiting.mark_all_reported();
         if let Some(window) = self.sparse_window(plan) {
             let number = window.number(id, now);
             self.units.enter_window(number);
@@ -210,14 +210,14 @@
         if !is_due || !has_shared_counter || !self.is_shared() {
             return None;
         }
-        let decay = Decay::of(plan);
+        let decay = Decay::for_plan(plan);
         let window = decay.window_start(now);
         self.units.enter_window(window);
-        self.units.note_update(now);
+        self.units.record_update_time(now);
         self.fraction.age_recent();
         let pending = self.units.take_pending();
         let demand = self.fraction.demand();
-        let probability = update_probability(call_probability, pending, demand, decay, self.in_doubt);
+        let probability = update_probability(call_probability, pending, demand, decay, self.needs_total);
         if probability < 1.0 && rng.gen::<f64>() >= probability {
             self.extrapolate(pending, plan, now);
             return None;
@@ -258,7 +258,7 @@
             }
             return;
         }
-        let decay = Decay::of(plan);
+        let decay = Decay::for_plan(plan);
         let remaining = decay.remaining(now - self.fraction.computed_at());
         self.units.settle_update(reply.may_have_counted(), update.pending, remaining);
         if succeeded {
--- a/crates/policy/src/quota/ceiling.rs
+++ b/crates/policy/src/quota/ceiling.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records that a queued request was forwarded.
-    pub fn settle(&mut self, units: f64) {
+    pub fn commit(&mut self, units: f64) {
         self.reserved_units -= units;
     }
 }
--- a/crates/policy/src/quota/concurrency.rs
+++ b/crates/policy/src/quota/concurrency.rs
@@ -32,9 +32,9 @@
     update: Option<f64>,
     window: u64,
     /// The requests in flight at other gateways: by the last reply, and on average.
-    others: f64,
-    others_mean: f64,
-    replies: f64,
+    in_flight_elsewhere: f64,
+    mean_in_flight_elsewhere: f64,
+    reply_count: f64,
     replied_at: Option<Micros>,
 }
 
@@ -73,19 +73,21 @@
         max_concurrency: u32,
         gateway_spread: f64,
         counter_responds: bool,
-        likely: bool,
+        assumed_within: bool,
         now: Micros,
     ) -> bool {
         let limit = f64::from(max_concurrency);
-        let here = f64::from(self.in_flight);
+        let in_flight_here = f64::from(self.in_flight);
         // If few slots are spread over many gateways, only a reply received at this instant is accurate enough.
         if counter_responds && 2.0 * limit < gateway_spread {
-            return self.replied_at == Some(now) && here + self.others <= limit;
+            return self.replied_at == Some(now) && in_flight_here + self.in_flight_elsewhere <= limit;
         }
         match self.replied_at {
-            Some(replied_at) if now - replied_at < MAX_TOTAL_AGE => here + self.others <= limit,
-            Some(_) => here + self.others_mean.round() <= limit,
-            None => here * gateway_spread <= limit || likely,
+            Some(replied_at) if now - replied_at < MAX_TOTAL_AGE => {
+                in_flight_here + self.in_flight_elsewhere <= limit
+            }
+            Some(_) => in_flight_here + self.mean_in_flight_elsewhere.round() <= limit,
+            None => in_flight_here * gateway_spread <= limit || assumed_within,
         }
     }
 
@@ -112,8 +114,8 @@
         if amount == 0.0 {
             return None;
         }
-        let always = amount < 0.0 || is_new_window || call_probability >= 1.0;
-        if !always && rng.gen::<f64>() >= call_probability {
+        let is_required = amount < 0.0 || is_new_window || call_probability >= 1.0;
+        if !is_required && rng.gen::<f64>() >= call_probability {
             return None;
         }
         self.reported += amount;
@@ -134,11 +136,11 @@
             // If the total is below the number in flight here, the counter has lost some requests. The next
             // update adds them again.
             self.reported = self.reported.min(reply.total.max(0.0));
-            self.others = reply.total - self.reported;
-            self.replies += 1.0;
+            self.in_flight_elsewhere = reply.total - self.reported;
+            self.reply_count += 1.0;
             // For the first replies this weight gives the plain average.
-            let weight = FAST_MEAN_WEIGHT.max(1.0 / self.replies);
-            update_mean(&mut self.others_mean, weight, self.others);
+            let weight = FAST_MEAN_WEIGHT.max(1.0 / self.reply_count);
+            update_mean(&mut self.mean_in_flight_elsewhere, weight, self.in_flight_elsewhere);
         } else if !reply.may_have_counted() {
             self.reported -= amount;
         }
--- a/crates/policy/src/quota/fraction.rs
+++ b/crates/policy/src/quota/fraction.rs
@@ -89,14 +89,14 @@
         plan: &Plan,
         now: Micros,
     ) {
-        let decay_time = Decay::of(plan).time;
+        let decay_time = Decay::for_plan(plan).time;
         let since = reading.since;
         let gap = (now - since) as f64 / decay_time;
         if gap < MAX_DECAYS_BETWEEN_TOTALS {
             // Units extrapolated since the last total are already taken.
-            let not_taken = (now - self.computed_at.max(since)) as f64 / (now - since).max(1) as f64;
+            let untaken_share = (now - self.computed_at.max(since)) as f64 / (now - since).max(1) as f64;
             let others = reading.others * gap / (1.0 - (-gap).exp()).max(NEGLIGIBLE);
-            bucket.take_for_others(others * not_taken * self.recently_admitted_share());
+            bucket.take_for_others(others * untaken_share * self.recently_admitted_share());
             let period = (now - since).max(MIN_UPDATE_INTERVAL) as f64;
             self.compute(reading.offered * period / decay_time, period, plan, bucket.tokens(), now);
             self.period_refill = 0.0;
@@ -119,8 +119,8 @@
     ) {
         let period = (now - self.computed_at) as f64;
         if period > 0.0 {
-            let usual = self.demand * period;
-            let offered = usual * (pending + PRIOR_UNITS) / (usual / gateway_spread + PRIOR_UNITS);
+            let expected = self.demand * period;
+            let offered = expected * (pending + PRIOR_UNITS) / (expected / gateway_spread + PRIOR_UNITS);
             bucket.take_for_others((offered - pending).max(0.0) * self.fraction);
             self.compute(offered, period, plan, bucket.tokens(), now);
         }
--- a/crates/policy/src/quota/judgement.rs
+++ b/crates/policy/src/quota/judgement.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    fn record(&mut self, plan: usize, within: bool) {
-        update_mean(&mut self.within_share[plan], SLOW_MEAN_WEIGHT, f64::from(u8::from(within)));
+    fn record(&mut self, plan: usize, within_quota: bool) {
+        update_mean(&mut self.within_share[plan], SLOW_MEAN_WEIGHT, f64::from(u8::from(within_quota)));
     }
 }
 
@@ -60,11 +60,11 @@
 /// The intermediate state of a decision.
 struct Judgement {
     /// The request is within every component of the quota checked so far.
-    within: bool,
+    within_quota: bool,
     /// The decision is based on the counter's totals, not on an estimate.
-    known: bool,
+    is_informed: bool,
     /// The estimate used if there is no total for the tenant.
-    likely: bool,
+    assumed_within: bool,
 }
 
 impl TenantState {
@@ -73,32 +73,34 @@
         let JudgeContext { plan, has_shared_counter, history, pacer, rng, now } = context;
         self.fraction.count_offered(request.units);
         let is_first = self.fraction.is_first_offer(request.units);
-        let likely = has_shared_counter && rng.gen::<f64>() < history.probability(request.plan, is_first);
-        let mut judgement = Judgement { within: true, known: true, likely };
+        let assumed_within =
+            has_shared_counter && rng.gen::<f64>() < history.probability(request.plan, is_first);
+        let mut judgement = Judgement { within_quota: true, is_informed: true, assumed_within };
         if plan.max_concurrency > 0 {
-            judgement.within = self.concurrency.admits(
+            judgement.within_quota = self.concurrency.admits(
                 plan.max_concurrency,
                 self.gateway_spread,
                 pacer.is_responding(now),
-                likely,
+                assumed_within,
                 now,
             );
-            judgement.known = self.concurrency.is_known();
+            judgement.is_informed = self.concurrency.is_known();
         }
         if let Some(window) = self.sparse_window(plan) {
             self.judge_sparse(&mut judgement, window, request.units, plan, pacer, now);
         } else if plan.rate > 0.0 && self.units.last_total_at().is_none() && self.is_shared() {
             // Beyond its even share, a tenant without a total is assumed to behave like the other tenants of
             // its plan.
-            judgement.within &= !self.in_doubt || likely;
-            judgement.known = false;
+            judgement.within_quota &= !self.needs_total || assumed_within;
+            judgement.is_informed = false;
         } else if plan.rate > 0.0 {
-            judgement.within = judgement.within && self.fraction.admit(request.units, &self.bucket);
+            judgement.within_quota =
+                judgement.within_quota && self.fraction.admit(request.units, &self.bucket);
         }
-        if judgement.known {
-            history.record(request.plan, judgement.within);
+        if judgement.is_informed {
+            history.record(request.plan, judgement.within_quota);
         }
-        judgement.within
+        judgement.within_quota
     }
 
     /// Decides for a sparse tenant: from a total received at this instant, or else from an estimate.
@@ -112,11 +114,11 @@
         now: Micros,
     ) {
         let has_total = self.units.last_total_at() == Some(now);
-        judgement.known = has_total || self.units.has_reached(window.limit);
-        pacer.count_decision(judgement.known);
+        judgement.is_informed = has_total || self.units.has_reached(window.limit);
+        pacer.count_decision(judgement.is_informed);
         if has_total {
-            judgement.within &= self.allowance.has(units);
-            if judgement.within {
+            judgement.within_quota &= self.allowance.has(units);
+            if judgement.within_quota {
                 self.allowance.take(units);
             }
             return;
@@ -124,11 +126,11 @@
         // A request that is rejected without a total may be sent again to a gateway that has one; a request
         // that is admitted without a total is not counted anywhere. A tenant that sends again without a total
         // asks far beyond its quota, so the value of its request has to exceed the cost.
-        let pays = self.fraction.is_first_offer(units)
+        let is_profitable = self.fraction.is_first_offer(units)
             || EXCESS_COST_FACTOR * plan.excess_cost < 1.0 + plan.excess_value;
-        let guesses = !pacer.is_responding(now) || pays && pacer.is_starved();
-        judgement.within &= judgement.likely && guesses && !judgement.known;
-        if !judgement.within {
+        let may_assume = !pacer.is_responding(now) || is_profitable && pacer.is_starved();
+        judgement.within_quota &= judgement.assumed_within && may_assume && !judgement.is_informed;
+        if !judgement.within_quota {
             self.units.add(-units);
         }
     }
--- a/crates/policy/src/quota/window.rs
+++ b/crates/policy/src/quota/window.rs
@@ -26,7 +26,7 @@
 impl SparseWindow {
     /// The windows of a tenant whose requests arrive through `gateway_spread` gateways, or `None` if the tenant
     /// is not sparse.
-    pub fn of(plan: &Plan, gateway_spread: f64) -> Option<Self> {
+    pub fn for_plan(plan: &Plan, gateway_spread: f64) -> Option<Self> {
         let is_sparse =
             plan.rate > 0.0 && gateway_spread > 1.0 && SPARSE_BURST_FACTOR * plan.burst < gateway_spread;
         if !is_sparse {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -70,7 +70,7 @@
 }
 
 /// Whether the client may safely send the request again after this gateway has given up.
-pub fn client_may_repeat(in_flight: &InFlight, class: &RequestClass) -> bool {
+pub fn client_may_retry(in_flight: &InFlight, class: &RequestClass) -> bool {
     match class.idempotency {
         Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
         Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !in_flight.may_have_run(),
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -14,7 +14,7 @@
     /// The zone or cell, if the key's scope is one.
     group: Option<u32>,
     /// When the servers forget the key.
-    until: Micros,
+    expires_at: Micros,
 }
 
 impl KeyBinding {
@@ -23,17 +23,21 @@
     ///
     /// If the server of the first such attempt has left the table, its group is unknown and no server is
     /// eligible.
-    pub fn of(class: &RequestClass, attempts: &[Attempt], servers: &EndpointTable) -> Option<Self> {
+    pub fn from_attempts(
+        class: &RequestClass,
+        attempts: &[Attempt],
+        servers: &EndpointTable,
+    ) -> Option<Self> {
         let Idempotency::Keyed { retention, .. } = class.idempotency else { return None };
         let first = attempts.iter().find(|attempt| attempt.may_have_run)?;
         let Some(server) = servers.get(&first.server) else {
-            return Some(KeyBinding { group: None, until: 0 });
+            return Some(KeyBinding { group: None, expires_at: 0 });
         };
-        Some(KeyBinding { group: scope_group(class, server), until: first.sent_at + retention })
+        Some(KeyBinding { group: scope_group(class, server), expires_at: first.sent_at + retention })
     }
 
     fn admits(&self, class: &RequestClass, server: &Server, now: Micros) -> bool {
-        now < self.until && self.group == scope_group(class, server)
+        now < self.expires_at && self.group == scope_group(class, server)
     }
 }
 
@@ -61,11 +65,11 @@
 impl Selection<'_> {
     /// Selects the next server, or returns `None` if no server has capacity for the request.
     pub fn choose(&self, servers: &mut EndpointTable) -> Option<Id> {
-        let fits = |(id, server): &(&Id, &Server)| self.fits(id, server);
-        let weigh = |(id, server): (&Id, &Server)| (id.clone(), self.weight(server));
+        let is_eligible = |(id, server): &(&Id, &Server)| self.is_eligible(id, server);
+        let with_weight = |(id, server): (&Id, &Server)| (id.clone(), self.weight(server));
         let candidates: Vec<(Id, f64)> = match self.binding {
-            None => servers.assigned().filter(fits).map(weigh).collect(),
-            Some(_) => servers.iter().filter(fits).map(weigh).collect(),
+            None => servers.assigned().filter(is_eligible).map(with_weight).collect(),
+            Some(_) => servers.iter().filter(is_eligible).map(with_weight).collect(),
         };
         let sum = candidates.iter().map(|(_, weight)| weight).sum::<f64>().max(f64::MIN_POSITIVE);
         for (id, weight) in &candidates {
@@ -77,7 +81,7 @@
         ids.max_by(|id, other| credit(id).total_cmp(&credit(other)))
     }
 
-    fn fits(&self, id: &Id, server: &Server) -> bool {
+    fn is_eligible(&self, id: &Id, server: &Server) -> bool {
         let now = self.slow_start.now;
         let usable = match &self.binding {
             None => server.assigned,
--- a/crates/policy/src/settings/fields.rs
+++ b/crates/policy/src/settings/fields.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns a required time other than 0, given in milliseconds.
-    fn some_time(&self, key: &str) -> Result<Micros, SettingsError> {
+    fn nonzero_time(&self, key: &str) -> Result<Micros, SettingsError> {
         match self.time(key)? {
             0 => Err(SettingsError::NoTime { key: key.into(), found: self.text(key)?.into() }),
             time => Ok(time),
--- a/crates/policy/src/settings/platform.rs
+++ b/crates/policy/src/settings/platform.rs
@@ -12,86 +12,90 @@
 /// # Errors
 ///
 /// Returns the first setting that is missing or invalid.
-pub fn policy_settings(from: &impl Fields) -> Result<Settings, SettingsError> {
+pub fn policy_settings(fields: &impl Fields) -> Result<Settings, SettingsError> {
     Ok(Settings {
-        seed: from.whole("prng")?,
-        gateway_index: from.whole_or("me", 0)? as u32,
-        gateway_count: from.whole_or("balancers", 1)? as u32,
-        classes: indices(from, "lanes")?.map(|index| request_class(from, index)).collect::<Result<_, _>>()?,
-        plans: indices(from, "tiersOfService")?.map(|index| plan(from, index)).collect::<Result<_, _>>()?,
-        max_attempts: max_attempts(from)?,
-        can_cancel: from.flag("ceilings.cancel")?,
-        max_retry_after: max_retry_after(from)?,
-        has_shared_counter: from.flag("specifics.sharedCounter")?,
-        list_poll_interval: list_poll_interval(from)?,
-        slow_start_share: slow_start_share(from)?,
-        slow_start_duration: from.time_or("rules.warmUpMs", 0)?,
-        overload_factor: from.amount_or("rules.fallMultiple", 1.0)?,
-        overload_window: from.time_or("rules.fallMs", 0)?,
+        seed: fields.whole("prng")?,
+        gateway_index: fields.whole_or("me", 0)? as u32,
+        gateway_count: fields.whole_or("balancers", 1)? as u32,
+        classes: indices(fields, "lanes")?
+            .map(|index| request_class(fields, index))
+            .collect::<Result<_, _>>()?,
+        plans: indices(fields, "tiersOfService")?
+            .map(|index| plan(fields, index))
+            .collect::<Result<_, _>>()?,
+        max_attempts: max_attempts(fields)?,
+        can_cancel: fields.flag("ceilings.cancel")?,
+        max_retry_after: max_retry_after(fields)?,
+        has_shared_counter: fields.flag("specifics.sharedCounter")?,
+        list_poll_interval: list_poll_interval(fields)?,
+        slow_start_share: slow_start_share(fields)?,
+        slow_start_duration: fields.time_or("rules.warmUpMs", 0)?,
+        overload_factor: fields.amount_or("rules.fallMultiple", 1.0)?,
+        overload_window: fields.time_or("rules.fallMs", 0)?,
     })
 }
 
-fn indices(from: &impl Fields, list: &str) -> Result<std::ops::Range<u64>, SettingsError> {
-    Ok(0..from.whole_or(&format!("{list}.count"), 0)?)
+fn indices(fields: &impl Fields, list: &str) -> Result<std::ops::Range<u64>, SettingsError> {
+    Ok(0..fields.whole_or(&format!("{list}.count"), 0)?)
 }
 
-fn max_attempts(from: &impl Fields) -> Result<u32, SettingsError> {
+fn max_attempts(fields: &impl Fields) -> Result<u32, SettingsError> {
     let key = "ceilings.sendCap";
-    match from.whole_or(key, 1)? {
+    match fields.whole_or(key, 1)? {
         0 => Err(SettingsError::NoAttempts { key: key.into() }),
         attempts => Ok(attempts.min(u32::MAX.into()) as u32),
     }
 }
 
-fn max_retry_after(from: &impl Fields) -> Result<Micros, SettingsError> {
-    if from.flag("ceilings.retryAfter")? {
-        from.time_or("ceilings.maxRetryAfterMs", 0)
+fn max_retry_after(fields: &impl Fields) -> Result<Micros, SettingsError> {
+    if fields.flag("ceilings.retryAfter")? {
+        fields.time_or("ceilings.maxRetryAfterMs", 0)
     } else {
         Ok(0)
     }
 }
 
-fn list_poll_interval(from: &impl Fields) -> Result<Option<Micros>, SettingsError> {
+fn list_poll_interval(fields: &impl Fields) -> Result<Option<Micros>, SettingsError> {
     let key = "discovery";
-    match from.field(key) {
-        Some("on_request") => Ok(Some(from.time_or("rules.askWithinMs", 0)?)),
+    match fields.field(key) {
+        Some("on_request") => Ok(Some(fields.time_or("rules.askWithinMs", 0)?)),
         Some("pushed") | None => Ok(None),
         Some(other) => Err(SettingsError::UnknownDiscovery { key: key.into(), found: other.into() }),
     }
 }
 
-fn slow_start_share(from: &impl Fields) -> Result<f64, SettingsError> {
+fn slow_start_share(fields: &impl Fields) -> Result<f64, SettingsError> {
     let key = "rules.coldFrom";
-    let share = from.amount_or(key, 1.0)?;
+    let share = fields.amount_or(key, 1.0)?;
     if share > 1.0 {
         return Err(SettingsError::ShareAboveOne { key: key.into(), found: share });
     }
     Ok(share)
 }
 
-fn request_class(from: &impl Fields, index: u64) -> Result<RequestClass, SettingsError> {
+fn request_class(fields: &impl Fields, index: u64) -> Result<RequestClass, SettingsError> {
     let key = |name: &str| format!("lanes.{index}.{name}");
     Ok(RequestClass {
-        idempotency: idempotency(from, &key)?,
-        latency_objective: from.some_time(&key("onTimeMs"))?,
-        priority_weight: from.number_or(&key("value"), 1.0)?,
+        idempotency: idempotency(fields, &key)?,
+        latency_objective: fields.nonzero_time(&key("onTimeMs"))?,
+        priority_weight: fields.number_or(&key("value"), 1.0)?,
     })
 }
 
-fn idempotency(from: &impl Fields, key: &impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
-    match from.text(&key("effect"))? {
+fn idempotency(fields: &impl Fields, key: &impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
+    match fields.text(&key("effect"))? {
         "read_like" => Ok(Idempotency::Idempotent),
         "idempotency_key" => Ok(Idempotency::Keyed {
-            scope: key_scope(from, key("group"))?,
-            retention: from.time_or(&key("memorySpanMs"), 0)?,
+            scope: key_scope(fields, key("group"))?,
+            retention: fields.time_or(&key("memorySpanMs"), 0)?,
         }),
         "non_idempotent" => Ok(Idempotency::NonIdempotent),
         other => Err(SettingsError::UnknownIdempotency { key: key("effect"), found: other.into() }),
     }
 }
 
-fn key_scope(from: &impl Fields, key: String) -> Result<KeyScope, SettingsError> {
-    match from.text(&key)? {
+fn key_scope(fields: &impl Fields, key: String) -> Result<KeyScope, SettingsError> {
+    match fields.text(&key)? {
         "all" => Ok(KeyScope::All),
         "zone" => Ok(KeyScope::Zone),
         "cell" => Ok(KeyScope::Cell),
@@ -99,9 +103,9 @@
     }
 }
 
-fn plan(from: &impl Fields, index: u64) -> Result<Plan, SettingsError> {
+fn plan(fields: &impl Fields, index: u64) -> Result<Plan, SettingsError> {
     let key = |name: &str| format!("tiersOfService.{index}.{name}");
-    let number = |name: &str| from.amount_or(&key(name), 0.0);
+    let number = |name: &str| fields.amount_or(&key(name), 0.0);
     let max_concurrency = number("maxOut")?;
     if max_concurrency.fract() != 0.0 {
         return Err(SettingsError::NotAWholeNumber {
@@ -114,7 +118,7 @@
         rate: number("unitsPerS")?,
         burst: number("burst")?,
         max_concurrency: max_concurrency as u32,
-        priority_factor: from.number_or(&key("valueFactor"), 1.0)?,
+        priority_factor: fields.number_or(&key("valueFactor"), 1.0)?,
         excess_value: number("excessWorth")?,
         excess_cost: number("excessCost")?,
         ceiling: Some(ceiling).filter(|ceiling| ceiling.rate > 0.0),
@@ -157,31 +161,31 @@
 /// # Errors
 ///
 /// Returns the first setting that is missing or invalid.
-pub fn platform_settings(from: &impl Fields) -> Result<PlatformSettings, SettingsError> {
+pub fn platform_settings(fields: &impl Fields) -> Result<PlatformSettings, SettingsError> {
     // Read first, because only the first of several invalid settings is reported.
-    let max_client_wait = max_client_wait(from)?;
+    let max_client_wait = max_client_wait(fields)?;
     Ok(PlatformSettings {
-        class_names: unique_names(from, "lanes")?,
-        plan_names: unique_names(from, "tiersOfService")?,
-        zones: from.names("zones"),
-        hardware_types: from.names("kinds"),
-        load_fields: from.names("telemetry.names"),
-        connect_timeout: from.some_time("ceilings.dialTimeoutMs")?,
-        idle_timeout: from.time("ceilings.connIdleMs")?,
-        counter_timeout: from.time_or("specifics.countWaitMs", 0)?,
+        class_names: unique_names(fields, "lanes")?,
+        plan_names: unique_names(fields, "tiersOfService")?,
+        zones: fields.names("zones"),
+        hardware_types: fields.names("kinds"),
+        load_fields: fields.names("telemetry.names"),
+        connect_timeout: fields.nonzero_time("ceilings.dialTimeoutMs")?,
+        idle_timeout: fields.time("ceilings.connIdleMs")?,
+        counter_timeout: fields.time_or("specifics.countWaitMs", 0)?,
         max_client_wait,
-        max_retry_after: max_retry_after(from)?,
-        list_is_pushed: from.field("discovery") != Some("on_request"),
-        gateway_count: from.whole_or("balancers", 1)?.max(1) as u32,
-        max_units: from.number_or("specifics.mostUnits", DEFAULT_MAX_UNITS)?,
+        max_retry_after: max_retry_after(fields)?,
+        list_is_pushed: fields.field("discovery") != Some("on_request"),
+        gateway_count: fields.whole_or("balancers", 1)?.max(1) as u32,
+        max_units: fields.number_or("specifics.mostUnits", DEFAULT_MAX_UNITS)?,
     })
 }
 
-fn unique_names(from: &impl Fields, list: &str) -> Result<Vec<String>, SettingsError> {
+fn unique_names(fields: &impl Fields, list: &str) -> Result<Vec<String>, SettingsError> {
     let mut names: Vec<String> = Vec::new();
-    for index in indices(from, list)? {
+    for index in indices(fields, list)? {
         let key = format!("{list}.{index}.name");
-        let name = from.text(&key)?;
+        let name = fields.text(&key)?;
         if names.iter().any(|known| known == name) {
             return Err(SettingsError::DuplicateName { found: name.into(), key });
         }
@@ -190,12 +194,12 @@
     Ok(names)
 }
 
-fn max_client_wait(from: &impl Fields) -> Result<Micros, SettingsError> {
-    let mut longest = 0;
-    for index in indices(from, "lanes")? {
-        longest = longest.max(from.some_time(&format!("lanes.{index}.giveUpMs"))?);
+fn max_client_wait(fields: &impl Fields) -> Result<Micros, SettingsError> {
+    let mut max_wait = 0;
+    for index in indices(fields, "lanes")? {
+        max_wait = max_wait.max(fields.nonzero_time(&format!("lanes.{index}.giveUpMs"))?);
     }
-    Ok(longest)
+    Ok(max_wait)
 }
 
 /// Sets one value of a load report; unknown names are ignored.
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -35,9 +35,9 @@
     let size = (servers / (gateways / MAX_GATEWAYS_PER_SERVER).max(1)).max(MIN_SUBSET_SIZE).min(servers);
     let first = gateway.index as usize % gateways * servers / gateways;
     for (position, (_, server)) in ring.iter_mut().enumerate() {
-        let in_stretch = (position + servers - first) % servers < size;
+        let in_segment = (position + servers - first) % servers < size;
         let weight = server.listed_weight;
-        server.assign(in_stretch.then_some(weight));
+        server.assign(in_segment.then_some(weight));
     }
     ((gateways * size) as f64 / servers as f64).max(1.0)
 }
