--- a/crates/policy/src/settings/error.rs
+++ b/crates/policy/src/settings/error.rs
@@ -12,7 +12,7 @@
         key: String,
     },
     /// A finite number was expected.
-    #[error("'{key}={found}' is no number")]
+    #[error("'{key}={found}' is not a number")]
     NotANumber {
         /// The setting's name.
         key: String,
@@ -20,7 +20,7 @@
         found: String,
     },
     /// A non-negative integer was expected.
-    #[error("'{key}={found}' is no whole number")]
+    #[error("'{key}={found}' is not a whole number")]
     NotAWholeNumber {
         /// The setting's name.
         key: String,
@@ -28,7 +28,7 @@
         found: String,
     },
     /// A non-negative number was expected.
-    #[error("'{key}={found}' is below 0")]
+    #[error("'{key}={found}' is negative")]
     Negative {
         /// The setting's name.
         key: String,
@@ -36,7 +36,7 @@
         found: f64,
     },
     /// A time of at least half a microsecond was expected.
-    #[error("'{key}={found}' leaves no time")]
+    #[error("'{key}={found}' rounds to 0 microseconds")]
     NoTime {
         /// The setting's name.
         key: String,
@@ -44,7 +44,7 @@
         found: String,
     },
     /// One of 0, 1, false and true was expected.
-    #[error("'{key}={found}' is neither yes nor no")]
+    #[error("'{key}={found}' is neither true nor false")]
     NotAFlag {
         /// The setting's name.
         key: String,
@@ -52,7 +52,7 @@
         found: String,
     },
     /// At least one attempt was expected.
-    #[error("'{key}=0': nothing could be sent")]
+    #[error("'{key}=0': at least one attempt is required")]
     NoAttempts {
         /// The setting's name.
         key: String,
@@ -66,7 +66,7 @@
         found: String,
     },
     /// A share from 0 to 1 was expected.
-    #[error("'{key}={found}' is more than all")]
+    #[error("'{key}={found}' is greater than 1")]
     ShareAboveOne {
         /// The setting's name.
         key: String,
@@ -74,7 +74,7 @@
         found: f64,
     },
     /// The scope of an idempotency key was expected.
-    #[error("'{key}={found}' is no group")]
+    #[error("'{key}={found}' is not one of 'all', 'zone' and 'cell'")]
     UnknownKeyScope {
         /// The setting's name.
         key: String,
@@ -82,7 +82,7 @@
         found: String,
     },
     /// A kind of idempotency was expected.
-    #[error("'{key}={found}' is no effect")]
+    #[error("'{key}={found}' is not one of 'read_like', 'idempotency_key' and 'non_idempotent'")]
     UnknownIdempotency {
         /// The setting's name.
         key: String,
@@ -90,7 +90,7 @@
         found: String,
     },
     /// Two classes or two plans have the same name, so a client's choice would be ambiguous.
-    #[error("'{key}={found}' comes twice")]
+    #[error("'{key}={found}' is used twice")]
     DuplicateName {
         /// The setting's name.
         key: String,
@@ -98,7 +98,7 @@
         found: String,
     },
     /// A number was expected in a server's load report.
-    #[error("'{found}' in a load report is no number")]
+    #[error("'{found}' in a load report is not a number")]
     LoadNotANumber {
         /// The value.
         found: String,
