--- a/crates/policy/src/quota/judgement.rs
+++ b/crates/policy/src/quota/judgement.rs
@@ -49,7 +49,7 @@
     pub has_shared_counter: bool,
     /// The results of earlier decisions on all tenants.
     pub history: &'a mut QuotaHistory,
-    /// The state of the shared counter: whether it replies, and how often it may be called.
+    /// The pacer of counter calls, which knows whether the counter replies and how many decisions had a total.
     pub pacer: &'a mut CounterPacer,
     /// The generator of random numbers.
     pub rng: &'a mut R,
@@ -126,9 +126,9 @@
         // A request that is rejected without a total may be sent again to a gateway that has one; a request
         // that is admitted without a total is not counted anywhere. A tenant that sends again without a total
         // asks far beyond its quota, so the value of its request has to exceed the cost.
-        let is_profitable = self.fraction.is_first_offer(units)
+        let is_worthwhile = self.fraction.is_first_offer(units)
             || EXCESS_COST_FACTOR * plan.excess_cost < 1.0 + plan.excess_value;
-        let may_assume = !pacer.is_responding(now) || is_profitable && pacer.is_starved();
+        let may_assume = !pacer.is_responding(now) || is_worthwhile && pacer.is_starved();
         judgement.within_quota &= judgement.assumed_within && may_assume && !judgement.is_informed;
         if !judgement.within_quota {
             self.units.add(-units);
