--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -81,7 +81,7 @@
         let id = call.request.id.clone();
         let open = OpenRequest { id, ticket, client_gone: call.client_gone.clone() };
         let number = self.pipeline.push_open(open, class);
-        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places: reservations };
+        let reply = ReplyHandle { ticket, number, sender: self.reply_sender.clone(), reservations };
         // Danger: a process that was suspended would give a server more time than the client has left.
         let now = Instant::now();
         let received_at = now.checked_sub(self.input_delay).unwrap_or(now);
--- a/crates/policy/src/quota/judgement.rs
+++ b/crates/policy/src/quota/judgement.rs
@@ -1,4 +1,5 @@
-//! Whether a request is within its tenant's quota, by what is known or else by a guess; it changes no other tenant.
+//! Decides whether a request is within its tenant's quota, from the counter's totals or else from an estimate.
+//! The decision changes no other tenant's state.
 
 use rand::Rng;
 
@@ -9,22 +10,23 @@
 use crate::numeric::{update_mean, SLOW_MEAN_WEIGHT};
 use crate::settings::Plan;
 
-/// How many times what it may earn beyond the quota a request has to exceed its cost, to be admitted without a total.
+/// Without a total, a request of a tenant that sends again is admitted only if its value, 1 plus the excess
+/// value, exceeds its excess cost by this factor.
 const EXCESS_COST_FACTOR: f64 = 1.5;
 
-/// The share of each plan's requests that were found within their quota, as a guess of those that nothing is known of.
+/// The share of each plan's requests that were within their quota: the estimate for tenants without a total.
 pub struct QuotaHistory {
     within_share: Vec<f64>,
 }
 
 impl QuotaHistory {
-    /// All are taken to be within their quota.
+    /// Creates a history that assumes every request to be within its quota.
     pub fn new(plans: &[Plan]) -> Self {
         QuotaHistory { within_share: vec![1.0; plans.len()] }
     }
 
-    /// The probability that a request is within its quota. The first of a tenant is likelier so than those after it:
-    /// who comes again before any reply asks for much.
+    /// The probability that a request is within its quota. It is higher for the first request of a tenant than
+    /// for later ones: a tenant that sends another request before any reply probably sends many.
     fn probability(&self, plan: usize, is_first: bool) -> f64 {
         let share = self.within_share[plan];
         if is_first {
@@ -34,71 +36,74 @@
         }
     }
 
-    fn record(&mut self, plan: usize, within: bool) {
-        update_mean(&mut self.within_share[plan], SLOW_MEAN_WEIGHT, f64::from(u8::from(within)));
+    fn record(&mut self, plan: usize, within_quota: bool) {
+        update_mean(&mut self.within_share[plan], SLOW_MEAN_WEIGHT, f64::from(u8::from(within_quota)));
     }
 }
 
-/// What a judgement goes by beside the tenant's own state.
+/// The inputs of a decision besides the tenant's own state.
 pub struct JudgeContext<'a, R> {
-    /// The plan that the request names.
+    /// The plan of the request.
     pub plan: &'a Plan,
-    /// The gateways share a counter.
+    /// Whether the gateways share a counter.
     pub has_shared_counter: bool,
-    /// What was found of other tenants.
+    /// The results of earlier decisions on all tenants.
     pub history: &'a mut QuotaHistory,
-    /// How the counter replies.
+    /// The pacer of counter calls, which knows whether the counter replies and how many decisions had a total.
     pub pacer: &'a mut CounterPacer,
-    /// Random numbers.
+    /// The generator of random numbers.
     pub rng: &'a mut R,
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
-/// A judgement under way.
+/// The intermediate state of a decision.
 struct Judgement {
-    /// The request is within the quota, as far as was looked at.
-    within: bool,
-    /// The counter's totals say so, not a guess.
-    known: bool,
-    /// A guess for tenants that nothing is known of.
-    likely: bool,
+    /// The request is within every component of the quota checked so far.
+    within_quota: bool,
+    /// The decision is based on the counter's totals, not on an estimate.
+    is_informed: bool,
+    /// The estimate used if there is no total for the tenant.
+    assumed_within: bool,
 }
 
 impl TenantState {
-    /// Whether a request is within the quota, by what is known now.
+    /// Decides whether a request is within the quota, from the information available now.
     pub fn judge<R: Rng>(&mut self, request: &Request, context: JudgeContext<R>) -> bool {
         let JudgeContext { plan, has_shared_counter, history, pacer, rng, now } = context;
         self.fraction.count_offered(request.units);
         let is_first = self.fraction.is_first_offer(request.units);
-        let likely = has_shared_counter && rng.gen::<f64>() < history.probability(request.plan, is_first);
-        let mut judgement = Judgement { within: true, known: true, likely };
+        let assumed_within =
+            has_shared_counter && rng.gen::<f64>() < history.probability(request.plan, is_first);
+        let mut judgement = Judgement { within_quota: true, is_informed: true, assumed_within };
         if plan.max_concurrency > 0 {
-            judgement.within = self.concurrency.admits(
+            judgement.within_quota = self.concurrency.admits(
                 plan.max_concurrency,
                 self.gateway_spread,
                 pacer.is_responding(now),
-                likely,
+                assumed_within,
                 now,
             );
-            judgement.known = self.concurrency.is_known();
+            judgement.is_informed = self.concurrency.is_known();
         }
         if let Some(window) = self.sparse_window(plan) {
             self.judge_sparse(&mut judgement, window, request.units, plan, pacer, now);
         } else if plan.rate > 0.0 && self.units.last_total_at().is_none() && self.is_shared() {
-            // Beyond its even share, a tenant that nothing is known of is taken to be as the others of its plan.
-            judgement.within &= !self.in_doubt || likely;
-            judgement.known = false;
+            // Beyond its even share, a tenant without a total is assumed to behave like the other tenants of
+            // its plan.
+            judgement.within_quota &= !self.needs_total || assumed_within;
+            judgement.is_informed = false;
         } else if plan.rate > 0.0 {
-            judgement.within = judgement.within && self.fraction.admit(request.units, &self.bucket);
+            judgement.within_quota =
+                judgement.within_quota && self.fraction.admit(request.units, &self.bucket);
         }
-        if judgement.known {
-            history.record(request.plan, judgement.within);
+        if judgement.is_informed {
+            history.record(request.plan, judgement.within_quota);
         }
-        judgement.within
+        judgement.within_quota
     }
 
-    /// The judgement on a sparse tenant: by a total of this moment, or else by a guess.
+    /// Decides for a sparse tenant: from a total received at this instant, or else from an estimate.
     fn judge_sparse(
         &mut self,
         judgement: &mut Judgement,
@@ -109,22 +114,23 @@
         now: Micros,
     ) {
         let has_total = self.units.last_total_at() == Some(now);
-        judgement.known = has_total || self.units.has_reached(window.limit);
-        pacer.count_decision(judgement.known);
+        judgement.is_informed = has_total || self.units.has_reached(window.limit);
+        pacer.count_decision(judgement.is_informed);
         if has_total {
-            judgement.within &= self.allowance.has(units);
-            if judgement.within {
+            judgement.within_quota &= self.allowance.has(units);
+            if judgement.within_quota {
                 self.allowance.take(units);
             }
             return;
         }
-        // Rejected without a total, a request comes again where there may be one; admitted, it is in no count. A
-        // tenant that is here again asks far beyond its quota: what it earns has to exceed what it costs.
-        let pays = self.fraction.is_first_offer(units)
+        // A request that is rejected without a total may be sent again to a gateway that has one; a request
+        // that is admitted without a total is not counted anywhere. A tenant that sends again without a total
+        // asks far beyond its quota, so the value of its request has to exceed the cost.
+        let is_worthwhile = self.fraction.is_first_offer(units)
             || EXCESS_COST_FACTOR * plan.excess_cost < 1.0 + plan.excess_value;
-        let guesses = !pacer.is_responding(now) || pays && pacer.is_starved();
-        judgement.within &= judgement.likely && guesses && !judgement.known;
-        if !judgement.within {
+        let may_assume = !pacer.is_responding(now) || is_worthwhile && pacer.is_starved();
+        judgement.within_quota &= judgement.assumed_within && may_assume && !judgement.is_informed;
+        if !judgement.within_quota {
             self.units.add(-units);
         }
     }
