--- a/crates/lab/src/live/discovery.rs
+++ b/crates/lab/src/live/discovery.rs
@@ -245,7 +245,7 @@
             "zone": entry.zone,
             "type": entry.kind,
             "group": entry.cell,
-            "status": entry.status.word(),
+            "status": entry.status.as_str(),
             "weight": entry.weight,
             "since_ms": since,
         })
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -14,7 +14,7 @@
 }
 
 impl Status {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Status::InService => "in_service",
             Status::Terminating => "terminating",
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -227,7 +227,7 @@
 
 /// Checks the claims. A claim whose figure is not in the report does not hold, so that a misspelt path fails the run.
 pub fn claims(report: &Value, claims: &[Claim]) -> Value {
-    let judged = claims.iter().map(|claim| {
+    let checked = claims.iter().map(|claim| {
         let value = figure(report, &claim.figure);
         let within_min = claim.least.is_none_or(|min| value.is_some_and(|value| value >= min));
         let within_max = claim.most.is_none_or(|max| value.is_some_and(|value| value <= max));
@@ -238,7 +238,7 @@
         };
         json!({ "name": claim.name, "held": within_min && within_max, "figure": claim.figure, "value": value, "bound": bound })
     });
-    judged.collect::<Vec<_>>().into()
+    checked.collect::<Vec<_>>().into()
 }
 
 /// One line for each failure: the first violation of each broken rule, and the claims that did not hold.
@@ -321,7 +321,7 @@
         &mut output,
         "gateways",
         format!(
-            "{:.0} us a transaction, {:.1} MB at the most, {} starts, {} crashes",
+            "{:.0} us a transaction, at most {:.1} MB, {} starts, {} crashes",
             number("gateways.cpu_us_a_transaction"),
             number("gateways.peak_mb"),
             number("gateways.starts"),
@@ -332,7 +332,7 @@
         &mut output,
         "boxes",
         format!(
-            "{} trips, {} fell, {} connections at once at the most",
+            "{} trips, {} fell, at most {} connections at once",
             number("boxes.trips"),
             number("boxes.fell"),
             number("boxes.most_connections"),
@@ -362,7 +362,7 @@
         &mut output,
         "lab",
         format!(
-            "load behind by {:.1} ms at p99, its own turns late by {:.1} ms at p99, {:.2} of a core",
+            "load behind by {:.1} ms at p99, its own loop late by {:.1} ms at p99, {:.2} of a core",
             number("lab.behind.p99_ms"),
             number("lab.turns.p99_ms"),
             number("lab.cpu_share"),
@@ -407,7 +407,7 @@
     let (unfelt, never) = (number("faults.unfelt"), number("faults.never_came"));
     if unfelt + never > 0.0 {
         let text =
-            format!("{unfelt} that nobody was there to feel, {never} that waited for what was never said");
+            format!("{unfelt} without an effect on any gateway, {never} whose awaited event never came");
         line(&mut output, "faults", text);
     }
     if let Some(why) = report["void"].as_str() {
--- a/crates/lab/src/request_ledger.rs
+++ b/crates/lab/src/request_ledger.rs
@@ -155,7 +155,7 @@
     faults: BTreeMap<Link, Vec<Span>>,
     ceilings: BTreeMap<u64, (f64, Micros)>,
     quotas: BTreeMap<u64, (f64, Micros)>,
-    broken: [Violations; 6],
+    violations: [Violations; 6],
     pub strays: u64,
     pub hostile: Hostile,
 }
@@ -189,7 +189,7 @@
             faults: BTreeMap::new(),
             ceilings: BTreeMap::new(),
             quotas: BTreeMap::new(),
-            broken: Default::default(),
+            violations: Default::default(),
             strays: 0,
             hostile: Hostile::default(),
         }
@@ -202,16 +202,16 @@
         RequestLedger { records_requests: false, ..RequestLedger::new(bounds) }
     }
 
-    pub fn broken(&self) -> impl Iterator<Item = (&'static str, &Violations)> {
-        RULES.into_iter().zip(&self.broken)
+    pub fn violations(&self) -> impl Iterator<Item = (&'static str, &Violations)> {
+        RULES.into_iter().zip(&self.violations)
     }
 
     pub fn violation_count(&self) -> u64 {
-        self.broken.iter().map(|rule| rule.count).sum()
+        self.violations.iter().map(|rule| rule.count).sum()
     }
 
     fn add_violation(&mut self, rule: usize, at: Micros, what: String) {
-        self.broken[rule].add(at, what);
+        self.violations[rule].add(at, what);
     }
 
     // Faults.
@@ -635,7 +635,7 @@
     fn finish(&mut self, _at: Micros) {}
 
     fn rules(&self) -> Vec<(&'static str, &Violations)> {
-        self.broken().collect()
+        self.violations().collect()
     }
 }
 
--- a/crates/lab/src/scenario/faults.rs
+++ b/crates/lab/src/scenario/faults.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{whole, Time};
+use super::{one_f64, Time};
 use crate::history::LinkTraffic;
 
 /// A fault; exactly one of the kinds is set.
@@ -131,7 +131,7 @@
     pub both: bool,
     pub how: GatewayLinkFaultKind,
     /// A share, milliseconds of delay, or bytes a second.
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
     /// Range of the delays in milliseconds, or how long overtaken datagrams are held.
     #[serde(default)]
@@ -221,7 +221,7 @@
     pub which: Vec<u32>,
     pub how: FolderFaultKind,
     /// Milliseconds by which each sync is delayed.
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
 }
 
@@ -244,7 +244,7 @@
     #[serde(default)]
     pub each: Time,
     /// Factor of slowness, or the share of affected attempts or answers.
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
 }
 
@@ -270,7 +270,7 @@
 #[serde(deny_unknown_fields)]
 pub struct CounterFault {
     pub how: CounterFaultKind,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
     /// For a split: the gateways that reach the copy.
     #[serde(default)]
@@ -305,7 +305,7 @@
     #[serde(default)]
     pub how: DiscoveryFaultKind,
     /// Milliseconds by which discovery's answers are late.
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
 }
 
@@ -328,7 +328,7 @@
     pub to: LinkEnd,
     pub how: LinkFaultKind,
     /// Milliseconds of delay, bytes a second, or the share of corrupted reads.
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub amount: f64,
 }
 
@@ -361,7 +361,7 @@
 pub struct LoadFault {
     /// Name of a tenant group, or "all".
     pub customers: String,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub times: f64,
     /// Shifts the group's traffic by this number of gateways; the shift does not end with the fault.
     #[serde(default)]
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -52,7 +52,7 @@
     /// Requests before this time do not count in the figures; the rules hold from the start.
     #[serde(default)]
     pub settle_in: Time,
-    #[serde(default = "one")]
+    #[serde(default = "one_u64")]
     pub seed: u64,
     pub fleet: Fleet,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -76,9 +76,9 @@
 pub struct Fleet {
     pub gateways: u32,
     pub boxes: u32,
-    #[serde(default = "two")]
+    #[serde(default = "two_u32")]
     pub cores: u32,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub speed: f64,
     #[serde(default = "queue")]
     pub queue: usize,
@@ -88,7 +88,7 @@
     pub dial_work: Time,
     #[serde(default = "idle")]
     pub idle: Time,
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub cancels: bool,
     #[serde(default)]
     pub reports: bool,
@@ -143,7 +143,7 @@
     pub fall_multiple: f64,
     #[serde(default = "fall_window")]
     pub fall_window: Time,
-    #[serde(default = "trips")]
+    #[serde(default = "attempts")]
     pub trips: u32,
     #[serde(default = "longest_wait")]
     pub longest_wait: Time,
@@ -184,7 +184,7 @@
     #[serde(default)]
     pub list: bool,
     /// The stand-in that receives effects refuses terms below the highest (fencing check).
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub fenced: bool,
 }
 
@@ -198,7 +198,7 @@
     #[serde(default)]
     pub zones: bool,
     /// If false, the load is checked all the same, and each gateway uses servers by its number.
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub on: bool,
 }
 
@@ -258,7 +258,7 @@
     pub memory: Time,
     pub agreed: Time,
     pub hard_stop: Time,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub importance: f64,
     /// Mean work of one unit.
     pub work: Time,
@@ -270,9 +270,9 @@
     pub name: String,
     pub rate: f64,
     pub burst: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub price: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "one_f64")]
     pub over_cost: f64,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ceiling: Option<Ceiling>,
@@ -306,7 +306,7 @@
     pub once: bool,
     #[serde(default)]
     pub again: f64,
-    #[serde(default = "two")]
+    #[serde(default = "two_u32")]
     pub most_again: u32,
     /// Share of the requests whose client disconnects within the latency objective.
     #[serde(default)]
@@ -325,19 +325,19 @@
     pub most: Option<f64>,
 }
 
-fn one() -> u64 {
+fn one_u64() -> u64 {
     1
 }
 fn one_u32() -> u32 {
     1
 }
-fn two() -> u32 {
+fn two_u32() -> u32 {
     2
 }
-fn whole() -> f64 {
+fn one_f64() -> f64 {
     1.0
 }
-fn yes() -> bool {
+fn enabled() -> bool {
     true
 }
 fn queue() -> usize {
@@ -379,7 +379,7 @@
 fn fall_window() -> Time {
     Time(1500 * MILLISECOND)
 }
-fn trips() -> u32 {
+fn attempts() -> u32 {
     3
 }
 fn longest_wait() -> Time {
--- a/crates/lab/tests/overtaken_attempts.rs
+++ b/crates/lab/tests/overtaken_attempts.rs
@@ -133,7 +133,7 @@
         retry.next(wire::value).await.expect("an answer");
         let ledger = world.ledger();
         assert_eq!(ledger.attempt_count(), 2, "both attempts have arrived");
-        let effects = ledger.broken().find(|(rule, _)| *rule == "effects").expect("the rule");
+        let effects = ledger.violations().find(|(rule, _)| *rule == "effects").expect("the rule");
         *broken.borrow_mut() = Some(effects.1.count);
     }));
     broken.take().expect("played")
--- a/crates/lab/tests/request_ledger.rs
+++ b/crates/lab/tests/request_ledger.rs
@@ -78,7 +78,7 @@
 
 /// Number of violations of each rule, in the order of the rules.
 fn broken(ledger: &RequestLedger) -> [u64; 6] {
-    let counts: Vec<u64> = ledger.broken().map(|(_, rule)| rule.count).collect();
+    let counts: Vec<u64> = ledger.violations().map(|(_, rule)| rule.count).collect();
     counts.try_into().expect("six rules")
 }
 
