--- a/crates/lab/src/checkers/lease.rs
+++ b/crates/lab/src/checkers/lease.rs
@@ -157,16 +157,24 @@
         if !self.has_connected_majority() {
             return;
         }
-        for job in self.leases.values_mut() {
-            let claim = job.claimed.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
+        for state in self.leases.values_mut() {
+            let claim = state.claimed.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
             if let Some((run, claimed_at)) = claim {
-                job.end_wait_at_claim(run, claimed_at, (at, killed), self.bounds.lease, &mut self.wait_times);
+                state.end_wait_at_claim(
+                    run,
+                    claimed_at,
+                    (at, killed),
+                    self.bounds.lease,
+                    &mut self.wait_times,
+                );
             }
-            let last_effect = job.last_effect.filter(|(_, last_effect)| *last_effect + RECENT_EFFECT > at);
-            let owner = last_effect.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
-            match (job.lost_holder, owner) {
-                (None, Some((run, _))) => (job.lost_holder, job.later_kills) = (Some((at, killed, run)), 0),
-                (Some((since, ..)), _) if killed && since < at => job.later_kills += 1,
+            let last_effect = state.last_effect.filter(|(_, last_effect)| *last_effect + RECENT_EFFECT > at);
+            let holder = last_effect.filter(|(run, _)| self.runs.get(run) == Some(&gateway));
+            match (state.lost_holder, holder) {
+                (None, Some((run, _))) => {
+                    (state.lost_holder, state.later_kills) = (Some((at, killed, run)), 0);
+                }
+                (Some((since, ..)), _) if killed && since < at => state.later_kills += 1,
                 _ => {}
             }
         }
@@ -180,17 +188,17 @@
             self.runs.insert(run, gateway);
         }
         let job = fields.get("job").and_then(Value::as_str).and_then(|job| self.leases.get_mut(job));
-        let Some(job) = job else { return };
+        let Some(state) = job else { return };
         match event {
             "owner.owns" => {
-                job.claimed = Some((run, at));
+                state.claimed = Some((run, at));
                 // The log may be read after the lab has recorded the gateway's end.
                 let last_stop = self.last_stop.get(&gateway).filter(|(last_stop, _)| *last_stop >= at);
                 if let (Some(last_stop), true) = (last_stop, self.runs.get(&run) == Some(&gateway)) {
-                    job.end_wait_at_claim(run, at, *last_stop, self.bounds.lease, &mut self.wait_times);
+                    state.end_wait_at_claim(run, at, *last_stop, self.bounds.lease, &mut self.wait_times);
                 }
             }
-            "owner.lost" | "owner.left" => job.claimed = job.claimed.filter(|(holder, _)| *holder != run),
+            "owner.lost" | "owner.left" => state.claimed = state.claimed.filter(|(holder, _)| *holder != run),
             _ => {}
         }
     }
@@ -205,7 +213,7 @@
     fn note_disturbance(&mut self, at: Micros) {
         self.last_disturbance = at;
         if !self.has_connected_majority() {
-            self.leases.values_mut().for_each(|job| job.lost_holder = None);
+            self.leases.values_mut().for_each(|state| state.lost_holder = None);
         }
     }
 
@@ -268,8 +276,8 @@
         {
             return;
         }
-        for (name, job) in &self.leases {
-            if job.last_effect.is_none_or(|(_, last_effect)| last_effect + RECENT_EFFECT < at) {
+        for (name, state) in &self.leases {
+            if state.last_effect.is_none_or(|(_, last_effect)| last_effect + RECENT_EFFECT < at) {
                 self.violations[1].add(at, format!("'{name}' has no holder at the end of the run"));
             }
         }
--- a/crates/lab/src/checkers/membership.rs
+++ b/crates/lab/src/checkers/membership.rs
@@ -20,11 +20,12 @@
 const MIN_REACHABLE_TIME: Micros = 6 * SECOND;
 /// Gateways refuse sealed messages if their clocks differ by ten seconds; the difference to that covers the lab's uncertainty.
 const MAX_CLOCK_DIFFERENCE: i64 = 9 * SECOND as i64;
-/// A gateway that is killed may not have reported what it added within this time: that is the time of a few gossip rounds.
-const UNREPORTED: Micros = SECOND;
+/// A gateway that is killed may not have reported amounts that it added in the last second: that is the time of a few gossip
+/// rounds.
+const REPORT_DELAY: Micros = SECOND;
 /// The same while other faults are active, or ended less than `AFTER_FAULT` ago: each report may have been lost, and the next
 /// anti-entropy exchange is the earliest to repeat it.
-const UNREPORTED_DURING_FAULTS: Micros = 30 * SECOND;
+const REPORT_DELAY_DURING_FAULTS: Micros = 30 * SECOND;
 const AFTER_FAULT: Micros = 15 * SECOND;
 /// Keys with a shorter remaining lifetime may have expired at one gateway and not at another.
 const MIN_REMAINING_LIFETIME_MS: u32 = 1_500;
@@ -188,7 +189,7 @@
         let slack = |one: f64, other: f64| RELATIVE_ERROR * (one.abs() + other.abs()).max(1.0);
         let key_names: BTreeSet<&String> = self.totals.values().flat_map(BTreeMap::keys).collect();
         for key in key_names {
-            let known: Vec<(u32, f64, u32)> = self
+            let known_totals: Vec<(u32, f64, u32)> = self
                 .totals
                 .iter()
                 .filter(|(own, _)| self.states[**own as usize] == State::Running)
@@ -197,7 +198,7 @@
                 })
                 .collect();
             let Some(key_state) = self.keys.get(key).filter(|_| {
-                known.iter().all(|(.., remaining_ms)| *remaining_ms >= MIN_REMAINING_LIFETIME_MS)
+                known_totals.iter().all(|(.., remaining_ms)| *remaining_ms >= MIN_REMAINING_LIFETIME_MS)
             }) else {
                 continue;
             };
@@ -205,8 +206,8 @@
             let is_contributor = |own: u32| {
                 key_state.last_added.get(&own).is_some_and(|last| *last >= self.started[own as usize])
             };
-            let max_total = known.iter().map(|(_, total, _)| *total).fold(f64::MIN, f64::max);
-            for (own, total, _) in known.iter().filter(|(own, ..)| is_contributor(*own)) {
+            let max_total = known_totals.iter().map(|(_, total, _)| *total).fold(f64::MIN, f64::max);
+            for (own, total, _) in known_totals.iter().filter(|(own, ..)| is_contributor(*own)) {
                 if max_total - total > slack(max_total, *total) {
                     wrong.push(format!(
                         "gateway {own} adds to '{key}' and knows of {total}, another of {max_total}"
@@ -217,7 +218,7 @@
                 continue;
             }
             let added = key_state.added;
-            for (own, total, _) in &known {
+            for (own, total, _) in &known_totals {
                 let lacks_amounts =
                     is_contributor(*own) && !key_state.unreported && added - total > slack(added, *total);
                 if lacks_amounts || total - added > slack(added, *total) {
@@ -241,10 +242,10 @@
             Event::Killed { gateway } | Event::Crashed { gateway } => {
                 let during_faults = self.active_faults.len() > 1
                     || self.last_fault_end.is_some_and(|last_fault_end| at < last_fault_end + AFTER_FAULT);
-                let unreported = if during_faults { UNREPORTED_DURING_FAULTS } else { UNREPORTED };
-                for count in self.keys.values_mut() {
-                    count.unreported |=
-                        count.last_added.get(gateway).is_some_and(|last| last + unreported >= at);
+                let report_delay = if during_faults { REPORT_DELAY_DURING_FAULTS } else { REPORT_DELAY };
+                for key in self.keys.values_mut() {
+                    key.unreported |=
+                        key.last_added.get(gateway).is_some_and(|last| last + report_delay >= at);
                 }
                 self.set_state(at, *gateway, State::Stopped);
             }
@@ -280,10 +281,10 @@
             Event::MembershipView { gateway, live, suspected } => {
                 self.check_view(at, *gateway, live, suspected);
             }
-            Event::CounterAdded { gateway, key: count, amount, .. } => {
-                let count = self.keys.entry(count.clone()).or_default();
-                count.added += amount;
-                count.last_added.insert(*gateway, at);
+            Event::CounterAdded { gateway, key: name, amount, .. } => {
+                let key = self.keys.entry(name.clone()).or_default();
+                key.added += amount;
+                key.last_added.insert(*gateway, at);
             }
             Event::CounterTotals { gateway, totals } => {
                 let totals = totals
--- a/crates/lab/src/request_ledger.rs
+++ b/crates/lab/src/request_ledger.rs
@@ -99,7 +99,7 @@
     outcome: RequestOutcome,
     attempts: Vec<usize>,
     has_wrong_value: bool,
-    left: Option<Micros>,
+    disconnected_at: Option<Micros>,
 }
 
 struct ForwardedAttempt {
@@ -157,12 +157,12 @@
     quotas: BTreeMap<u64, (f64, Micros)>,
     violations: [Violations; 6],
     pub strays: u64,
-    pub hostile: Hostile,
+    pub hostile: MisbehaviorCounts,
 }
 
 /// How the gateways treated misbehaving clients.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hostile {
+pub struct MisbehaviorCounts {
     pub sent: u64,
     /// Clients that got an error, or whose connection was closed.
     pub answered: u64,
@@ -191,7 +191,7 @@
             quotas: BTreeMap::new(),
             violations: Default::default(),
             strays: 0,
-            hostile: Hostile::default(),
+            hostile: MisbehaviorCounts::default(),
         }
     }
 
@@ -253,30 +253,31 @@
     /// Whether the gateway's process was paused in this period for longer than the slack of a busy machine.
     fn was_paused(&self, gateway: u32, from: Micros, to: Micros) -> bool {
         let pauses = self.pauses.get(&gateway).into_iter().flatten();
-        let within = |(began, ended): &Span| ended.unwrap_or(to).min(to).saturating_sub((*began).max(from));
-        pauses.map(within).sum::<Micros>() > self.bounds.slack
+        let pause_overlap =
+            |(began, ended): &Span| ended.unwrap_or(to).min(to).saturating_sub((*began).max(from));
+        pauses.map(pause_overlap).sum::<Micros>() > self.bounds.slack
     }
 
-    fn was_faulty(&self, link: &Link, from: Micros, to: Micros) -> bool {
+    fn was_link_faulty(&self, link: &Link, from: Micros, to: Micros) -> bool {
         let spans = self.faults.get(link).into_iter().flatten();
         spans.into_iter().any(|(began, ended)| *began <= to && ended.is_none_or(|ended| ended >= from))
     }
 
     /// Whether a link has an active fault at this time.
     pub fn is_faulty(&self, link: &Link, at: Micros) -> bool {
-        self.was_faulty(link, at, at)
+        self.was_link_faulty(link, at, at)
     }
 
     pub fn server_started(
         &mut self,
         name: &str,
-        place: (&str, u32),
+        location: (&str, u32),
         started: Option<Micros>,
         power: f64,
         cold: SlowStart,
     ) {
-        let (zone, cell) = (place.0.to_string(), place.1);
-        let known = KnownServer {
+        let (zone, cell) = (location.0.to_string(), location.1);
+        let server = KnownServer {
             zone,
             cell,
             started,
@@ -286,7 +287,7 @@
             informed: false,
             overloaded: false,
         };
-        self.servers.insert(name.into(), known);
+        self.servers.insert(name.into(), server);
     }
 
     // Clients.
@@ -296,7 +297,7 @@
     pub fn request_created(&mut self, client_request: &ClientRequest) -> bool {
         let within_quota = match self.requests.get(&client_request.origin) {
             Some(origin) => origin.within_quota,
-            None => self.in_quota(client_request),
+            None => self.take_from_quota(client_request),
         };
         let request = RequestState {
             client_request: client_request.clone(),
@@ -307,13 +308,13 @@
             outcome: RequestOutcome::Open,
             attempts: Vec::new(),
             has_wrong_value: false,
-            left: None,
+            disconnected_at: None,
         };
         self.requests.insert(client_request.id, request);
         within_quota
     }
 
-    fn in_quota(&mut self, client_request: &ClientRequest) -> bool {
+    fn take_from_quota(&mut self, client_request: &ClientRequest) -> bool {
         let plan = &self.bounds.plans[client_request.plan];
         if plan.rate == 0.0 {
             return true;
@@ -375,9 +376,9 @@
             );
         }
         let limit = self.bounds.classes[client_request.class].deadline + SOCKET_ALLOWANCE + self.bounds.slack;
-        let excused =
-            self.was_faulty(&Link::Clients(gateway), written, at) || self.was_paused(gateway, written, at);
-        if at > written + limit && !excused {
+        let is_explained = self.was_link_faulty(&Link::Clients(gateway), written, at)
+            || self.was_paused(gateway, written, at);
+        if at > written + limit && !is_explained {
             let late = (at - written - limit) / MILLISECOND;
             self.add_violation(0, at, format!("request {id:x} was answered {late} ms after its deadline"));
         }
@@ -413,10 +414,10 @@
         let killed = self.kills.get(&gateway).into_iter().flatten();
         // The client sees the end of a killed process's connection immediately; its own timeout may expire just before.
         let killed = killed.into_iter().any(|kill| *kill + self.bounds.slack >= written && *kill <= at);
-        let excused = killed
-            || self.was_faulty(&Link::Clients(gateway), written, at)
+        let is_explained = killed
+            || self.was_link_faulty(&Link::Clients(gateway), written, at)
             || self.was_paused(gateway, written, at);
-        if !excused {
+        if !is_explained {
             let how = if closed { "its connection was closed" } else { "no answer came" };
             let elapsed = at.saturating_sub(written) / MILLISECOND;
             self.add_violation(
@@ -429,14 +430,14 @@
         }
         if let Some(request) = self.requests.get_mut(&id) {
             (request.ended, request.outcome) =
-                (Some(at), if excused { RequestOutcome::Excused } else { RequestOutcome::Lost });
+                (Some(at), if is_explained { RequestOutcome::Excused } else { RequestOutcome::Lost });
         }
     }
 
     /// The client has closed the connection.
     pub fn client_disconnected(&mut self, id: u64, at: Micros) {
         if let Some(request) = self.requests.get_mut(&id) {
-            (request.left, request.ended, request.outcome) =
+            (request.disconnected_at, request.ended, request.outcome) =
                 (Some(at), Some(at), RequestOutcome::Disconnected);
         }
     }
@@ -444,7 +445,7 @@
     /// A client received bytes on a connection without an open request.
     pub fn stray(&mut self, gateway: u32, since: Micros, at: Micros, what: &[u8]) {
         self.strays += 1;
-        if !self.was_faulty(&Link::Clients(gateway), since, at) {
+        if !self.was_link_faulty(&Link::Clients(gateway), since, at) {
             let what = String::from_utf8_lossy(&what[..what.len().min(60)]).escape_debug().to_string();
             self.add_violation(
                 0,
@@ -466,10 +467,10 @@
         let (server, arrived) = (arrival.server.clone(), arrival.at);
         self.attempts.push(ForwardedAttempt { server, end: None, closed: false, arrived });
         self.check_drain(arrival);
-        self.check_client_left(arrival);
+        self.check_client_disconnected(arrival);
         self.check_slow_start(arrival);
-        let known = self.requests.get(&arrival.id).map(|request| request.attempts.clone());
-        let Some(earlier) = known else {
+        let earlier_attempts = self.requests.get(&arrival.id).map(|request| request.attempts.clone());
+        let Some(earlier) = earlier_attempts else {
             // The attempt belongs to a misbehaving client or to another load: the ledger has no such request.
             return number;
         };
--- a/crates/lab/src/request_ledger/attempt_rules.rs
+++ b/crates/lab/src/request_ledger/attempt_rules.rs
@@ -35,9 +35,9 @@
         };
         let (overtaken, together): (Vec<&usize>, Vec<&usize>) =
             earlier.iter().filter(in_flight).partition(|number| apart.contains(*number));
-        let is_broken = !together.is_empty();
+        let is_violation = !together.is_empty();
         self.overtaken += overtaken.len() as u64;
-        if is_broken {
+        if is_violation {
             let what = format!(
                 "request {:x} has an attempt to {} while another is in flight",
                 arrival.id, arrival.server
@@ -51,7 +51,7 @@
     fn is_link_faulty(&self, arrival: &Arrival, earlier: &ForwardedAttempt) -> bool {
         let link = |server: &str| Link::Server(arrival.gateway, server.into());
         let links = [link(&earlier.server), link(&arrival.server)];
-        links.iter().any(|link| self.was_faulty(link, earlier.arrived, arrival.at))
+        links.iter().any(|link| self.was_link_faulty(link, earlier.arrived, arrival.at))
     }
 
     /// Checks that a request is retried after an attempt that may have run only if its class allows that.
@@ -82,8 +82,8 @@
 
     /// Whether two servers share their memory of keys.
     fn share_keys(&self, scope: KeyScope, one: &str, other: &str) -> bool {
-        let zone = |name: &str| self.servers.get(name).map(|known| &known.zone);
-        let cell = |name: &str| self.servers.get(name).map(|known| (&known.zone, known.cell));
+        let zone = |name: &str| self.servers.get(name).map(|server| &server.zone);
+        let cell = |name: &str| self.servers.get(name).map(|server| (&server.zone, server.cell));
         match scope {
             KeyScope::All => true,
             KeyScope::Zone => zone(one) == zone(other),
@@ -99,8 +99,11 @@
         };
         let Some(notified_at) = notified_at.into_iter().chain(self.cordons.get(&key)).min() else { return };
         let deadline = notified_at + self.bounds.grace + self.bounds.slack;
-        let link_was_faulty =
-            self.was_faulty(&Link::Server(arrival.gateway, arrival.server.clone()), *notified_at, arrival.at);
+        let link_was_faulty = self.was_link_faulty(
+            &Link::Server(arrival.gateway, arrival.server.clone()),
+            *notified_at,
+            arrival.at,
+        );
         if arrival.began > deadline && !link_was_faulty {
             let late = (arrival.began - notified_at) / MILLISECOND;
             let what = format!(
@@ -111,18 +114,20 @@
         }
     }
 
-    pub(super) fn check_client_left(&mut self, arrival: &Arrival) {
-        let left = self.requests.get(&arrival.id).and_then(|request| request.left);
-        let Some(left) = left.filter(|left| {
-            arrival.began > left + MAX_FORWARD_AFTER_DISCONNECT + SOCKET_ALLOWANCE + self.bounds.slack
+    pub(super) fn check_client_disconnected(&mut self, arrival: &Arrival) {
+        let disconnected_at = self.requests.get(&arrival.id).and_then(|request| request.disconnected_at);
+        let Some(disconnected_at) = disconnected_at.filter(|disconnected_at| {
+            arrival.began
+                > disconnected_at + MAX_FORWARD_AFTER_DISCONNECT + SOCKET_ALLOWANCE + self.bounds.slack
         }) else {
             return;
         };
         let gateway = arrival.gateway;
         let links = [Link::Server(gateway, arrival.server.clone()), Link::Clients(gateway)];
-        let link_was_faulty = links.iter().any(|link| self.was_faulty(link, left, arrival.at));
-        if !link_was_faulty && !self.was_paused(gateway, left, arrival.at) {
-            let late = (arrival.began - left) / MILLISECOND;
+        let link_was_faulty =
+            links.iter().any(|link| self.was_link_faulty(link, disconnected_at, arrival.at));
+        if !link_was_faulty && !self.was_paused(gateway, disconnected_at, arrival.at) {
+            let late = (arrival.began - disconnected_at) / MILLISECOND;
             let what = format!(
                 "gateway {gateway} sent request {:x} to {} {late} ms after its client disconnected",
                 arrival.id, arrival.server
@@ -132,26 +137,26 @@
     }
 
     pub(super) fn check_slow_start(&mut self, arrival: &Arrival) {
-        let Some(known) = self.servers.get_mut(&arrival.server) else { return };
-        let Some(started) = known.started else { return };
+        let Some(server) = self.servers.get_mut(&arrival.server) else { return };
+        let Some(started) = server.started else { return };
         let age = arrival.at.saturating_sub(started);
-        if age >= known.cold.warm_up || known.overloaded {
+        if age >= server.cold.warm_up || server.overloaded {
             return;
         }
         let informed = self.start_notified.contains(&(arrival.gateway, arrival.server.clone(), started));
-        known.window_arrivals.push_back((arrival.at, arrival.work, informed));
-        while known.window_arrivals.front().is_some_and(|(at, ..)| at + known.cold.window <= arrival.at) {
-            known.window_arrivals.pop_front();
+        server.window_arrivals.push_back((arrival.at, arrival.work, informed));
+        while server.window_arrivals.front().is_some_and(|(at, ..)| at + server.cold.window <= arrival.at) {
+            server.window_arrivals.pop_front();
         }
-        let window_work: Micros = known.window_arrivals.iter().map(|(_, work, _)| work).sum();
-        let largest = known.window_arrivals.iter().map(|(_, work, _)| *work).max().unwrap_or(0);
+        let window_work: Micros = server.window_arrivals.iter().map(|(_, work, _)| work).sum();
+        let largest = server.window_arrivals.iter().map(|(_, work, _)| *work).max().unwrap_or(0);
         let informed_work: Micros =
-            known.window_arrivals.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
-        let capacity = known.cold.capacity(age) * known.power * known.cold.window as f64;
-        known.informed = informed_work as f64 >= INFORMED_SHARE * window_work as f64;
-        let is_overloaded = window_work as f64 > known.cold.multiple * capacity + largest as f64;
-        if is_overloaded && known.informed {
-            known.overloaded = true;
+            server.window_arrivals.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
+        let capacity = server.cold.capacity(age) * server.power * server.cold.window as f64;
+        server.informed = informed_work as f64 >= INFORMED_SHARE * window_work as f64;
+        let is_overloaded = window_work as f64 > server.cold.multiple * capacity + largest as f64;
+        if is_overloaded && server.informed {
+            server.overloaded = true;
             let (times, old) = (window_work as f64 / capacity, age / MILLISECOND);
             let what =
                 format!("{} was sent {times:.1} times its capacity {old} ms after its start", arrival.server);
@@ -162,10 +167,10 @@
     /// A server collapsed under the last attempt. The gateways that sent the last window's work overloaded it if they knew of its
     /// start.
     pub fn server_collapsed(&mut self, server: &str, at: Micros) {
-        let overloaded = self.servers.get_mut(server).filter(|known| known.informed && !known.overloaded);
-        let Some(known) = overloaded else { return };
-        known.overloaded = true;
-        let age = at.saturating_sub(known.started.unwrap_or(at)) / MILLISECOND;
+        let overloaded = self.servers.get_mut(server).filter(|server| server.informed && !server.overloaded);
+        let Some(server_state) = overloaded else { return };
+        server_state.overloaded = true;
+        let age = at.saturating_sub(server_state.started.unwrap_or(at)) / MILLISECOND;
         self.add_violation(
             3,
             at,
