--- a/crates/gateway/src/fleet/leases/mod.rs
+++ b/crates/gateway/src/fleet/leases/mod.rs
@@ -19,7 +19,7 @@
 use fernscale_lease::candidacy::Candidacy;
 use fernscale_lease::candidate::{AuthorizedEffect, Candidate};
 use fernscale_lease::ranking::Participant;
-use fernscale_lease::{AcceptorSet, FencingToken, LeaseTerms, Name, ProcessId};
+use fernscale_lease::{AcceptorSet, FencingToken, LeaseSettings, Name, ProcessId};
 use fernscale_membership::payload::Channel;
 use fernscale_policy::Micros;
 use futures_lite::future;
@@ -45,7 +45,7 @@
     /// The gateways whose promises grant a lease.
     pub acceptors: AcceptorSet,
     /// Duration of a lease, and the clock drift that the lease allows for.
-    pub terms: LeaseTerms,
+    pub terms: LeaseSettings,
     /// Whether a lease holder polls discovery for the whole fleet.
     pub leases_endpoint_list: bool,
     /// Directory of the acceptor's store. A gateway outside the acceptor set needs none.
--- a/crates/gateway/src/program/file/fleet_sections.rs
+++ b/crates/gateway/src/program/file/fleet_sections.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use fernscale_lease::{AcceptorSet, LeaseTerms, Name, MAX_ACCEPTORS, MAX_NAME_BYTES};
+use fernscale_lease::{AcceptorSet, LeaseSettings, Name, MAX_ACCEPTORS, MAX_NAME_BYTES};
 use fernscale_membership::seal::Key;
 use fernscale_policy::Micros;
 
@@ -178,7 +178,7 @@
             names: lease_names(acceptors),
             previous_names: lease_names(previous),
         },
-        terms: LeaseTerms { duration, max_drift_ppm: (drift * 1e6) as u64 },
+        terms: LeaseSettings { duration, max_drift_ppm: (drift * 1e6) as u64 },
         leases_endpoint_list,
         directory: directory.map(Path::to_path_buf),
         store_faults,
--- a/crates/lab/src/lease_explorer.rs
+++ b/crates/lab/src/lease_explorer.rs
@@ -10,7 +10,7 @@
 use fernscale_lease::fencing::{FencingDecision, FencingGuard};
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest};
 use fernscale_lease::{
-    AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MILLISECOND,
+    AcceptorSet, AcceptorSetId, FencingToken, LeaseSettings, Micros, Name, ProcessId, MILLISECOND,
 };
 
 use crate::explore::System;
@@ -180,7 +180,7 @@
         }
         owners.now += 10 * LEASE;
         for at in 0..CLAIMERS {
-            let terms = LeaseTerms {
+            let terms = LeaseSettings {
                 duration: LEASE,
                 max_drift_ppm: if seeded == SeededMistake::NoMargin { 0 } else { DRIFT },
             };
@@ -200,7 +200,7 @@
 
     fn start(&mut self, at: usize) {
         self.starts += 1;
-        let terms = LeaseTerms { duration: LEASE, max_drift_ppm: DRIFT };
+        let terms = LeaseSettings { duration: LEASE, max_drift_ppm: DRIFT };
         let voters = &sets()[usize::from(self.changed(at))];
         if self.seeded == SeededMistake::NoFreeze && self.changed(at) {
             (self.disks[at].acceptors, self.disks[at].is_initialized) = (voters.id(), true);
@@ -493,7 +493,7 @@
                     let mut claimer = Candidate::new(
                         run,
                         &sets()[0],
-                        LeaseTerms { duration: LEASE, max_drift_ppm: DRIFT },
+                        LeaseSettings { duration: LEASE, max_drift_ppm: DRIFT },
                         7,
                     );
                     claimer.pursue(self.now, &job(), 0);
--- a/crates/lab/src/lease_simulation.rs
+++ b/crates/lab/src/lease_simulation.rs
@@ -10,7 +10,7 @@
 use fernscale_lease::candidate::{Candidate, Output as Wants};
 use fernscale_lease::message::{AcceptorReply, Message};
 use fernscale_lease::ranking::Participant;
-use fernscale_lease::{AcceptorSet, LeaseTerms, Name, ProcessId, MILLISECOND, SECOND};
+use fernscale_lease::{AcceptorSet, LeaseSettings, Name, ProcessId, MILLISECOND, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
@@ -41,7 +41,7 @@
 
 struct Fleet {
     now: Micros,
-    terms: LeaseTerms,
+    terms: LeaseSettings,
     voters: AcceptorSet,
     jobs: Vec<Name>,
     sync: Micros,
@@ -59,7 +59,7 @@
 impl Fleet {
     fn new(asked: Asked) -> Fleet {
         let names: Vec<Name> = (0..asked.gateways).map(|at| format!("gateway-{at}").into()).collect();
-        let terms = LeaseTerms { duration: asked.lease, max_drift_ppm: 10_000 };
+        let terms = LeaseSettings { duration: asked.lease, max_drift_ppm: 10_000 };
         let voters = AcceptorSet::initial(&names[..asked.voters]);
         let start = |at: usize| {
             Acceptor::new(&names[at], ProcessId(1 << 32), &voters, terms, DurableState::default(), 0)
--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -20,7 +20,8 @@
 
 use crate::message::{AcceptorReply, AcceptorRequest, RecoveryReply, Rejection};
 use crate::{
-    AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId, MAX_LEASES, MAX_NAME_BYTES,
+    AcceptorSet, AcceptorSetId, FencingToken, LeaseSettings, Micros, Name, ProcessId, MAX_LEASES,
+    MAX_NAME_BYTES,
 };
 
 /// Promises that may wait for the disk at a time. A claim beyond that would time out before it is answered.
@@ -106,7 +107,7 @@
     /// The other members of the current set, and of the previous one.
     others: Vec<Name>,
     previous: Vec<Name>,
-    terms: LeaseTerms,
+    terms: LeaseSettings,
     durable: DurableState,
     state: State,
     previous_epoch: PreviousEpoch,
@@ -128,7 +129,7 @@
         name: &Name,
         start: ProcessId,
         acceptors: &AcceptorSet,
-        terms: LeaseTerms,
+        terms: LeaseSettings,
         durable: DurableState,
         now: Micros,
     ) -> Self {
--- a/crates/lease/src/candidacy.rs
+++ b/crates/lease/src/candidacy.rs
@@ -9,7 +9,7 @@
 
 use crate::candidate::Candidate;
 use crate::ranking::{ranked, Participant};
-use crate::{LeaseTerms, Micros, Name, MILLISECOND, SECOND};
+use crate::{LeaseSettings, Micros, Name, MILLISECOND, SECOND};
 
 /// Gateways that claim one lease: if the holder and the next one end together, one is left that has waited.
 const MAX_CLAIMANTS: usize = 3;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Candidacy {
     name: Name,
-    terms: LeaseTerms,
+    terms: LeaseSettings,
     participants: Vec<Participant>,
     rankings: BTreeMap<Name, LeaseRanking>,
     is_willing: bool,
@@ -73,7 +73,7 @@
 
 impl Candidacy {
     /// A gateway that can hold no lease yet.
-    pub fn new(name: &Name, terms: LeaseTerms) -> Self {
+    pub fn new(name: &Name, terms: LeaseSettings) -> Self {
         Candidacy {
             name: name.clone(),
             terms,
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -13,7 +13,7 @@
 pub use output::{Event, LeaseStatus, Output};
 
 use crate::message::{AcceptorReply, AcceptorRequest, Rejection};
-use crate::{seeded_hash, AcceptorSet, AcceptorSetId, FencingToken, LeaseTerms, Micros, Name, ProcessId};
+use crate::{seeded_hash, AcceptorSet, AcceptorSetId, FencingToken, LeaseSettings, Micros, Name, ProcessId};
 use pursuit::{Due, Pursuit, State};
 
 /// The candidate of one gateway. Times are of one even clock that nobody sets.
@@ -22,7 +22,7 @@
     process: ProcessId,
     acceptors: Vec<Name>,
     acceptor_set: AcceptorSetId,
-    terms: LeaseTerms,
+    terms: LeaseSettings,
     /// Seeds the backoff, together with the process and the number of draws so far.
     seed: u64,
     backoff_draws: u64,
@@ -33,7 +33,7 @@
 
 impl Candidate {
     /// A candidate that wants nothing yet. `process` must differ between any two starts of any gateways.
-    pub fn new(process: ProcessId, acceptors: &AcceptorSet, terms: LeaseTerms, seed: u64) -> Self {
+    pub fn new(process: ProcessId, acceptors: &AcceptorSet, terms: LeaseSettings, seed: u64) -> Self {
         Candidate {
             process,
             acceptors: acceptors.names.clone(),
--- a/crates/lease/src/candidate/claim.rs
+++ b/crates/lease/src/candidate/claim.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::message::Rejection;
-use crate::{majority, FencingToken, LeaseTerms, Micros, Name, MILLISECOND};
+use crate::{majority, FencingToken, LeaseSettings, Micros, Name, MILLISECOND};
 
 /// Interval at which acceptors that have not granted a claim are asked again.
 const RESEND_INTERVAL: Micros = 100 * MILLISECOND;
@@ -31,7 +31,7 @@
 }
 
 impl Claim {
-    pub fn new(now: Micros, token: FencingToken, round: u64, terms: LeaseTerms) -> Self {
+    pub fn new(now: Micros, token: FencingToken, round: u64, terms: LeaseSettings) -> Self {
         Claim {
             token,
             round,
--- a/crates/lease/src/candidate/pursuit.rs
+++ b/crates/lease/src/candidate/pursuit.rs
@@ -3,7 +3,7 @@
 
 use super::claim::Claim;
 use crate::message::Rejection;
-use crate::{FencingToken, LeaseTerms, Micros, ProcessId, MILLISECOND};
+use crate::{FencingToken, LeaseSettings, Micros, ProcessId, MILLISECOND};
 
 /// Backoff after the first failed claim, and the longest. It doubles with each failure, and is spread at random over one to
 /// two times its length.
@@ -166,7 +166,7 @@
     }
 
     /// Starts a claim by a term that was never heard of.
-    pub fn start_claim(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseTerms) {
+    pub fn start_claim(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseSettings) {
         self.highest_term += 1;
         let token = FencingToken { term: self.highest_term, process };
         let claim = Claim::new(now, token, round, terms).with_known_holder(self.holder);
@@ -177,7 +177,7 @@
     ///
     /// Danger: an acceptor that has promised a higher term to another candidate renews nothing, and the loss of one more
     /// ends a lease that nobody wants. So the holder raises its term above that one, by a claim like any other.
-    pub fn start_renewal(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseTerms) {
+    pub fn start_renewal(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseSettings) {
         let State::Holding(held) = &mut self.state else { return };
         if self.highest_term > held.token.term && self.raised_term != Some(self.highest_term) {
             self.highest_term += 1;
@@ -193,7 +193,7 @@
         now: Micros,
         token: FencingToken,
         requested_at: Micros,
-        terms: LeaseTerms,
+        terms: LeaseSettings,
     ) -> bool {
         let previous = match &self.state {
             State::Holding(held) => Some((held.token, held.since)),
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -67,14 +67,14 @@
 
 /// The settings of an installation for all leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseTerms {
+pub struct LeaseSettings {
     /// How long an acceptor grants a lease to nobody else after it has answered, by its own clock, in microseconds.
     pub duration: Micros,
     /// Largest difference between the rates of any two clocks, in parts per million.
     pub max_drift_ppm: u64,
 }
 
-impl LeaseTerms {
+impl LeaseSettings {
     /// How long a holder acts after it has asked, by its own clock, in microseconds. Even if that clock is slow and the
     /// acceptors' are fast, the holder has stopped when the first acceptor grants the lease to another.
     pub fn holder_duration(&self) -> Micros {
--- a/crates/lease/tests/acceptor.rs
+++ b/crates/lease/tests/acceptor.rs
@@ -4,9 +4,9 @@
 
 use fernscale_lease::acceptor::{Acceptor, DurableState, Event, Output};
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest, RecoveryReply, Rejection};
-use fernscale_lease::{AcceptorSet, FencingToken, LeaseTerms, Micros, Name, ProcessId, SECOND};
+use fernscale_lease::{AcceptorSet, FencingToken, LeaseSettings, Micros, Name, ProcessId, SECOND};
 
-const TERMS: LeaseTerms = LeaseTerms { duration: 2 * SECOND, max_drift_ppm: 20_000 };
+const TERMS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
 
 /// All outputs of an acceptor whose disk takes no time.
 fn drain(acceptor: &mut Acceptor, now: Micros) -> Vec<Output> {
--- a/crates/lease/tests/candidacy.rs
+++ b/crates/lease/tests/candidacy.rs
@@ -7,9 +7,9 @@
 use fernscale_lease::candidate::{Candidate, Output as CandidateOutput};
 use fernscale_lease::message::{AcceptorReply, Message};
 use fernscale_lease::ranking::{ranked, Participant};
-use fernscale_lease::{AcceptorSet, LeaseTerms, Micros, Name, ProcessId, MILLISECOND, SECOND};
+use fernscale_lease::{AcceptorSet, LeaseSettings, Micros, Name, ProcessId, MILLISECOND, SECOND};
 
-const TERMS: LeaseTerms = LeaseTerms { duration: SECOND, max_drift_ppm: 10_000 };
+const TERMS: LeaseSettings = LeaseSettings { duration: SECOND, max_drift_ppm: 10_000 };
 const UPDATE_INTERVAL: Micros = 100 * MILLISECOND;
 
 /// A fleet in virtual time. Messages take a millisecond, and writes no time.
--- a/crates/lease/tests/candidate.rs
+++ b/crates/lease/tests/candidate.rs
@@ -4,9 +4,9 @@
 
 use fernscale_lease::candidate::{Candidate, Output};
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest, Rejection};
-use fernscale_lease::{AcceptorSet, FencingToken, LeaseTerms, Micros, Name, ProcessId, SECOND};
+use fernscale_lease::{AcceptorSet, FencingToken, LeaseSettings, Micros, Name, ProcessId, SECOND};
 
-const TERMS: LeaseTerms = LeaseTerms { duration: 2 * SECOND, max_drift_ppm: 20_000 };
+const TERMS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
 
 /// Danger: an acceptor that has promised a higher term to another candidate renews nothing, so that the loss of one more ends
 /// a lease that nobody wants.
--- a/crates/lease/tests/simulation/mod.rs
+++ b/crates/lease/tests/simulation/mod.rs
@@ -9,9 +9,11 @@
 use fernscale_lease::candidate::{Candidate, Event as CandidateEvent, Output as CandidateOutput};
 use fernscale_lease::fencing::{FencingDecision, FencingGuard};
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest};
-use fernscale_lease::{AcceptorSet, FencingToken, LeaseTerms, Micros, Name, ProcessId, MILLISECOND, SECOND};
+use fernscale_lease::{
+    AcceptorSet, FencingToken, LeaseSettings, Micros, Name, ProcessId, MILLISECOND, SECOND,
+};
 
-pub const TERMS: LeaseTerms = LeaseTerms { duration: 2 * SECOND, max_drift_ppm: 20_000 };
+pub const TERMS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
 /// A small generator, so that a seed is a schedule.
 pub struct Random(u64);
 
