--- a/crates/lease/src/acceptor.rs
+++ b/crates/lease/src/acceptor.rs
@@ -1,13 +1,13 @@
-//! The acceptor of the Paxos register behind each lease: it owns the promises of one gateway and decides which claims to
-//! grant. It never performs I/O: the caller makes [`Output::Persist`] durable and sends the other outputs, in their order.
+//! The acceptor of the Paxos register behind each lease. It keeps the promises of one gateway and decides which claims
+//! to grant. It performs no I/O: the caller makes [`Output::Persist`] durable and sends the other outputs, in order.
 //!
-//! An acceptor promises each term at most once, and answers only after the promise is durable. An acceptor whose store has
-//! lost promises must not vote by that store. To detect this, every durable write is counted, the peers remember the counts
-//! that they were sent, and an acceptor that starts asks them first (see the module `recovery`). An acceptor that has lost
-//! promises is readmitted by a majority of the others: it adopts the highest term of each lease that they have promised,
-//! which is at least the term of every holder that it helped to elect, and continues under a new *incarnation*. Those who
-//! readmitted it announce that incarnation with each of their own grants, so that a candidate does not count a promise of an
-//! earlier one.
+//! An acceptor promises each term at most once and replies only after the promise is durable. An acceptor whose store
+//! has lost promises must not vote based on that store. To detect a loss, the acceptor counts its durable writes and
+//! announces the count to its peers, which remember the count; a starting acceptor first asks its peers (see the module
+//! `recovery`). A majority of the other acceptors readmits an acceptor that has lost promises. The readmitted acceptor
+//! adopts the highest term that these peers have promised for each lease, which is at least the term of every holder
+//! that it helped to elect, and continues under a new *incarnation*. The peers announce the new incarnation with each
+//! of their own grants, so that candidates ignore grants of an earlier incarnation.
 
 mod durable_state;
 mod output;
@@ -24,41 +24,41 @@
     MAX_NAME_BYTES,
 };
 
-/// Promises that may wait for the disk at a time. A claim beyond that would time out before it is answered.
+/// Maximum number of pending writes. A claim that waited behind more writes would time out before the reply.
 const MAX_PENDING_WRITES: usize = 1_024;
 
-/// The voting rights of an acceptor.
+/// Whether an acceptor votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// It has started, and learns from its peers whether its store is complete.
+    /// The acceptor has started and asks its peers whether its store is complete.
     Recovering { lost_promises: bool, replies: BTreeMap<Name, RecoveryReply> },
-    /// It answers claims.
+    /// The acceptor decides on claims.
     Voting,
-    /// It is no member of the current acceptor set.
+    /// The acceptor is not a member of the current acceptor set.
     Retired,
     /// A write could not be made durable, or the store belongs to another acceptor set.
     Failed,
 }
 
-/// What an acceptor still owes to a change of the acceptor set.
+/// The progress of an acceptor in leaving the previous acceptor set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum PreviousEpoch {
-    /// The promises of the previous set, if there was one, are adopted.
+    /// There was no previous set, or its promises are adopted.
     Settled,
-    /// The note that it grants nothing under the previous set any more is not durable yet.
+    /// The record that the acceptor no longer grants under the previous set is not durable yet.
     Stopping,
-    /// That note is durable; the promises of the previous set remain to be adopted.
+    /// The record is durable. The promises of the previous set are not adopted yet.
     Stopped,
 }
 
-/// A claim that may not be overridden before a time by the acceptor's clock. The order is that of the time.
+/// A granted claim. It blocks claims of other processes until it expires by the acceptor's clock. Ordered by expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct GrantedLease {
     expires_at: Micros,
     token: FencingToken,
 }
 
-/// A claim of a candidate, as far as the answer needs it.
+/// The fields of a candidate's claim that the reply needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Claim {
     from: ProcessId,
@@ -67,14 +67,14 @@
     round: u64,
 }
 
-/// A write that is not known to be durable yet.
+/// A write that the caller has not reported as durable yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingWrite {
     number: u64,
-    then: Option<DeferredAction>,
+    deferred_action: Option<DeferredAction>,
 }
 
-/// An action that is permitted only once a write is durable.
+/// An action that must wait until a write is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum DeferredAction {
     Grant(Claim),
@@ -85,7 +85,7 @@
     StartVoting {
         recovered: bool,
     },
-    /// The store is initialized for the first time; the acceptor asks its peers once more before it votes.
+    /// Ask the peers once more before voting, after the first initialization of the store.
     RestartRecovery,
     StopPreviousEpoch,
 }
@@ -96,25 +96,26 @@
     }
 }
 
-/// The acceptor of one gateway. Times are of one even clock that nobody sets.
+/// The acceptor of one gateway. All times are of one monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     name: Name,
-    /// Distinguishes this start of the acceptor from all others.
+    /// Identifies this start of the acceptor.
     start: ProcessId,
     acceptors: AcceptorSet,
     acceptor_set: AcceptorSetId,
-    /// The other members of the current set, and of the previous one.
-    others: Vec<Name>,
-    previous: Vec<Name>,
-    terms: LeaseSettings,
+    /// The other members of the current set.
+    current_peers: Vec<Name>,
+    /// The other members of the previous set.
+    previous_peers: Vec<Name>,
+    settings: LeaseSettings,
     durable: DurableState,
     state: State,
     previous_epoch: PreviousEpoch,
     leases: BTreeMap<Name, GrantedLease>,
-    /// Until then the holders of leases that were promised before this start are not known.
+    /// Until this time the acceptor does not know the holders of leases that it promised before this start.
     uncertain_until: Micros,
-    /// The leases that this concerns; all that were ever promised, if none.
+    /// The leases whose holders are unknown; `None` stands for all leases with a promise.
     uncertain_leases: Option<BTreeSet<Name>>,
     next_recovery_request: Micros,
     last_write: u64,
@@ -123,24 +124,24 @@
 }
 
 impl Acceptor {
-    /// Starts an acceptor from its durable state. `acceptors` are all members of the current set, with this one unless it
-    /// was a member of the previous set only; `start` must differ between any two starts.
+    /// Starts an acceptor from its durable state. `acceptors` is the current acceptor set; this acceptor may be a
+    /// member of the previous set only. `start` must differ between any two starts.
     pub fn new(
         name: &Name,
         start: ProcessId,
         acceptors: &AcceptorSet,
-        terms: LeaseSettings,
+        settings: LeaseSettings,
         durable: DurableState,
         now: Micros,
     ) -> Self {
         let without_self = |names: &[Name]| names.iter().filter(|other| *other != name).cloned().collect();
         let acceptor_set = acceptors.id();
         let stored_epoch = durable.acceptors.epoch;
-        // A member that was absent during a whole epoch took no part in the promises of it.
+        // A member that was absent for a whole epoch lacks the promises of that epoch.
         let lost_promises = !durable.is_initialized || stored_epoch + 1 < acceptor_set.epoch;
         let follows_previous = durable.is_initialized && stored_epoch + 1 == acceptor_set.epoch;
         let previous_epoch = if follows_previous { PreviousEpoch::Stopping } else { PreviousEpoch::Settled };
-        // A complete store lists all leases that this acceptor can have granted.
+        // A complete store lists every lease that this acceptor may have granted.
         let is_complete = !lost_promises && !follows_previous;
         let uncertain_leases = is_complete.then(|| durable.promises.keys().cloned().collect());
         let mut acceptor = Acceptor {
@@ -148,14 +149,14 @@
             start,
             acceptors: acceptors.clone(),
             acceptor_set,
-            others: without_self(&acceptors.names),
-            previous: without_self(&acceptors.previous_names),
-            terms,
+            current_peers: without_self(&acceptors.names),
+            previous_peers: without_self(&acceptors.previous_names),
+            settings,
             durable,
             state: State::Recovering { lost_promises, replies: BTreeMap::new() },
             previous_epoch,
             leases: BTreeMap::new(),
-            uncertain_until: now + terms.duration,
+            uncertain_until: now + settings.duration,
             uncertain_leases,
             next_recovery_request: now,
             last_write: 0,
@@ -172,45 +173,46 @@
         acceptor
     }
 
-    /// Whether it answers claims.
+    /// Whether the acceptor decides on claims.
     pub fn is_voting(&self) -> bool {
         self.state == State::Voting
     }
 
-    /// Whether it grants nothing until it is started again, as it can't make promises durable or its store belongs to other
-    /// acceptors.
+    /// Whether the acceptor grants nothing until its next start, because it cannot make promises durable or its store
+    /// belongs to another acceptor set.
     pub fn has_failed(&self) -> bool {
         self.state == State::Failed
     }
 
-    /// Its state with all writes applied, durable or not.
+    /// The acceptor's state with all writes applied, including writes that are not durable yet.
     pub fn durable_state(&self) -> &DurableState {
         &self.durable
     }
 
-    /// The holder of a lease as far as this acceptor knows, and for how many microseconds more.
+    /// The holder of a lease that this acceptor knows, with the microseconds until its grant expires.
     pub fn holder(&self, now: Micros, lease: &str) -> Option<(FencingToken, Micros)> {
         let granted = self.leases.get(lease).filter(|granted| granted.expires_at > now)?;
         Some((granted.token, granted.expires_at - now))
     }
 
-    /// All leases that this acceptor knows to be held, by whom, and for how many microseconds more.
+    /// All leases with a holder that this acceptor knows, each with the holder and the microseconds until its grant
+    /// expires.
     pub fn held_leases(&self, now: Micros) -> impl Iterator<Item = (&Name, FencingToken, Micros)> {
         let held = self.leases.iter().filter(move |(_, granted)| granted.expires_at > now);
         held.map(move |(lease, granted)| (lease, granted.token, granted.expires_at - now))
     }
 
-    /// The time at which `handle_timeout` is to be called.
+    /// When to call `handle_timeout` next.
     pub fn next_deadline(&self) -> Option<Micros> {
         matches!(self.state, State::Recovering { .. }).then_some(self.next_recovery_request)
     }
 
-    /// The next thing for the caller to do.
+    /// Returns the next action for the caller.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// Handles a request of a candidate, which is the process `from`, or of another acceptor.
+    /// Handles a request of a candidate or of another acceptor. `from` is the candidate's process.
     pub fn handle_request(&mut self, now: Micros, from: ProcessId, request: AcceptorRequest) {
         match request {
             AcceptorRequest::Claim { lease, token, round, acceptors } => {
@@ -238,7 +240,7 @@
         if !self.is_voting() || claim.token.process != claim.from {
             return Err(Rejection::NotVoting);
         }
-        // Danger: two holders of one term, by majorities of two acceptor sets without a common member.
+        // Prevents two holders of one term with majorities of two acceptor sets that share no member.
         if acceptors != self.acceptor_set {
             return Err(Rejection::DifferentAcceptors(self.acceptor_set));
         }
@@ -248,7 +250,7 @@
             return Ok(());
         }
         match promised {
-            // A term is promised once, whoever asks for it later.
+            // A promised term is promised to no other process.
             Some(promise) if promise.term >= claim.token.term => {
                 return Err(Rejection::HigherPromise(promise))
             }
@@ -270,7 +272,7 @@
         self.durable.promises.len() < MAX_LEASES && !lease.is_empty() && lease.len() <= MAX_NAME_BYTES
     }
 
-    /// The lease of another process that a claim would have to wait for.
+    /// The lease of another process that blocks a claim.
     fn blocking_lease(&self, now: Micros, claim: &Claim) -> Option<GrantedLease> {
         let granted = self.leases.get(&claim.lease).copied();
         let granted = granted
@@ -278,8 +280,8 @@
         granted.max(self.uncertain_lease(now, &claim.lease))
     }
 
-    /// After a start the holder of a promised lease is not known: the promise may have been adopted from a peer that made it
-    /// to a candidate that never won. The lease counts as held until the longest one of before the start has expired.
+    /// After a start the holder of a promised lease is unknown: the promise may come from a peer that made it to a
+    /// candidate that never won. The lease counts as held until every lease granted before the start has expired.
     fn uncertain_lease(&self, now: Micros, lease: &Name) -> Option<GrantedLease> {
         let is_uncertain = self.uncertain_until > now
             && self.uncertain_leases.as_ref().is_none_or(|leases| leases.contains(lease));
@@ -294,16 +296,16 @@
         self.persist(vec![promise], Some(DeferredAction::Grant(claim.clone())));
     }
 
-    /// Grants a promised claim, unless the promise is not durable yet; the lease counts from now.
+    /// Grants a promised claim if the promise is durable. The lease starts now.
     fn grant(&mut self, now: Micros, claim: &Claim) {
         let is_pending = self.pending_writes.iter().any(|write| {
-            matches!(&write.then, Some(DeferredAction::Grant(pending))
+            matches!(&write.deferred_action, Some(DeferredAction::Grant(pending))
                 if pending.lease == claim.lease && pending.token == claim.token)
         });
         if is_pending {
             return;
         }
-        let granted = GrantedLease { token: claim.token, expires_at: now + self.terms.duration };
+        let granted = GrantedLease { token: claim.token, expires_at: now + self.settings.duration };
         self.leases.insert(claim.lease.clone(), granted);
         let peers = self.durable.peers.iter();
         let reply = AcceptorReply::Granted {
@@ -316,35 +318,35 @@
         self.outputs.push_back(Output::Reply { to: claim.from, reply });
     }
 
-    /// A holder has released its lease. The release of an earlier term has no effect.
+    /// Handles a holder's release of its lease. A release of an earlier term has no effect.
     fn handle_release(&mut self, lease: &Name, token: FencingToken) {
         if self.leases.get(lease).is_some_and(|granted| granted.token == token) {
             self.leases.remove(lease);
         }
     }
 
-    fn persist(&mut self, promises: Vec<(Name, FencingToken)>, then: Option<DeferredAction>) {
+    fn persist(&mut self, promises: Vec<(Name, FencingToken)>, deferred_action: Option<DeferredAction>) {
         self.last_write += 1;
-        self.pending_writes.push_back(PendingWrite { number: self.last_write, then });
+        self.pending_writes.push_back(PendingWrite { number: self.last_write, deferred_action });
         let change = StateChange { head: self.durable.head(), promises };
         self.outputs.push_back(Output::Persist { number: self.last_write, change });
     }
 
-    /// All writes up to `number` are durable, or can't be made so.
+    /// Records that all writes up to `number` are durable, or that a write failed.
     pub fn write_completed(&mut self, now: Micros, number: u64, durable: bool) {
         if !durable {
             self.fail();
             return;
         }
         while let Some(write) = self.pending_writes.pop_front_if(|write| write.number <= number) {
-            if let Some(action) = write.then {
+            if let Some(action) = write.deferred_action {
                 self.execute(now, action);
             }
         }
     }
 
-    /// What was promised since the last durable write was granted to nobody, but may be on the disk: only another start can
-    /// tell.
+    /// Stops voting. Promises since the last durable write were granted to no candidate but may be on the disk. Only
+    /// the next start can read them from there.
     fn fail(&mut self) {
         self.state = State::Failed;
         self.pending_writes.clear();
@@ -354,7 +356,7 @@
     fn execute(&mut self, now: Micros, action: DeferredAction) {
         match action {
             DeferredAction::Grant(claim) => {
-                // A later promise may have replaced this one, which is then granted to nobody.
+                // A later promise may have replaced this promise. The replaced promise is not granted.
                 if self.durable.promises.get(&claim.lease) == Some(&claim.token) {
                     self.grant(now, &claim);
                     self.announce_write_count();
@@ -369,9 +371,10 @@
         }
     }
 
-    /// Lets the peers remember how often this acceptor has written, so that an older copy of its store is detected.
+    /// Sends the number of durable writes to the peers, which use it to detect an outdated copy of this acceptor's
+    /// store.
     fn announce_write_count(&mut self) {
-        for to in &self.others {
+        for to in &self.current_peers {
             let request = AcceptorRequest::WriteCount {
                 acceptor: self.name.clone(),
                 write_count: self.durable.write_count,
--- a/crates/lease/src/acceptor/durable_state.rs
+++ b/crates/lease/src/acceptor/durable_state.rs
@@ -1,5 +1,5 @@
-//! What an acceptor keeps on disk: its promises, and the head that is rewritten with each of them. This module defines the
-//! records and how a change applies to them; it never writes anything itself.
+//! The durable state of an acceptor: its promises, and the head that is rewritten with each promise. This module
+//! defines the records and applies changes to them. The caller writes them to disk.
 
 use std::collections::BTreeMap;
 
@@ -8,38 +8,38 @@
 use crate::message::RecoveryReply;
 use crate::{AcceptorSetId, FencingToken, Name, ProcessId};
 
-/// Replaces the process in a promise whose term belongs to nobody. Process ids are random numbers of 64 bits.
+/// Stands for the process in a promise whose term belongs to no process. Process ids are random numbers of 64 bits.
 const NO_PROCESS: ProcessId = ProcessId(0);
 
-/// All that an acceptor keeps on disk.
+/// The complete durable state of an acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// It has voted or was admitted before. An empty store is not initialized.
+    /// Whether the acceptor has voted or was admitted before. An empty store is not initialized.
     pub is_initialized: bool,
-    /// Raised each time that it is readmitted after a loss of promises.
+    /// Rises each time the acceptor is readmitted after a loss of promises.
     pub incarnation: u64,
     /// Number of writes so far.
     pub write_count: u64,
     /// The highest promise for each lease.
     pub promises: BTreeMap<Name, FencingToken>,
-    /// What the other acceptors have announced of themselves.
+    /// What the other acceptors have announced about themselves.
     pub peers: BTreeMap<Name, PeerRecord>,
-    /// The acceptor set under which it promises.
+    /// The acceptor set under which the acceptor promises.
     pub acceptors: AcceptorSetId,
-    /// It grants nothing under the acceptor sets of earlier epochs than this.
+    /// The acceptor grants nothing under acceptor sets of epochs before this epoch.
     pub frozen_epoch: u32,
 }
 
-/// One write: the head, and the promises that are new. The cost of a promise does not depend on their number.
+/// One write: the head and the new promises. The cost of a write does not depend on the number of stored promises.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StateChange {
-    /// Replaces the head that is stored.
+    /// The new head, which replaces the stored head.
     pub head: DurableHead,
-    /// Replace the promises for the same leases.
+    /// The new promises, which replace the stored promises for the same leases.
     pub promises: Vec<(Name, FencingToken)>,
 }
 
-/// The durable state without the promises; the fields are those of [`DurableState`].
+/// The durable state without the promises. The fields have the same meaning as in [`DurableState`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableHead {
     /// As in [`DurableState`].
@@ -56,19 +56,19 @@
     pub frozen_epoch: u32,
 }
 
-/// What an acceptor remembers of another one.
+/// What an acceptor remembers about another acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerRecord {
-    /// Highest number of writes that it is known to have made.
+    /// Highest known number of durable writes of the other acceptor.
     pub write_count: u64,
-    /// Lowest incarnation of it whose promises count.
+    /// Lowest incarnation of the other acceptor whose promises count.
     pub incarnation: u64,
-    /// The start of it to which that incarnation was given here.
+    /// The start of the other acceptor to which this acceptor gave the incarnation.
     pub start: Option<ProcessId>,
 }
 
 impl DurableState {
-    /// Applies a write, as reading the store after it would.
+    /// Applies a write. The result equals the state that is read from the store after the write.
     pub fn apply(&mut self, change: &StateChange) {
         let head = change.head.clone();
         self.is_initialized = head.is_initialized;
@@ -91,24 +91,25 @@
         }
     }
 
-    /// The state belongs to a later acceptor set, or to another one of the same epoch. A change of the set that has begun
-    /// must be finished: under the previous set nothing may be promised any more.
+    /// Whether the state belongs to a later acceptor set, or to another set of the same epoch. A change of the set that
+    /// has begun must be finished: nothing may be promised under the previous set any more.
     pub(super) fn conflicts_with(&self, acceptors: AcceptorSetId) -> bool {
         let is_later = self.acceptors.epoch.max(self.frozen_epoch) > acceptors.epoch;
         let differs = self.acceptors.epoch == acceptors.epoch && self.acceptors != acceptors;
         self.is_initialized && (is_later || differs)
     }
 
-    /// Adopts the promises of another acceptor where they are higher. With `lost_promises` this state lacks promises that
-    /// it has made.
+    /// Adopts the promises of another acceptor that are higher than the local promises. With `lost_promises` this state
+    /// lacks promises that this acceptor has made.
     pub(super) fn adopt(&mut self, reply: &RecoveryReply, lost_promises: bool) {
         for (lease, token) in &reply.promises {
             let own = self.promises.entry(lease.clone()).or_insert(*token);
             if token.term > own.term {
                 *own = *token;
             } else if lost_promises && token.term == own.term && token.process != own.process {
-                // Danger: this acceptor promised the term to one of the two, which may hold the lease by it, and no longer
-                // knows to which one. Where nothing is lost its own promise is the one that it made.
+                // This acceptor promised the term to one of the two processes, which may hold the lease by that
+                // promise, and has lost the record of which process it was. If no promise is lost, the local promise is
+                // the valid one.
                 own.process = NO_PROCESS;
             }
         }
--- a/crates/lease/src/acceptor/output.rs
+++ b/crates/lease/src/acceptor/output.rs
@@ -1,24 +1,25 @@
-//! What an acceptor asks of its caller. The types of this module carry no behaviour.
+//! The outputs of an acceptor: actions for its caller, and events. The types of this module have no behaviour.
 
 use super::StateChange;
 use crate::message::{AcceptorReply, AcceptorRequest};
 use crate::{AcceptorSetId, Name, ProcessId};
 
-/// An action for the caller, to be carried out in the order of the outputs.
+/// An action for the caller. The caller carries out the outputs in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Make this durable, and call `write_completed` with the number afterwards. What depends on it is not sent earlier.
+    /// Make the change durable, then call `write_completed` with the number. Replies that depend on the change follow
+    /// later.
     Persist {
-        /// Rises by one with each write.
+        /// The sequence number of the write.
         number: u64,
         /// The records to write.
         change: StateChange,
     },
-    /// Answer a candidate at the address from which it asked.
+    /// Send a reply to a candidate, at the address from which the candidate sent its request.
     Reply {
         /// The candidate's process.
         to: ProcessId,
-        /// The answer.
+        /// The reply.
         reply: AcceptorReply,
     },
     /// Send a request to another acceptor.
@@ -28,31 +29,31 @@
         /// The request.
         request: AcceptorRequest,
     },
-    /// Answer another acceptor.
+    /// Send a reply to another acceptor.
     PeerReply {
         /// The acceptor's name.
         to: Name,
-        /// The answer.
+        /// The reply.
         reply: AcceptorReply,
     },
     /// Record an event for operators.
     Event(Event),
 }
 
-/// An event that operators are notified of.
+/// An event for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It votes from now on.
+    /// The acceptor votes from now on.
     StartedVoting {
-        /// It had lost promises, and was readmitted.
+        /// Whether the acceptor had lost promises and was readmitted.
         recovered: bool,
     },
-    /// Its store lacks promises that it has made: it waits to be readmitted.
+    /// The store lacks promises that the acceptor has made. The acceptor waits to be readmitted.
     LostPromises,
-    /// A write can't be made durable: it does not vote until it is started again.
+    /// A write failed. The acceptor does not vote until its next start.
     StorageFailed,
-    /// It is no member of the acceptor set any more, and has passed its promises on.
+    /// The acceptor has left the acceptor set, and the new set has adopted its promises.
     Retired,
-    /// Its store belongs to this acceptor set, which is later than the configured one or another one of the same epoch.
+    /// The store belongs to this acceptor set, which is later than the configured set or another set of the same epoch.
     DifferentAcceptors(AcceptorSetId),
 }
--- a/crates/lease/src/acceptor/recovery.rs
+++ b/crates/lease/src/acceptor/recovery.rs
@@ -1,5 +1,5 @@
-//! The start of an acceptor: how it learns whether its store is complete, how it is readmitted where it is not, and how the
-//! promises of a previous acceptor set are adopted. An acceptor never grants a claim from here.
+//! Recovery at the start of an acceptor. The acceptor asks its peers whether its store is complete, is readmitted if
+//! the store lacks promises, and adopts the promises of a previous acceptor set. This module grants no claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,11 @@
 use crate::message::{AcceptorReply, AcceptorRequest, RecoveryReply, RecoveryRequest};
 use crate::{majority, Micros, Name, MILLISECOND};
 
-/// Interval between the recovery requests of an acceptor that starts.
+/// Interval between the recovery requests of a starting acceptor.
 const RECOVERY_INTERVAL: Micros = 100 * MILLISECOND;
 
 impl Acceptor {
-    /// Asks the peers again where recovery is not complete; to be called when `next_deadline` has come.
+    /// Sends recovery requests to the peers while recovery is not complete. Call this at `next_deadline`.
     pub fn handle_timeout(&mut self, now: Micros) {
         let State::Recovering { lost_promises, .. } = &self.state else { return };
         if now < self.next_recovery_request {
@@ -31,23 +31,23 @@
             let request = AcceptorRequest::Recover(request.clone());
             self.outputs.push_back(Output::Request { to, request });
         }
-        // The only member of a set has nobody to wait for.
+        // The only member of a set has no peers to wait for.
         self.try_end_recovery();
     }
 
-    /// All other members of the current and of the previous set.
+    /// All other members of the current and the previous set.
     fn peers(&self) -> Vec<Name> {
-        let mut peers: Vec<Name> = self.others.iter().chain(&self.previous).cloned().collect();
+        let mut peers: Vec<Name> = self.current_peers.iter().chain(&self.previous_peers).cloned().collect();
         peers.sort();
         peers.dedup();
         peers
     }
 
     fn is_peer(&self, name: &Name) -> bool {
-        self.others.contains(name) || self.previous.contains(name)
+        self.current_peers.contains(name) || self.previous_peers.contains(name)
     }
 
-    /// Another acceptor starts, and asks what is known of it here.
+    /// Handles the request of a starting acceptor, which asks what this acceptor knows about it.
     pub(super) fn handle_recovery_request(&mut self, request: RecoveryRequest) {
         if !self.is_peer(&request.acceptor) || self.state == State::Failed {
             return;
@@ -56,8 +56,8 @@
         let is_behind = known.write_count > request.write_count;
         let lost_promises =
             (request.lost_promises || request.is_empty || is_behind) && self.durable.is_initialized;
-        // An acceptor that is readmitted gets an incarnation that nobody has counted yet, and no earlier one counts here from
-        // then on. A start gets one incarnation, however often it asks.
+        // A readmitted acceptor gets a new incarnation, which has not been used before. Its earlier incarnations no
+        // longer count here. Repeated requests of one start get the same incarnation.
         let is_new_start = known.start != Some(request.start);
         let mut record = known.clone();
         record.write_count = known.write_count.max(request.write_count);
@@ -70,10 +70,10 @@
             RecoveryReply { incarnation: record.incarnation, ..self.recovery_reply(&request.acceptor) };
         let reply = AcceptorReply::Recovery(reply);
         if lost_promises && is_new_start {
-            // The incarnation that it is given must outlast this process.
+            // The new incarnation must be durable before the reply is sent.
             self.durable.peers.insert(request.acceptor.clone(), record);
-            let then = DeferredAction::SendPeerReply { to: request.acceptor, reply };
-            self.persist(Vec::new(), Some(then));
+            let deferred_action = DeferredAction::SendPeerReply { to: request.acceptor, reply };
+            self.persist(Vec::new(), Some(deferred_action));
         } else if !self.has_pending_reply_to(&request.acceptor) {
             self.outputs.push_back(Output::PeerReply { to: request.acceptor, reply });
         }
@@ -82,11 +82,13 @@
     fn has_pending_reply_to(&self, peer: &Name) -> bool {
         self.pending_writes
             .iter()
-            .any(|write| matches!(&write.then, Some(DeferredAction::SendPeerReply { to, .. }) if to == peer))
+            .any(|write| matches!(&write.deferred_action, Some(DeferredAction::SendPeerReply { to, .. }) if to == peer))
     }
 
     fn is_ending_recovery(&self) -> bool {
-        self.pending_writes.iter().any(|write| write.then.as_ref().is_some_and(DeferredAction::ends_recovery))
+        self.pending_writes
+            .iter()
+            .any(|write| write.deferred_action.as_ref().is_some_and(DeferredAction::ends_recovery))
     }
 
     /// What is known here of another acceptor, and promised.
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Handles the answer of another acceptor.
+    /// Handles the reply of another acceptor.
     pub fn handle_peer_reply(&mut self, from: &Name, reply: AcceptorReply) {
         let AcceptorReply::Recovery(reply) = reply else { return };
         if reply.acceptor != self.name || !self.is_peer(from) {
@@ -127,8 +129,9 @@
         self.try_end_recovery();
     }
 
-    /// Peers that still counted its store as empty gave it another incarnation while others admitted it. As its store lacks
-    /// nothing it may continue in any incarnation; only promises of the latest count.
+    /// Adopts a later incarnation while voting. Some peers may have given this acceptor a new incarnation because they
+    /// still took its store for empty, while other peers admitted it. The store is complete, so the acceptor may
+    /// continue under any incarnation, and only promises of the latest incarnation count.
     fn raise_incarnation(&mut self, incarnation: u64) {
         if self.is_voting() && incarnation > self.durable.incarnation {
             self.durable.incarnation = incarnation;
@@ -137,9 +140,10 @@
         }
     }
 
-    /// Another acceptor announces how often it has written. One that does not know its latest incarnation is notified.
+    /// Records the write count that another acceptor announces. Notifies the acceptor if it does not know its latest
+    /// incarnation.
     pub(super) fn handle_write_count(&mut self, from: &Name, write_count: u64, incarnation: u64) {
-        if !self.others.contains(from) {
+        if !self.current_peers.contains(from) {
             return;
         }
         let record = self.durable.peers.entry(from.clone()).or_default();
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Ends recovery where the replies suffice, once what was adopted is durable.
+    /// Adopts the peers' promises if the replies suffice. Recovery ends once the adopted promises are durable.
     fn try_end_recovery(&mut self) {
         let State::Recovering { lost_promises, replies } = &self.state else { return };
         let recovered = *lost_promises;
@@ -171,62 +175,70 @@
         self.durable.is_initialized = true;
         self.durable.write_count += 1;
         let promises = self.durable.promises.clone().into_iter().collect();
-        // Danger: an acceptor that promises while too few others are initialized to admit the rest. At the first start it
-        // promises nothing before it has heard that a majority is initialized.
-        let then = if is_first_start {
+        // If an acceptor promised at the first start while too few others were initialized, the remaining acceptors
+        // could never be admitted. So it promises nothing until a majority has reported that it is initialized.
+        let deferred_action = if is_first_start {
             DeferredAction::RestartRecovery
         } else {
             DeferredAction::StartVoting { recovered }
         };
-        self.persist(promises, Some(then));
+        self.persist(promises, Some(deferred_action));
     }
 
-    /// Nobody has ever promised anything. All others must say so, as any that is not heard might have.
+    /// Whether no acceptor has ever promised anything. All others must report this, as a silent acceptor may have
+    /// promised.
     fn is_first_start(&self, replies: &BTreeMap<Name, RecoveryReply>) -> bool {
-        let never_promised =
-            replies.iter().filter(|(name, reply)| self.others.contains(name) && reply.never_promised).count();
-        !self.durable.is_initialized && self.acceptors.epoch == 0 && never_promised == self.others.len()
+        let never_promised = replies
+            .iter()
+            .filter(|(name, reply)| self.current_peers.contains(name) && reply.never_promised)
+            .count();
+        !self.durable.is_initialized
+            && self.acceptors.epoch == 0
+            && never_promised == self.current_peers.len()
     }
 
-    /// Every promise that this acceptor took part in is known to a majority of the others.
+    /// Whether a majority of the others is intact. This majority knows every promise that this acceptor contributed to.
     fn is_readmitted(&self, replies: &BTreeMap<Name, RecoveryReply>) -> bool {
-        let others = self.others.len();
-        others > 0 && self.count_intact_others(replies) >= majority(others)
+        let peer_count = self.current_peers.len();
+        peer_count > 0 && self.count_intact_peers(replies) >= majority(peer_count)
     }
 
-    /// The store of an acceptor that has lost nothing is complete once enough others are intact; after a change of the set,
-    /// once a majority of the previous set has stopped: whatever that set has promised to a holder is among its promises.
+    /// Whether the store of an acceptor that has lost no promises is complete. Without a change of the set, enough
+    /// others must be intact. After a change, a majority of the previous set must have stopped: this majority knows
+    /// every promise that the previous set has made to a holder.
     fn is_store_complete(&self, replies: &BTreeMap<Name, RecoveryReply>) -> bool {
         match self.previous_epoch {
             PreviousEpoch::Settled => {
-                self.count_intact_others(replies) + 1 >= majority(self.others.len() + 1)
+                self.count_intact_peers(replies) + 1 >= majority(self.current_peers.len() + 1)
             }
             PreviousEpoch::Stopping => false,
             PreviousEpoch::Stopped => {
                 let previous_names = &self.acceptors.previous_names;
                 let own = usize::from(previous_names.contains(&self.name));
-                self.count_stopped_previous(replies) + own >= majority(previous_names.len())
+                self.count_stopped_previous_peers(replies) + own >= majority(previous_names.len())
             }
         }
     }
 
-    /// Others of the current set that have lost nothing and promise under it.
-    fn count_intact_others(&self, replies: &BTreeMap<Name, RecoveryReply>) -> usize {
+    /// Counts the other members of the current set that have lost no promises and promise under this set.
+    fn count_intact_peers(&self, replies: &BTreeMap<Name, RecoveryReply>) -> usize {
         let is_intact = |(name, reply): &(&Name, &RecoveryReply)| {
-            self.others.contains(name) && is_intact(reply) && reply.acceptors == self.acceptor_set
+            self.current_peers.contains(name) && is_intact(reply) && reply.acceptors == self.acceptor_set
         };
         replies.iter().filter(is_intact).count()
     }
 
-    /// Others of the previous set that have lost nothing and grant nothing under it any more.
-    fn count_stopped_previous(&self, replies: &BTreeMap<Name, RecoveryReply>) -> usize {
+    /// Counts the other members of the previous set that have lost no promises and no longer grant under that set.
+    fn count_stopped_previous_peers(&self, replies: &BTreeMap<Name, RecoveryReply>) -> usize {
         let has_stopped = |(name, reply): &(&Name, &RecoveryReply)| {
-            self.previous.contains(name) && is_intact(reply) && reply.frozen_epoch >= self.acceptor_set.epoch
+            self.previous_peers.contains(name)
+                && is_intact(reply)
+                && reply.frozen_epoch >= self.acceptor_set.epoch
         };
         replies.iter().filter(has_stopped).count()
     }
 
-    /// From now on it grants nothing under the previous acceptor set, whatever becomes of the change.
+    /// Stops granting under the previous acceptor set, even if the change of the set is never completed.
     pub(super) fn stop_previous_epoch(&mut self) {
         self.durable.frozen_epoch = self.acceptor_set.epoch;
         self.durable.write_count += 1;
@@ -252,7 +264,7 @@
             return;
         }
         self.state = State::Voting;
-        self.uncertain_until = now + self.terms.duration;
+        self.uncertain_until = now + self.settings.duration;
         self.outputs.push_back(Output::Event(Event::StartedVoting { recovered }));
     }
 }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,6 +1,6 @@
-//! The lease candidate of one gateway: it claims the leases that the gateway wants, renews and releases them, and knows at
-//! any moment for which of them the gateway may act. It never decides which leases are wanted (see [`crate::candidacy`])
-//! and performs no I/O: the caller sends its [`Output`]s.
+//! The lease candidate of one gateway. It claims, renews and releases leases, and knows at any time under which leases
+//! the gateway may act. [`crate::candidacy`] decides which leases to pursue. The candidate performs no I/O: the caller
+//! sends its [`Output`]s.
 
 mod authorization;
 mod claim;
@@ -16,14 +16,14 @@
 use crate::{seeded_hash, AcceptorSet, AcceptorSetId, FencingToken, LeaseSettings, Micros, Name, ProcessId};
 use pursuit::{Due, Pursuit, State};
 
-/// The candidate of one gateway. Times are of one even clock that nobody sets.
+/// The candidate of one gateway. All times are of one monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     process: ProcessId,
     acceptors: Vec<Name>,
     acceptor_set: AcceptorSetId,
-    terms: LeaseSettings,
-    /// Seeds the backoff, together with the process and the number of draws so far.
+    settings: LeaseSettings,
+    /// Seed of the random backoff, mixed with the process and the number of draws so far.
     seed: u64,
     backoff_draws: u64,
     last_round: u64,
@@ -32,13 +32,13 @@
 }
 
 impl Candidate {
-    /// A candidate that wants nothing yet. `process` must differ between any two starts of any gateways.
-    pub fn new(process: ProcessId, acceptors: &AcceptorSet, terms: LeaseSettings, seed: u64) -> Self {
+    /// A candidate that pursues no lease yet. `process` must differ between any two starts of any gateways.
+    pub fn new(process: ProcessId, acceptors: &AcceptorSet, settings: LeaseSettings, seed: u64) -> Self {
         Candidate {
             process,
             acceptors: acceptors.names.clone(),
             acceptor_set: acceptors.id(),
-            terms,
+            settings,
             seed,
             backoff_draws: 0,
             last_round: 0,
@@ -47,29 +47,29 @@
         }
     }
 
-    /// The process in whose name it claims.
+    /// The process that claims leases.
     pub fn process(&self) -> ProcessId {
         self.process
     }
 
-    /// The next thing for the caller to do.
+    /// Returns the next action for the caller.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// Wants a lease from now on. Before each claim of a free lease it waits for `start_delay` microseconds, in which
-    /// candidates of a better rank claim.
+    /// Pursues a lease from now on. Before each claim of a free lease the candidate waits for `start_delay`
+    /// microseconds, in which candidates with a better rank claim it.
     pub fn pursue(&mut self, now: Micros, lease: &Name, start_delay: Micros) {
         let pursuit = self.pursuits.entry(lease.clone()).or_insert_with(|| Pursuit::new(now, start_delay));
         pursuit.start_delay = start_delay;
     }
 
-    /// Releases a lease if it is held, and does not claim it any more.
+    /// Stops pursuing a lease, and releases it if it is held.
     pub fn release(&mut self, lease: &Name) {
         let Some(pursuit) = self.pursuits.remove(lease) else { return };
         let token = match pursuit.state {
             State::Waiting { .. } => return,
-            // Some acceptors may have granted it.
+            // Some acceptors may have granted the claim.
             State::Claiming(claim) => claim.token,
             State::Holding(held) => {
                 let released = Event::Released { lease: lease.clone(), token: held.token };
@@ -80,15 +80,16 @@
         self.send_release(lease, token);
     }
 
-    /// Releases all leases and wants none any more.
+    /// Releases all held leases and stops pursuing any.
     pub fn release_all(&mut self) {
         let leases: Vec<Name> = self.pursuits.keys().cloned().collect();
         leases.iter().for_each(|lease| self.release(lease));
     }
 
-    /// Releases a held lease in favour of `successors`, who are notified. It is still wanted, after them.
+    /// Releases a held lease and notifies `successors`. The candidate still pursues the lease, but waits for at least
+    /// one lease duration before its next claim.
     pub fn hand_over(&mut self, now: Micros, lease: &Name, successors: &[Name]) {
-        let duration = self.terms.duration;
+        let duration = self.settings.duration;
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         let State::Holding(held) = &pursuit.state else { return };
         let token = held.token;
@@ -100,7 +101,7 @@
         self.outputs.push_back(Output::Event(Event::Released { lease: lease.clone(), token }));
     }
 
-    /// The holder of a lease has notified this candidate that it has released it: there is no need to wait for the lease to
+    /// Handles a holder's notification that it has released its lease. The candidate need not wait for the lease to
     /// expire.
     pub fn lease_released(&mut self, now: Micros, lease: &Name, token: FencingToken) {
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
@@ -109,12 +110,12 @@
         if matches!(pursuit.state, State::Waiting { .. }) {
             pursuit.wait(now);
             pursuit.failed_claims = 0;
-            // The holder's own release may have been lost on its way to an acceptor.
+            // The holder's own release request to an acceptor may have been lost.
             self.send_release(lease, token);
         }
     }
 
-    /// Offers the holder of a lease to take it over, as this gateway has a better rank.
+    /// Offers the holder of a lease to take the lease over, as this gateway has a better rank.
     pub fn offer(&mut self, lease: &Name) {
         let Some(pursuit) = self.pursuits.get(lease) else { return };
         let State::Waiting { .. } = &pursuit.state else { return };
@@ -123,22 +124,22 @@
         }
     }
 
-    /// Since when a lease is held here, if it is.
+    /// Since when this candidate has held a lease; `None` if it does not hold the lease.
     pub fn held_since(&self, now: Micros, lease: &str) -> Option<Micros> {
         Some(self.pursuits.get(lease)?.holding(now)?.since)
     }
 
-    /// The right to act for the fleet now; none where the lease is not held here, or has expired.
+    /// The right to act for the fleet now; `None` if this candidate does not hold the lease or the lease has expired.
     pub fn authorization(&self, now: Micros, lease: &str) -> Option<Authorization<'_>> {
         let (lease, pursuit) = self.pursuits.get_key_value(lease)?;
         Some(Authorization { lease, token: pursuit.holding(now)?.token })
     }
 
-    /// The status of each lease that is wanted.
+    /// The status of each pursued lease.
     pub fn lease_status(&self, now: Micros) -> impl Iterator<Item = LeaseStatus> + '_ {
         self.pursuits.iter().map(move |(lease, pursuit)| LeaseStatus {
             lease: lease.clone(),
-            held: pursuit.holding(now).map(|held| (held.token, held.since, held.until - now)),
+            held: pursuit.holding(now).map(|held| (held.token, held.since, held.expires_at - now)),
             holder: pursuit.holder,
             highest_term: pursuit.highest_term,
             rejections: pursuit.rejections,
@@ -146,21 +147,21 @@
         })
     }
 
-    /// The time at which `handle_timeout` is to be called.
+    /// When to call `handle_timeout` next.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.pursuits.values().map(Pursuit::next_deadline).min()
     }
 
-    /// An effect with the token of this candidate was rejected, as the lease belongs to the higher token `highest`.
+    /// Handles the rejection of an effect with this candidate's token: the receiver knows the higher token `highest`.
     pub fn effect_rejected(&mut self, now: Micros, lease: &Name, highest: FencingToken) {
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         pursuit.observe_rejection(Rejection::HigherPromise(highest));
         if matches!(&pursuit.state, State::Holding(held) if held.token < highest) {
-            self.lose(now, lease);
+            self.lose_lease(now, lease);
         }
     }
 
-    /// Claims, asks again, renews and gives up what is due.
+    /// Starts, resends, renews and abandons claims that are due, and drops expired leases.
     pub fn handle_timeout(&mut self, now: Micros) {
         let leases: Vec<Name> = self.pursuits.keys().cloned().collect();
         for lease in leases {
@@ -175,24 +176,24 @@
             Due::Nothing => {}
             Due::Claim => {
                 self.last_round = round;
-                pursuit.start_claim(now, self.process, round, self.terms);
+                pursuit.start_claim(now, self.process, round, self.settings);
                 self.send_claims(now, lease);
             }
             Due::Resend => self.send_claims(now, lease),
-            Due::GiveUp => self.back_off(now, lease, 0),
+            Due::Abandon => self.back_off(now, lease, 0),
             Due::Renew => {
                 self.last_round = round;
-                pursuit.start_renewal(now, self.process, round, self.terms);
+                pursuit.start_renewal(now, self.process, round, self.settings);
                 self.send_claims(now, lease);
             }
-            Due::Expire => self.lose(now, lease),
+            Due::Expire => self.lose_lease(now, lease),
         }
     }
 
-    /// Sends the claim under way to those who have not granted it yet.
+    /// Sends the pending claim to the acceptors that have not granted it yet.
     fn send_claims(&mut self, now: Micros, lease: &Name) {
         let Some(claim) = self.pursuits.get_mut(lease).and_then(Pursuit::claim_mut) else { return };
-        claim.sent(now);
+        claim.record_send(now);
         for to in self.acceptors.iter().filter(|name| !claim.is_granted_by(name)) {
             let request = AcceptorRequest::Claim {
                 lease: lease.clone(),
@@ -211,10 +212,11 @@
         }
     }
 
-    /// Tells those who have granted a claim under way that it is given up.
+    /// Releases the grants of an abandoned claim.
     ///
-    /// Danger: of several candidates that claim at once each holds the grants of some acceptors, and nobody gets the lease
-    /// until all those grants have expired, again and again.
+    /// If several candidates claim at once, each of them may hold the grants of some acceptors. Without this release,
+    /// no candidate could get the lease until all those grants have expired, and the same split could follow
+    /// repeatedly.
     fn withdraw_claim(&mut self, lease: &Name) {
         let Some(pursuit) = self.pursuits.get(lease) else { return };
         if let State::Claiming(claim) = &pursuit.state {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Gives a claim up and waits, for at least `remaining` microseconds, in which another holds the lease.
+    /// Abandons a claim and backs off, for at least the `remaining` microseconds of another holder's lease.
     fn back_off(&mut self, now: Micros, lease: &Name, remaining: Micros) {
         self.withdraw_claim(lease);
         self.backoff_draws += 1;
@@ -233,7 +235,7 @@
         }
     }
 
-    fn lose(&mut self, now: Micros, lease: &Name) {
+    fn lose_lease(&mut self, now: Micros, lease: &Name) {
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         let State::Holding(held) = &pursuit.state else { return };
         let token = held.token;
@@ -241,7 +243,7 @@
         self.outputs.push_back(Output::Event(Event::Lost { lease: lease.clone(), token }));
     }
 
-    /// Handles the answer of an acceptor.
+    /// Handles the reply of an acceptor.
     pub fn handle_reply(&mut self, now: Micros, from: &Name, reply: AcceptorReply) {
         if !self.acceptors.contains(from) {
             return;
@@ -249,43 +251,43 @@
         match reply {
             AcceptorReply::Granted { lease, token, round, incarnation, incarnations } => {
                 let Some(pursuit) = self.pursuits.get_mut(&lease) else { return };
-                let Some(claim) = pursuit.answered_claim(token, round) else { return };
+                let Some(claim) = pursuit.claim_for_reply(token, round) else { return };
                 claim.record_grant(from, incarnation, incarnations);
                 self.try_acquire(now, &lease);
             }
             AcceptorReply::Rejected { lease, token, round, reason } => {
                 let Some(pursuit) = self.pursuits.get_mut(&lease) else { return };
-                let Some(claim) = pursuit.answered_claim(token, round) else { return };
+                let Some(claim) = pursuit.claim_for_reply(token, round) else { return };
                 if claim.is_granted_by(from) {
                     return;
                 }
                 claim.record_rejection(from, reason.clone());
                 pursuit.observe_rejection(reason);
-                self.try_give_up(now, &lease);
+                self.try_abandon(now, &lease);
             }
             AcceptorReply::Recovery(_) => {}
         }
     }
 
-    /// Holds the lease from now on if a majority has granted the claim under way.
+    /// Acquires or renews the lease if a majority has granted the pending claim.
     fn try_acquire(&mut self, now: Micros, lease: &Name) {
-        let terms = self.terms;
+        let settings = self.settings;
         let acceptors = self.acceptors.len();
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         let Some(claim) = pursuit.claim_mut().filter(|claim| claim.has_majority(acceptors)) else { return };
         let token = claim.token;
         let requested_at = claim.requested_at;
-        let is_expired = now >= requested_at + terms.holder_duration();
+        let is_expired = now >= requested_at + settings.holder_duration();
         if is_expired && matches!(pursuit.state, State::Claiming(_)) {
             return self.back_off(now, lease, 0);
         }
-        if pursuit.hold(now, token, requested_at, terms) {
+        if pursuit.hold(now, token, requested_at, settings) {
             self.outputs.push_back(Output::Event(Event::Acquired { lease: lease.clone(), token }));
         }
     }
 
-    /// Gives the claim under way up if so many have rejected it that no majority is left.
-    fn try_give_up(&mut self, now: Micros, lease: &Name) {
+    /// Abandons the pending claim if too many acceptors have rejected it for a majority to grant it.
+    fn try_abandon(&mut self, now: Micros, lease: &Name) {
         let acceptors = self.acceptors.len();
         let Some(pursuit) = self.pursuits.get_mut(lease) else { return };
         let released = pursuit.released;
@@ -293,7 +295,8 @@
         let remaining = claim.remaining_until_free(acceptors, released);
         let is_outbid = claim.is_outbid();
         match &pursuit.state {
-            // The term was too low; the next one is known to be higher.
+            // The term was too low. The rejections have raised the highest known term, so the next claim uses a higher
+            // term.
             State::Claiming(_) if remaining == 0 && is_outbid && pursuit.failed_claims == 0 => {
                 self.withdraw_claim(lease);
                 if let Some(pursuit) = self.pursuits.get_mut(lease) {
@@ -301,7 +304,7 @@
                 }
             }
             State::Claiming(_) => self.back_off(now, lease, remaining),
-            State::Holding(_) if is_outbid => self.lose(now, lease),
+            State::Holding(_) if is_outbid => self.lose_lease(now, lease),
             State::Holding(_) | State::Waiting { .. } => {}
         }
     }
--- a/crates/lease/src/candidate/authorization.rs
+++ b/crates/lease/src/candidate/authorization.rs
@@ -1,10 +1,10 @@
-//! The right to act for the fleet, and effects that carry it. Nothing here checks a token: that is done where the effect
-//! arrives, by [`crate::fencing`].
+//! The right to act for the fleet, and effects that carry a fencing token. The receiver of an effect checks the token,
+//! with [`crate::fencing`].
 
 use crate::{FencingToken, Name};
 
-/// The right to act for the fleet at this moment. Whatever acts for the fleet takes one and passes its token on with the
-/// effect. Only a [`Candidate`](super::Candidate) that holds the lease can make one.
+/// The right to act for the fleet at this moment. Code that acts for the fleet requires an authorization and sends its
+/// token with the effect. Only a [`Candidate`](super::Candidate) that holds the lease can create an authorization.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Authorization<'c> {
     pub(super) lease: &'c Name,
@@ -12,7 +12,7 @@
 }
 
 impl Authorization<'_> {
-    /// The lease that gives the right.
+    /// The lease that grants the right.
     pub fn lease(&self) -> &Name {
         self.lease
     }
@@ -22,14 +22,15 @@
         self.token
     }
 
-    /// Makes an effect of the content, by this right.
+    /// Creates an effect with the lease and token of this authorization.
     pub fn authorize<T>(self, content: T) -> AuthorizedEffect<T> {
         AuthorizedEffect { lease: self.lease.clone(), token: self.token, content }
     }
 }
 
-/// Something that is done for the fleet, with the token of the holder that does it. Only an [`Authorization`] makes one:
-/// whatever sends effects takes this type, so that none is sent without a token. It may arrive arbitrarily late.
+/// An action of a lease holder for the fleet, with the holder's token. Only an [`Authorization`] creates an effect, and
+/// code that sends effects requires this type, so no effect is sent without a token. An effect may arrive arbitrarily
+/// late.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthorizedEffect<T> {
     lease: Name,
@@ -38,17 +39,17 @@
 }
 
 impl<T> AuthorizedEffect<T> {
-    /// The lease by which it is done.
+    /// The lease under which the holder acts.
     pub fn lease(&self) -> &Name {
         &self.lease
     }
 
-    /// The token of the holder that does it.
+    /// The holder's token.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// What is to be done.
+    /// The action.
     pub fn content(&self) -> &T {
         &self.content
     }
--- a/crates/lease/src/candidate/claim.rs
+++ b/crates/lease/src/candidate/claim.rs
@@ -1,29 +1,30 @@
-//! One round of asking all acceptors for a lease, and what its answers amount to. It sends nothing and does not know who
-//! the acceptors are, only how many.
+//! One round of claim requests to all acceptors, and the evaluation of their replies. This module sends nothing; it
+//! knows the number of acceptors but not their names.
 
 use std::collections::BTreeMap;
 
 use crate::message::Rejection;
 use crate::{majority, FencingToken, LeaseSettings, Micros, Name, MILLISECOND};
 
-/// Interval at which acceptors that have not granted a claim are asked again.
+/// Interval at which a claim is resent to acceptors that have not granted it.
 const RESEND_INTERVAL: Micros = 100 * MILLISECOND;
-/// A claim is given up after this fraction of the lease's duration: one in so many.
-const TIMEOUT_DIVISOR: u64 = 3;
+/// A claim times out after the lease duration divided by this.
+const CLAIM_TIMEOUT_DIVISOR: u64 = 3;
 
-/// A claim or a renewal under way.
+/// A pending claim or renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Claim {
     pub token: FencingToken,
-    /// Distinguishes this round from others with the same token. The acceptors' leases count from after it began.
+    /// Distinguishes this round from other rounds with the same token. The acceptors' leases start after the round
+    /// began.
     pub round: u64,
-    /// The holder's lease counts from before it asked.
+    /// When the round began. The holder's lease starts at this time, before the first request was sent.
     pub requested_at: Micros,
     pub next_send: Micros,
-    pub until: Micros,
-    /// Who has granted it, in which incarnation.
+    pub deadline: Micros,
+    /// The acceptors that have granted the claim, with the incarnation of each grant.
     grants: BTreeMap<Name, u64>,
-    /// The lowest incarnation of each acceptor that counts, by what other acceptors have announced.
+    /// The lowest incarnation of each acceptor whose grants count, as announced by other acceptors.
     incarnations: BTreeMap<Name, u64>,
     rejections: BTreeMap<Name, Rejection>,
     /// The holder that was known before the claim.
@@ -31,13 +32,13 @@
 }
 
 impl Claim {
-    pub fn new(now: Micros, token: FencingToken, round: u64, terms: LeaseSettings) -> Self {
+    pub fn new(now: Micros, token: FencingToken, round: u64, settings: LeaseSettings) -> Self {
         Claim {
             token,
             round,
             requested_at: now,
             next_send: now,
-            until: now + terms.duration / TIMEOUT_DIVISOR,
+            deadline: now + settings.duration / CLAIM_TIMEOUT_DIVISOR,
             grants: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             rejections: BTreeMap::new(),
@@ -49,7 +50,7 @@
         Claim { known_holder, ..self }
     }
 
-    pub fn sent(&mut self, now: Micros) {
+    pub fn record_send(&mut self, now: Micros) {
         self.next_send = now + RESEND_INTERVAL;
     }
 
@@ -60,9 +61,9 @@
     pub fn record_grant(&mut self, from: &Name, incarnation: u64, incarnations: BTreeMap<Name, u64>) {
         self.rejections.remove(from);
         self.grants.insert(from.clone(), incarnation);
-        for (name, lowest) in incarnations {
+        for (name, min_incarnation) in incarnations {
             let known = self.incarnations.entry(name).or_default();
-            *known = (*known).max(lowest);
+            *known = (*known).max(min_incarnation);
         }
     }
 
@@ -70,15 +71,15 @@
         self.rejections.insert(from.clone(), reason);
     }
 
-    /// Whether a majority has granted the claim, by grants of incarnations that count.
+    /// Whether a majority has granted the claim, counting only grants of valid incarnations.
     pub fn has_majority(&self, acceptors: usize) -> bool {
-        let counts = |(name, incarnation): &(&Name, &u64)| {
-            self.incarnations.get(*name).is_none_or(|lowest| **incarnation >= *lowest)
+        let is_valid = |(name, incarnation): &(&Name, &u64)| {
+            self.incarnations.get(*name).is_none_or(|min_incarnation| **incarnation >= *min_incarnation)
         };
-        self.grants.iter().filter(counts).count() >= majority(acceptors)
+        self.grants.iter().filter(is_valid).count() >= majority(acceptors)
     }
 
-    /// Whether a majority has not rejected the claim yet.
+    /// Whether the acceptors that have not rejected the claim are still a majority.
     pub fn can_win(&self, acceptors: usize) -> bool {
         acceptors - self.rejections.len() >= majority(acceptors)
     }
@@ -88,13 +89,14 @@
         self.rejections.values().any(|reason| matches!(reason, Rejection::HigherPromise(_)))
     }
 
-    /// How long it takes until a majority can be free, in microseconds; 0 where no holder is known.
+    /// Microseconds until a majority of the acceptors may grant the lease; 0 if no holder is known.
     ///
-    /// Danger: the notification that a lease was released arrives while a claim is under way whose rejections are from
-    /// before it; so rejections in favour of the token `released` do not count.
+    /// Rejections that name the token `released` as the holder do not count: the notification of the release may arrive
+    /// during a claim whose rejections were sent before the release.
     ///
-    /// Danger: one acceptor that has started lately, and holds for the duration of a lease what it had promised to a
-    /// process that is gone, would leave the lease to nobody for a second duration; so the longest times are passed over.
+    /// The longest times are skipped, as a majority does not need those acceptors. An acceptor that has just started
+    /// reserves a lease for a full duration, even if the process that it promised the lease to has ended. Waiting for
+    /// that acceptor would leave the lease without a holder for a second duration.
     pub fn remaining_until_free(&self, acceptors: usize, released: Option<FencingToken>) -> Micros {
         let mut remaining_times = Vec::new();
         for reason in self.rejections.values() {
@@ -108,13 +110,13 @@
         remaining_times.get(acceptors - majority(acceptors)).copied().unwrap_or(0)
     }
 
-    /// Whether a token that acceptors name is probably that of a holder. One that fewer than a majority name, and that was
-    /// not known before, may be another candidate that gives up as this one does: to wait for its lease to expire would
-    /// leave the lease to nobody for that long.
+    /// Whether a token that acceptors name in rejections is probably the token of a holder. A token that was unknown
+    /// before the claim and that less than a majority names may belong to another candidate, which also abandons its
+    /// claim. Waiting for that candidate's grants to expire would leave the lease without a holder for that time.
     fn is_holder(&self, token: FencingToken, acceptors: usize) -> bool {
-        let names_it =
+        let names_token =
             |reason: &&Rejection| matches!(reason, Rejection::HeldByOther { holder, .. } if *holder == token);
-        let named_by = self.rejections.values().filter(names_it).count();
-        named_by >= majority(acceptors) || Some(token) == self.known_holder
+        let naming_acceptors = self.rejections.values().filter(names_token).count();
+        naming_acceptors >= majority(acceptors) || Some(token) == self.known_holder
     }
 }
--- a/crates/lease/src/candidate/output.rs
+++ b/crates/lease/src/candidate/output.rs
@@ -1,4 +1,4 @@
-//! What a candidate asks of its caller, and what it shows of its leases. The types of this module carry no behaviour.
+//! The outputs of a candidate, and the status of its leases. The types of this module have no behaviour.
 
 use crate::message::{AcceptorRequest, Rejection};
 use crate::{FencingToken, Micros, Name, ProcessId};
@@ -13,13 +13,13 @@
         /// The request.
         request: AcceptorRequest,
     },
-    /// Notify a gateway that a lease is free, as it comes next for it.
+    /// Notify a successor that a lease is free.
     Released {
         /// The gateway's name.
         to: Name,
         /// The lease.
         lease: Name,
-        /// The token by which it was held.
+        /// The token of the former holder.
         token: FencingToken,
     },
     /// Notify the holder of a lease that this gateway has a better rank for it.
@@ -33,28 +33,28 @@
     Event(Event),
 }
 
-/// A change of what a candidate holds.
+/// A change of the leases that a candidate holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The lease is held from now on, or by a higher term than before.
+    /// The candidate has acquired the lease, or has renewed it with a higher term.
     Acquired {
         /// The lease.
         lease: Name,
-        /// The token by which it is held.
+        /// The new token.
         token: FencingToken,
     },
-    /// The lease is held no more: it could not be renewed, or an effect was rejected.
+    /// The candidate has lost the lease: the renewal failed, or an effect was rejected.
     Lost {
         /// The lease.
         lease: Name,
-        /// The token by which it was held.
+        /// The former token.
         token: FencingToken,
     },
     /// The candidate has released the lease.
     Released {
         /// The lease.
         lease: Name,
-        /// The token by which it was held.
+        /// The former token.
         token: FencingToken,
     },
 }
@@ -64,14 +64,14 @@
 pub struct LeaseStatus {
     /// The lease.
     pub lease: Name,
-    /// Where it is held here: the token, since when, and for how many microseconds more.
+    /// If the candidate holds the lease: the token, since when, and the microseconds until the lease expires.
     pub held: Option<(FencingToken, Micros, Micros)>,
-    /// The holder when an acceptor last named one.
+    /// The latest holder that an acceptor has named.
     pub holder: Option<FencingToken>,
-    /// The highest term that was heard of.
+    /// The highest known term.
     pub highest_term: u64,
-    /// Rejections of claims and of effects since the lease was wanted.
+    /// Rejections of claims and effects since the candidate began to pursue the lease.
     pub rejections: u64,
-    /// The latest of them.
+    /// The latest rejection.
     pub last_rejection: Option<Rejection>,
 }
--- a/crates/lease/src/candidate/pursuit.rs
+++ b/crates/lease/src/candidate/pursuit.rs
@@ -1,69 +1,70 @@
-//! The state of one lease that a candidate wants: waiting, claiming or holding, and the transitions between them. It sends
-//! nothing: the candidate does, as [`Due`] says.
+//! The state of one lease that a candidate pursues: waiting, claiming or holding, and the transitions between them.
+//! This module sends nothing; the candidate acts on the returned [`Due`].
 
 use super::claim::Claim;
 use crate::message::Rejection;
 use crate::{FencingToken, LeaseSettings, Micros, ProcessId, MILLISECOND};
 
-/// Backoff after the first failed claim, and the longest. It doubles with each failure, and is spread at random over one to
-/// two times its length.
+/// Backoff after the first failed claim. The backoff doubles with each failure up to [`MAX_BACKOFF`]. The actual delay
+/// is random, from one to two times the backoff.
 const MIN_BACKOFF: Micros = 40 * MILLISECOND;
+/// Maximum backoff, before the random part.
 const MAX_BACKOFF: Micros = 320 * MILLISECOND;
-/// A renewal begins after this fraction of the lease's duration: one in so many.
+/// A renewal starts after the lease duration divided by this.
 const RENEWAL_DIVISOR: u64 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum State {
-    /// It may be claimed from a time on.
+    /// The candidate waits until a time before it claims the lease.
     Waiting {
-        until: Micros,
+        claim_at: Micros,
     },
     Claiming(Claim),
     Holding(Holding),
 }
 
-/// A lease that is held, by the holder's own clock.
+/// A held lease. Times are of the holder's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holding {
     pub token: FencingToken,
     pub since: Micros,
-    pub until: Micros,
+    pub expires_at: Micros,
     renew_at: Micros,
     renewal: Option<Claim>,
 }
 
-/// What a pursuit needs at a time.
+/// The action that is due for a pursued lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
     Nothing,
-    /// A claim is to be started.
+    /// Start a claim.
     Claim,
-    /// The claim or the renewal under way is to be sent again.
+    /// Resend the pending claim or renewal.
     Resend,
-    /// The claim has timed out.
-    GiveUp,
-    /// A renewal is to be started.
+    /// Abandon the claim, which has timed out.
+    Abandon,
+    /// Start a renewal.
     Renew,
-    /// The lease has expired.
+    /// Drop the lease, which has expired.
     Expire,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Pursuit {
     pub state: State,
-    /// Failed claims in a row.
+    /// Consecutive failed claims.
     pub failed_claims: u32,
-    /// The highest term that was heard of.
+    /// The highest known term.
     pub highest_term: u64,
-    /// How long it waits before it claims a free lease, as others have a better rank.
+    /// The delay before a claim of a free lease, in which candidates with a better rank claim it.
     pub start_delay: Micros,
-    /// The holder when an acceptor last named one.
+    /// The latest holder that an acceptor has named.
     pub holder: Option<FencingToken>,
     /// The latest token whose holder has notified this gateway of its release.
     pub released: Option<FencingToken>,
-    /// The term to which a holder last raised its own, as an acceptor had promised a higher one.
+    /// The term to which this holder last raised its term, because an acceptor had promised a higher term.
     raised_term: Option<u64>,
-    /// Rejections since the lease was wanted, and the latest.
+    /// Rejections since the candidate began to pursue the lease.
     pub rejections: u64,
     pub last_rejection: Option<Rejection>,
 }
@@ -71,7 +72,7 @@
 impl Pursuit {
     pub fn new(now: Micros, start_delay: Micros) -> Self {
         Pursuit {
-            state: State::Waiting { until: now + start_delay },
+            state: State::Waiting { claim_at: now + start_delay },
             failed_claims: 0,
             highest_term: 0,
             start_delay,
@@ -83,15 +84,15 @@
         }
     }
 
-    /// The lease, where it is held and has not expired.
+    /// The held lease, if there is one that has not expired.
     pub fn holding(&self, now: Micros) -> Option<&Holding> {
         match &self.state {
-            State::Holding(held) if now < held.until => Some(held),
+            State::Holding(held) if now < held.expires_at => Some(held),
             _ => None,
         }
     }
 
-    /// The claim or the renewal under way.
+    /// The pending claim or renewal.
     pub fn claim_mut(&mut self) -> Option<&mut Claim> {
         match &mut self.state {
             State::Claiming(claim) => Some(claim),
@@ -100,36 +101,36 @@
         }
     }
 
-    /// The claim under way, if an answer with this token and round belongs to it.
+    /// The pending claim, if a reply with this token and round belongs to it.
     ///
-    /// Danger: an answer to an earlier round that arrives late, while the acceptor's lease counts from that round.
-    pub fn answered_claim(&mut self, token: FencingToken, round: u64) -> Option<&mut Claim> {
+    /// A late reply to an earlier round must not count, as the acceptor's lease started in that earlier round.
+    pub fn claim_for_reply(&mut self, token: FencingToken, round: u64) -> Option<&mut Claim> {
         self.claim_mut().filter(|claim| claim.token == token && claim.round == round)
     }
 
     pub fn next_deadline(&self) -> Micros {
         match &self.state {
-            State::Waiting { until } => *until,
-            State::Claiming(claim) => claim.next_send.min(claim.until),
+            State::Waiting { claim_at } => *claim_at,
+            State::Claiming(claim) => claim.next_send.min(claim.deadline),
             State::Holding(held) => {
                 let renewal = held.renewal.as_ref().map_or(held.renew_at, |renewal| renewal.next_send);
-                renewal.min(held.until)
+                renewal.min(held.expires_at)
             }
         }
     }
 
     pub fn due(&self, now: Micros) -> Due {
         match &self.state {
-            State::Waiting { until } if now >= *until => Due::Claim,
+            State::Waiting { claim_at } if now >= *claim_at => Due::Claim,
             State::Waiting { .. } => Due::Nothing,
-            State::Claiming(claim) if now >= claim.until => Due::GiveUp,
+            State::Claiming(claim) if now >= claim.deadline => Due::Abandon,
             State::Claiming(claim) if now >= claim.next_send => Due::Resend,
             State::Claiming(_) => Due::Nothing,
             State::Holding(held) => held.due(now),
         }
     }
 
-    /// Records that a term is in use.
+    /// Records a known term.
     pub fn observe_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
@@ -144,56 +145,57 @@
         self.last_rejection = Some(reason);
     }
 
-    /// Waits for the start delay from a time on.
+    /// Waits from a time for the start delay.
     pub fn wait(&mut self, from: Micros) {
-        self.state = State::Waiting { until: from + self.start_delay };
+        self.state = State::Waiting { claim_at: from + self.start_delay };
     }
 
-    /// Claims again at once, by a higher term. Only the first failure in a row is treated so.
+    /// Claims again at once, with a higher term. Only the first of consecutive failures skips the backoff.
     pub fn claim_again(&mut self, now: Micros) {
         self.failed_claims = 1;
-        self.state = State::Waiting { until: now };
+        self.state = State::Waiting { claim_at: now };
     }
 
-    /// Waits after a failed claim for a random time, and at least as long as another holds the lease.
+    /// Waits for a random time after a failed claim, and at least for the `remaining` time of another holder's lease.
     pub fn back_off(&mut self, now: Micros, remaining: Micros, random: u64) {
-        // To wait for a holder is no failure: once that holder is gone the backoff must not begin with the longest.
+        // Waiting for a holder is not a failure: after the holder ends, the backoff must not start at its maximum.
         self.failed_claims = if remaining > 0 { 0 } else { self.failed_claims + 1 };
         let backoff = (MIN_BACKOFF << self.failed_claims.saturating_sub(1).min(16)).min(MAX_BACKOFF);
         let backoff = backoff + random % backoff;
         let start_delay = if remaining > 0 { self.start_delay } else { 0 };
-        self.state = State::Waiting { until: now + remaining + start_delay + backoff };
+        self.state = State::Waiting { claim_at: now + remaining + start_delay + backoff };
     }
 
-    /// Starts a claim by a term that was never heard of.
-    pub fn start_claim(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseSettings) {
+    /// Starts a claim with a term above the highest known term.
+    pub fn start_claim(&mut self, now: Micros, process: ProcessId, round: u64, settings: LeaseSettings) {
         self.highest_term += 1;
         let token = FencingToken { term: self.highest_term, process };
-        let claim = Claim::new(now, token, round, terms).with_known_holder(self.holder);
+        let claim = Claim::new(now, token, round, settings).with_known_holder(self.holder);
         self.state = State::Claiming(claim);
     }
 
-    /// Starts a renewal, from whose start the lease counts.
+    /// Starts a renewal. The renewed lease counts from now.
     ///
-    /// Danger: an acceptor that has promised a higher term to another candidate renews nothing, and the loss of one more
-    /// ends a lease that nobody wants. So the holder raises its term above that one, by a claim like any other.
-    pub fn start_renewal(&mut self, now: Micros, process: ProcessId, round: u64, terms: LeaseSettings) {
+    /// An acceptor that has promised a higher term to another candidate rejects renewals with the old term. The loss of
+    /// one more acceptor would then end the lease, although no other candidate claims it any more. To prevent this, the
+    /// holder claims a term above the promised term.
+    pub fn start_renewal(&mut self, now: Micros, process: ProcessId, round: u64, settings: LeaseSettings) {
         let State::Holding(held) = &mut self.state else { return };
         if self.highest_term > held.token.term && self.raised_term != Some(self.highest_term) {
             self.highest_term += 1;
             self.raised_term = Some(self.highest_term);
         }
         let token = FencingToken { term: held.token.term.max(self.highest_term), process };
-        held.renewal = Some(Claim::new(now, token, round, terms));
+        held.renewal = Some(Claim::new(now, token, round, settings));
     }
 
-    /// Holds the lease by a claim that a majority has granted. Returns whether the token is new.
+    /// Holds the lease with the token of a claim that a majority has granted. Returns whether the token is new.
     pub fn hold(
         &mut self,
         now: Micros,
         token: FencingToken,
         requested_at: Micros,
-        terms: LeaseSettings,
+        settings: LeaseSettings,
     ) -> bool {
         let previous = match &self.state {
             State::Holding(held) => Some((held.token, held.since)),
@@ -204,8 +206,8 @@
         self.state = State::Holding(Holding {
             token,
             since: previous.map_or(now, |(_, since)| since),
-            until: requested_at + terms.holder_duration(),
-            renew_at: requested_at + terms.duration / RENEWAL_DIVISOR,
+            expires_at: requested_at + settings.holder_duration(),
+            renew_at: requested_at + settings.duration / RENEWAL_DIVISOR,
             renewal: None,
         });
         previous.is_none_or(|(previous, _)| previous != token)
@@ -214,13 +216,13 @@
 
 impl Holding {
     fn due(&self, now: Micros) -> Due {
-        if now >= self.until {
+        if now >= self.expires_at {
             return Due::Expire;
         }
         match &self.renewal {
-            Some(renewal) if now < renewal.until && now >= renewal.next_send => Due::Resend,
-            Some(renewal) if now < renewal.until => Due::Nothing,
-            // The answers to an earlier renewal may have been lost.
+            Some(renewal) if now < renewal.deadline && now >= renewal.next_send => Due::Resend,
+            Some(renewal) if now < renewal.deadline => Due::Nothing,
+            // The replies to an earlier renewal may have been lost.
             _ if now >= self.renew_at => Due::Renew,
             _ => Due::Nothing,
         }
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,39 +1,40 @@
-//! Where effects arrive: the highest fencing token of each lease that was seen, by which lower ones are rejected. It never
-//! knows who holds a lease now.
+//! The fencing check at the receiver of effects. It remembers the highest fencing token seen for each lease and rejects
+//! lower tokens. It does not know which process holds a lease now.
 //!
-//! Where an effect is durable the highest token must be, too: a caller writes the token of a [`FencingDecision::Newer`] down
-//! before it carries the effect out, and passes what it has written to [`FencingGuard::restore`] when it starts.
+//! If an effect is durable, the highest token must be durable too: on [`FencingDecision::Newer`] the caller makes the
+//! token durable before it carries the effect out, and it passes the stored tokens to [`FencingGuard::restore`] at its
+//! start.
 
 use std::collections::BTreeMap;
 
 use crate::{FencingToken, Name, MAX_LEASES};
 
-/// What is to be done with an effect.
+/// The decision on an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingDecision {
-    /// Carry it out: the token is the highest one known.
+    /// Carry the effect out: the token equals the highest known token.
     Current,
-    /// Carry it out: the token is higher than any known before, and is to be written down first.
+    /// Store the token, then carry the effect out: the token is higher than any known token.
     Newer,
-    /// Reject it, and tell the sender that the lease belongs to this token or a higher one.
+    /// Reject the effect, and send the sender this higher token.
     Stale(FencingToken),
-    /// Reject it: there is no capacity for the token of another lease.
+    /// Reject the effect: there is no capacity for the token of another lease.
     CapacityExceeded,
 }
 
-/// The highest tokens seen, at most [`MAX_LEASES`] of them.
+/// The highest token seen for each lease, for at most [`MAX_LEASES`] leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     highest: BTreeMap<Name, FencingToken>,
 }
 
 impl FencingGuard {
-    /// A guard with the tokens that were written down before.
+    /// A guard with the tokens that were stored before.
     pub fn restore(highest: BTreeMap<Name, FencingToken>) -> Self {
         FencingGuard { highest }
     }
 
-    /// The highest token seen of a lease.
+    /// The highest token seen for a lease.
     pub fn highest(&self, lease: &str) -> Option<FencingToken> {
         self.highest.get(lease).copied()
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,20 +1,20 @@
-//! Leases with fencing tokens: at most one holder of each lease in the fleet, and no harm from a former holder that acts
-//! late.
+//! Leases with fencing tokens. Each lease has at most one holder in the fleet, and late actions of a former holder do
+//! no harm.
 //!
-//! A few named gateways are *acceptors* in the sense of Paxos (Lamport, "The Part-Time Parliament", 1998). A candidate that
-//! wants a lease asks all of them to promise it a *term*, a number that only rises. An acceptor promises a term at most once,
-//! to one process of one gateway, and answers only after the promise is durable; a majority of grants makes a holder. Any
-//! two majorities have an acceptor in common, so that no term has two holders, and a later holder's term is higher. Each
-//! lease is a register of its own; there is no log and no leader.
+//! A few named gateways are *acceptors* in the sense of Paxos (Lamport, "The Part-Time Parliament", 1998). A candidate
+//! claims a lease by asking all acceptors to promise it a *term*, a number that only rises. An acceptor promises a term
+//! at most once, to one process of one gateway, and replies only after the promise is durable. A candidate with grants
+//! from a majority holds the lease. Any two majorities share an acceptor, so no term has two holders, and a later
+//! holder has a higher term. Each lease is a separate register; there is no log and no leader.
 //!
-//! The *lease* (Gray and Cheriton, "Leases", 1989) avoids that two gateways do the same work: acceptors grant it to nobody
-//! else until it has expired by their clocks, and the holder stops before that by its own. Safety does not depend on it.
-//! Whatever a holder does for the fleet is a [`candidate::AuthorizedEffect`] with a [`FencingToken`], and where the effect
-//! arrives a [`fencing::FencingGuard`] rejects tokens lower than the highest one seen.
+//! The *lease* (Gray and Cheriton, "Leases", 1989) keeps two gateways from doing the same work: acceptors grant it to
+//! no other candidate until it has expired by their clocks, and the holder stops earlier by its own clock. Safety does
+//! not depend on the lease: every effect that a holder has on the fleet is a [`candidate::AuthorizedEffect`] with a
+//! [`FencingToken`], and the receiver's [`fencing::FencingGuard`] rejects tokens lower than the highest token seen.
 //!
-//! There is no clock, socket, file or thread here. Callers of [`acceptor::Acceptor`], [`candidate::Candidate`] and
-//! [`replicated_list::ReplicatedList`] pass in what has arrived, with the time of an even clock that nobody sets; call
-//! `handle_timeout` when `next_deadline` has come; and carry out what `poll_output` returns, in its order.
+//! This package has no clock, socket, file or thread. Callers of [`acceptor::Acceptor`], [`candidate::Candidate`] and
+//! [`replicated_list::ReplicatedList`] pass in received messages with the time of a monotonic clock, call
+//! `handle_timeout` at `next_deadline`, and carry out the outputs of `poll_output` in order.
 
 #![warn(missing_docs)]
 
@@ -33,7 +33,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// Microseconds, of a time or of a span.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
 /// Microseconds in a millisecond.
@@ -44,19 +44,19 @@
 /// The name of a lease, or of a gateway.
 pub type Name = Arc<str>;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Leases that an acceptor keeps promises for. Beyond that it grants no new lease.
+/// Maximum number of leases with a promise at one acceptor. An acceptor at this limit grants no new lease.
 pub const MAX_LEASES: usize = 4_096;
-/// Members of an acceptor set. More would make every promise more expensive, and none safer.
+/// Maximum size of an acceptor set. More acceptors make every promise more expensive and none safer.
 pub const MAX_ACCEPTORS: usize = 7;
 
-/// Identifies one process of one gateway: a random number that is drawn at each start.
+/// Identifies one process of one gateway: a random number drawn at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId(pub u64);
 
-/// Identifies a holder. The order is that of the terms; within one term, which only acceptors that have lost their stores can
-/// promise twice, it is that of the processes, so that one of any two is rejected.
+/// Identifies a holder. Tokens are ordered by term, then by process. Only acceptors that have lost their stores can
+/// promise one term to two processes; the order by process then makes receivers reject one of the two tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
     /// Rises with each new holder of the lease.
@@ -65,34 +65,37 @@
     pub process: ProcessId,
 }
 
-/// The settings of an installation for all leases.
+/// The settings that apply to all leases of an installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
-    /// How long an acceptor grants a lease to nobody else after it has answered, by its own clock, in microseconds.
+    /// How long after a grant an acceptor grants the lease to no other process, in microseconds of the acceptor's
+    /// clock.
     pub duration: Micros,
-    /// Largest difference between the rates of any two clocks, in parts per million.
+    /// Maximum difference between the rates of any two clocks, in parts per million.
     pub max_drift_ppm: u64,
 }
 
 impl LeaseSettings {
-    /// How long a holder acts after it has asked, by its own clock, in microseconds. Even if that clock is slow and the
-    /// acceptors' are fast, the holder has stopped when the first acceptor grants the lease to another.
+    /// How long a holder may act after it has sent its claim, in microseconds of the holder's clock. Even if the
+    /// holder's clock is slow and the acceptors' clocks are fast, the holder stops before an acceptor grants the lease
+    /// to another process.
     pub fn holder_duration(&self) -> Micros {
-        let drift_ppm = self.max_drift_ppm.min(MILLION);
-        (u128::from(self.duration) * u128::from(MILLION - drift_ppm) / u128::from(MILLION)) as Micros
+        let drift_ppm = self.max_drift_ppm.min(PARTS_PER_MILLION);
+        (u128::from(self.duration) * u128::from(PARTS_PER_MILLION - drift_ppm)
+            / u128::from(PARTS_PER_MILLION)) as Micros
     }
 }
 
-const MILLION: u64 = 1_000_000;
+const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// The acceptors of an installation. A change of them has the next epoch, and names those before it.
+/// The acceptors of an installation. Each change of the set increments the epoch and names the previous acceptors.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptorSet {
-    /// Counts the changes.
+    /// The number of changes of the set so far.
     pub epoch: u32,
     /// The gateways that are acceptors.
     pub names: Vec<Name>,
-    /// Those of the previous epoch; empty at first.
+    /// The acceptors of the previous epoch; empty in the first epoch.
     pub previous_names: Vec<Name>,
 }
 
@@ -102,7 +105,7 @@
         AcceptorSet { epoch: 0, names: names.to_vec(), previous_names: Vec::new() }
     }
 
-    /// Distinguishes this set from any other.
+    /// The id of this set, which differs from the id of any other set.
     pub fn id(&self) -> AcceptorSetId {
         let mut names: Vec<&str> = self.names.iter().map(|name| &**name).collect();
         names.sort_unstable();
@@ -110,12 +113,12 @@
     }
 }
 
-/// Identifies an acceptor set. Grants count for the set of the claim only.
+/// Identifies an acceptor set. A grant counts only for the acceptor set named in the claim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptorSetId {
     /// The epoch of the set.
     pub epoch: u32,
-    /// A hash of the names, so that configurations of one epoch that differ are detected.
+    /// A hash of the names, which detects different configurations of the same epoch.
     pub digest: u64,
 }
 
@@ -124,7 +127,7 @@
     acceptors / 2 + 1
 }
 
-/// A hash of names and a counter that is the same on every machine, so that decisions by it can be reproduced.
+/// Hashes names and a counter. The hash is the same on every machine, so decisions based on it can be reproduced.
 fn seeded_hash(seed: u64, names: &[&str], counter: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(seed, counter);
     for name in names {
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between lease candidates and acceptors. Any of them may be lost, duplicated or late: an answer names what it
-//! answers. The encoding is postcard: the order of fields and variants must stay as it is.
+//! The messages between lease candidates and acceptors. Messages may be lost, duplicated or delayed, so each reply
+//! identifies its request. The encoding is postcard: the order of fields and variants must not change.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
     Request(AcceptorRequest),
     /// From an acceptor.
     Reply(AcceptorReply),
-    /// To the gateways that come next for a lease: the sender has released it, and nobody holds it any more.
+    /// To the successors of a holder: the sender has released the lease, which now has no holder.
     Released {
         /// The lease.
         lease: Name,
-        /// The token by which it was held.
+        /// The token of the former holder.
         token: FencingToken,
     },
-    /// To the holder of a lease: the sender has a better rank for it, and takes it over once the holder has kept it for its
-    /// minimum tenure.
+    /// To the holder of a lease: the sender has a better rank and takes the lease over after the holder's minimum
+    /// tenure.
     Offer {
         /// The lease.
         lease: Name,
@@ -32,68 +32,68 @@
 /// A request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AcceptorRequest {
-    /// A candidate claims a lease, or renews it.
+    /// A candidate claims or renews a lease.
     Claim {
         /// The lease.
         lease: Name,
-        /// The token by which the candidate would hold it.
+        /// The token with which the candidate will hold the lease.
         token: FencingToken,
-        /// Distinguishes one time of asking from another.
+        /// Distinguishes the rounds of requests with the same token.
         round: u64,
         /// The acceptor set under which the candidate counts grants.
         acceptors: AcceptorSetId,
     },
-    /// A holder or a candidate does not act by this token any more: others may have the lease at once.
+    /// A holder or a candidate no longer acts with this token: the acceptor may grant the lease to others at once.
     Release {
         /// The lease.
         lease: Name,
         /// The token.
         token: FencingToken,
     },
-    /// Another acceptor starts, and asks what is known of it.
+    /// A starting acceptor asks what the receiver knows about it.
     Recover(RecoveryRequest),
-    /// Another acceptor announces its durable writes.
+    /// Another acceptor announces its number of durable writes.
     WriteCount {
         /// The acceptor's name.
         acceptor: Name,
-        /// How many durable writes it has made.
+        /// The acceptor's number of durable writes.
         write_count: u64,
-        /// Its incarnation.
+        /// The acceptor's incarnation.
         incarnation: u64,
     },
 }
 
-/// The state of an acceptor that starts.
+/// The state of a starting acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecoveryRequest {
     /// The acceptor's name.
     pub acceptor: Name,
-    /// Distinguishes this start of it from all others.
+    /// Identifies this start of the acceptor.
     pub start: ProcessId,
-    /// How many durable writes it has made, by its store.
+    /// The acceptor's number of durable writes, according to its store.
     pub write_count: u64,
-    /// Its incarnation, by its store.
+    /// The acceptor's incarnation, according to its store.
     pub incarnation: u64,
-    /// It knows that its store lacks promises that it has made.
+    /// Whether the acceptor knows that its store lacks promises that it has made.
     pub lost_promises: bool,
-    /// Its store holds nothing at all.
+    /// Whether the acceptor's store is empty.
     pub is_empty: bool,
 }
 
-/// An answer of an acceptor.
+/// A reply of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AcceptorReply {
-    /// The claim is granted, for the duration of a lease.
+    /// The claim is granted for the lease duration.
     Granted {
         /// The lease.
         lease: Name,
         /// The token of the claim.
         token: FencingToken,
-        /// The round of the claim: the acceptor's lease counts from after it began.
+        /// The round of the claim. The acceptor's lease starts after the round began.
         round: u64,
-        /// The acceptor's incarnation: grants of an earlier one, from before a loss of its store, do not count.
+        /// The acceptor's incarnation. Grants of incarnations before a loss of its store do not count.
         incarnation: u64,
-        /// The lowest incarnation of each other acceptor that counts, as far as this one knows.
+        /// The lowest valid incarnation of each other acceptor that this acceptor knows.
         incarnations: BTreeMap<Name, u64>,
     },
     /// The claim is rejected.
@@ -104,60 +104,60 @@
         token: FencingToken,
         /// The round of the claim.
         round: u64,
-        /// Why.
+        /// The reason.
         reason: Rejection,
     },
-    /// What is known of an acceptor that starts.
+    /// What this acceptor knows about a starting acceptor.
     Recovery(RecoveryReply),
 }
 
 /// Why an acceptor rejects a claim. The texts are read by operators.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// Another process holds the lease, or may hold it.
+    /// Another process holds or may hold the lease.
     #[error("another has it by term {} for {} ms more", .holder.term, .remaining / 1_000)]
     HeldByOther {
-        /// Microseconds until the acceptor may grant it to others.
+        /// Microseconds until the acceptor may grant the lease to others.
         remaining: Micros,
-        /// The other's token.
+        /// The token of the other process.
         holder: FencingToken,
     },
-    /// This token, of the same or of a higher term, was promised.
+    /// The acceptor has promised this token, with the same or a higher term.
     #[error("term {} has been promised", .0.term)]
     HigherPromise(FencingToken),
-    /// The acceptor does not vote, or the claim is not of the process that sent it.
+    /// The acceptor does not vote, or the claim names another process than its sender.
     #[error("the voter does not vote now")]
     NotVoting,
     /// Too many promises wait for the acceptor's disk.
     #[error("the voter's disk has more to write than it can")]
     Overloaded,
-    /// The acceptor keeps promises for as many leases as it can, or the lease's name is not valid.
+    /// The acceptor has promises for the maximum number of leases, or the name of the lease is invalid.
     #[error("the voter has no room for another job")]
     CapacityExceeded,
-    /// The acceptor promises under another acceptor set, which is this one.
+    /// The acceptor promises under this acceptor set, not under the acceptor set of the claim.
     #[error("the voter counts by change {} of the voters, not by this gateway's", .0.epoch)]
     DifferentAcceptors(AcceptorSetId),
 }
 
-/// What an acceptor knows of another one that starts, and what it has promised itself.
+/// What an acceptor knows about a starting acceptor, with the replying acceptor's own state and promises.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecoveryReply {
-    /// The acceptor that starts.
+    /// The starting acceptor.
     pub acceptor: Name,
-    /// Highest number of durable writes that it is known to have made.
+    /// Highest known number of durable writes of the starting acceptor.
     pub write_count: u64,
-    /// Lowest incarnation of it whose promises count.
+    /// Lowest incarnation of the starting acceptor whose promises count.
     pub incarnation: u64,
-    /// The acceptor that answers has voted or was admitted before.
+    /// Whether the replying acceptor has voted or was admitted before.
     pub is_initialized: bool,
-    /// It lacks promises itself.
+    /// Whether the replying acceptor's store lacks promises that it has made.
     pub lost_promises: bool,
-    /// It has never promised anything.
+    /// Whether the replying acceptor has never promised anything.
     pub never_promised: bool,
-    /// The acceptor set under which it promises.
+    /// The acceptor set under which the replying acceptor promises.
     pub acceptors: AcceptorSetId,
-    /// It grants nothing under the acceptor sets of earlier epochs than this.
+    /// The replying acceptor grants nothing under acceptor sets of epochs before this epoch.
     pub frozen_epoch: u32,
-    /// Its highest promise for each lease.
+    /// The replying acceptor's highest promise for each lease.
     pub promises: BTreeMap<Name, FencingToken>,
 }
--- a/crates/lease/src/replicated_list.rs
+++ b/crates/lease/src/replicated_list.rs
@@ -1,15 +1,17 @@
-//! A list that one gateway polls from its source and replicates to all others, for sources that bear few polls. It owns one
-//! gateway's copy of the list and decides when to poll and what to send; it never performs I/O and does not decide who
-//! holds the lease for it.
+//! A list that one gateway polls from its source and replicates to all others, for sources that can serve only few
+//! polls. This module keeps one gateway's copy of the list and decides when to poll and what to send. It performs no
+//! I/O and does not decide which gateway holds the lease for the list.
 //!
-//! The lease holder polls often and broadcasts what is new, or that nothing is. A gateway that has heard nothing for a third
-//! of the maximum age polls by itself, in the order of the ranks, and broadcasts likewise. So the list reaches all gateways
-//! whatever becomes of the holder, and in a partitioned fleet one gateway polls on each side.
+//! The lease holder polls often and broadcasts the changes, or that there are no changes. A gateway that has received
+//! no broadcast for a third of the maximum age polls the source itself and broadcasts the result; the ranks determine
+//! which gateway polls first. So the list reaches all gateways even if the holder fails, and in a partitioned fleet one
+//! gateway polls on each side.
 //!
-//! No copy goes back to an earlier version. Versions are the source's; where the source counts from below again, as another
-//! instance has replaced it, only a lease holder starts a new epoch, by its term. A holder's broadcast carries its fencing
-//! token and is rejected where a higher one is known. The sender states the age of what it sends, by its own even clock, so
-//! that a gateway that was suspended between a poll and a broadcast does not make the list look fresh.
+//! No copy returns to an earlier version. The source assigns the versions. If the index of the source falls, because
+//! another instance has replaced the source, only a lease holder starts a new epoch, with its term. A holder's
+//! broadcast carries its fencing token and is rejected by receivers that know a higher token. The sender states the age
+//! of the list by its own monotonic clock, so a gateway that was suspended between a poll and a broadcast does not make
+//! an old list look fresh.
 
 mod fragment;
 mod message;
@@ -22,70 +24,73 @@
 use crate::fencing::{FencingDecision, FencingGuard};
 use crate::{FencingToken, Micros, Name};
 
-/// Polls of a lease holder within the maximum age.
+/// Number of polls of a lease holder per maximum age.
 const POLLS_PER_MAX_AGE: u64 = 6;
-/// A gateway that has heard nothing for this fraction of the maximum age polls by itself: one in so many.
+/// A gateway that has received no broadcast for the maximum age divided by this polls the source itself.
 const SILENCE_DIVISOR: u64 = 3;
-/// The delay from one rank to the next of gateways that poll by themselves, as a fraction of the maximum age: one in so many.
-const TURN_DIVISOR: u64 = 40;
-/// Beyond this rank all gateways poll at the same time, as the ranking is only a guess then.
-const MAX_TURNS: u64 = 12;
-/// Failed polls in a row after which a holder hands the lease over.
+/// Without broadcasts from a holder, the poll of each rank is delayed after the poll of the previous rank by the
+/// maximum age divided by this.
+const RANK_DELAY_DIVISOR: u64 = 40;
+/// From this rank on all gateways poll at the same time, as the ranking is only a guess at that point.
+const MAX_DELAYED_RANKS: u64 = 12;
+/// Consecutive failed polls after which a holder hands the lease over.
 const MAX_FAILED_POLLS: u32 = 2;
-/// Gateways that are sent the complete list between two polls.
+/// Maximum number of gateways that are sent the complete list between two polls.
 const MAX_COMPLETE_SENDS: usize = 8;
-/// A source that counts from below is accepted without a lease holder once the list is so many times the maximum age old.
-const REPLACED_SOURCE_AGES: u64 = 4;
+/// Age of the list, in maximum ages, from which a lower index of the source is accepted without a lease holder.
+const REPLACED_SOURCE_MAX_AGES: u64 = 4;
 
 /// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Poll the source, and call `poll_completed` with its answer.
+    /// Poll the source, and call `poll_completed` with the reply.
     Poll {
-        /// Ask for what is newer than this index; for the complete list, if none.
+        /// Request the changes after this index; `None` requests the complete list.
         since: Option<u64>,
     },
-    /// Send a fragment to all others, with the fencing token if the lease is held here.
+    /// Send a fragment to all other gateways, with the fencing token if this gateway holds the lease.
     Broadcast(Fragment),
-    /// Send a fragment to one gateway, likewise.
+    /// Send a fragment to one gateway, with the fencing token if this gateway holds the lease.
     SendFragment(Name, Fragment),
     /// Send a message to one gateway.
     SendMessage(Name, ListMessage),
-    /// The copy has changed, or is known for the first time: the complete list, or the changes.
+    /// The copy has changed or is known for the first time. Contains the complete list or the changes.
     Updated(SourceReply),
-    /// This gateway holds the lease but can't reach the source: another should take it over.
+    /// This gateway holds the lease but cannot reach the source: another gateway should take the lease over.
     HandOver,
-    /// A broadcast of this gateway was rejected, as another holds the lease by this token.
+    /// A broadcast of this gateway was rejected, as another gateway holds the lease with this token.
     Rejected(FencingToken),
 }
 
-/// One gateway's copy of the list. Times are of one even clock that nobody sets.
+/// One gateway's copy of the list. All times are of one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct ReplicatedList {
     lease: Name,
     max_age: Micros,
     entries: BTreeMap<String, Entry>,
-    /// The entries are the complete list. They are not where only the version was known before the start.
+    /// Whether the entries are the complete list. They are incomplete if only the version was known before the start.
     is_complete: bool,
     version: Option<Version>,
     guard: FencingGuard,
-    /// The latest time at which the source was asked for what is known here.
+    /// When the poll started whose result is the current copy.
     polled_at: Micros,
-    /// A later poll than that has failed.
+    /// Whether a poll after `polled_at` has failed.
     poll_failed: bool,
-    /// Failed polls in a row, while the lease is held here.
+    /// Consecutive failed polls while this gateway holds the lease.
     failed_polls: u32,
-    polling_since: Option<Micros>,
+    /// When the pending poll started.
+    poll_started_at: Option<Micros>,
     next_poll: Micros,
     partial: Option<PartialList>,
-    /// Gateways that were sent the complete list since the last poll.
+    /// Number of times the complete list was sent to one gateway since the last poll.
     complete_sends: usize,
     outputs: VecDeque<Output>,
 }
 
 impl ReplicatedList {
-    /// A copy that must not be older than `max_age`. `known_index` is the version that was known before the start, if one
-    /// was; its age is unknown then. `jitter`, from 0 to 1, spreads the first polls of gateways that start together.
+    /// A copy that must not be older than `max_age`. `known_index` is the index that was known before the start, if
+    /// any; the age of that version is unknown. `jitter`, from 0 to 1, spreads the first polls of gateways that start
+    /// together.
     pub fn new(lease: &Name, max_age: Micros, known_index: Option<u64>, now: Micros, jitter: f64) -> Self {
         let silence = max_age / SILENCE_DIVISOR;
         let delay =
@@ -100,7 +105,7 @@
             polled_at: (now + delay).saturating_sub(silence),
             poll_failed: false,
             failed_polls: 0,
-            polling_since: None,
+            poll_started_at: None,
             next_poll: now,
             partial: None,
             complete_sends: 0,
@@ -108,7 +113,7 @@
         }
     }
 
-    /// The next thing for the caller to do.
+    /// Returns the next action for the caller.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
@@ -118,14 +123,15 @@
         self.version
     }
 
-    /// Whether the copy may be older than the maximum age, so that it must not be used before a poll has succeeded or failed.
+    /// Whether the copy may be older than the maximum age. A stale copy must not be used until a poll has succeeded or
+    /// failed.
     ///
-    /// Danger: a process that was suspended uses a list of long ago in its first moment.
+    /// Without this check a process that was suspended would use an outdated list right after it resumes.
     pub fn is_stale(&self, now: Micros) -> bool {
         now >= self.polled_at + self.max_age && !self.poll_failed
     }
 
-    /// The time until which the copy may be used.
+    /// Until when the copy may be used.
     pub fn fresh_until(&self) -> Micros {
         if self.poll_failed {
             Micros::MAX
@@ -134,16 +140,16 @@
         }
     }
 
-    /// The time at which `handle_timeout` is to be called. `rank` is this gateway's for the lease.
+    /// When to call `handle_timeout` next. `rank` is this gateway's rank for the lease.
     pub fn next_deadline(&self, is_holder: bool, rank: usize) -> Micros {
-        if self.polling_since.is_some() {
+        if self.poll_started_at.is_some() {
             return Micros::MAX;
         }
         if is_holder {
             return self.next_poll;
         }
-        let turn_delay = (rank as u64).min(MAX_TURNS) * (self.max_age / TURN_DIVISOR);
-        self.next_poll.max(self.polled_at + self.max_age / SILENCE_DIVISOR + turn_delay)
+        let rank_delay = (rank as u64).min(MAX_DELAYED_RANKS) * (self.max_age / RANK_DELAY_DIVISOR);
+        self.next_poll.max(self.polled_at + self.max_age / SILENCE_DIVISOR + rank_delay)
     }
 
     /// Starts a poll if one is due.
@@ -151,15 +157,16 @@
         if now < self.next_deadline(is_holder, rank) {
             return;
         }
-        self.polling_since = Some(now);
-        // A gateway that sends the list to others needs all of it.
+        self.poll_started_at = Some(now);
+        // A gateway needs the complete list to send it to others.
         let since = self.version.filter(|_| self.is_complete).map(|version| version.index);
         self.outputs.push_back(Output::Poll { since });
     }
 
-    /// The poll under way has ended, without an answer if it failed. `term` is that of the lease, where it is held here.
+    /// Handles the end of the pending poll; `reply` is `None` if the poll failed. `term` is the term of the lease if
+    /// this gateway holds it.
     pub fn poll_completed(&mut self, now: Micros, reply: Option<SourceReply>, term: Option<u64>) {
-        let Some(started_at) = self.polling_since.take() else { return };
+        let Some(started_at) = self.poll_started_at.take() else { return };
         self.next_poll = now.max(started_at + self.max_age / POLLS_PER_MAX_AGE);
         self.complete_sends = 0;
         match reply {
@@ -188,19 +195,19 @@
         term: Option<u64>,
     ) {
         self.failed_polls = 0;
-        let went_back = self.version.is_some_and(|version| reply.index < version.index);
-        let Some(epoch) = self.epoch_of_reply(now, went_back, term) else {
+        let index_decreased = self.version.is_some_and(|version| reply.index < version.index);
+        let Some(epoch) = self.epoch_for_reply(now, index_decreased, term) else {
             self.poll_failed = true;
             return;
         };
-        if went_back && !reply.is_complete {
-            // Changes since a version that this source has never had are of no use.
+        if index_decreased && !reply.is_complete {
+            // The changes are relative to a version that the replacing source has never had, so they are useless.
             self.is_complete = false;
             self.next_poll = now;
             return;
         }
         let version = Version { epoch, index: reply.index };
-        let is_change = !reply.is_complete && !went_back;
+        let is_change = !reply.is_complete && !index_decreased;
         let since = self.version.filter(|_| is_change).map(|version| version.index);
         self.apply(version, reply.is_complete, reply.entries.clone());
         self.polled_at = self.polled_at.max(started_at);
@@ -214,16 +221,18 @@
         }
     }
 
-    /// The epoch of an answer; none where a source that counts from below can't be accepted yet. A lease holder starts a new
-    /// epoch for it; a gateway that has heard nobody for long continues the old one.
-    fn epoch_of_reply(&self, now: Micros, went_back: bool, term: Option<u64>) -> Option<u64> {
+    /// The epoch of a reply; `None` if a reply with a lower index cannot be accepted yet. For a lower index a lease
+    /// holder starts a new epoch. A gateway that has received no broadcast for a long time continues the old epoch.
+    fn epoch_for_reply(&self, now: Micros, index_decreased: bool, term: Option<u64>) -> Option<u64> {
         let Some(version) = self.version else { return Some(0) };
-        if !went_back {
+        if !index_decreased {
             return Some(version.epoch);
         }
         match term {
             Some(term) => (term > version.epoch).then_some(term),
-            None => (now >= self.polled_at + REPLACED_SOURCE_AGES * self.max_age).then_some(version.epoch),
+            None => {
+                (now >= self.polled_at + REPLACED_SOURCE_MAX_AGES * self.max_age).then_some(version.epoch)
+            }
         }
     }
 
@@ -246,7 +255,7 @@
         self.version = Some(version);
     }
 
-    /// Handles a message of another gateway.
+    /// Handles a message from another gateway.
     pub fn handle_message(&mut self, now: Micros, from: &Name, message: ListMessage) {
         match message {
             ListMessage::Fragment(token, fragment) => self.handle_fragment(now, from, token, fragment),
@@ -276,7 +285,7 @@
         if !self.is_acceptable(&fragment, token.is_some()) {
             return;
         }
-        if !self.has_base_of(&fragment) {
+        if !self.has_base_for(&fragment) {
             let request = ListMessage::RequestComplete;
             self.outputs.push_back(Output::SendMessage(from.clone(), request));
             return;
@@ -284,7 +293,7 @@
         let Fragment { version, since, age_ms, number, count, entries } = fragment;
         let transmission = Transmission { from: from.clone(), token, version, since, count };
         let Some(entries) = self.collect(transmission, number, entries) else { return };
-        // The complete list of a version that is known already only confirms it.
+        // A complete list of the known version changes nothing; it only confirms the version.
         if since.is_some() || self.version != Some(version) || !self.is_complete {
             self.apply(version, since.is_none(), entries);
         }
@@ -295,7 +304,7 @@
         }
     }
 
-    /// The highest token known, where the sender's is lower.
+    /// The highest known token, if the sender's token is lower.
     fn higher_token(&mut self, token: Option<FencingToken>) -> Option<FencingToken> {
         match self.guard.check(&self.lease, token?) {
             FencingDecision::Stale(highest) => Some(highest),
@@ -303,7 +312,7 @@
         }
     }
 
-    /// A fragment must not be of an earlier version, and only a lease holder starts an epoch.
+    /// Whether a fragment is well formed and not of an earlier version. Only a lease holder may start an epoch.
     fn is_acceptable(&self, fragment: &Fragment, is_from_holder: bool) -> bool {
         let is_current = self.version.is_none_or(|version| fragment.version >= version);
         let is_same_epoch = self.version.is_none_or(|version| version.epoch == fragment.version.epoch);
@@ -311,13 +320,13 @@
         is_current && (is_from_holder || is_same_epoch) && is_well_formed
     }
 
-    /// Whether the copy has everything that precedes the changes in a fragment.
-    fn has_base_of(&self, fragment: &Fragment) -> bool {
+    /// Whether the copy includes all changes before the changes in a fragment.
+    fn has_base_for(&self, fragment: &Fragment) -> bool {
         let Some(since) = fragment.since else { return true };
         self.version.is_some_and(|version| version.epoch == fragment.version.epoch && version.index >= since)
     }
 
-    /// Adds a fragment to those that have arrived, and returns all entries once none is missing.
+    /// Adds a received fragment. Returns all entries once the transmission is complete.
     fn collect(
         &mut self,
         transmission: Transmission,
@@ -325,7 +334,7 @@
         entries: Vec<Entry>,
     ) -> Option<Vec<Entry>> {
         let mut partial = match self.partial.take() {
-            Some(partial) if partial.is_of(&transmission) => partial,
+            Some(partial) if partial.belongs_to(&transmission) => partial,
             _ => PartialList::new(transmission),
         };
         partial.insert(number, entries);
--- a/crates/lease/src/replicated_list/fragment.rs
+++ b/crates/lease/src/replicated_list/fragment.rs
@@ -1,15 +1,15 @@
-//! How a list is cut into fragments and put together again. It never judges whether the result is wanted.
+//! Splits a list into fragments and reassembles it. Whether a list is accepted is decided in the parent module.
 
 use std::collections::BTreeMap;
 
 use super::{Entry, Fragment, Version};
 use crate::{FencingToken, Micros, Name};
 
-/// Bytes of entries in one fragment.
+/// Maximum size of the entries in one fragment, in bytes.
 const MAX_FRAGMENT_BYTES: usize = 32 * 1024;
-/// Bytes that an entry takes beside its name and its body.
+/// Encoded size of an entry without its name and body, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
-/// Fragments of one transmission.
+/// Maximum number of fragments of one transmission.
 pub(super) const MAX_FRAGMENTS: usize = 256;
 
 /// Identifies the transmission that a fragment belongs to.
@@ -22,7 +22,7 @@
     pub count: u16,
 }
 
-/// A transmission of which some fragments have arrived.
+/// A transmission with only some of its fragments received.
 #[derive(Clone, Debug)]
 pub(super) struct PartialList {
     transmission: Transmission,
@@ -34,7 +34,7 @@
         PartialList { transmission, received: BTreeMap::new() }
     }
 
-    pub fn is_of(&self, transmission: &Transmission) -> bool {
+    pub fn belongs_to(&self, transmission: &Transmission) -> bool {
         self.transmission == *transmission
     }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Cuts entries into fragments. There is at least one, which says that nothing is new.
+/// Splits entries into fragments. Without entries there is one empty fragment, which reports that nothing has changed.
 pub(super) fn fragments(
     version: Version,
     since: Option<u64>,
--- a/crates/lease/src/replicated_list/message.rs
+++ b/crates/lease/src/replicated_list/message.rs
@@ -1,5 +1,5 @@
-//! The entries and versions of a replicated list, and what gateways send each other of it. The encoding is postcard: the
-//! order of fields and variants must stay as it is.
+//! The entries and versions of a replicated list, and the messages about the list between gateways. The encoding is
+//! postcard: the order of fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,27 +10,27 @@
 pub struct Entry {
     /// Identifies the entry within the list.
     pub name: String,
-    /// The entry is no longer on the list.
+    /// Whether the entry was removed from the list.
     pub removed: bool,
-    /// The content, which this package does not read.
+    /// The content. This package does not interpret it.
     pub body: String,
 }
 
-/// An answer of the source: the complete list, or what is newer than the version that was asked from.
+/// A reply of the source: the complete list, or the changes since the requested version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceReply {
     /// The source's version.
     pub index: u64,
-    /// The entries are the complete list.
+    /// Whether the entries are the complete list.
     pub is_complete: bool,
-    /// The list, or the changes.
+    /// The complete list or the changes.
     pub entries: Vec<Entry>,
 }
 
-/// The version of a list. The order is that of the epochs, and within one that of the source's versions.
+/// The version of a list. Versions are ordered by epoch, then by the source's index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The term of the lease holder that began it; 0 at first.
+    /// The term of the lease holder that started the epoch; 0 for the first epoch.
     pub epoch: u64,
     /// The source's version.
     pub index: u64,
@@ -41,13 +41,13 @@
 pub struct Fragment {
     /// The version of the list.
     pub version: Version,
-    /// The fragments have what is newer than this index of the same epoch; the complete list, if none.
+    /// The fragments contain the changes after this index of the same epoch; `None` stands for the complete list.
     pub since: Option<u64>,
-    /// Time since the source was asked, in milliseconds.
+    /// Time since the source was polled, in milliseconds.
     pub age_ms: u32,
-    /// Counted from 0.
+    /// The position of this fragment in the transmission, from 0.
     pub number: u16,
-    /// Fragments that belong together.
+    /// Number of fragments of the transmission.
     pub count: u16,
     /// The entries of this part.
     pub entries: Vec<Entry>,
@@ -56,10 +56,11 @@
 /// A message about the list between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListMessage {
-    /// With the token of the lease holder that sends it; without one, from a gateway that has polled in its turn.
+    /// A fragment of the list, with the sender's token if the sender holds the lease. Without a token, the sender has
+    /// polled the source because it received no broadcast from a holder.
     Fragment(Option<FencingToken>, Fragment),
-    /// The sender lacks what came before, and asks for the complete list.
+    /// The sender lacks earlier changes and requests the complete list.
     RequestComplete,
-    /// The receiver's token is stale: another holds the lease by this one.
+    /// The receiver's token is stale: another gateway holds the lease with this token.
     Rejected(FencingToken),
 }
--- a/crates/lease/src/status.rs
+++ b/crates/lease/src/status.rs
@@ -1,57 +1,57 @@
-//! The queries of operators about leases, and their answers. The encoding is postcard: the order of fields and variants must
-//! stay as it is.
+//! The queries of operators about leases, and the replies. The encoding is postcard: the order of fields and variants
+//! must not change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{FencingToken, Name};
 
-/// A query or a command of an operator to one gateway.
+/// A query or command of an operator to one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusQuery {
     /// The status of all leases.
     Leases,
-    /// Release this lease, if it is held.
+    /// Release this lease if the gateway holds it.
     Release(Name),
-    /// With true, hold no lease from now on that another gateway can hold; with false, end that.
+    /// True cordons the gateway: it holds no lease that another gateway can hold. False ends this.
     Cordon(bool),
 }
 
-/// The answer to a [`StatusQuery`].
+/// The reply to a [`StatusQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusReply {
-    /// To [`StatusQuery::Leases`].
+    /// Reply to [`StatusQuery::Leases`].
     Leases(LeaseView),
-    /// Whether the lease was held, and is released.
+    /// Whether the gateway held the lease and has released it.
     Released(bool),
     /// Whether the gateway is cordoned from now on.
     Cordoned(bool),
 }
 
-/// The status of all leases, as one gateway knows it.
+/// The status of all leases that one gateway knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseView {
-    /// The gateway that answers.
+    /// The replying gateway.
     pub gateway: Name,
-    /// Its state as an acceptor; none where it is no acceptor.
+    /// The gateway's state as an acceptor; `None` if it is not an acceptor.
     pub acceptor: Option<AcceptorState>,
-    /// It holds no lease that another gateway can hold.
+    /// Whether the gateway is cordoned: it holds no lease that another gateway can hold.
     pub cordoned: bool,
-    /// The leases that it can hold.
+    /// The leases that the gateway can hold.
     pub leases: Vec<LeaseSummary>,
-    /// The leases that are held, as far as it knows as an acceptor.
+    /// The held leases that the gateway knows as an acceptor.
     pub held: Vec<HeldLease>,
-    /// Live gateways and their process ids, which the tokens above refer to.
+    /// The live gateways with the process ids that the tokens above refer to.
     pub processes: Vec<(Name, u64)>,
 }
 
 /// The state of an acceptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptorState {
-    /// It answers claims.
+    /// The acceptor decides on claims.
     Voting,
-    /// It has just started, or waits to be readmitted as its store lacks promises.
+    /// The acceptor has just started, or its store lacks promises and it waits to be readmitted.
     Recovering,
-    /// It can't make promises durable, or another gateway has its name.
+    /// The acceptor cannot make promises durable, or another gateway has its name.
     NotVoting,
 }
 
@@ -60,23 +60,24 @@
 pub struct LeaseSummary {
     /// The lease.
     pub lease: Name,
-    /// The gateway's rank for it, from 0.
+    /// The gateway's rank for the lease, from 0.
     pub rank: u32,
-    /// Where the gateway holds it: the token, for how long it has, and for how long it still does, in milliseconds.
+    /// If the gateway holds the lease: the token, the milliseconds since it acquired the lease, and the milliseconds
+    /// until the lease expires.
     pub held: Option<(FencingToken, u64, u64)>,
-    /// Rejections of claims and of effects so far.
+    /// Rejections of claims and effects so far.
     pub rejections: u64,
-    /// The text of the latest.
+    /// The text of the latest rejection.
     pub last_rejection: Option<String>,
 }
 
-/// A lease that is held, as an acceptor knows it.
+/// A held lease that an acceptor knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// The lease.
     pub lease: Name,
     /// The holder's token.
     pub holder: FencingToken,
-    /// Milliseconds until it expires at this acceptor.
+    /// Milliseconds until the lease expires at this acceptor.
     pub remaining_ms: u64,
 }
--- a/crates/lease/tests/acceptor.rs
+++ b/crates/lease/tests/acceptor.rs
@@ -1,4 +1,5 @@
-//! One acceptor: what it grants after a start, a loss of promises, a change of the acceptor set, and with a slow disk.
+//! Tests of a single acceptor: its grants after a start, a loss of promises and a change of the acceptor set, and with
+//! a slow disk.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +7,9 @@
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest, RecoveryReply, Rejection};
 use fernscale_lease::{AcceptorSet, FencingToken, LeaseSettings, Micros, Name, ProcessId, SECOND};
 
-const TERMS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
+const SETTINGS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
 
-/// All outputs of an acceptor whose disk takes no time.
+/// Returns all outputs except writes, which complete at once.
 fn drain(acceptor: &mut Acceptor, now: Micros) -> Vec<Output> {
     let mut all = Vec::new();
     while let Some(output) = acceptor.poll_output() {
@@ -30,13 +31,13 @@
         frozen_epoch: 1,
         ..DurableState::default()
     };
-    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &old, TERMS, durable, 0);
+    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &old, SETTINGS, durable, 0);
     assert_eq!(acceptor.poll_output(), Some(Output::Event(Event::DifferentAcceptors(old.id()))));
     let others = AcceptorSet::initial(&[names[0].clone()]);
     let durable = DurableState { is_initialized: true, acceptors: old.id(), ..DurableState::default() };
-    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &others, TERMS, durable, 0);
+    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &others, SETTINGS, durable, 0);
     assert_eq!(acceptor.poll_output(), Some(Output::Event(Event::DifferentAcceptors(old.id()))));
-    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &old, TERMS, DurableState::default(), 0);
+    let mut acceptor = Acceptor::new(&names[0], ProcessId(1), &old, SETTINGS, DurableState::default(), 0);
     let token = FencingToken { term: 1, process: ProcessId(7) };
     acceptor.handle_request(
         1,
@@ -55,7 +56,7 @@
     let old = AcceptorSet::initial(&names[..3]);
     let new = AcceptorSet { epoch: 1, names: names[1..].to_vec(), previous_names: names[..3].to_vec() };
     let durable = DurableState { is_initialized: true, acceptors: old.id(), ..DurableState::default() };
-    let mut acceptor = Acceptor::new(&names[1], ProcessId(1), &new, TERMS, durable, 0);
+    let mut acceptor = Acceptor::new(&names[1], ProcessId(1), &new, SETTINGS, durable, 0);
     acceptor.handle_timeout(0);
     drain(&mut acceptor, 0);
     let token = FencingToken { term: 4, process: ProcessId(7) };
@@ -70,7 +71,7 @@
         frozen_epoch: frozen,
         promises: BTreeMap::from([("j".into(), token)]),
     };
-    // The first acceptor may still promise the lease under the old set, as part of a majority of it.
+    // The first acceptor may still promise the lease under the old set, as part of a majority of that set.
     acceptor.handle_peer_reply(&names[0], AcceptorReply::Recovery(recovery_reply(0)));
     drain(&mut acceptor, 0);
     assert!(!acceptor.is_voting());
@@ -86,9 +87,9 @@
         round: 1,
         acceptors: set,
     };
-    acceptor.handle_request(2 * TERMS.duration, ProcessId(9), claim(4, new.id()));
-    acceptor.handle_request(2 * TERMS.duration, ProcessId(9), claim(5, old.id()));
-    let rejections: Vec<_> = drain(&mut acceptor, 2 * TERMS.duration)
+    acceptor.handle_request(2 * SETTINGS.duration, ProcessId(9), claim(4, new.id()));
+    acceptor.handle_request(2 * SETTINGS.duration, ProcessId(9), claim(5, old.id()));
+    let rejections: Vec<_> = drain(&mut acceptor, 2 * SETTINGS.duration)
         .into_iter()
         .filter_map(|output| match output {
             Output::Reply { reply: AcceptorReply::Rejected { reason, .. }, .. } => Some(reason),
@@ -96,8 +97,8 @@
         })
         .collect();
     assert_eq!(rejections, [Rejection::HigherPromise(token), Rejection::DifferentAcceptors(new.id())]);
-    acceptor.handle_request(2 * TERMS.duration, ProcessId(9), claim(5, new.id()));
-    let outputs = drain(&mut acceptor, 2 * TERMS.duration);
+    acceptor.handle_request(2 * SETTINGS.duration, ProcessId(9), claim(5, new.id()));
+    let outputs = drain(&mut acceptor, 2 * SETTINGS.duration);
     assert!(
         matches!(outputs[..], [Output::Reply { reply: AcceptorReply::Granted { .. }, .. }, ..]),
         "{outputs:?}"
@@ -113,22 +114,24 @@
     let promises = BTreeMap::from([(lease.clone(), token)]);
     let durable = DurableState { is_initialized: true, acceptors: set, promises, ..DurableState::default() };
     let mut acceptor =
-        Acceptor::new(&names[0], ProcessId(1), &AcceptorSet::initial(&names), TERMS, durable, SECOND);
+        Acceptor::new(&names[0], ProcessId(1), &AcceptorSet::initial(&names), SETTINGS, durable, SECOND);
     acceptor.handle_timeout(SECOND);
     drain(&mut acceptor, SECOND);
-    let mut try_claim = |now: Micros, lease: &str, run: u64, term: u64| {
-        let token = FencingToken { term, process: ProcessId(run) };
+    let mut try_claim = |now: Micros, lease: &str, process: u64, term: u64| {
+        let token = FencingToken { term, process: ProcessId(process) };
         acceptor.handle_request(
             now,
-            ProcessId(run),
+            ProcessId(process),
             AcceptorRequest::Claim { lease: lease.into(), token, round: term, acceptors: set },
         );
         let outputs = drain(&mut acceptor, now);
-        outputs.iter().any(|out| matches!(out, Output::Reply { reply: AcceptorReply::Granted { .. }, .. }))
+        outputs
+            .iter()
+            .any(|output| matches!(output, Output::Reply { reply: AcceptorReply::Granted { .. }, .. }))
     };
-    assert!(!try_claim(SECOND, "j", 9, 4), "its holder may hold it still");
+    assert!(!try_claim(SECOND, "j", 9, 4), "the holder from before the start may still hold the lease");
     assert!(try_claim(SECOND, "other", 8, 1) && !try_claim(SECOND, "other", 9, 2));
-    assert!(try_claim(SECOND + TERMS.duration, "j", 9, 5));
+    assert!(try_claim(SECOND + SETTINGS.duration, "j", 9, 5));
 }
 
 #[test]
@@ -137,7 +140,7 @@
     let set = AcceptorSet::initial(&names).id();
     let durable = DurableState { is_initialized: true, acceptors: set, ..DurableState::default() };
     let mut acceptor =
-        Acceptor::new(&names[0], ProcessId(1), &AcceptorSet::initial(&names), TERMS, durable, 0);
+        Acceptor::new(&names[0], ProcessId(1), &AcceptorSet::initial(&names), SETTINGS, durable, 0);
     acceptor.handle_timeout(0);
     drain(&mut acceptor, 0);
     let token = FencingToken { term: 1, process: ProcessId(7) };
@@ -164,20 +167,20 @@
     assert_eq!(acceptor.durable_state().promises.len(), writes);
 }
 
-/// Danger: of two processes with one term, one holds the lease by the very promise that this acceptor has lost. To adopt the
-/// promise to the other would make that one a holder as well.
+/// Two processes claim the same term, and one of them holds the lease by a promise that this acceptor has lost. If the
+/// acceptor adopted a peer's promise to the other process, that process could become a second holder.
 #[test]
 fn an_acceptor_that_lost_promises_grants_a_disputed_term_to_neither_process() {
     let names: Vec<Name> = ["a", "b", "c"].into_iter().map(Name::from).collect();
     let acceptors = AcceptorSet::initial(&names);
     let (holder, other) =
         (FencingToken { term: 4, process: ProcessId(7) }, FencingToken { term: 4, process: ProcessId(8) });
-    for [of_b, of_c] in [[holder, other], [other, holder]] {
+    for [token_of_b, token_of_c] in [[holder, other], [other, holder]] {
         let mut acceptor =
-            Acceptor::new(&names[0], ProcessId(1), &acceptors, TERMS, DurableState::default(), 0);
+            Acceptor::new(&names[0], ProcessId(1), &acceptors, SETTINGS, DurableState::default(), 0);
         acceptor.handle_timeout(0);
         drain(&mut acceptor, 0);
-        for (from, token) in [(&names[1], of_b), (&names[2], of_c)] {
+        for (from, token) in [(&names[1], token_of_b), (&names[2], token_of_c)] {
             let recovery_reply = RecoveryReply {
                 acceptor: names[0].clone(),
                 write_count: 5,
@@ -200,9 +203,9 @@
             let outputs = drain(&mut acceptor, now);
             outputs
                 .iter()
-                .any(|out| matches!(out, Output::Reply { reply: AcceptorReply::Granted { .. }, .. }))
+                .any(|output| matches!(output, Output::Reply { reply: AcceptorReply::Granted { .. }, .. }))
         };
-        assert!(!is_granted(1, holder) && !is_granted(1, other), "{of_b:?} and {of_c:?}");
-        assert!(is_granted(TERMS.duration + 1, FencingToken { term: 5, process: ProcessId(9) }));
+        assert!(!is_granted(1, holder) && !is_granted(1, other), "{token_of_b:?} and {token_of_c:?}");
+        assert!(is_granted(SETTINGS.duration + 1, FencingToken { term: 5, process: ProcessId(9) }));
     }
 }
--- a/crates/lease/tests/candidacy.rs
+++ b/crates/lease/tests/candidacy.rs
@@ -1,4 +1,5 @@
-//! Which leases a gateway wants, when it hands one over, and to whom: the candidacies of a fleet whose acceptors always answer.
+//! Tests of which leases a gateway claims, and when and to which gateway it hands a lease over. All acceptors of the
+//! fleet are always available.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,10 +10,10 @@
 use fernscale_lease::ranking::{ranked, Participant};
 use fernscale_lease::{AcceptorSet, LeaseSettings, Micros, Name, ProcessId, MILLISECOND, SECOND};
 
-const TERMS: LeaseSettings = LeaseSettings { duration: SECOND, max_drift_ppm: 10_000 };
+const SETTINGS: LeaseSettings = LeaseSettings { duration: SECOND, max_drift_ppm: 10_000 };
 const UPDATE_INTERVAL: Micros = 100 * MILLISECOND;
 
-/// A fleet in virtual time. Messages take a millisecond, and writes no time.
+/// A fleet in virtual time. Messages take one millisecond; writes complete at once.
 struct Fleet {
     now: Micros,
     acceptors: Vec<(Name, Acceptor)>,
@@ -22,8 +23,8 @@
     request_count: u64,
 }
 
-fn name(at: usize) -> Name {
-    format!("gateway-{at}").into()
+fn name(index: usize) -> Name {
+    format!("gateway-{index}").into()
 }
 
 fn lease() -> Name {
@@ -33,16 +34,16 @@
 impl Fleet {
     fn new(count: usize, leases: &[Name]) -> Fleet {
         let names: Vec<Name> = (0..3).map(name).collect();
-        let acceptor = |own: &Name| {
+        let acceptor = |gateway: &Name| {
             let acceptor = Acceptor::new(
-                own,
+                gateway,
                 ProcessId(900),
                 &AcceptorSet::initial(&names),
-                TERMS,
+                SETTINGS,
                 DurableState::default(),
                 0,
             );
-            (own.clone(), acceptor)
+            (gateway.clone(), acceptor)
         };
         let mut fleet = Fleet {
             now: 0,
@@ -52,16 +53,17 @@
             in_transit: VecDeque::new(),
             request_count: 0,
         };
-        (0..count).for_each(|at| fleet.join(at, leases));
+        (0..count).for_each(|index| fleet.join(index, leases));
         fleet
     }
 
-    fn join(&mut self, at: usize, leases: &[Name]) {
-        let names: Vec<Name> = self.acceptors.iter().map(|(own, _)| own.clone()).collect();
-        let candidate = Candidate::new(ProcessId(at as u64 + 1), &AcceptorSet::initial(&names), TERMS, 7);
-        let mut candidacy = Candidacy::new(&name(at), TERMS);
+    fn join(&mut self, index: usize, leases: &[Name]) {
+        let names: Vec<Name> = self.acceptors.iter().map(|(gateway, _)| gateway.clone()).collect();
+        let candidate =
+            Candidate::new(ProcessId(index as u64 + 1), &AcceptorSet::initial(&names), SETTINGS, 7);
+        let mut candidacy = Candidacy::new(&name(index), SETTINGS);
         assert!(leases.iter().all(|lease| candidacy.add(lease)));
-        self.gateways.insert(name(at), (candidate, candidacy));
+        self.gateways.insert(name(index), (candidate, candidacy));
     }
 
     fn participants(&self) -> Vec<Participant> {
@@ -69,21 +71,22 @@
     }
 
     fn run(&mut self, time: Micros) {
-        let until = self.now + time;
-        while self.now < until {
+        let end = self.now + time;
+        while self.now < end {
             self.now += MILLISECOND;
             for (from, to, message) in std::mem::take(&mut self.in_transit) {
                 self.deliver(&from, &to, message);
             }
             let participants = self.participants();
-            for (own, (candidate, candidacy)) in &mut self.gateways {
+            for (gateway, (candidate, candidacy)) in &mut self.gateways {
                 if self.now.is_multiple_of(UPDATE_INTERVAL) {
-                    // The others are not notified that one is unwilling.
-                    let mut all = participants.clone();
-                    all.iter_mut().for_each(|one| {
-                        one.unwilling = one.name == *own && self.unwilling.contains(own);
+                    // Other gateways do not know that a gateway is unwilling.
+                    let mut view = participants.clone();
+                    view.iter_mut().for_each(|participant| {
+                        participant.unwilling =
+                            participant.name == *gateway && self.unwilling.contains(gateway);
                     });
-                    candidacy.update(self.now, &all, candidate);
+                    candidacy.update(self.now, &view, candidate);
                 }
                 candidate.handle_timeout(self.now);
             }
@@ -94,7 +97,7 @@
 
     fn deliver(&mut self, from: &Name, to: &Name, message: Message) {
         let process = self.gateways.get(from).map_or(ProcessId(0), |(candidate, _)| candidate.process());
-        let acceptor = self.acceptors.iter_mut().find(|(own, _)| own == to);
+        let acceptor = self.acceptors.iter_mut().find(|(gateway, _)| gateway == to);
         match message {
             Message::Request(request) => {
                 self.request_count += 1;
@@ -126,44 +129,44 @@
                 .find(|(_, (candidate, _))| candidate.process() == process)
                 .map(|(name, _)| name.clone())
         };
-        for at in 0..self.acceptors.len() {
-            let own = self.acceptors[at].0.clone();
-            while let Some(output) = self.acceptors[at].1.poll_output() {
+        for index in 0..self.acceptors.len() {
+            let gateway = self.acceptors[index].0.clone();
+            while let Some(output) = self.acceptors[index].1.poll_output() {
                 match output {
                     AcceptorOutput::Persist { number, .. } => {
-                        self.acceptors[at].1.write_completed(self.now, number, true);
+                        self.acceptors[index].1.write_completed(self.now, number, true);
                     }
                     AcceptorOutput::Reply { to, reply } => {
                         let to = gateway_of(&self.gateways, to);
-                        self.in_transit.extend(to.map(|to| (own.clone(), to, Message::Reply(reply))));
+                        self.in_transit.extend(to.map(|to| (gateway.clone(), to, Message::Reply(reply))));
                     }
                     AcceptorOutput::Request { to, request } => {
-                        self.in_transit.push_back((own.clone(), to, Message::Request(request)));
+                        self.in_transit.push_back((gateway.clone(), to, Message::Request(request)));
                     }
                     AcceptorOutput::PeerReply { to, reply } => {
-                        self.in_transit.push_back((own.clone(), to, Message::Reply(reply)));
+                        self.in_transit.push_back((gateway.clone(), to, Message::Reply(reply)));
                     }
                     AcceptorOutput::Event(_) => {}
                 }
             }
         }
         let mut outputs = Vec::new();
-        for (own, (candidate, _)) in &mut self.gateways {
+        for (gateway, (candidate, _)) in &mut self.gateways {
             while let Some(output) = candidate.poll_output() {
-                outputs.push((own.clone(), output));
+                outputs.push((gateway.clone(), output));
             }
         }
-        for (own, output) in outputs {
+        for (gateway, output) in outputs {
             match output {
                 CandidateOutput::Request { to, request } => {
-                    self.in_transit.push_back((own, to, Message::Request(request)));
+                    self.in_transit.push_back((gateway, to, Message::Request(request)));
                 }
                 CandidateOutput::Released { to, lease, token } => {
-                    self.in_transit.push_back((own, to, Message::Released { lease, token }));
+                    self.in_transit.push_back((gateway, to, Message::Released { lease, token }));
                 }
                 CandidateOutput::Offer { to, lease } => {
                     let to = gateway_of(&self.gateways, to);
-                    self.in_transit.extend(to.map(|to| (own, to, Message::Offer { lease })));
+                    self.in_transit.extend(to.map(|to| (gateway, to, Message::Offer { lease })));
                 }
                 CandidateOutput::Event(_) => {}
             }
@@ -183,30 +186,28 @@
     assert_eq!(fleet.holder("bills"), ranked("bills", &fleet.participants()).into_iter().next());
     let before = fleet.request_count;
     fleet.run(10 * SECOND);
-    // Three renewals a second at three acceptors, and two others that claim from each once in a duration.
+    // The holder sends three renewals per second to three acceptors. Two other gateways claim from each acceptor once
+    // per lease duration.
     assert!(fleet.request_count - before < 250, "{} requests", fleet.request_count - before);
 }
 
 #[test]
 fn a_gateway_of_a_better_rank_takes_over_after_the_minimum_tenure_and_not_before() {
     let order = ranked("bills", &Fleet::new(8, &[]).participants());
-    let last: usize = order[0].strip_prefix("gateway-").and_then(|at| at.parse().ok()).expect("a number");
+    let last: usize =
+        order[0].strip_prefix("gateway-").and_then(|index| index.parse().ok()).expect("a number");
     let mut fleet = Fleet::new(8, &[lease()]);
-    let first = fleet.gateways.remove(&order[0]).expect("it is there");
+    let first = fleet.gateways.remove(&order[0]).expect("the gateway exists");
     drop(first);
     fleet.run(3 * SECOND);
     assert_eq!(fleet.holder("bills").as_ref(), Some(&order[1]));
     fleet.join(last, &[lease()]);
     fleet.run(5 * SECOND);
-    assert_eq!(
-        fleet.holder("bills").as_ref(),
-        Some(&order[1]),
-        "it has held it for less than the minimum tenure"
-    );
+    assert_eq!(fleet.holder("bills").as_ref(), Some(&order[1]), "the holder's tenure is below the minimum");
     fleet.run(6 * SECOND);
     assert_eq!(fleet.holder("bills").as_ref(), Some(&order[0]));
     fleet.run(20 * SECOND);
-    assert_eq!(fleet.holder("bills").as_ref(), Some(&order[0]), "it stays");
+    assert_eq!(fleet.holder("bills").as_ref(), Some(&order[0]), "the first rank keeps the lease");
 }
 
 #[test]
@@ -217,41 +218,41 @@
     fleet.unwilling = vec![order[0].clone()];
     fleet.run(400 * MILLISECOND);
     assert_eq!(fleet.holder("bills").as_ref(), Some(&order[1]));
-    // Long after the minimum tenure of the second.
+    // The minimum tenure of the second gateway has passed long ago.
     fleet.run(25 * SECOND);
     assert_eq!(fleet.holder("bills").as_ref(), Some(&order[1]));
 }
 
 #[test]
 fn a_gateway_that_shuts_down_hands_its_leases_over_at_once() {
-    let leases: Vec<Name> = (0..40).map(|at| format!("job-{at}").into()).collect();
+    let leases: Vec<Name> = (0..40).map(|index| format!("job-{index}").into()).collect();
     let mut fleet = Fleet::new(5, &leases);
     fleet.run(4 * SECOND);
     let held = |fleet: &Fleet| leases.iter().filter(|lease| fleet.holder(lease).is_some()).count();
     assert_eq!(held(&fleet), 40);
-    let shut_down = |fleet: &mut Fleet, at: usize| {
+    let shut_down = |fleet: &mut Fleet, index: usize| {
         let now = fleet.now;
-        let (candidate, candidacy) = fleet.gateways.get_mut(&name(at)).expect("it runs");
+        let (candidate, candidacy) = fleet.gateways.get_mut(&name(index)).expect("the process runs");
         candidacy.shut_down(now, candidate);
         fleet.drain_outputs();
         fleet.run(5 * MILLISECOND);
-        fleet.gateways.remove(&name(at));
+        fleet.gateways.remove(&name(index));
     };
     shut_down(&mut fleet, 4);
     fleet.run(250 * MILLISECOND);
     assert_eq!(held(&fleet), 40);
 }
 
-/// Danger: the notification that a lease was released arrives while a claim is under way whose rejections are from before it,
-/// and the next gateways wait for the end of a lease that nobody holds.
+/// The notification of a release may arrive during a claim whose rejections were sent before the release. The
+/// successors must not wait for the expiry of a lease that no gateway holds.
 #[test]
 fn a_lease_released_at_any_moment_is_held_by_the_next_at_once() {
     for offset in 0..60 {
         let mut fleet = Fleet::new(5, &[lease()]);
         fleet.run(3 * SECOND + offset * 20 * MILLISECOND);
-        let holder = fleet.holder("bills").expect("somebody holds it");
+        let holder = fleet.holder("bills").expect("a gateway holds the lease");
         let now = fleet.now;
-        let (candidate, candidacy) = fleet.gateways.get_mut(&holder).expect("it runs");
+        let (candidate, candidacy) = fleet.gateways.get_mut(&holder).expect("the process runs");
         assert!(candidacy.release(now, &lease(), candidate));
         fleet.drain_outputs();
         fleet.run(300 * MILLISECOND);
@@ -264,15 +265,15 @@
 fn operators_release_a_lease_only_where_it_is_held() {
     let mut fleet = Fleet::new(4, &[lease()]);
     fleet.run(3 * SECOND);
-    let holder = fleet.holder("bills").expect("somebody holds it");
+    let holder = fleet.holder("bills").expect("a gateway holds the lease");
     let now = fleet.now;
     let mut released = Vec::new();
-    for (own, (candidate, candidacy)) in &mut fleet.gateways {
-        released.push((own.clone(), candidacy.release(now, &lease(), candidate)));
+    for (gateway, (candidate, candidacy)) in &mut fleet.gateways {
+        released.push((gateway.clone(), candidacy.release(now, &lease(), candidate)));
     }
-    assert!(released.iter().all(|(own, released)| *released == (*own == holder)), "{released:?}");
+    assert!(released.iter().all(|(gateway, released)| *released == (*gateway == holder)), "{released:?}");
     fleet.run(300 * MILLISECOND);
     assert!(fleet.holder("bills").is_some_and(|now| now != holder));
-    let mut candidacy = Candidacy::new(&name(0), TERMS);
+    let mut candidacy = Candidacy::new(&name(0), SETTINGS);
     assert!(candidacy.add(&lease()) && !candidacy.add(&lease()), "a lease's name is registered once");
 }
--- a/crates/lease/tests/election.rs
+++ b/crates/lease/tests/election.rs
@@ -1,14 +1,15 @@
-//! Acceptors and candidates under random schedules of loss, delay, duplication, restarts, lost stores and uneven clocks.
+//! Tests of acceptors and candidates under random schedules of message loss, delay, duplication, restarts, lost stores
+//! and clocks with different rates.
 
 mod simulation;
 
 use fernscale_lease::acceptor::{Acceptor, DurableState, Event as AcceptorEvent, Output as AcceptorOutput};
 use fernscale_lease::message::{AcceptorReply, AcceptorRequest};
 use fernscale_lease::{AcceptorSet, FencingToken, Name, ProcessId, MILLISECOND, SECOND};
-use simulation::{Message, Simulation, TERMS};
+use simulation::{Message, Simulation, SETTINGS};
 
 fn leases(count: usize) -> Vec<Name> {
-    (0..count).map(|at| format!("job-{at}").into()).collect()
+    (0..count).map(|index| format!("job-{index}").into()).collect()
 }
 
 #[test]
@@ -17,14 +18,14 @@
         let acceptors = [3, 5, 7][seed as usize % 3];
         let leases = leases(3);
         let mut simulation = Simulation::new(acceptors, 4, &leases, seed + 1);
-        // Candidates that claim while the last acceptor is admitted may split the grants of a lease once.
-        simulation.run(3 * SECOND + TERMS.duration);
+        // Candidates that claim while the last acceptor is being admitted may split the grants of a lease once.
+        simulation.run(3 * SECOND + SETTINGS.duration);
         assert!(simulation.are_held(&leases), "seed {seed}: no holder after the start");
         simulation.loss_percent = 20;
         simulation.max_delay = 150 * MILLISECOND;
         for _ in 0..10 {
-            let until = simulation.now + 200 * MILLISECOND + simulation.random.below(1_500 * MILLISECOND);
-            simulation.run(until);
+            let end = simulation.now + 200 * MILLISECOND + simulation.random.below(1_500 * MILLISECOND);
+            simulation.run(end);
             let acceptor = simulation.random.below(acceptors as u64) as usize;
             let candidate = simulation.random.below(4) as usize;
             let down = simulation
@@ -33,7 +34,7 @@
                 .filter(|acceptor| acceptor.as_ref().is_none_or(|(own, _)| !own.is_voting()))
                 .count();
             match simulation.random.below(6) {
-                // Fewer than a half are down at a time, and at most one has lost its store.
+                // Fewer than half of the acceptors are down at a time, and at most one acceptor has lost its store.
                 0 | 1 if 2 * (down + 1) < acceptors => simulation.acceptors[acceptor] = None,
                 2 if down == 0 => {
                     simulation.acceptors[acceptor] = None;
@@ -44,25 +45,25 @@
                 4 => simulation.candidates[candidate] = None,
                 _ => {}
             }
-            for at in 0..acceptors {
-                if simulation.acceptors[at].is_none() && simulation.random.below(3) == 0 {
-                    simulation.start_acceptor(at);
+            for index in 0..acceptors {
+                if simulation.acceptors[index].is_none() && simulation.random.below(3) == 0 {
+                    simulation.start_acceptor(index);
                 }
             }
         }
         simulation.loss_percent = 0;
         simulation.max_delay = 2 * MILLISECOND;
-        for at in 0..acceptors {
-            if simulation.acceptors[at].is_none() {
-                simulation.start_acceptor(at);
+        for index in 0..acceptors {
+            if simulation.acceptors[index].is_none() {
+                simulation.start_acceptor(index);
             }
         }
-        for at in 0..4 {
-            if simulation.candidates[at].is_none() {
-                simulation.start_candidate(at, &leases);
+        for index in 0..4 {
+            if simulation.candidates[index].is_none() {
+                simulation.start_candidate(index, &leases);
             }
         }
-        simulation.run(simulation.now + 2 * TERMS.duration + 3 * SECOND);
+        simulation.run(simulation.now + 2 * SETTINGS.duration + 3 * SECOND);
         assert!(simulation.are_held(&leases), "seed {seed}: no holder in the end");
     }
 }
@@ -76,19 +77,22 @@
     assert_eq!(held(&simulation), 20);
     // The first candidate holds most leases, as it claimed first.
     simulation.candidates[0] = None;
-    simulation.run(simulation.now + TERMS.duration + SECOND);
+    simulation.run(simulation.now + SETTINGS.duration + SECOND);
     assert_eq!(held(&simulation), 20);
-    let release_all = |simulation: &mut Simulation, at: usize| {
-        simulation.candidates[at].as_mut().expect("it runs").release_all();
-        simulation.drain_candidate(at);
-        simulation.candidates[at] = None;
+    let release_all = |simulation: &mut Simulation, index: usize| {
+        simulation.candidates[index].as_mut().expect("the process runs").release_all();
+        simulation.drain_candidate(index);
+        simulation.candidates[index] = None;
     };
     simulation.start_candidate(0, &leases);
     simulation.run(simulation.now + SECOND);
     release_all(&mut simulation, 1);
-    let began = simulation.now;
+    let start = simulation.now;
     while held(&simulation) < 20 {
-        assert!(simulation.now < began + TERMS.duration + SECOND, "they are not acquired by others");
+        assert!(
+            simulation.now < start + SETTINGS.duration + SECOND,
+            "other candidates have not acquired the released leases"
+        );
         simulation.run(simulation.now + 5 * MILLISECOND);
     }
 }
@@ -99,12 +103,12 @@
     let mut simulation = Simulation::new(5, 2, &leases, 9);
     simulation.run(3 * SECOND);
     let before = simulation.last_token.clone();
-    (0..5).for_each(|at| simulation.acceptors[at] = None);
+    (0..5).for_each(|index| simulation.acceptors[index] = None);
     simulation.run(simulation.now + SECOND);
-    // One has lost its store.
+    // One acceptor has lost its store.
     simulation.disks[2] = DurableState::default();
-    (0..5).for_each(|at| simulation.start_acceptor(at));
-    simulation.run(simulation.now + 3 * TERMS.duration);
+    (0..5).for_each(|index| simulation.start_acceptor(index));
+    simulation.run(simulation.now + 3 * SETTINGS.duration);
     assert!(simulation.acceptors.iter().flatten().all(|(acceptor, _)| acceptor.is_voting()));
     assert!(simulation.are_held(&leases));
     assert!(leases.iter().all(|lease| simulation.last_token[lease] >= before[lease]));
@@ -114,23 +118,23 @@
         .any(|(_, event)| *event == AcceptorEvent::StartedVoting { recovered: true }));
 }
 
-/// Danger: at the very first start one acceptor learns that nobody has promised anything, and promises before the others
-/// have learnt the same: they would never be admitted.
+/// At the first start, one acceptor learns before the others that no acceptor has promised anything. If it promised at
+/// once, the others could never be admitted.
 #[test]
 fn acceptors_that_hear_each_other_at_different_times_at_the_first_start_all_vote() {
     for seed in 1..20 {
         let leases = leases(3);
         let mut simulation = Simulation::new(3, 2, &leases, seed);
-        // Messages to two of them are lost for a while.
-        let until = simulation.now + 2 * SECOND;
-        while simulation.now < until {
+        // Messages to two of the acceptors are lost for two seconds.
+        let end = simulation.now + 2 * SECOND;
+        while simulation.now < end {
             simulation.in_transit.retain(|_, message| match message {
                 Message::Request(to, ..) | Message::PeerReply(to, ..) => *to == 0,
                 _ => true,
             });
             simulation.run(simulation.now + MILLISECOND);
         }
-        simulation.run(simulation.now + 4 * TERMS.duration);
+        simulation.run(simulation.now + 4 * SETTINGS.duration);
         assert!(
             simulation.acceptors.iter().flatten().all(|(acceptor, _)| acceptor.is_voting()),
             "seed {seed}"
@@ -139,22 +143,22 @@
     }
 }
 
-/// Three acceptors are replaced by three of which one is new, then by three that have none in common with the first, while
-/// holders come and go: the promises of the first set bind the last.
+/// The set of three acceptors changes twice while holders change: each change replaces one acceptor. Promises of the
+/// first set bind the last set.
 #[test]
 fn a_term_keeps_its_holder_across_changes_of_the_acceptor_set() {
     for seed in 1..20 {
         let leases = leases(3);
         let mut simulation = Simulation::new(5, 0, &leases, seed);
-        (3..5).for_each(|at| simulation.acceptors[at] = None);
+        (3..5).for_each(|index| simulation.acceptors[index] = None);
         let three =
-            |from: usize| -> Vec<Name> { (from..from + 3).map(|at| format!("v{at}").into()).collect() };
+            |from: usize| -> Vec<Name> { (from..from + 3).map(|index| format!("v{index}").into()).collect() };
         simulation.acceptor_set = AcceptorSet::initial(&three(0));
-        (0..3).for_each(|at| simulation.disks[at] = DurableState::default());
-        (0..3).for_each(|at| simulation.start_acceptor(at));
+        (0..3).for_each(|index| simulation.disks[index] = DurableState::default());
+        (0..3).for_each(|index| simulation.start_acceptor(index));
         simulation.candidates = (0..4).map(|_| None).collect();
         simulation.clock_rates.resize(9, 1_000_000);
-        (0..4).for_each(|at| simulation.start_candidate(at, &leases));
+        (0..4).for_each(|index| simulation.start_candidate(index, &leases));
         simulation.run(simulation.now + 3 * SECOND);
         assert!(simulation.are_held(&leases), "seed {seed}: at first");
         simulation.loss_percent = 10;
@@ -163,23 +167,23 @@
             let before = simulation.acceptor_set.names.clone();
             simulation.acceptor_set =
                 AcceptorSet { epoch: number as u32, names: three(number), previous_names: before };
-            // The previous members and the new one restart in some order, and candidates in between.
+            // The previous members and the new member restart in a random order, and candidates restart in between.
             let mut sequence: Vec<usize> = (number - 1..number + 3).collect();
-            for at in (1..sequence.len()).rev() {
-                sequence.swap(at, simulation.random.below(at as u64 + 1) as usize);
+            for index in (1..sequence.len()).rev() {
+                sequence.swap(index, simulation.random.below(index as u64 + 1) as usize);
             }
-            for at in sequence {
-                simulation.start_acceptor(at);
+            for index in sequence {
+                simulation.start_acceptor(index);
                 let candidate = simulation.random.below(4) as usize;
                 simulation.start_candidate(candidate, &leases);
-                let until = simulation.now + simulation.random.below(900 * MILLISECOND);
-                simulation.run(until);
+                let end = simulation.now + simulation.random.below(900 * MILLISECOND);
+                simulation.run(end);
             }
-            (0..4).for_each(|at| simulation.start_candidate(at, &leases));
-            simulation.run(simulation.now + 3 * TERMS.duration + 3 * SECOND);
+            (0..4).for_each(|index| simulation.start_candidate(index, &leases));
+            simulation.run(simulation.now + 3 * SETTINGS.duration + 3 * SECOND);
             assert!(simulation.are_held(&leases), "seed {seed}: after change {number}");
-            let voting = |at: &usize| {
-                simulation.acceptors[*at].as_ref().is_some_and(|(acceptor, _)| acceptor.is_voting())
+            let voting = |index: &usize| {
+                simulation.acceptors[*index].as_ref().is_some_and(|(acceptor, _)| acceptor.is_voting())
             };
             assert_eq!((0..5).filter(voting).collect::<Vec<_>>(), (number..number + 3).collect::<Vec<_>>());
         }
@@ -187,51 +191,55 @@
     }
 }
 
-/// Danger: of two that claim at once each has one acceptor's grant, and each waits until the other's has expired, which nobody
-/// wants any more.
+/// Two candidates that claim at once each get the grant of one acceptor. Neither candidate must wait for the expiry of
+/// the other's grant, as the other candidate abandons its claim too.
 #[test]
 fn candidates_that_split_the_acceptors_do_not_wait_for_each_others_grants() {
     for seed in 1..25 {
         let leases = leases(6);
         let mut simulation = Simulation::new(3, 3, &leases, seed);
-        simulation.run(3 * SECOND + TERMS.duration);
+        simulation.run(3 * SECOND + SETTINGS.duration);
         // Messages take longer than the start delay between candidates, and one acceptor's disk has failed.
         simulation.max_delay = 12 * MILLISECOND;
         let time = simulation.time(2);
-        simulation.acceptors[2].as_mut().expect("it runs").0.write_completed(time, 0, false);
+        simulation.acceptors[2].as_mut().expect("the process runs").0.write_completed(time, 0, false);
         simulation.run(simulation.now + SECOND);
         assert!(simulation.are_held(&leases), "seed {seed}");
         simulation.candidates[1] = None;
-        simulation.run(simulation.now + TERMS.duration + SECOND);
-        assert!(simulation.are_held(&leases), "seed {seed}: not within a lease and a second");
+        simulation.run(simulation.now + SETTINGS.duration + SECOND);
+        assert!(simulation.are_held(&leases), "seed {seed}: not held after a lease duration and a second");
     }
 }
 
-/// Danger: a holder crashes together with an acceptor, and two claim its leases at once. The restarted acceptor does not know
-/// for one duration who holds them: a candidate that takes that for a holder's lease leaves them to nobody for as long again.
+/// A holder and an acceptor crash, and two candidates claim the holder's leases at once. For one lease duration the
+/// restarted acceptor does not know the holders. If a candidate treated this as a lease of a live holder, the leases
+/// would have no holder for a second duration.
 #[test]
 fn an_acceptor_that_restarts_does_not_withhold_the_lease_of_a_crashed_holder_twice() {
     for seed in 1..40 {
         let leases = leases(6);
         let mut simulation = Simulation::new(3, 3, &leases, seed);
-        simulation.run(3 * SECOND + TERMS.duration);
+        simulation.run(3 * SECOND + SETTINGS.duration);
         assert!(simulation.are_held(&leases), "seed {seed}");
         simulation.max_delay = 12 * MILLISECOND;
-        let earlier = simulation.disks[0].clone();
-        // A renewal by a higher term, which the store that is restored does not have.
+        let outdated_state = simulation.disks[0].clone();
+        // The leases are acquired with higher terms, which the outdated store lacks.
         simulation.start_candidate(0, &leases);
-        simulation.run(simulation.now + TERMS.duration + SECOND);
-        assert!(simulation.are_held(&leases), "seed {seed}: not within a lease and a second");
+        simulation.run(simulation.now + SETTINGS.duration + SECOND);
+        assert!(simulation.are_held(&leases), "seed {seed}: not held after a lease duration and a second");
         simulation.acceptors[0] = None;
         simulation.candidates[1] = None;
         simulation.run(simulation.now + SECOND);
         if seed % 2 == 0 {
-            simulation.disks[0] = earlier;
+            simulation.disks[0] = outdated_state;
         }
         simulation.start_acceptor(0);
-        simulation.run(simulation.now + TERMS.duration);
+        simulation.run(simulation.now + SETTINGS.duration);
         let without: Vec<_> = leases.iter().filter(|lease| !simulation.is_held(lease)).collect();
-        assert!(without.is_empty(), "seed {seed}: {without:?} have no holder after a lease and a second");
+        assert!(
+            without.is_empty(),
+            "seed {seed}: {without:?} have no holder after a lease duration and a second"
+        );
     }
 }
 
@@ -240,16 +248,19 @@
     let leases = leases(1);
     let mut simulation = Simulation::new(3, 2, &leases, 11);
     simulation.run(2 * SECOND);
-    let earlier = simulation.disks[0].clone();
-    // The holder ends, so that another term is promised after this.
-    let holder = (0..2).find(|at| {
-        let candidate = simulation.candidates[*at].as_ref().expect("it runs");
-        candidate.authorization(simulation.time(3 + at), &leases[0]).is_some()
+    let outdated_state = simulation.disks[0].clone();
+    // The holder ends, so that the acceptors promise another term.
+    let holder = (0..2).find(|index| {
+        let candidate = simulation.candidates[*index].as_ref().expect("the process runs");
+        candidate.authorization(simulation.time(3 + index), &leases[0]).is_some()
     });
-    simulation.candidates[holder.expect("one holds it")] = None;
-    simulation.run(simulation.now + TERMS.duration + SECOND);
-    assert!(simulation.disks[0].write_count > earlier.write_count, "it has promised nothing since");
-    simulation.disks[0] = earlier;
+    simulation.candidates[holder.expect("a candidate holds the lease")] = None;
+    simulation.run(simulation.now + SETTINGS.duration + SECOND);
+    assert!(
+        simulation.disks[0].write_count > outdated_state.write_count,
+        "the acceptor has promised nothing since the copy"
+    );
+    simulation.disks[0] = outdated_state;
     simulation.start_acceptor(0);
     simulation.run(simulation.now + SECOND);
     let outputs: Vec<_> = simulation.events.iter().map(|(_, event)| event.clone()).collect();
@@ -266,19 +277,19 @@
     let leases = leases(1);
     let mut simulation = Simulation::new(3, 2, &leases, 3);
     simulation.run(2 * SECOND);
-    (0..2).for_each(|at| simulation.acceptors[at] = None);
-    simulation.run(simulation.now + TERMS.duration + 100 * MILLISECOND);
+    (0..2).for_each(|index| simulation.acceptors[index] = None);
+    simulation.run(simulation.now + SETTINGS.duration + 100 * MILLISECOND);
     assert!(!simulation.is_held(&leases[0]));
     let mut acceptor = Acceptor::new(
         &"a".into(),
         ProcessId(1),
         &AcceptorSet::initial(&["a".into()]),
-        TERMS,
+        SETTINGS,
         DurableState::default(),
         0,
     );
     let mut number = 0;
-    // It initializes its store first, and votes once a majority has.
+    // The acceptor first initializes its store, and votes once a majority of the set has initialized its stores.
     for now in [0, 1] {
         acceptor.handle_timeout(now);
         while let Some(output) = acceptor.poll_output() {
--- a/crates/lease/tests/ranking.rs
+++ b/crates/lease/tests/ranking.rs
@@ -1,4 +1,4 @@
-//! The ranks of gateways for leases.
+//! Tests of the ranks of gateways for leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,28 +16,37 @@
 #[test]
 fn leases_are_spread_evenly_and_few_move_with_a_gateway() {
     let leases = leases(1_000);
-    let all = participants(30);
-    let fewer = participants(29);
-    let mut each: BTreeMap<Name, usize> = BTreeMap::new();
+    let participants_before = participants(30);
+    let participants_after = participants(29);
+    let mut leases_per_gateway: BTreeMap<Name, usize> = BTreeMap::new();
     let mut moved = 0;
     for lease in &leases {
-        let first = first_ranked(lease, &all).expect("there are some");
-        moved += usize::from(first != first_ranked(lease, &fewer).expect("there are some"));
-        *each.entry(first).or_default() += 1;
+        let first = first_ranked(lease, &participants_before).expect("at least one participant");
+        moved +=
+            usize::from(first != first_ranked(lease, &participants_after).expect("at least one participant"));
+        *leases_per_gateway.entry(first).or_default() += 1;
     }
-    // A thirtieth of a thousand each, with the variance of a hash.
-    assert!(each.len() == 30 && each.values().all(|leases| (15..60).contains(leases)), "{each:?}");
-    // Only those of the gateway that is gone.
-    assert!(moved < 60, "{moved} moved");
+    // Each gateway ranks first for about 1,000 / 30 leases, with the variance of a hash.
+    assert!(
+        leases_per_gateway.len() == 30 && leases_per_gateway.values().all(|leases| (15..60).contains(leases)),
+        "{leases_per_gateway:?}"
+    );
+    // Only the leases of the removed gateway move.
+    assert!(moved < 60, "{moved} leases moved");
 }
 
 #[test]
 fn an_unwilling_participant_ranks_last_and_every_rank_is_taken_once() {
-    let mut all = participants(5);
-    let chosen = first_ranked("job", &all).expect("there are some");
-    all.iter_mut().find(|own| own.name == chosen).expect("it is there").unwilling = true;
-    assert_eq!(rank_of("job", &all, &chosen), Some(4));
-    let ranks: BTreeSet<_> = all.iter().map(|own| rank_of("job", &all, &own.name)).collect();
+    let mut participants = participants(5);
+    let chosen = first_ranked("job", &participants).expect("at least one participant");
+    participants
+        .iter_mut()
+        .find(|participant| participant.name == chosen)
+        .expect("the participant exists")
+        .unwilling = true;
+    assert_eq!(rank_of("job", &participants, &chosen), Some(4));
+    let ranks: BTreeSet<_> =
+        participants.iter().map(|participant| rank_of("job", &participants, &participant.name)).collect();
     assert_eq!(ranks, (0..5).map(Some).collect());
-    assert_eq!(rank_of("job", &all, "stranger"), None);
+    assert_eq!(rank_of("job", &participants, "stranger"), None);
 }
--- a/crates/lease/tests/replicated_list.rs
+++ b/crates/lease/tests/replicated_list.rs
@@ -1,4 +1,4 @@
-//! The list that one gateway polls and replicates, under loss, duplication and delays, with holders that change, pause and act
+//! Tests of the replicated list under message loss, duplication and delays, with holders that change, pause and act
 //! late.
 
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, most: u64) -> u64 {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % most.max(1)
+        self.0 % bound.max(1)
     }
 }
 
@@ -25,7 +25,7 @@
     Entry { name: format!("server-{name}"), removed: text == u64::MAX, body: format!("{text}") }
 }
 
-/// The source: the latest change of each entry, with its version, in their order.
+/// The source: the latest change of each entry with its index, sorted by index.
 #[derive(Default)]
 struct Source {
     changes: Vec<(u64, Entry)>,
@@ -93,8 +93,9 @@
         }
     }
 
-    fn token(&self, at: usize) -> Option<FencingToken> {
-        (self.holder == Some(at)).then_some(FencingToken { term: self.term, process: ProcessId(at as u64) })
+    fn token(&self, gateway_index: usize) -> Option<FencingToken> {
+        (self.holder == Some(gateway_index))
+            .then_some(FencingToken { term: self.term, process: ProcessId(gateway_index as u64) })
     }
 
     fn elect(&mut self, gateway: usize) {
@@ -103,20 +104,20 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: ListMessage) {
-        let side = |at: usize| self.partitioned.contains(&at);
+        let side = |gateway_index: usize| self.partitioned.contains(&gateway_index);
         if from == to || side(from) != side(to) || self.random.below(100) < self.loss_percent {
             return;
         }
         for _ in 0..=u64::from(self.random.below(10) == 0) {
             self.sequence += 1;
-            let at = self.now + 1 + self.random.below(self.max_delay);
-            self.in_transit.insert((at, self.sequence), (from, to, message.clone()));
+            let arrival = self.now + 1 + self.random.below(self.max_delay);
+            self.in_transit.insert((arrival, self.sequence), (from, to, message.clone()));
         }
     }
 
     fn run(&mut self, time: Micros) {
-        let until = self.now + time;
-        while self.now < until {
+        let end = self.now + time;
+        while self.now < end {
             self.now += 5 * MILLISECOND;
             while let Some(first) = self.in_transit.first_entry().filter(|first| first.key().0 <= self.now) {
                 let (from, to, message) = first.remove();
@@ -126,38 +127,40 @@
                     self.drain_outputs(to);
                 }
             }
-            for at in 0..self.gateways.len() {
-                if !self.paused.contains(&at) {
-                    let is_holder = self.holder == Some(at);
-                    self.gateways[at].0.handle_timeout(self.now, is_holder, at);
-                    self.drain_outputs(at);
+            for gateway_index in 0..self.gateways.len() {
+                if !self.paused.contains(&gateway_index) {
+                    let is_holder = self.holder == Some(gateway_index);
+                    self.gateways[gateway_index].0.handle_timeout(self.now, is_holder, gateway_index);
+                    self.drain_outputs(gateway_index);
                 }
             }
         }
     }
 
-    fn drain_outputs(&mut self, at: usize) {
-        while let Some(output) = self.gateways[at].0.poll_output() {
+    fn drain_outputs(&mut self, gateway_index: usize) {
+        while let Some(output) = self.gateways[gateway_index].0.poll_output() {
             let with_token = |simulation: &Simulation, fragment: Fragment| {
-                ListMessage::Fragment(simulation.token(at), fragment)
+                ListMessage::Fragment(simulation.token(gateway_index), fragment)
             };
             match output {
                 Output::Poll { since } => {
                     let reply = self.source.reply(since);
-                    let term = self.token(at).map(|token| token.term);
-                    self.gateways[at].0.poll_completed(self.now, reply, term);
+                    let term = self.token(gateway_index).map(|token| token.term);
+                    self.gateways[gateway_index].0.poll_completed(self.now, reply, term);
                 }
                 Output::Broadcast(fragment) => {
                     let message = with_token(self, fragment);
-                    (0..self.gateways.len()).for_each(|to| self.send(at, to, message.clone()));
+                    (0..self.gateways.len()).for_each(|to| self.send(gateway_index, to, message.clone()));
                 }
                 Output::SendFragment(to, fragment) => {
                     let message = with_token(self, fragment);
-                    self.send(at, to.parse().expect("a number"), message);
+                    self.send(gateway_index, to.parse().expect("a number"), message);
+                }
+                Output::SendMessage(to, message) => {
+                    self.send(gateway_index, to.parse().expect("a number"), message)
                 }
-                Output::SendMessage(to, message) => self.send(at, to.parse().expect("a number"), message),
                 Output::Updated(SourceReply { is_complete, entries, .. }) => {
-                    let copy = &mut self.gateways[at].1;
+                    let copy = &mut self.gateways[gateway_index].1;
                     if is_complete {
                         copy.clear();
                     }
@@ -172,18 +175,23 @@
                 Output::HandOver => self.holder = self.holder.map(|own| (own + 1) % self.gateways.len()),
                 Output::Rejected(_) => {}
             }
-            let version = self.gateways[at].0.version();
-            assert!(version >= self.versions[at], "the list of {at} goes back");
-            self.versions[at] = version;
+            let version = self.gateways[gateway_index].0.version();
+            assert!(
+                version >= self.versions[gateway_index],
+                "the list of gateway {gateway_index} returns to an earlier version"
+            );
+            self.versions[gateway_index] = version;
         }
     }
 
-    /// Whether all gateways that run have the list of the source.
+    /// Whether all running gateways have the list of the source.
     fn have_converged(&self) -> bool {
         let present = self.source.changes.iter().filter(|(_, own)| !own.removed);
         let expected: BTreeMap<_, _> = present.map(|(_, own)| (own.name.clone(), own.body.clone())).collect();
-        let is_running = |at: &usize| !self.paused.contains(at);
-        (0..self.gateways.len()).filter(is_running).all(|at| self.gateways[at].1 == expected)
+        let is_running = |gateway_index: &usize| !self.paused.contains(gateway_index);
+        (0..self.gateways.len())
+            .filter(is_running)
+            .all(|gateway_index| self.gateways[gateway_index].1 == expected)
     }
 }
 
@@ -198,7 +206,7 @@
         simulation.run(SECOND);
         assert!(simulation.have_converged());
     }
-    // Two a second by the holder, and none by others.
+    // The holder polls twice per second. The other gateways do not poll.
     assert!(simulation.source.polls - polls <= 16, "{} polls", simulation.source.polls - polls);
 }
 
@@ -210,13 +218,13 @@
         simulation.loss_percent = 20;
         simulation.max_delay = 400 * MILLISECOND;
         for step in 0..40 {
-            let at = simulation.random.below(8) as usize;
+            let gateway_index = simulation.random.below(8) as usize;
             match simulation.random.below(9) {
-                0 => simulation.elect(at),
+                0 => simulation.elect(gateway_index),
                 1 => simulation.holder = None,
-                2 => simulation.paused = vec![at],
+                2 => simulation.paused = vec![gateway_index],
                 3 => simulation.paused.clear(),
-                4 => simulation.partitioned = (0..at).collect(),
+                4 => simulation.partitioned = (0..gateway_index).collect(),
                 5 => simulation.partitioned.clear(),
                 6 => simulation.source.down = !simulation.source.down,
                 _ => {
@@ -253,13 +261,13 @@
         simulation.source.change(entry(2, change));
         simulation.run(SECOND);
     }
-    // About one a second in all, where each gateway would poll once a second.
+    // The whole fleet polls about once per second. Without turns each gateway would poll once per second.
     assert!(simulation.source.polls - polls < 25, "{} polls", simulation.source.polls - polls);
     simulation.run(MAX_AGE / 2);
     assert!(simulation.have_converged());
 }
 
-/// Danger: the gateways of a fleet that starts together poll all at once, as they do not know each other yet.
+/// When a fleet starts, the gateways do not know each other yet and could all poll at the same time.
 #[test]
 fn gateways_that_start_together_poll_at_random_times_with_a_list_and_at_once_without() {
     let first_deadline = |known_index, jitter| {
@@ -299,13 +307,13 @@
 fn an_old_list_is_stale_until_a_poll_has_succeeded_or_failed() {
     let mut list = ReplicatedList::new(&"list".into(), MAX_AGE, Some(4), SECOND, 0.0);
     assert!(!list.is_stale(SECOND));
-    // The process was suspended for long.
+    // The process was suspended for a long time.
     let late = 60 * SECOND;
     assert!(list.is_stale(late));
     list.handle_timeout(late, false, 0);
     assert_eq!(list.poll_output(), Some(Output::Poll { since: None }));
     list.poll_completed(late, None, None);
-    assert!(!list.is_stale(late), "a failed poll permits the use of the old list");
+    assert!(!list.is_stale(late), "after a failed poll the old list may be used");
 }
 
 #[test]
