--- a/crates/lease/tests/simulation/mod.rs
+++ b/crates/lease/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of acceptors and candidates in virtual time, with a network, disks and clocks that misbehave. It checks at each
-//! moment that no lease has two holders.
+//! A simulation of acceptors and candidates in virtual time, with a faulty network, faulty disks and inaccurate clocks.
+//! After each step it checks that no lease has two holders.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,40 +13,40 @@
     AcceptorSet, FencingToken, LeaseSettings, Micros, Name, ProcessId, MILLISECOND, SECOND,
 };
 
-pub const TERMS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
-/// A small generator, so that a seed is a schedule.
+pub const SETTINGS: LeaseSettings = LeaseSettings { duration: 2 * SECOND, max_drift_ppm: 20_000 };
+/// A random number generator whose seed determines the schedule of a simulation.
 pub struct Random(u64);
 
 impl Random {
-    pub fn below(&mut self, most: u64) -> u64 {
+    pub fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % most.max(1)
+        self.0 % bound.max(1)
     }
 }
 
-/// What happens at a later time. Acceptors go by their index.
+/// An event at a later time. Acceptors are identified by their index.
 pub enum Message {
     /// To an acceptor, from a process.
     Request(usize, ProcessId, AcceptorRequest),
     /// To a process, from an acceptor.
     Reply(ProcessId, Name, AcceptorReply),
-    /// To an acceptor, from another one.
+    /// To an acceptor, from another acceptor.
     PeerReply(usize, Name, AcceptorReply),
-    /// The writes of an acceptor's start up to a number are durable.
+    /// The writes of one start of an acceptor are durable up to a number. Fields: acceptor, start, number.
     Synced(usize, u64, u64),
 }
 
-/// A fleet in virtual time, with clocks that are up to a hundredth too fast or too slow.
+/// A fleet in virtual time. Its clocks are up to 1 % fast or slow.
 pub struct Simulation {
     pub now: Micros,
     pub random: Random,
     names: Vec<Name>,
-    /// The configuration of acceptors and candidates that start now.
+    /// The acceptor set that starting acceptors and candidates are configured with.
     pub acceptor_set: AcceptorSet,
     pub disks: Vec<DurableState>,
-    /// Writes that are not durable yet, in their order.
+    /// The pending writes of each acceptor, in order.
     writes: Vec<VecDeque<(u64, StateChange)>>,
     pub acceptors: Vec<Option<(Acceptor, u64)>>,
     pub candidates: Vec<Option<Candidate>>,
@@ -65,7 +65,7 @@
 
 impl Simulation {
     pub fn new(acceptors: usize, candidates: usize, leases: &[Name], seed: u64) -> Simulation {
-        let names: Vec<Name> = (0..acceptors).map(|at| format!("v{at}").into()).collect();
+        let names: Vec<Name> = (0..acceptors).map(|index| format!("v{index}").into()).collect();
         let mut simulation = Simulation {
             now: SECOND,
             random: Random(seed * 0x9e37_79b9 + 1),
@@ -88,32 +88,38 @@
         };
         simulation.clock_rates =
             (0..acceptors + candidates).map(|_| 990_000 + simulation.random.below(20_001)).collect();
-        (0..acceptors).for_each(|at| simulation.start_acceptor(at));
-        (0..candidates).for_each(|at| simulation.start_candidate(at, leases));
+        (0..acceptors).for_each(|index| simulation.start_acceptor(index));
+        (0..candidates).for_each(|index| simulation.start_candidate(index, leases));
         simulation
     }
 
-    pub fn time(&self, at: usize) -> Micros {
-        (u128::from(self.now) * u128::from(self.clock_rates[at]) / 1_000_000) as Micros
+    pub fn time(&self, index: usize) -> Micros {
+        (u128::from(self.now) * u128::from(self.clock_rates[index]) / 1_000_000) as Micros
     }
 
-    pub fn start_acceptor(&mut self, at: usize) {
+    pub fn start_acceptor(&mut self, index: usize) {
         self.starts += 1;
         let start = ProcessId(self.starts);
-        let time = self.time(at);
-        let acceptor =
-            Acceptor::new(&self.names[at], start, &self.acceptor_set, TERMS, self.disks[at].clone(), time);
-        self.acceptors[at] = Some((acceptor, self.starts));
-        self.writes[at].clear();
+        let time = self.time(index);
+        let acceptor = Acceptor::new(
+            &self.names[index],
+            start,
+            &self.acceptor_set,
+            SETTINGS,
+            self.disks[index].clone(),
+            time,
+        );
+        self.acceptors[index] = Some((acceptor, self.starts));
+        self.writes[index].clear();
     }
 
-    pub fn start_candidate(&mut self, at: usize, leases: &[Name]) {
+    pub fn start_candidate(&mut self, index: usize, leases: &[Name]) {
         self.starts += 1;
         let mut candidate =
-            Candidate::new(ProcessId(1_000 + self.starts), &self.acceptor_set, TERMS, self.starts);
-        let time = self.time(self.names.len() + at);
-        leases.iter().for_each(|lease| candidate.pursue(time, lease, at as Micros * 10 * MILLISECOND));
-        self.candidates[at] = Some(candidate);
+            Candidate::new(ProcessId(1_000 + self.starts), &self.acceptor_set, SETTINGS, self.starts);
+        let time = self.time(self.names.len() + index);
+        leases.iter().for_each(|lease| candidate.pursue(time, lease, index as Micros * 10 * MILLISECOND));
+        self.candidates[index] = Some(candidate);
     }
 
     fn send(&mut self, message: Message) {
@@ -124,35 +130,36 @@
     }
 
     fn push(&mut self, message: Message, copies: u64) {
-        let again = match (&message, copies) {
+        let duplicate = match (&message, copies) {
             (Message::Request(to, from, request), 2..) => Some(Message::Request(*to, *from, request.clone())),
             (Message::Reply(to, from, reply), 2..) => Some(Message::Reply(*to, from.clone(), reply.clone())),
             _ => None,
         };
-        for message in [Some(message), again].into_iter().flatten() {
+        for message in [Some(message), duplicate].into_iter().flatten() {
             self.sequence += 1;
-            let at = self.now + 1 + self.random.below(self.max_delay);
-            self.in_transit.insert((at, self.sequence), message);
+            let arrival = self.now + 1 + self.random.below(self.max_delay);
+            self.in_transit.insert((arrival, self.sequence), message);
         }
     }
 
     fn index_of(&self, name: &Name) -> usize {
-        self.names.iter().position(|own| own == name).expect("an acceptor")
+        self.names.iter().position(|known| known == name).expect("the name of an acceptor")
     }
 
-    fn drain_acceptor(&mut self, at: usize) {
-        while let Some(output) = self.acceptors[at].as_mut().and_then(|(acceptor, _)| acceptor.poll_output())
+    fn drain_acceptor(&mut self, index: usize) {
+        while let Some(output) =
+            self.acceptors[index].as_mut().and_then(|(acceptor, _)| acceptor.poll_output())
         {
-            let name = self.names[at].clone();
+            let name = self.names[index].clone();
             match output {
                 AcceptorOutput::Persist { number, change } => {
-                    let start = self.acceptors[at].as_ref().map_or(0, |(_, start)| *start);
-                    self.writes[at].push_back((number, change));
-                    self.send(Message::Synced(at, start, number));
+                    let start = self.acceptors[index].as_ref().map_or(0, |(_, start)| *start);
+                    self.writes[index].push_back((number, change));
+                    self.send(Message::Synced(index, start, number));
                 }
                 AcceptorOutput::Reply { to, reply } => self.send(Message::Reply(to, name, reply)),
                 AcceptorOutput::Request { to, request } => {
-                    self.send(Message::Request(self.index_of(&to), ProcessId(at as u64), request));
+                    self.send(Message::Request(self.index_of(&to), ProcessId(index as u64), request));
                 }
                 AcceptorOutput::PeerReply { to, reply } => {
                     self.send(Message::PeerReply(self.index_of(&to), name, reply));
@@ -162,18 +169,21 @@
         }
     }
 
-    pub fn drain_candidate(&mut self, at: usize) {
-        while let Some(output) = self.candidates[at].as_mut().and_then(Candidate::poll_output) {
+    pub fn drain_candidate(&mut self, index: usize) {
+        while let Some(output) = self.candidates[index].as_mut().and_then(Candidate::poll_output) {
             match output {
                 CandidateOutput::Request { to, request } => {
-                    let process = self.candidates[at].as_ref().expect("it runs").process();
+                    let process = self.candidates[index].as_ref().expect("the process runs").process();
                     self.send(Message::Request(self.index_of(&to), process, request));
                 }
                 CandidateOutput::Event(CandidateEvent::Acquired { lease, token }) => {
                     let holder = *self.holders.entry((lease.clone(), token.term)).or_insert(token.process);
                     assert_eq!(holder, token.process, "term {} of {lease} has two holders", token.term);
-                    let before = self.last_token.insert(lease, token);
-                    assert!(before.is_none_or(|before| before < token), "{before:?} before {token:?}");
+                    let previous = self.last_token.insert(lease, token);
+                    assert!(
+                        previous.is_none_or(|previous| previous < token),
+                        "{previous:?} before {token:?}"
+                    );
                 }
                 CandidateOutput::Released { .. }
                 | CandidateOutput::Offer { .. }
@@ -182,17 +192,18 @@
         }
     }
 
-    /// Advances the time. At no moment has a lease two holders, and the effects of holders arrive in the order of their terms.
-    pub fn run(&mut self, until: Micros) {
-        while self.now < until {
+    /// Runs until `end`. Checks after each step that no lease has two holders, and that effects arrive in the order of
+    /// terms.
+    pub fn run(&mut self, end: Micros) {
+        while self.now < end {
             self.now += MILLISECOND;
             while let Some(entry) = self.in_transit.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 let message = entry.remove();
                 self.deliver(message);
             }
-            (0..self.acceptors.len()).for_each(|at| self.tick_acceptor(at));
+            (0..self.acceptors.len()).for_each(|index| self.tick_acceptor(index));
             let mut held = BTreeSet::new();
-            (0..self.candidates.len()).for_each(|at| self.tick_candidate(at, &mut held));
+            (0..self.candidates.len()).for_each(|index| self.tick_candidate(index, &mut held));
         }
     }
 
@@ -212,56 +223,60 @@
                 self.drain_acceptor(to);
             }
             Message::Reply(to, from, reply) => self.deliver_reply(to, &from, reply),
-            Message::Synced(at, start, number) => self.complete_write(at, start, number),
+            Message::Synced(index, start, number) => self.complete_write(index, start, number),
         }
     }
 
     fn deliver_reply(&mut self, to: ProcessId, from: &Name, reply: AcceptorReply) {
-        let is_target =
-            |candidate: &Option<Candidate>| candidate.as_ref().is_some_and(|own| own.process() == to);
-        let Some(at) = self.candidates.iter().position(is_target) else { return };
-        let time = self.time(self.names.len() + at);
-        if let Some(candidate) = &mut self.candidates[at] {
+        let is_target = |candidate: &Option<Candidate>| {
+            candidate.as_ref().is_some_and(|candidate| candidate.process() == to)
+        };
+        let Some(index) = self.candidates.iter().position(is_target) else { return };
+        let time = self.time(self.names.len() + index);
+        if let Some(candidate) = &mut self.candidates[index] {
             candidate.handle_reply(time, from, reply);
         }
-        self.drain_candidate(at);
+        self.drain_candidate(index);
     }
 
-    fn complete_write(&mut self, at: usize, start: u64, number: u64) {
-        let time = self.time(at);
-        let Some((acceptor, current_start)) = &mut self.acceptors[at] else { return };
+    fn complete_write(&mut self, index: usize, start: u64, number: u64) {
+        let time = self.time(index);
+        let Some((acceptor, current_start)) = &mut self.acceptors[index] else { return };
         if *current_start == start {
-            while let Some((_, change)) = self.writes[at].pop_front_if(|(own, _)| *own <= number) {
-                self.disks[at].apply(&change);
+            while let Some((_, change)) =
+                self.writes[index].pop_front_if(|(write_number, _)| *write_number <= number)
+            {
+                self.disks[index].apply(&change);
             }
             acceptor.write_completed(time, number, true);
         }
-        self.drain_acceptor(at);
+        self.drain_acceptor(index);
     }
 
-    fn tick_acceptor(&mut self, at: usize) {
-        let time = self.time(at);
-        if let Some((acceptor, _)) = &mut self.acceptors[at] {
+    fn tick_acceptor(&mut self, index: usize) {
+        let time = self.time(index);
+        if let Some((acceptor, _)) = &mut self.acceptors[index] {
             acceptor.handle_timeout(time);
         }
-        self.drain_acceptor(at);
+        self.drain_acceptor(index);
     }
 
-    fn tick_candidate(&mut self, at: usize, held: &mut BTreeSet<Name>) {
-        let time = self.time(self.names.len() + at);
-        let Some(candidate) = &mut self.candidates[at] else { return };
+    fn tick_candidate(&mut self, index: usize, held: &mut BTreeSet<Name>) {
+        let time = self.time(self.names.len() + index);
+        let Some(candidate) = &mut self.candidates[index] else { return };
         if candidate.next_deadline().is_some_and(|deadline| deadline <= time) {
             candidate.handle_timeout(time);
         }
         let held_here: Vec<_> = candidate.lease_status(time).filter(|status| status.held.is_some()).collect();
         for status in held_here {
-            let authorization = candidate.authorization(time, &status.lease).expect("it is held");
+            let authorization =
+                candidate.authorization(time, &status.lease).expect("the candidate holds the lease");
             let token = authorization.token();
             assert!(held.insert(status.lease.clone()), "two hold {} at {} us", status.lease, self.now);
             let decision = self.guard.check(&status.lease, token);
             assert!(!matches!(decision, FencingDecision::Stale(_)), "{token:?} {decision:?}");
         }
-        self.drain_candidate(at);
+        self.drain_candidate(index);
     }
 
     pub fn are_held(&self, leases: &[Name]) -> bool {
@@ -270,10 +285,10 @@
 
     pub fn is_held(&self, lease: &Name) -> bool {
         let count = self.names.len();
-        let holds = |(at, candidate): (usize, &Option<Candidate>)| {
+        let holds = |(index, candidate): (usize, &Option<Candidate>)| {
             candidate
                 .as_ref()
-                .is_some_and(|candidate| candidate.authorization(self.time(count + at), lease).is_some())
+                .is_some_and(|candidate| candidate.authorization(self.time(count + index), lease).is_some())
         };
         self.candidates.iter().enumerate().any(holds)
     }
