--- a/crates/subsetting/src/assigner.rs
+++ b/crates/subsetting/src/assigner.rs
@@ -1,5 +1,6 @@
-//! Repeated assignment of servers to gateways, with what the last one left kept as far as it holds. Which gateway uses which
-//! server does not depend on earlier assignments; weights differ by no more than the tolerance of the fitting.
+//! Repeated assignment of servers to gateways. The assigner reuses the parts of the previous assignment that are still
+//! valid. The pairs of gateways and servers do not depend on earlier assignments, and the weights depend on them only
+//! within the tolerance of the fitting.
 
 mod flow;
 
@@ -10,17 +11,18 @@
 use crate::zones::{zone_flows, ZoneFlow};
 use crate::{effective_load, Assignment, Assignments, Gateway, Server, Settings, MIN_SUBSET_SIZE};
 
-/// Assigns servers to gateways again and again.
+/// Assigns servers to gateways, and reuses the previous assignment.
 #[derive(Clone, Debug, Default)]
 pub struct Assigner {
-    /// By the zones of the gateways and of the servers.
+    /// The flows of the previous assignment, by the zone of the gateways and the zone of the servers.
     flows: BTreeMap<(u32, u32), Flow>,
 }
 
 impl Assigner {
     /// Assigns the servers to the gateways.
     pub fn assign(&mut self, gateways: &[Gateway], servers: &[Server], settings: Settings) -> Assignments {
-        // Floating-point sums depend on the order of their terms, and gateways with one view must agree.
+        // Floating-point sums depend on the order of their terms, and gateways with the same view must get the same
+        // sums.
         let mut gateways_by_name: Vec<usize> = (0..gateways.len()).collect();
         gateways_by_name.sort_by(|one, other| gateways[*one].name.cmp(&gateways[*other].name));
         let mut usable_servers: Vec<usize> = (0..servers.len()).collect();
@@ -57,15 +59,15 @@
     }
 }
 
-/// Servers of each gateway in a flow that carries a share of its traffic: few if the share is small, but no fewer than survive
-/// two losses.
+/// Minimum number of servers of each gateway in a flow that carries a share of its traffic. A small share needs few
+/// servers, but enough to survive the loss of two.
 fn min_servers_of_flow(settings: Settings, share: f64) -> usize {
     let proportional = (settings.min_servers as f64 * share).ceil() as usize;
     proportional.max(MIN_SUBSET_SIZE).min(settings.min_servers.max(MIN_SUBSET_SIZE))
 }
 
-/// Gives a gateway with too few servers, as its zone has no more, the first others of its preference with weight 0: for when
-/// those that it has are lost.
+/// Adds spare servers with weight 0 to gateways with too few servers, as when a zone has few. The gateway's preference
+/// order selects them. A gateway uses a spare server when it loses its other servers.
 fn add_spare_servers(
     gateways: &[Gateway],
     servers: &[Server],
@@ -86,7 +88,8 @@
     }
 }
 
-/// Gives a server that no gateway uses, as no flow to its zone is worth a connection, to some gateways with weight 0.
+/// Assigns each unused server to some gateways with weight 0. A server is unused if no flow to its zone is worth a
+/// connection.
 fn add_spare_gateways(
     gateways: &[Gateway],
     servers: &[Server],
@@ -107,7 +110,7 @@
     }
 }
 
-/// Puts each gateway's servers in their order, with weights that sum to 1.
+/// Sorts each gateway's servers, and scales their weights to the sum 1.
 fn normalize(assignments: &mut Assignments) {
     for assigned in &mut assignments.by_gateway {
         assigned.sort_unstable_by_key(|assignment| assignment.server);
--- a/crates/subsetting/src/assigner/flow.rs
+++ b/crates/subsetting/src/assigner/flow.rs
@@ -1,18 +1,19 @@
-//! The pairs of gateways and servers that carry the traffic from one zone to another, and how much each carries. Gateways are
-//! rows and servers are columns, both by their position; what a pair's amount is used for is the assigner's.
+//! The pairs of gateways and servers that carry the traffic from one zone to another, and the amount of traffic of each
+//! pair. Gateways are rows and servers are columns, both identified by their positions. The assigner converts the
+//! amounts to weights.
 
 use std::collections::HashMap;
 
 use crate::fitting;
 use crate::hashing::{pair_hash, rounding_offset};
 
-/// Where the members of a side that were there before are now.
+/// How the positions of the rows, or of the columns, have changed since the last update.
 struct PositionChanges {
-    /// The previous position of each present one.
+    /// The previous position of each current member.
     previous: Vec<Option<usize>>,
-    /// The present position of each previous one.
-    present: Vec<Option<u32>>,
-    /// Present positions of those that were not there.
+    /// The current position of each previous member.
+    current: Vec<Option<u32>>,
+    /// The current positions of added members.
     added: Vec<usize>,
 }
 
@@ -22,25 +23,25 @@
             let all = 0..now.len();
             return PositionChanges {
                 previous: all.clone().map(Some).collect(),
-                present: all.map(|position| Some(position as u32)).collect(),
+                current: all.map(|position| Some(position as u32)).collect(),
                 added: Vec::new(),
             };
         }
         let positions: HashMap<u64, usize> =
             before.iter().enumerate().map(|(position, hash)| (*hash, position)).collect();
         let previous: Vec<Option<usize>> = now.iter().map(|hash| positions.get(hash).copied()).collect();
-        let mut present = vec![None; before.len()];
+        let mut current = vec![None; before.len()];
         for (position, previous) in previous.iter().enumerate() {
             if let Some(previous) = previous {
-                present[*previous] = Some(position as u32);
+                current[*previous] = Some(position as u32);
             }
         }
         let added = (0..now.len()).filter(|position| previous[*position].is_none()).collect();
-        PositionChanges { previous, present, added }
+        PositionChanges { previous, current, added }
     }
 }
 
-/// Which side a choice is made from. A pair has one hash, with the row's first.
+/// The side that chooses. Both sides use the same hash of a pair, with the row's hash as the first argument.
 #[derive(Clone, Copy)]
 enum Chooser {
     Row,
@@ -56,26 +57,27 @@
     }
 }
 
-/// One side's members as they are now: their hashes, and how many of the other side each is to choose.
+/// The current members of one side.
 struct Members {
     hashes: Vec<u64>,
+    /// How many members of the other side each member chooses.
     counts: Vec<usize>,
 }
 
-/// The choices of one side's members among the other side: for each the first ones by the hash of the pair.
+/// The choices of one side's members: each chooses the members of the other side with the lowest pair hashes.
 #[derive(Clone, Debug, Default)]
 struct Choices {
     hashes: Vec<u64>,
-    /// How many each chooses.
+    /// How many members of the other side each member chooses.
     counts: Vec<usize>,
-    /// Whom each has chosen, by position.
+    /// The positions of the members that each member has chosen.
     selected: Vec<Vec<u32>>,
-    /// The highest pair hash among those.
+    /// The highest pair hash among each member's choices.
     max_hashes: Vec<u64>,
 }
 
 impl Choices {
-    /// The choices of the members as they are now. Only those are made again that may have changed.
+    /// The choices of the current members. Recomputes only choices that may have changed.
     fn update(
         mut self,
         members: Members,
@@ -92,30 +94,31 @@
         let mut scratch = Vec::new();
         for (position, own_hash) in members.hashes.iter().enumerate() {
             let count = members.counts[position];
-            let still_holds = |previous: &usize| {
+            let is_reusable = |previous: &usize| {
                 self.counts[*previous] == count
-                    && self.holds(*previous, *own_hash, others, other_changes, chooser)
+                    && self.is_still_valid(*previous, *own_hash, others, other_changes, chooser)
             };
-            if let Some(previous) = own_changes.previous[position].filter(still_holds) {
+            if let Some(previous) = own_changes.previous[position].filter(is_reusable) {
                 let mut selected = std::mem::take(&mut self.selected[previous]);
                 for other in &mut selected {
-                    *other = other_changes.present[*other as usize].unwrap_or(0);
+                    *other = other_changes.current[*other as usize].unwrap_or(0);
                 }
                 updated.selected.push(selected);
                 updated.max_hashes.push(self.max_hashes[previous]);
                 continue;
             }
-            let first = first_by_hash(&mut scratch, *own_hash, others, count, chooser);
-            updated.max_hashes.push(first.iter().map(|(hash, _)| *hash).max().unwrap_or(0));
-            updated.selected.push(first.iter().map(|(_, other)| *other).collect());
+            let chosen = lowest_by_hash(&mut scratch, *own_hash, others, count, chooser);
+            updated.max_hashes.push(chosen.iter().map(|(hash, _)| *hash).max().unwrap_or(0));
+            updated.selected.push(chosen.iter().map(|(_, other)| *other).collect());
         }
         updated.hashes = members.hashes;
         updated.counts = members.counts;
         updated
     }
 
-    /// Whether a previous choice is still right: all that were chosen are there, and none that was added comes before them.
-    fn holds(
+    /// Whether a member's previous choices are still valid: all chosen members are present, and no added member has a
+    /// lower hash.
+    fn is_still_valid(
         &self,
         previous: usize,
         own_hash: u64,
@@ -123,15 +126,15 @@
         other_changes: &PositionChanges,
         chooser: Chooser,
     ) -> bool {
-        let is_present = |other: &u32| other_changes.present[*other as usize].is_some();
+        let is_present = |other: &u32| other_changes.current[*other as usize].is_some();
         let max_hash = self.max_hashes[previous];
         self.selected[previous].iter().all(is_present)
             && other_changes.added.iter().all(|added| chooser.pair_hash(own_hash, others[*added]) > max_hash)
     }
 }
 
-/// The first so many of the other side by the hash of the pair, in any order, with their hashes.
-fn first_by_hash<'s>(
+/// The `count` members of the other side with the lowest pair hashes, in any order, with these hashes.
+fn lowest_by_hash<'s>(
     scratch: &'s mut Vec<(u64, u32)>,
     own_hash: u64,
     others: &[u64],
@@ -147,32 +150,34 @@
     &scratch[..count.min(scratch.len())]
 }
 
-/// How many of the other side each chooses: so many that they have capacity for its part of all, doubled as they are shared.
+/// How many members of the other side each member chooses: twice its share of the total, as the chosen members are
+/// shared.
 ///
-/// Fractions are rounded by a hash of the name. Danger: all members of one size would else need one more at the same moment,
-/// and one gateway less would move a tenth of the pairs.
+/// A hash of the name determines how fractions are rounded. Otherwise all members of the same size would need one more
+/// at the same moment, and the loss of one gateway would move a tenth of the pairs.
 fn choice_counts(hashes: &[u64], amounts: &[f64], others: usize, min_count: usize) -> Vec<usize> {
     let total: f64 = amounts.iter().sum();
     let count = |(hash, amount): (&u64, &f64)| {
-        let wanted = 2.0 * amount / total * others as f64 + rounding_offset(*hash);
-        min_count.max(wanted.floor() as usize).min(others)
+        let target = 2.0 * amount / total * others as f64 + rounding_offset(*hash);
+        min_count.max(target.floor() as usize).min(others)
     };
     hashes.iter().zip(amounts).map(count).collect()
 }
 
+/// The pairs between the gateways of one zone and the servers of one zone, with their amounts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Flow {
     rows: Choices,
     columns: Choices,
-    /// The columns that each row uses, in their order.
+    /// The columns that each row uses, sorted.
     pairs: Vec<Vec<u32>>,
-    /// The amount of a pair is the product of its row's and its column's factor.
+    /// The amount of a pair is the product of its row factor and its column factor.
     row_factors: Vec<f64>,
     column_factors: Vec<f64>,
 }
 
 impl Flow {
-    /// Chooses the pairs for gateways with these loads and servers with these weights, and fits the amounts.
+    /// Chooses the pairs for gateways with the given loads and servers with the given weights, and fits the amounts.
     pub fn update(
         &mut self,
         row_hashes: Vec<u64>,
@@ -203,7 +208,7 @@
         columns.map(move |column| (column, row_factor * self.column_factors[column]))
     }
 
-    /// The pairs that either side has chosen.
+    /// The pairs that at least one side has chosen.
     fn chosen_pairs(&self) -> Vec<Vec<u32>> {
         let mut pairs = self.rows.selected.clone();
         for (column, selected) in self.columns.selected.iter().enumerate() {
@@ -219,8 +224,9 @@
     }
 }
 
-/// The factors from which the fitting starts: the previous ones, and for added columns their weight times the mean factor by
-/// weight. At first all are the weights, which is what a gateway that knew of no other would use.
+/// The initial column factors of the fitting: the previous factors, and for added columns their weight times the mean
+/// factor per weight. Without previous factors, the factors equal the weights, as for a gateway that knows no other
+/// gateway.
 fn initial_factors(previous: &[f64], changes: &PositionChanges, weights: &[f64]) -> Vec<f64> {
     let known = |column: usize| changes.previous[column].map(|position| previous[position]);
     let mut factor_sum = 0.0;
--- a/crates/subsetting/src/baselines.rs
+++ b/crates/subsetting/src/baselines.rs
@@ -1,4 +1,4 @@
-//! Other ways of subsetting, kept for comparison in measurements. No gateway uses them.
+//! Other subsetting algorithms, for comparison in measurements. Gateways do not use them.
 
 use crate::hashing::{name_hash, pair_hash};
 use crate::{Assignment, Assignments, Gateway, Server};
@@ -14,8 +14,8 @@
     Assignments { by_gateway: gateways.iter().map(|_| all()).collect() }
 }
 
-/// Contiguous subsets: servers in a ring by hash, of which each gateway takes so many from a position that follows from its
-/// number among all.
+/// Contiguous subsets: the servers form a ring in the order of their hashes. Each gateway takes `max_servers`
+/// successive servers from a position that is proportional to the gateway's index.
 pub fn contiguous(gateways: &[Gateway], servers: &[Server], max_servers: usize) -> Assignments {
     let mut ring: Vec<usize> = (0..servers.len()).collect();
     ring.sort_by_key(|server| name_hash(&servers[*server].name));
@@ -27,7 +27,8 @@
     Assignments { by_gateway: (0..gateways.len()).map(subset).collect() }
 }
 
-/// Round-robin subsets: the servers are shuffled once a round, alike for all, and divided among the gateways of the round.
+/// Round-robin subsets: each round shuffles the servers in the same way at all gateways, and divides them among the
+/// gateways of the round.
 pub fn round_robin(gateways: &[Gateway], servers: &[Server], max_servers: usize) -> Assignments {
     let size = max_servers.min(servers.len()).max(1);
     let gateways_per_round = (servers.len() / size).max(1);
--- a/crates/subsetting/src/evenness.rs
+++ b/crates/subsetting/src/evenness.rs
@@ -1,17 +1,17 @@
-//! Measures of assignments: how evenly they load the servers, how many pairs differ between two of them, and what servers get
-//! when gateways have different views. They decide nothing.
+//! Measures of assignments: how evenly an assignment loads the servers, how many pairs differ between two assignments,
+//! and the loads of servers when gateways have different views. Assignments do not depend on these measures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Assignments, Gateway, Server};
 
-/// How even an assignment is, and what it takes. Loads are relative to the server's part of all by weight, so that 1 is
-/// perfectly even.
+/// The evenness and the size of an assignment. A server's load is relative to its share of the total load by weight, so
+/// 1 is perfectly even.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evenness {
-    /// The load of the server that gets the most.
+    /// The highest load of a server.
     pub max_load: f64,
-    /// The load of the server that gets the least.
+    /// The lowest load of a server.
     pub min_load: f64,
     /// The mean deviation of a server's load from 1.
     pub mean_deviation: f64,
@@ -19,13 +19,13 @@
     pub pairs: usize,
     /// Number of servers that no gateway uses.
     pub uncovered: usize,
-    /// The most servers that one gateway uses.
+    /// The largest number of servers that one gateway uses.
     pub max_servers_of_gateway: usize,
-    /// The most gateways that use one server.
+    /// The largest number of gateways that use one server.
     pub max_gateways_of_server: usize,
 }
 
-/// Measures an assignment from the servers' side.
+/// Measures how evenly an assignment loads the servers.
 pub fn evenness(gateways: &[Gateway], servers: &[Server], assignments: &Assignments) -> Evenness {
     let mut loads = vec![0.0; servers.len()];
     let mut users = vec![0usize; servers.len()];
@@ -58,7 +58,7 @@
     }
 }
 
-/// The pairs that are in only one of two assignments, as a share of those that are in either.
+/// The pairs that are in only one of two assignments, as a share of the pairs that are in at least one of them.
 pub fn moved_share(
     before: (&[Gateway], &[Server], &Assignments),
     after: (&[Gateway], &[Server], &Assignments),
@@ -81,9 +81,9 @@
     pairs
 }
 
-/// The load of each server where gateways assign by different views: each gateway uses its own servers by its own view, as far
-/// as they exist. What it would send to a server that is gone goes to its others.
-pub fn together<'v>(
+/// The load of each server when gateways have different views. Each gateway uses the servers that its own view assigns
+/// to it. The traffic for servers that no longer exist goes to the gateway's other servers.
+pub fn loads_with_differing_views<'v>(
     gateways: &[Gateway],
     servers: &[Server],
     view: impl Fn(usize) -> (&'v [Gateway], &'v [Server], &'v Assignments),
@@ -91,11 +91,13 @@
     let positions: BTreeMap<&str, usize> =
         servers.iter().enumerate().map(|(position, server)| (&*server.name, position)).collect();
     let mut loads = vec![0.0; servers.len()];
-    for (number, gateway) in gateways.iter().enumerate() {
-        let (seen_gateways, seen_servers, assignments) = view(number);
-        let Some(own) = seen_gateways.iter().position(|seen| seen.name == gateway.name) else { continue };
-        let existing = assignments.by_gateway[own].iter().filter_map(|assignment| {
-            let position = positions.get(&*seen_servers[assignment.server].name)?;
+    for (index, gateway) in gateways.iter().enumerate() {
+        let (viewed_gateways, viewed_servers, assignments) = view(index);
+        let Some(own_position) = viewed_gateways.iter().position(|viewed| viewed.name == gateway.name) else {
+            continue;
+        };
+        let existing = assignments.by_gateway[own_position].iter().filter_map(|assignment| {
+            let position = positions.get(&*viewed_servers[assignment.server].name)?;
             Some((*position, assignment.weight))
         });
         let existing: Vec<(usize, f64)> = existing.collect();
--- a/crates/subsetting/src/fitting.rs
+++ b/crates/subsetting/src/fitting.rs
@@ -1,17 +1,19 @@
-//! Iterative proportional fitting (Deming and Stephan, 1940): amounts on given pairs such that each row sums to its load and
-//! each column to its part of all by weight.
+//! Iterative proportional fitting (Deming and Stephan, 1940): finds amounts for given pairs such that each row sums to
+//! its load, and each column to its share of the total load by weight.
 //!
-//! An amount is a row's factor times its column's. The factors in the limit follow from the pairs, loads and weights alone,
-//! whatever they were at first, so that gateways with different histories agree.
+//! The amount of a pair is the product of its row factor and its column factor. The limit of the factors depends only
+//! on the pairs, loads and weights, not on the initial factors, so gateways with different histories agree.
 
-/// Iterations at the most; on pairs as they are chosen here far fewer reach the tolerance.
+/// Maximum number of iterations. The pairs that this package chooses need far fewer to reach the tolerance.
 const MAX_ITERATIONS: usize = 60;
-/// The relative deviation of a column that is accepted; traffic itself is not steadier.
+/// Accepted relative deviation of a column from its target. Traffic itself varies by more.
 const TOLERANCE: f64 = 1e-3;
 
-/// Fits the factors of columns from where they are, and returns those of rows. `rows` has the columns of each row.
+/// Fits the column factors, starting from the given ones, and returns the row factors. `rows` lists the columns of each
+/// row.
 ///
-/// Rows are exact, columns as nearly as the pairs allow. All row factors are 0 where there is no load or no weight.
+/// Row sums are exact; column sums are as close as the pairs allow. All row factors are 0 if the total load or weight
+/// is 0.
 pub(crate) fn fit(rows: &[Vec<u32>], loads: &[f64], weights: &[f64], column_factors: &mut [f64]) -> Vec<f64> {
     let total_load: f64 = loads.iter().sum();
     let total_weight: f64 = weights.iter().sum();
@@ -36,7 +38,7 @@
     row_factors
 }
 
-/// Makes all rows exact, and sums the row factors of each column.
+/// Makes all row sums exact, and sums the row factors of each column.
 fn fit_rows(
     rows: &[Vec<u32>],
     loads: &[f64],
@@ -54,7 +56,7 @@
     }
 }
 
-/// The greatest relative deviation of a column from its target.
+/// The maximum relative deviation of a column from its target.
 fn max_deviation(sums: &[f64], column_factors: &[f64], targets: &[f64]) -> f64 {
     let amounts = sums.iter().zip(column_factors).map(|(sum, factor)| sum * factor);
     amounts.zip(targets).map(|(amount, target)| (amount / target - 1.0).abs()).fold(0.0, f64::max)
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,17 +1,18 @@
-//! Deterministic subsetting: which servers each gateway uses, and with which weights, so that the load over the fleet is even
-//! without any coordination.
+//! Deterministic subsetting: which servers each gateway uses, and with which weights. It loads all servers of the fleet
+//! evenly without any coordination between gateways.
 //!
-//! There are two steps. *Which pairs*: each gateway takes the servers that come first by a hash of both names, and each server
-//! the gateways that come first by the same hash, so that nobody is left out; few pairs change when a gateway or server
-//! is added or removed (rendezvous hashing, Thaler and Ravishankar, 1998). *How much*: weights are fitted until each
-//! gateway's amount to its load and each server's to its part of all (iterative proportional fitting, Deming and Stephan,
-//! 1940), which evens out what the choice of pairs left uneven.
+//! An assignment has two steps. The first step chooses the *pairs* by rendezvous hashing (Thaler and Ravishankar,
+//! 1998): each gateway chooses the servers with the lowest hashes of both names, and each server chooses the gateways
+//! with the lowest of the same hashes, so that every gateway and every server has pairs. Few pairs change when a
+//! gateway or server is added or removed. The second step fits the *weights* by iterative proportional fitting (Deming
+//! and Stephan, 1940) until the amounts of each gateway sum to its load, and the amounts of each server to its share of
+//! the total load. The fitting evens out the uneven numbers of pairs.
 //!
-//! Zones come first: as much of a zone's load as its own servers have capacity for stays there, and the rest goes to the other
-//! zones in proportion to their remaining capacity. All of it follows from names, loads and weights alone, in whatever
-//! order they are given, so that gateways with one view agree.
+//! Zones are considered before servers: a zone's load stays in the zone up to the capacity of its own servers, and the
+//! rest goes to the other zones in proportion to their remaining capacity. The result depends only on names, loads and
+//! weights, not on their order, so gateways with the same view agree.
 //!
-//! [`subset`] follows one gateway's subset through time, [`load_reports`] disseminates the loads.
+//! [`subset`] tracks one gateway's subset through time, and [`load_reports`] disseminates the loads.
 
 #![warn(missing_docs)]
 
@@ -25,31 +26,31 @@
 pub mod subset;
 pub mod zones;
 
-pub use evenness::{evenness, moved_share, together, Evenness};
+pub use evenness::{evenness, loads_with_differing_views, moved_share, Evenness};
 
-/// Whole microseconds of a monotonic clock.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A gateway and its load. One with a load of 0 is assigned servers and counts for nothing.
+/// A gateway and its load. A gateway with load 0 is assigned servers but adds almost nothing to their loads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gateway {
-    /// Its configured name.
+    /// The gateway's configured name.
     pub name: String,
-    /// Its traffic relative to the other gateways'.
+    /// The gateway's traffic relative to the other gateways' traffic.
     pub load: f64,
-    /// The number of its zone.
+    /// The number of the gateway's zone.
     pub zone: u32,
 }
 
-/// A server and its capacity. One whose weight is not positive and finite is not used.
+/// A server and its capacity. A server is used only if its weight is positive and finite.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name in the endpoint list.
+    /// The server's name in the endpoint list.
     pub name: String,
-    /// Its capacity relative to the other servers'.
+    /// The server's capacity relative to the other servers' capacity.
     pub weight: f64,
-    /// The number of its zone.
+    /// The number of the server's zone.
     pub zone: u32,
 }
 
@@ -59,16 +60,16 @@
     }
 }
 
-/// The settings of an installation.
+/// The subsetting settings of an installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Servers of a gateway, and gateways of a server, at the least, or all where there are fewer.
+    /// Minimum number of servers of a gateway, and of gateways of a server. If there are fewer, all are used.
     pub min_servers: usize,
-    /// Whether traffic stays in its zone as far as that has capacity.
+    /// Whether traffic stays in its zone up to the zone's capacity.
     pub prefers_own_zone: bool,
 }
 
-/// The smallest subset, of which a gateway can lose two servers.
+/// Minimum size of a subset, such that a gateway can lose two servers.
 pub const MIN_SUBSET_SIZE: usize = 3;
 
 impl Default for Settings {
@@ -82,14 +83,15 @@
 pub struct Assignment {
     /// The server's position in the given list.
     pub server: usize,
-    /// The share of the gateway's traffic that goes there; 0 for a spare one.
+    /// The share of the gateway's traffic that goes to the server; 0 for a spare server.
     pub weight: f64,
 }
 
 /// Which gateway uses which servers.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Assignments {
-    /// For each gateway as given, its servers in their order. The weights of each gateway sum to 1.
+    /// The servers of each gateway, in the order of the given gateways and servers. The weights of each gateway sum to
+    /// 1.
     pub by_gateway: Vec<Vec<Assignment>>,
 }
 
@@ -98,7 +100,7 @@
     assigner::Assigner::default().assign(gateways, servers, settings)
 }
 
-/// The load with which weights are fitted: a gateway without any is assigned servers for a trace of it.
+/// The load for which weights are fitted. A gateway without load gets a minimal load, so that it is assigned servers.
 fn effective_load(gateway: &Gateway) -> f64 {
     const MIN_LOAD: f64 = 1e-6;
     if gateway.load.is_finite() {
--- a/crates/subsetting/src/load_reports.rs
+++ b/crates/subsetting/src/load_reports.rs
@@ -1,8 +1,9 @@
-//! The loads of all gateways, disseminated by gossip. A report carries its process and a rising version, and only that process
-//! makes one, so that loss, duplication and reordering do no harm.
+//! Load reports of all gateways, disseminated by gossip. A report carries the id of its process and a rising version,
+//! and only this process creates its reports. So loss, duplication and reordering of messages do no harm.
 //!
-//! Loads are reported in steps of a quarter, and again only when one has clearly been left: a value that changed with each
-//! request would reassign servers all the time. How loads are used is decided elsewhere.
+//! Loads are reported in steps of a quarter. A new step is reported only when the load has clearly left the reported
+//! step: a value that changed with each request would reassign servers all the time. The uses of the loads are decided
+//! elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -15,40 +16,41 @@
 const GOSSIP: GossipConfig = GossipConfig {
     interval: SECOND / 2,
     full_sync_interval: 10 * SECOND,
-    // As many as fit into a datagram. A fleet that starts together has all reports to send, in a few messages to each gateway.
+    // Limited by the size of a datagram. When a fleet starts, all reports are sent, in a few messages to each gateway.
     reports_per_message: 20,
     messages_per_peer: 3,
-    // As many as there are members at the most.
+    // The maximum number of members.
     max_reports: 4_096,
     retention: 60 * SECOND,
 };
-/// The time over which a load is averaged.
+/// Time constant of the moving average of a load.
 const AVERAGING_TIME: Micros = 4 * SECOND;
-/// Attempts per second of the first step, and the ratio of each step to the one before.
+/// Attempts per second of the first step.
 const FIRST_STEP_RATE: f64 = 0.05;
+/// Ratio between the rates of two successive steps.
 const STEP_RATIO: f64 = 1.25;
-/// A load is reported again when it is so many steps away from the reported one. Above a half, as a load between two steps
-/// would otherwise be reported all the time.
+/// A load is reported again when it differs from the reported step by more than this. The value is above one half, as a
+/// load between two steps would otherwise be reported all the time.
 const HYSTERESIS_STEPS: f64 = 0.8;
-/// The highest step, some 10^9 attempts per second. A report above it is not plausible.
+/// The highest step, about 10^9 attempts per second. A report with a higher step is not plausible.
 const MAX_STEP: u8 = 108;
-/// Bytes of the name of a gateway, and of a zone, at the most.
+/// Maximum length of the names of a gateway and a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// What a gateway reports of itself.
+/// The load report of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its configured name.
+    /// The gateway's configured name.
     pub name: String,
-    /// Its process.
+    /// The id of the gateway's process.
     pub instance: u64,
     /// Rises with each report of the process.
     pub version: u32,
-    /// The step of its load; 0 for none.
+    /// The step of the load; 0 without load.
     pub step: u8,
-    /// The name of its zone; empty if unknown.
+    /// The name of the gateway's zone; empty if unknown.
     pub zone: String,
-    /// Whether it shuts down, so that the others assign servers without it.
+    /// Whether the gateway is shutting down, so that the other gateways assign servers without it.
     pub is_leaving: bool,
 }
 
@@ -77,21 +79,21 @@
 /// A message between two gateways.
 pub type Message = gossip::GossipMessage<LoadReport>;
 
-/// What is known of a gateway.
+/// The known load of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayLoad {
-    /// Its configured name.
+    /// The gateway's configured name.
     pub name: String,
-    /// Its attempts per second; nothing if it has not reported.
+    /// The gateway's attempts per second; `None` if it has not reported its load.
     pub load: Option<f64>,
-    /// The name of its zone; empty if unknown.
+    /// The name of the gateway's zone; empty if unknown.
     pub zone: String,
-    /// Whether it shuts down.
+    /// Whether the gateway is shutting down.
     pub is_leaving: bool,
 }
 
 impl GatewayLoad {
-    /// Adds another process of the same gateway.
+    /// Adds the load of another process of the same gateway.
     fn add(&mut self, other: GatewayLoad) {
         self.load = match (self.load, other.load) {
             (Some(load), Some(other)) => Some(load + other),
@@ -104,24 +106,24 @@
     }
 }
 
-/// The load reports that one gateway has, and its own load.
+/// The load reports that one gateway has received, and the gateway's own load.
 pub struct LoadReports {
     local: LoadReport,
     gossip: Gossip<LoadReport>,
-    /// Attempts per second, weighted by their age.
+    /// Exponential moving average of the attempts per second.
     mean_rate: f64,
-    /// The weight of the time since the start, from 0 to 1.
+    /// The weight of the time since the start in the moving average, from 0 to 1.
     averaged_fraction: f64,
     last_recorded: Micros,
 }
 
 impl LoadReports {
-    /// Reports for this gateway, which has no load yet. The seed determines when and to whom gossip goes.
-    pub fn new(me: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
-        let gossip = Gossip::new(me.instance, GOSSIP, seed, now);
+    /// Load reports of this gateway, which has no load yet. The seed determines the times and the targets of gossip.
+    pub fn new(peer: LivePeer, zone: &str, seed: u64, now: Micros) -> Self {
+        let gossip = Gossip::new(peer.instance, GOSSIP, seed, now);
         let local = LoadReport {
-            name: me.name,
-            instance: me.instance,
+            name: peer.name,
+            instance: peer.instance,
             version: 1,
             step: 0,
             zone: zone.into(),
@@ -133,7 +135,7 @@
         reports
     }
 
-    /// So many attempts were made since the last call.
+    /// Records the number of attempts since the last call.
     pub fn record_attempts(&mut self, now: Micros, attempts: u64) {
         let elapsed = now.saturating_sub(self.last_recorded);
         if elapsed == 0 {
@@ -144,7 +146,8 @@
         let rate = attempts as f64 * SECOND as f64 / elapsed as f64;
         self.mean_rate = self.mean_rate * decay + rate * (1.0 - decay);
         self.averaged_fraction = self.averaged_fraction * decay + (1.0 - decay);
-        // Soon after the start the mean is over the time since: it would otherwise rise step by step.
+        // Shortly after the start the average covers only the time since the start: it would otherwise rise step by
+        // step.
         let step = step_of_rate(self.mean_rate / self.averaged_fraction);
         if (step - f64::from(self.local.step)).abs() > HYSTERESIS_STEPS {
             self.local.step = step.round().clamp(0.0, f64::from(MAX_STEP)) as u8;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// This gateway shuts down, which is reported at once.
+    /// Reports at once that this gateway is shutting down.
     pub fn leave(&mut self, now: Micros, live: &[LivePeer]) {
         if !self.local.is_leaving {
             self.local.is_leaving = true;
@@ -167,29 +170,29 @@
         self.gossip.publish(now, self.local.clone());
     }
 
-    /// A message has arrived from the gateway of a name.
+    /// Handles a message from the gateway named `from`.
     pub fn handle_message(&mut self, now: Micros, from: &str, message: Message) {
         self.gossip.handle_message(now, from, message);
     }
 
-    /// When `handle_timeout` is to be called next.
+    /// When to call `handle_timeout` next.
     pub fn next_deadline(&self) -> Micros {
         self.gossip.next_deadline()
     }
 
-    /// Does what is due. `live` are the other gateways that are live members.
+    /// Runs a gossip round if one is due. `live` lists the other live gateways.
     pub fn handle_timeout(&mut self, now: Micros, live: &[LivePeer]) {
         self.gossip.handle_timeout(now, live);
     }
 
-    /// The next message that is to be sent, with the name of the gateway that it goes to.
+    /// Returns the next message to send, with the name of the receiving gateway.
     pub fn poll_message(&mut self) -> Option<(String, Message)> {
         self.gossip.poll_message()
     }
 
-    /// This gateway and the live others, each name once, in the order of the names.
+    /// The loads of this gateway and the other live gateways, sorted by name without duplicates.
     ///
-    /// Two processes of one name, as in an upgrade or by mistake, count as one gateway that carries the load of both.
+    /// Two processes with the same name, as in a hot restart or by mistake, count as one gateway with the load of both.
     pub fn gateway_loads(&self, live: &[LivePeer]) -> Vec<GatewayLoad> {
         let local = LivePeer { name: self.local.name.clone(), instance: self.local.instance };
         let mut gateways: BTreeMap<&str, GatewayLoad> = BTreeMap::new();
@@ -205,7 +208,7 @@
         gateways.into_values().collect()
     }
 
-    /// What a process has reported of itself under its name.
+    /// The load that a process has reported under its name.
     fn load_of(&self, peer: &LivePeer) -> GatewayLoad {
         let report = self.gossip.report(&peer.instance).filter(|report| report.name == peer.name);
         GatewayLoad {
@@ -217,7 +220,7 @@
     }
 }
 
-/// The step of a number of attempts per second, as a fraction.
+/// The fractional step of a rate in attempts per second.
 fn step_of_rate(rate: f64) -> f64 {
     if rate < FIRST_STEP_RATE {
         0.0
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -1,9 +1,9 @@
-//! The subset of one gateway through time. A change of the fleet must settle before it moves anything, weights change in steps,
-//! a server that is gone is removed at once, and where most of the subset is avoided other servers supplement it.
+//! The subset of one gateway through time. A change of the fleet takes effect only after it has settled, weights change
+//! in steps, a removed server leaves the subset at once, and other servers supplement a subset that is mostly avoided.
 //!
-//! The caller reports what it sees (`fleet_changed`), which servers it avoids (`set_avoided`) and the time
-//! (`handle_timeout`), and takes the servers to use (`current`) and those to connect to ahead (`take_preconnects`). This module
-//! opens no connections and chooses no server for a request.
+//! The caller reports the view of the fleet (`fleet_changed`), the servers to avoid (`set_avoided`) and the time
+//! (`handle_timeout`). It reads the servers to use (`current`) and the servers to connect to in advance
+//! (`take_preconnects`). This module opens no connections and chooses no server for a request.
 
 mod ramps;
 
@@ -17,26 +17,27 @@
 use crate::hashing::preference_order;
 use crate::{Gateway, Micros, Server, Settings, MIN_SUBSET_SIZE, SECOND};
 
-/// A view that has not changed for so long is settled; one that keeps changing is, so long after its first change.
-///
-/// Danger: a gateway that restarts, or a fleet that restarts one by one, would otherwise move servers at each step.
+/// A view is settled when it has not changed for this long. Otherwise the restart of a gateway, or a rolling restart of
+/// the fleet, would move servers at each step.
 const SETTLING_TIME: Micros = 3 * SECOND;
+/// A view that keeps changing is settled this long after its first change.
 const MAX_SETTLING_TIME: Micros = 8 * SECOND;
-/// With fewer gateways than this part of the settled ones a view settles sooner, as the others have to carry their load.
+/// A view with fewer gateways than this fraction of the settled view settles sooner, as the remaining gateways must
+/// carry the load of the others.
 const SHRUNK_FLEET_FRACTION: f64 = 0.75;
 const SHRUNK_SETTLING_TIME: Micros = SECOND;
-/// How often weights change.
+/// Interval between changes of the weights.
 const STEP_INTERVAL: Micros = SECOND / 4;
-/// The share of the traffic whose servers must not be avoided. With less, others supplement them.
+/// Minimum share of the traffic that must go to servers that are not avoided. Below it, other servers supplement the
+/// subset.
 const MIN_HEALTHY_WEIGHT: f64 = 0.5;
-/// How long a supplement stays after it was last needed, so that servers that are good and bad by turns are not taken and
-/// dropped each time.
+/// How long a supplement stays after it was last needed, so that flapping servers do not add and remove it each time.
 const SUPPLEMENT_RETENTION: Micros = 10 * SECOND;
 
-/// What a gateway sees of the fleet.
+/// A gateway's view of the fleet.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct FleetView {
-    /// The gateways that take part, with this one.
+    /// The participating gateways, including this gateway.
     pub gateways: Vec<Gateway>,
     /// The servers that are in use.
     pub servers: Vec<Server>,
@@ -48,23 +49,23 @@
     }
 }
 
-/// The servers that one gateway is to use.
+/// The servers that one gateway uses now.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct CurrentSubset {
-    /// The share of its traffic for each server; they sum to 1. Empty before the first assignment.
+    /// The share of the gateway's traffic for each server. The shares sum to 1. Empty before the first assignment.
     pub weights: BTreeMap<String, f64>,
     /// The mean number of gateways that use a server.
     pub gateways_per_server: f64,
 }
 
-/// When the latest view changed, first and last, since a view was settled.
+/// The times of the first and the last change of the view since a view was settled.
 #[derive(Clone, Copy, Debug)]
 struct UnsettledChange {
     first: Micros,
     last: Micros,
 }
 
-/// Follows the subset of one gateway.
+/// Tracks the subset of one gateway.
 pub struct SubsetTracker {
     name: String,
     settings: Settings,
@@ -78,15 +79,15 @@
     last_step: Micros,
     /// Servers that this gateway avoids now.
     avoided: BTreeSet<String>,
-    /// Servers beside the assigned ones, and until when.
+    /// Servers used in addition to the assigned servers, each with the time at which it is removed.
     supplements: BTreeMap<String, Micros>,
-    /// Servers to connect to ahead, and when.
+    /// Servers to connect to in advance, each with the time of the connect.
     preconnects: BTreeMap<String, Micros>,
     current: CurrentSubset,
 }
 
 impl SubsetTracker {
-    /// A tracker that has seen nothing, for the gateway that others see by this name. The seed spreads preconnects.
+    /// A tracker without any view, for the gateway with this name. The seed spreads preconnects over time.
     pub fn new(name: &str, settings: Settings, seed: u64) -> Self {
         SubsetTracker {
             name: name.into(),
@@ -106,9 +107,9 @@
         }
     }
 
-    /// The fleet as it is seen now. A server that is gone is removed at once; all other changes have to settle.
+    /// Updates the view of the fleet. Missing servers leave the subset at once; all other changes must settle first.
     ///
-    /// `is_complete` says that as many gateways are seen as are configured, so that a first view need not settle.
+    /// `is_complete` states that the view has as many gateways as are configured, so that a first view need not settle.
     pub fn fleet_changed(&mut self, now: Micros, view: FleetView, is_complete: bool) {
         if view != self.latest_view {
             let first = self.unsettled.map_or(now, |change| change.first);
@@ -122,17 +123,17 @@
         }
     }
 
-    /// Servers that this gateway avoids now because of what it observed there.
+    /// Sets the servers that this gateway avoids now because of its own observations.
     pub fn set_avoided(&mut self, avoided: BTreeSet<String>) {
         self.avoided = avoided;
     }
 
-    /// When `handle_timeout` is to be called next, at the latest.
+    /// When to call `handle_timeout` next, at the latest.
     pub fn next_deadline(&self) -> Micros {
         self.last_step + STEP_INTERVAL
     }
 
-    /// Does what is due, and returns whether the current subset has changed.
+    /// Carries out the steps that are due, and returns whether the current subset has changed.
     pub fn handle_timeout(&mut self, now: Micros) -> bool {
         if now < self.next_deadline() && self.last_step > 0 {
             return false;
@@ -154,15 +155,15 @@
         &self.current
     }
 
-    /// Servers to connect to ahead now; each is returned once.
+    /// Returns the servers to connect to in advance now. Each server is returned once.
     pub fn take_preconnects(&mut self, now: Micros) -> Vec<String> {
-        let due = self.preconnects.iter().filter(|(_, at)| **at <= now);
+        let due = self.preconnects.iter().filter(|(_, connect_at)| **connect_at <= now);
         let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        self.preconnects.retain(|_, at| *at > now);
+        self.preconnects.retain(|_, connect_at| *connect_at > now);
         due
     }
 
-    /// The fleet that the present assignment is made of.
+    /// The view of the fleet that the current assignment is based on.
     pub fn settled_view(&self) -> &FleetView {
         &self.settled
     }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Removes servers that are no longer seen, unless none would be left.
+    /// Removes servers that are missing from the latest view, unless no server would remain.
     fn remove_missing_servers(&mut self, now: Micros) {
         let seen = self.latest_view.server_names();
         let present = self.settled.servers.iter().filter(|server| seen.contains(&*server.name));
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Assigns servers by the settled view, and begins to move weights towards that.
+    /// Assigns servers by the settled view, and starts ramps to the new weights.
     fn reassign(&mut self, now: Micros) {
         let FleetView { gateways, servers } = &self.settled;
         let Some(local) = gateways.iter().position(|gateway| gateway.name == self.name) else { return };
@@ -207,17 +208,17 @@
         let present = self.settled.server_names();
         let added = self.ramps.retarget(now, targets, &present);
         for server in added {
-            // Of all gateways that take it over, each connects at its own time.
+            // The gateways that add this server connect to it at different times.
             self.preconnects.insert(server, now + self.rng.gen_range(0..RAMP_TIME));
         }
     }
 
-    /// Supplements the subset while too much of its weight is on servers that are avoided.
+    /// Supplements the subset while too much of its weight is on avoided servers.
     ///
-    /// The supplements come by this gateway's own preference, so that a fleet that avoids the same servers does not move to
-    /// the same others.
+    /// Each gateway selects supplements by its own preference, so that gateways that avoid the same servers do not all
+    /// move to the same other servers.
     fn update_supplements(&mut self, now: Micros) {
-        self.supplements.retain(|_, until| now < *until);
+        self.supplements.retain(|_, removed_at| now < *removed_at);
         let healthy = self.ramps.targets().filter(|(name, _)| !self.avoided.contains(*name));
         let (healthy_weight, healthy_count) =
             healthy.fold((0.0, 0), |(sum, count), (_, weight)| (sum + weight, count + 1));
@@ -229,7 +230,7 @@
         let needed = (size - healthy_count).max(MIN_SUBSET_SIZE);
         let others = self.settled.servers.iter().map(|server| &*server.name);
         let candidates = others.filter(|name| !self.avoided.contains(*name) && !self.ramps.contains(name));
-        // The order is the same each time, so that supplements stay.
+        // The preference order never changes, so the same supplements are selected again.
         for name in preference_order(&self.name, candidates).into_iter().take(needed) {
             let is_new = self.supplements.insert(name.into(), now + SUPPLEMENT_RETENTION).is_none();
             if is_new {
--- a/crates/subsetting/src/subset/ramps.rs
+++ b/crates/subsetting/src/subset/ramps.rs
@@ -1,10 +1,10 @@
-//! The weights of a subset on their way from one assignment to the next. It does not know why they change.
+//! Ramps that move the weights of a subset from one assignment to the next. The callers decide on the new weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Micros, SECOND};
 
-/// The time in which weights move. A new server is met by a few requests first, and gateways that reassign at different times
+/// The duration of a ramp. A new server gets only few requests at first, and gateways that reassign at different times
 /// compensate each other.
 pub(super) const RAMP_TIME: Micros = 2 * SECOND;
 
@@ -12,7 +12,7 @@
 struct Ramp {
     from: f64,
     to: f64,
-    /// Whether the server is dropped at the end.
+    /// Whether the server is removed at the end of the ramp.
     is_leaving: bool,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The ramps of all servers of a subset, which start together.
+/// The ramps of all servers of a subset. All ramps start at the same time.
 #[derive(Default)]
 pub(super) struct Ramps {
     ramps: BTreeMap<String, Ramp>,
@@ -38,7 +38,7 @@
         self.ramps.contains_key(server)
     }
 
-    /// The servers that stay, with the weights that they are to have.
+    /// The servers that stay in the subset, with the weights at the end of their ramps.
     pub fn targets(&self) -> impl Iterator<Item = (&String, f64)> {
         let staying = self.ramps.iter().filter(|(_, ramp)| !ramp.is_leaving);
         staying.map(|(name, ramp)| (name, ramp.to))
@@ -50,8 +50,9 @@
         self.ramps.iter().map(|(name, ramp)| (name.clone(), ramp.weight(progress))).collect()
     }
 
-    /// Starts ramps from the present weights to new ones, and returns the servers that were added, in the order of the targets.
-    /// Servers without a target leave if they are present. The first targets apply at once, and add none.
+    /// Starts ramps from the current weights to new weights, and returns the added servers in the order of the targets.
+    /// Servers without a target ramp down if they are `present`, and are removed at once otherwise. The first targets
+    /// apply at once, and no server counts as added.
     pub fn retarget<'n>(
         &mut self,
         now: Micros,
@@ -80,14 +81,14 @@
         added
     }
 
-    /// Drops servers that have left, once the ramps have ended.
+    /// Removes the leaving servers once the ramps have ended.
     pub fn remove_finished(&mut self, now: Micros) {
         if now >= self.started_at + RAMP_TIME {
             self.ramps.retain(|_, ramp| !ramp.is_leaving);
         }
     }
 
-    /// How far the ramps have come, from 0 to 1.
+    /// The progress of the ramps, from 0 to 1.
     fn progress(&self, now: Micros) -> f64 {
         (now.saturating_sub(self.started_at) as f64 / RAMP_TIME as f64).min(1.0)
     }
--- a/crates/subsetting/src/zones.rs
+++ b/crates/subsetting/src/zones.rs
@@ -1,5 +1,5 @@
-//! The division of traffic between zones: how much of each zone's load its own servers take, and where the rest goes. Which
-//! servers of a zone get it is decided elsewhere.
+//! The division of traffic between zones: how much of each zone's load stays in the zone, and how much goes to each
+//! other zone. The assigner chooses the servers within a zone.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,15 @@
     pub share: f64,
 }
 
-/// Shares up to this are not worth connections of their own.
+/// Shares up to this limit do not justify separate connections.
 const MIN_FLOW_SHARE: f64 = 1e-3;
 
-/// The flows between zones, in the order of both.
+/// The flows between zones, sorted by the zone of the gateways, then by the zone of the servers.
 ///
-/// Each server is to get its part of all load by weight, so that a zone's capacity is the sum of its servers' parts. With
-/// `prefers_own_zone` a zone's load first takes its own capacity; the rest goes to the remaining capacity of all zones,
-/// in proportion. Without it zones make no difference. No flows if no server is usable.
+/// Each server should receive a share of the total load in proportion to its weight. A zone's capacity is the sum of
+/// its servers' shares. With `prefers_own_zone`, a zone's load first uses the zone's own capacity; the rest is divided
+/// among all zones in proportion to their remaining capacity. Without it, zones make no difference. There are no flows
+/// if no server is usable.
 pub fn zone_flows(gateways: &[Gateway], servers: &[Server], prefers_own_zone: bool) -> Vec<ZoneFlow> {
     let mut loads: BTreeMap<u32, f64> = BTreeMap::new();
     for gateway in gateways {
@@ -54,7 +55,7 @@
     flows
 }
 
-/// The part of all load that the servers of each zone are to get.
+/// The share of the total load that the servers of each zone should receive.
 fn zone_capacities(servers: &[Server], total_load: f64) -> BTreeMap<u32, f64> {
     let mut capacities: BTreeMap<u32, f64> = BTreeMap::new();
     for server in servers.iter().filter(|server| server.is_usable()) {
--- a/crates/subsetting/tests/assignment.rs
+++ b/crates/subsetting/tests/assignment.rs
@@ -1,55 +1,56 @@
-//! Properties of assignments, for few and many gateways and servers, equal and unequal, and for views that differ.
+//! Properties of assignments for small and large fleets, for equal and unequal loads and weights, and for differing
+//! views.
 
 use fernscale_subsetting::assigner::Assigner;
 use fernscale_subsetting::{
-    assign, baselines, evenness, moved_share, together, Assignment, Assignments, Gateway, Server, Settings,
-    MIN_SUBSET_SIZE,
+    assign, baselines, evenness, loads_with_differing_views, moved_share, Assignment, Assignments, Gateway,
+    Server, Settings, MIN_SUBSET_SIZE,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn gateways(count: usize) -> Vec<Gateway> {
-    (0..count).map(|at| Gateway { name: format!("gateway-{at}"), load: 1.0, zone: 0 }).collect()
+    (0..count).map(|index| Gateway { name: format!("gateway-{index}"), load: 1.0, zone: 0 }).collect()
 }
 
 fn servers(count: usize) -> Vec<Server> {
-    (0..count).map(|at| Server { name: format!("box-{at}"), weight: 1.0, zone: 0 }).collect()
+    (0..count).map(|index| Server { name: format!("box-{index}"), weight: 1.0, zone: 0 }).collect()
 }
 
 const SETTINGS: Settings = Settings { min_servers: 12, prefers_own_zone: true };
 
-/// Up to so many of each, with loads up to three times the mean and weights up to eight.
+/// Up to 150 gateways and 150 servers in up to three zones, with loads below 3 and weights from 1 to 8.
 #[derive(Clone, Debug)]
 struct Fleet(Vec<Gateway>, Vec<Server>);
 
 impl Arbitrary for Fleet {
     fn arbitrary(random: &mut Gen) -> Self {
-        let below = |random: &mut Gen, most: usize| usize::arbitrary(random) % most;
+        let below = |random: &mut Gen, bound: usize| usize::arbitrary(random) % bound;
         let (gateway_count, zones) = (1 + below(random, 150), 1 + below(random, 3) as u32);
-        let mut gateways_seen = gateways(gateway_count);
-        for gateway in &mut gateways_seen {
+        let mut fleet_gateways = gateways(gateway_count);
+        for gateway in &mut fleet_gateways {
             (gateway.load, gateway.zone) =
                 (below(random, 30) as f64 / 10.0, below(random, zones as usize) as u32);
         }
-        let mut servers_seen = servers(1 + below(random, 150));
-        for server in &mut servers_seen {
+        let mut fleet_servers = servers(1 + below(random, 150));
+        for server in &mut fleet_servers {
             (server.weight, server.zone) =
                 (1.0 + below(random, 8) as f64, below(random, zones as usize) as u32);
         }
-        Fleet(gateways_seen, servers_seen)
+        Fleet(fleet_gateways, fleet_servers)
     }
 }
 
-/// The weights of every gateway sum to 1, no subset is too small, and every server has gateways.
-fn is_valid(Fleet(gateways_seen, servers_seen): Fleet) -> bool {
-    let own = assign(&gateways_seen, &servers_seen, SETTINGS);
-    let found = evenness(&gateways_seen, &servers_seen, &own);
-    let floor = MIN_SUBSET_SIZE.min(servers_seen.len());
-    own.by_gateway.iter().all(|assigned| {
+/// Whether the weights of each gateway sum to 1, no subset is too small, and each server has gateways.
+fn is_valid(Fleet(fleet_gateways, fleet_servers): Fleet) -> bool {
+    let assignments = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+    let measured = evenness(&fleet_gateways, &fleet_servers, &assignments);
+    let min_size = MIN_SUBSET_SIZE.min(fleet_servers.len());
+    assignments.by_gateway.iter().all(|assigned| {
         let sum: f64 = assigned.iter().map(|assignment| assignment.weight).sum();
-        assigned.len() >= floor
+        assigned.len() >= min_size
             && (sum - 1.0).abs() < 1e-9
             && assigned.iter().all(|assignment| assignment.weight >= 0.0)
-    }) && found.uncovered == 0
+    }) && measured.uncovered == 0
 }
 
 #[test]
@@ -60,27 +61,33 @@
         .quickcheck(is_valid as fn(Fleet) -> bool);
 }
 
-/// Assignments follow from names, not from the order in which they are given.
-fn is_independent_of_order(Fleet(gateways_seen, servers_seen): Fleet) -> bool {
-    let own = assign(&gateways_seen, &servers_seen, SETTINGS);
-    let (mut reversed_gateways, mut reversed_servers) = (gateways_seen.clone(), servers_seen.clone());
+/// Whether the assignment is the same if gateways and servers are given in reverse order.
+fn is_independent_of_order(Fleet(fleet_gateways, fleet_servers): Fleet) -> bool {
+    let assignments = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+    let (mut reversed_gateways, mut reversed_servers) = (fleet_gateways.clone(), fleet_servers.clone());
     reversed_gateways.reverse();
     reversed_servers.reverse();
     let other = assign(&reversed_gateways, &reversed_servers, SETTINGS);
-    let named = |gateways_seen: &[Gateway], servers_seen: &[Server], assignments: &Assignments| {
+    let named = |fleet_gateways: &[Gateway], fleet_servers: &[Server], assignments: &Assignments| {
         let mut named: Vec<(String, String, i64)> = Vec::new();
-        for (gateway, assigned) in gateways_seen.iter().zip(&assignments.by_gateway) {
+        for (gateway, assigned) in fleet_gateways.iter().zip(&assignments.by_gateway) {
             let share = |share: f64| (share * 1e6).round() as i64;
-            let of = |assignment: &fernscale_subsetting::Assignment| {
-                (gateway.name.clone(), servers_seen[assignment.server].name.clone(), share(assignment.weight))
+            let named_assignment = |assignment: &fernscale_subsetting::Assignment| {
+                (
+                    gateway.name.clone(),
+                    fleet_servers[assignment.server].name.clone(),
+                    share(assignment.weight),
+                )
             };
-            named.extend(assigned.iter().map(of));
+            named.extend(assigned.iter().map(named_assignment));
         }
         named.sort();
         named
     };
-    let (one, two) =
-        (named(&gateways_seen, &servers_seen, &own), named(&reversed_gateways, &reversed_servers, &other));
+    let (one, two) = (
+        named(&fleet_gateways, &fleet_servers, &assignments),
+        named(&reversed_gateways, &reversed_servers, &other),
+    );
     one.len() == two.len()
         && one.iter().zip(&two).all(|(one, two)| (&one.0, &one.1) == (&two.0, &two.1) && one.2 == two.2)
 }
@@ -107,48 +114,57 @@
         (1_000, 100),
         (17, 1_000),
     ] {
-        let (gateways_seen, mut servers_seen) = (gateways(gateway_count), servers(server_count));
-        let even = evenness(&gateways_seen, &servers_seen, &assign(&gateways_seen, &servers_seen, SETTINGS));
-        assert!(even.max_load < 1.05 && even.min_load > 0.95, "{gateway_count} by {server_count}: {even:?}");
-        servers_seen.iter_mut().enumerate().for_each(|(at, server)| server.weight = 1.0 + (at % 4) as f64);
-        let weighed =
-            evenness(&gateways_seen, &servers_seen, &assign(&gateways_seen, &servers_seen, SETTINGS));
+        let (fleet_gateways, mut fleet_servers) = (gateways(gateway_count), servers(server_count));
+        let measured =
+            evenness(&fleet_gateways, &fleet_servers, &assign(&fleet_gateways, &fleet_servers, SETTINGS));
+        assert!(
+            measured.max_load < 1.05 && measured.min_load > 0.95,
+            "{gateway_count} by {server_count}: {measured:?}"
+        );
+        fleet_servers
+            .iter_mut()
+            .enumerate()
+            .for_each(|(index, server)| server.weight = 1.0 + (index % 4) as f64);
+        let measured_weighted =
+            evenness(&fleet_gateways, &fleet_servers, &assign(&fleet_gateways, &fleet_servers, SETTINGS));
         assert!(
-            weighed.max_load < 1.05 && weighed.min_load > 0.95,
-            "{gateway_count} by {server_count}: {weighed:?}"
+            measured_weighted.max_load < 1.05 && measured_weighted.min_load > 0.95,
+            "{gateway_count} by {server_count}: {measured_weighted:?}"
         );
-        assert!(weighed.pairs <= gateway_count * server_count && weighed.uncovered == 0);
+        assert!(measured_weighted.pairs <= gateway_count * server_count && measured_weighted.uncovered == 0);
     }
 }
 
 #[test]
 fn unequal_gateways_load_servers_evenly() {
     for (gateway_count, server_count) in [(20, 24), (300, 200), (100, 300)] {
-        let (mut gateways_seen, servers_seen) = (gateways(gateway_count), servers(server_count));
-        gateways_seen
+        let (mut fleet_gateways, fleet_servers) = (gateways(gateway_count), servers(server_count));
+        fleet_gateways
             .iter_mut()
             .enumerate()
-            .for_each(|(at, gateway)| gateway.load = [0.2, 0.5, 0.8, 3.0][at % 4]);
-        let found = evenness(&gateways_seen, &servers_seen, &assign(&gateways_seen, &servers_seen, SETTINGS));
+            .for_each(|(index, gateway)| gateway.load = [0.2, 0.5, 0.8, 3.0][index % 4]);
+        let measured =
+            evenness(&fleet_gateways, &fleet_servers, &assign(&fleet_gateways, &fleet_servers, SETTINGS));
         assert!(
-            found.max_load < 1.15 && found.min_load > 0.85,
-            "{gateway_count} by {server_count}: {found:?}"
+            measured.max_load < 1.15 && measured.min_load > 0.85,
+            "{gateway_count} by {server_count}: {measured:?}"
         );
     }
 }
 
 #[test]
 fn extreme_weights_and_loads_leave_no_server_without_gateways() {
-    let (mut gateways_seen, mut servers_seen) = (gateways(50), servers(40));
-    (gateways_seen[7].load, servers_seen[3].weight) = (10.0, 1_000.0);
-    gateways_seen[8].load = 0.0;
-    let own = assign(&gateways_seen, &servers_seen, SETTINGS);
-    let found = evenness(&gateways_seen, &servers_seen, &own);
+    let (mut fleet_gateways, mut fleet_servers) = (gateways(50), servers(40));
+    (fleet_gateways[7].load, fleet_servers[3].weight) = (10.0, 1_000.0);
+    fleet_gateways[8].load = 0.0;
+    let assignments = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+    let measured = evenness(&fleet_gateways, &fleet_servers, &assignments);
     assert!(
-        found.uncovered == 0 && own.by_gateway.iter().all(|assigned| assigned.len() >= MIN_SUBSET_SIZE),
-        "{found:?}"
+        measured.uncovered == 0
+            && assignments.by_gateway.iter().all(|assigned| assigned.len() >= MIN_SUBSET_SIZE),
+        "{measured:?}"
     );
-    let heavy: f64 = own
+    let heavy: f64 = assignments
         .by_gateway
         .iter()
         .flatten()
@@ -161,56 +177,59 @@
 #[test]
 fn removing_one_gateway_or_server_moves_few_pairs() {
     for (gateway_count, server_count) in [(30, 24), (300, 200), (100, 300)] {
-        let (gateways_seen, servers_seen) = (gateways(gateway_count), servers(server_count));
-        let before = assign(&gateways_seen, &servers_seen, SETTINGS);
-        let fewer = &gateways_seen[..gateway_count - 1];
-        let after = assign(fewer, &servers_seen, SETTINGS);
+        let (fleet_gateways, fleet_servers) = (gateways(gateway_count), servers(server_count));
+        let before = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+        let fewer = &fleet_gateways[..gateway_count - 1];
+        let after = assign(fewer, &fleet_servers, SETTINGS);
         let by_gateway =
-            moved_share((&gateways_seen, &servers_seen, &before), (fewer, &servers_seen, &after));
+            moved_share((&fleet_gateways, &fleet_servers, &before), (fewer, &fleet_servers, &after));
         assert!(by_gateway < 4.0 / gateway_count as f64, "{gateway_count} by {server_count}: {by_gateway}");
-        let left = &servers_seen[1..];
-        let after = assign(&gateways_seen, left, SETTINGS);
-        let by_server = moved_share((&gateways_seen, &servers_seen, &before), (&gateways_seen, left, &after));
+        let remaining_servers = &fleet_servers[1..];
+        let after = assign(&fleet_gateways, remaining_servers, SETTINGS);
+        let by_server = moved_share(
+            (&fleet_gateways, &fleet_servers, &before),
+            (&fleet_gateways, remaining_servers, &after),
+        );
         assert!(by_server < 4.0 / server_count as f64, "{gateway_count} by {server_count}: {by_server}");
-        // With subsets by the gateway's number nearly all pairs move.
-        let rows = |gateways_seen: &[Gateway]| baselines::round_robin(gateways_seen, &servers_seen, 12);
-        let others = &gateways_seen[1..];
+        // Round-robin subsets depend on the gateway's index, so nearly all pairs move.
+        let rows = |fleet_gateways: &[Gateway]| baselines::round_robin(fleet_gateways, &fleet_servers, 12);
+        let others = &fleet_gateways[1..];
         assert!(
             moved_share(
-                (&gateways_seen, &servers_seen, &rows(&gateways_seen)),
-                (others, &servers_seen, &rows(others))
+                (&fleet_gateways, &fleet_servers, &rows(&fleet_gateways)),
+                (others, &fleet_servers, &rows(others))
             ) > 5.0 * by_gateway
         );
     }
 }
 
-/// A fleet that changes by one member at a time, assigned repeatedly, has the pairs of a fresh assignment and nearly its weights:
-/// gateways with different histories agree.
+/// After each change of one member, a repeated assignment has the same pairs as a fresh assignment and nearly the same
+/// weights. So gateways with different histories agree.
 #[test]
 fn assignments_do_not_depend_on_earlier_ones() {
     let mut assigner = Assigner::default();
-    let (mut gateways_seen, mut servers_seen) = (gateways(60), servers(50));
+    let (mut fleet_gateways, mut fleet_servers) = (gateways(60), servers(50));
     for step in 0..120usize {
-        let at = step * 7 % 40;
+        let index = step * 7 % 40;
         match step % 6 {
-            0 => drop(gateways_seen.remove(at)),
-            1 => drop(servers_seen.remove(at)),
-            2 => gateways_seen.push(Gateway {
+            0 => drop(fleet_gateways.remove(index)),
+            1 => drop(fleet_servers.remove(index)),
+            2 => fleet_gateways.push(Gateway {
                 name: format!("gateway-new-{step}"),
                 load: 1.0,
                 zone: step as u32 % 2,
             }),
-            3 => servers_seen.push(Server {
+            3 => fleet_servers.push(Server {
                 name: format!("box-new-{step}"),
                 weight: 2.0,
                 zone: step as u32 % 2,
             }),
-            4 => gateways_seen[at].load = [0.2, 1.0, 3.0][step % 3],
-            _ => servers_seen[at].weight = [1.0, 4.0, 0.0][step % 3],
+            4 => fleet_gateways[index].load = [0.2, 1.0, 3.0][step % 3],
+            _ => fleet_servers[index].weight = [1.0, 4.0, 0.0][step % 3],
         }
         let (repeated, fresh) = (
-            assigner.assign(&gateways_seen, &servers_seen, SETTINGS),
-            assign(&gateways_seen, &servers_seen, SETTINGS),
+            assigner.assign(&fleet_gateways, &fleet_servers, SETTINGS),
+            assign(&fleet_gateways, &fleet_servers, SETTINGS),
         );
         for (repeated, fresh) in repeated.by_gateway.iter().zip(&fresh.by_gateway) {
             let used = |assigned: &[Assignment]| {
@@ -224,85 +243,94 @@
                 );
             }
         }
-        let even = evenness(&gateways_seen, &servers_seen, &repeated);
-        assert!(even.max_load < 1.15 && even.uncovered == 0, "{step}: {even:?}");
+        let measured = evenness(&fleet_gateways, &fleet_servers, &repeated);
+        assert!(measured.max_load < 1.15 && measured.uncovered == 0, "{step}: {measured:?}");
     }
 }
 
-/// Even where the number of servers that each needs is just below a whole number, and all would need one more.
+/// Includes sizes at which the number of servers per gateway is just below a whole number, so that a change could make
+/// every gateway need one more server.
 #[test]
 fn no_size_of_a_fleet_moves_many_pairs_at_one_change() {
     let settings = Settings { min_servers: 3, prefers_own_zone: true };
     for (gateway_count, server_count) in [(300, 200), (150, 100), (60, 40), (100, 20), (40, 81)] {
-        let (gateways_seen, servers_seen) = (gateways(gateway_count), servers(server_count));
-        let before = assign(&gateways_seen, &servers_seen, settings);
-        for (all_left, taken_left) in
-            [(&gateways_seen[1..], &servers_seen[..]), (&gateways_seen[..], &servers_seen[1..])]
+        let (fleet_gateways, fleet_servers) = (gateways(gateway_count), servers(server_count));
+        let before = assign(&fleet_gateways, &fleet_servers, settings);
+        for (remaining_gateways, remaining_servers) in
+            [(&fleet_gateways[1..], &fleet_servers[..]), (&fleet_gateways[..], &fleet_servers[1..])]
         {
-            let after = assign(all_left, taken_left, settings);
-            let moves = moved_share((&gateways_seen, &servers_seen, &before), (all_left, taken_left, &after));
-            let most = 5.0 / gateway_count.min(server_count) as f64;
-            assert!(moves < most, "{gateway_count} by {server_count}: {moves}, {most} may");
+            let after = assign(remaining_gateways, remaining_servers, settings);
+            let moves = moved_share(
+                (&fleet_gateways, &fleet_servers, &before),
+                (remaining_gateways, remaining_servers, &after),
+            );
+            let max_moves = 5.0 / gateway_count.min(server_count) as f64;
+            assert!(
+                moves < max_moves,
+                "{gateway_count} by {server_count}: {moves} of the pairs moved, at most {max_moves} expected"
+            );
         }
     }
 }
 
 #[test]
 fn the_own_zone_comes_first_as_far_as_it_has_capacity() {
-    let (mut gateways_seen, mut servers_seen) = (gateways(60), servers(40));
-    gateways_seen.iter_mut().enumerate().for_each(|(at, gateway)| gateway.zone = u32::from(at >= 40));
-    servers_seen.iter_mut().enumerate().for_each(|(at, server)| server.zone = u32::from(at >= 20));
-    let own = assign(&gateways_seen, &servers_seen, SETTINGS);
-    let even = evenness(&gateways_seen, &servers_seen, &own);
-    assert!(even.max_load < 1.05 && even.min_load > 0.95, "{even:?}");
+    let (mut fleet_gateways, mut fleet_servers) = (gateways(60), servers(40));
+    fleet_gateways.iter_mut().enumerate().for_each(|(index, gateway)| gateway.zone = u32::from(index >= 40));
+    fleet_servers.iter_mut().enumerate().for_each(|(index, server)| server.zone = u32::from(index >= 20));
+    let assignments = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+    let measured = evenness(&fleet_gateways, &fleet_servers, &assignments);
+    assert!(measured.max_load < 1.05 && measured.min_load > 0.95, "{measured:?}");
     let across = |zone: u32| {
-        let of = gateways_seen.iter().zip(&own.by_gateway).filter(|(gateway, _)| gateway.zone == zone);
-        let far = of
+        let zone_assignments =
+            fleet_gateways.iter().zip(&assignments.by_gateway).filter(|(gateway, _)| gateway.zone == zone);
+        let far = zone_assignments
             .flat_map(|(_, assigned)| assigned)
-            .filter(|assignment| servers_seen[assignment.server].zone != zone);
+            .filter(|assignment| fleet_servers[assignment.server].zone != zone);
         far.map(|assignment| assignment.weight).sum::<f64>()
     };
-    // Two thirds of the load have one half of the capacity: a quarter of that goes to the other zone, and nothing comes back.
+    // Zone 0 has two thirds of the load and half of the capacity. A quarter of its load goes to zone 1, and no load of
+    // zone 1 goes to zone 0.
     assert!((across(0) - 10.0).abs() < 0.2 && across(1) < 0.2, "{} {}", across(0), across(1));
-    // All servers of the other zone are gone.
-    let left = &servers_seen[..20];
-    let own = assign(&gateways_seen, left, SETTINGS);
+    // All servers of zone 1 are removed.
+    let remaining_servers = &fleet_servers[..20];
+    let assignments = assign(&fleet_gateways, remaining_servers, SETTINGS);
     assert!(
-        evenness(&gateways_seen, left, &own).uncovered == 0
-            && own.by_gateway.iter().all(|assigned| assigned.len() >= MIN_SUBSET_SIZE)
+        evenness(&fleet_gateways, remaining_servers, &assignments).uncovered == 0
+            && assignments.by_gateway.iter().all(|assigned| assigned.len() >= MIN_SUBSET_SIZE)
     );
 }
 
 #[test]
 fn differing_views_load_servers_nearly_evenly() {
-    let (gateways_seen, servers_seen) = (gateways(100), servers(80));
-    let whole = assign(&gateways_seen, &servers_seen, SETTINGS);
+    let (fleet_gateways, fleet_servers) = (gateways(100), servers(80));
+    let whole = assign(&fleet_gateways, &fleet_servers, SETTINGS);
     for differ in [1, 5, 10] {
-        let some = &gateways_seen[differ..];
-        let view = assign(some, &servers_seen, SETTINGS);
-        // Half of the fleet does not see the first few.
-        let got = together(&gateways_seen, &servers_seen, |at| {
-            if at % 2 == 0 || at < differ {
-                (&gateways_seen[..], &servers_seen[..], &whole)
+        let some = &fleet_gateways[differ..];
+        let view = assign(some, &fleet_servers, SETTINGS);
+        // Half of the fleet does not see the first `differ` gateways.
+        let loads = loads_with_differing_views(&fleet_gateways, &fleet_servers, |index| {
+            if index % 2 == 0 || index < differ {
+                (&fleet_gateways[..], &fleet_servers[..], &whole)
             } else {
-                (some, &servers_seen[..], &view)
+                (some, &fleet_servers[..], &view)
             }
         });
         let mean = 100.0 / 80.0;
-        let most = got.iter().copied().fold(0.0, f64::max) / mean;
-        let least = got.iter().copied().fold(f64::INFINITY, f64::min) / mean;
+        let max_load = loads.iter().copied().fold(0.0, f64::max) / mean;
+        let min_load = loads.iter().copied().fold(f64::INFINITY, f64::min) / mean;
         let bound = 1.06 + 0.02 * differ as f64;
-        assert!(most < bound && least > 2.0 - bound, "{differ}: {least} to {most}");
+        assert!(max_load < bound && min_load > 2.0 - bound, "{differ}: {min_load} to {max_load}");
     }
-    // In a partition each side assigns servers as if it were alone, and covers all.
-    let (one, other) = (&gateways_seen[..37], &gateways_seen[37..]);
-    let views = (assign(one, &servers_seen, SETTINGS), assign(other, &servers_seen, SETTINGS));
-    let got = together(&gateways_seen, &servers_seen, |at| {
-        if at < 37 {
-            (one, &servers_seen[..], &views.0)
+    // In a partition each side assigns servers as if it were the whole fleet, and uses all servers.
+    let (one, other) = (&fleet_gateways[..37], &fleet_gateways[37..]);
+    let views = (assign(one, &fleet_servers, SETTINGS), assign(other, &fleet_servers, SETTINGS));
+    let loads = loads_with_differing_views(&fleet_gateways, &fleet_servers, |index| {
+        if index < 37 {
+            (one, &fleet_servers[..], &views.0)
         } else {
-            (other, &servers_seen[..], &views.1)
+            (other, &fleet_servers[..], &views.1)
         }
     });
-    assert!(got.iter().all(|got| (got / 1.25 - 1.0).abs() < 0.05), "{got:?}");
+    assert!(loads.iter().all(|load| (load / 1.25 - 1.0).abs() < 0.05), "{loads:?}");
 }
--- a/crates/subsetting/tests/recorded_run.rs
+++ b/crates/subsetting/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! Assignments, subsets through time and load reports of seeded runs as recorded hashes: the order of floating-point
-//! operations and of random draws is behaviour that a change of the code's shape must keep.
+//! Compares assignments, subsets through time and load reports of seeded runs with recorded hashes. A refactoring must
+//! keep the order of floating-point operations and random draws, as it determines the results.
 
 use std::collections::BTreeSet;
 
@@ -33,11 +33,11 @@
     }
 
     fn write_assignments(&mut self, assignments: &Assignments) {
-        for parts in &assignments.by_gateway {
+        for assigned in &assignments.by_gateway {
             self.write(&[255]);
-            for part in parts {
-                self.write(&(part.server as u64).to_le_bytes());
-                self.write_float(part.weight);
+            for assignment in assigned {
+                self.write(&(assignment.server as u64).to_le_bytes());
+                self.write_float(assignment.weight);
             }
         }
     }
@@ -76,11 +76,15 @@
             let settings = Settings { min_servers: 3 + step % 9, prefers_own_zone: step % 4 != 0 };
             let assignments = assigner.assign(&gateways, &servers, settings);
             hash.write_assignments(&assignments);
-            let found = evenness(&gateways, &servers, &assignments);
-            for number in [found.max_load, found.min_load, found.mean_deviation] {
+            let measured = evenness(&gateways, &servers, &assignments);
+            for number in [measured.max_load, measured.min_load, measured.mean_deviation] {
                 hash.write_float(number);
             }
-            hash.write(&[found.pairs as u8, found.uncovered as u8, found.max_gateways_of_server as u8]);
+            hash.write(&[
+                measured.pairs as u8,
+                measured.uncovered as u8,
+                measured.max_gateways_of_server as u8,
+            ]);
             for flow in zone_flows(&gateways, &servers, settings.prefers_own_zone) {
                 hash.write(&[flow.from as u8, flow.to as u8]);
                 hash.write_float(flow.share);
@@ -110,8 +114,12 @@
             tracker.fleet_changed(now, view.clone(), rng.gen_bool(0.5));
             if rng.gen_bool(0.03) {
                 let share = [0.0, 0.3, 0.9][rng.gen_range(0..3)];
-                let avoided: BTreeSet<String> =
-                    view.servers.iter().filter(|_| rng.gen_bool(share)).map(|one| one.name.clone()).collect();
+                let avoided: BTreeSet<String> = view
+                    .servers
+                    .iter()
+                    .filter(|_| rng.gen_bool(share))
+                    .map(|server| server.name.clone())
+                    .collect();
                 tracker.set_avoided(avoided);
             }
             hash.write(&[tracker.handle_timeout(now).into()]);
@@ -140,17 +148,17 @@
         let now = SECOND + step * SECOND / 20;
         for number in 0..6u64 {
             let live: Vec<LivePeer> = (0..6).filter(|other| *other != number).map(peer).collect();
-            let own = &mut reports[number as usize];
+            let local_reports = &mut reports[number as usize];
             if rng.gen_bool(0.4) {
-                own.record_attempts(now, rng.gen_range(0..=(number * (step / 200))));
+                local_reports.record_attempts(now, rng.gen_range(0..=(number * (step / 200))));
             }
             if step == 900 && number == 2 {
-                own.leave(now, &live);
+                local_reports.leave(now, &live);
             }
-            if own.next_deadline() <= now {
-                own.handle_timeout(now, &live);
+            if local_reports.next_deadline() <= now {
+                local_reports.handle_timeout(now, &live);
             }
-            for gateway in own.gateway_loads(&live) {
+            for gateway in local_reports.gateway_loads(&live) {
                 hash.write(gateway.name.as_bytes());
                 hash.write_float(gateway.load.unwrap_or(-1.0));
                 hash.write(gateway.zone.as_bytes());
--- a/crates/subsetting/tests/subset_tracker.rs
+++ b/crates/subsetting/tests/subset_tracker.rs
@@ -1,4 +1,4 @@
-//! The subsets of a fleet through time: views that settle, weights that ramp, servers that are avoided.
+//! Tests of the subsets of a fleet through time: settling of views, weight ramps and avoided servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,86 +13,86 @@
 }
 
 fn view(gateways: impl Iterator<Item = usize>, servers: impl Iterator<Item = usize>) -> FleetView {
-    let server = |at| Server { name: format!("box-{at}"), weight: 1.0, zone: 0 };
+    let server = |index| Server { name: format!("box-{index}"), weight: 1.0, zone: 0 };
     FleetView {
-        gateways: gateways.map(|at| gateway(&format!("gateway-{at}"))).collect(),
+        gateways: gateways.map(|index| gateway(&format!("gateway-{index}"))).collect(),
         servers: servers.map(server).collect(),
     }
 }
 
-/// Gateways that each follow their own subset, on one clock.
+/// Gateways that each track their own subset, with a shared clock.
 struct Fleet {
     now: Micros,
-    all: BTreeMap<usize, SubsetTracker>,
+    trackers: BTreeMap<usize, SubsetTracker>,
 }
 
 impl Fleet {
     fn new(count: usize, servers: usize, min: usize) -> Fleet {
-        let mut fleet = Fleet { now: SECOND, all: BTreeMap::new() };
-        (0..count).for_each(|at| fleet.add(at, min));
+        let mut fleet = Fleet { now: SECOND, trackers: BTreeMap::new() };
+        (0..count).for_each(|index| fleet.add(index, min));
         fleet.set_view(&view(0..count, 0..servers), true);
         fleet.advance(SECOND);
         fleet
     }
 
-    fn add(&mut self, at: usize, min: usize) {
-        let own = SubsetTracker::new(
-            &format!("gateway-{at}"),
+    fn add(&mut self, index: usize, min: usize) {
+        let tracker = SubsetTracker::new(
+            &format!("gateway-{index}"),
             Settings { min_servers: min, prefers_own_zone: false },
-            at as u64,
+            index as u64,
         );
-        self.all.insert(at, own);
+        self.trackers.insert(index, tracker);
     }
 
     fn set_view(&mut self, view: &FleetView, is_complete: bool) {
         let now = self.now;
-        self.all.values_mut().for_each(|own| own.fleet_changed(now, view.clone(), is_complete));
+        self.trackers.values_mut().for_each(|tracker| tracker.fleet_changed(now, view.clone(), is_complete));
     }
 
-    fn advance(&mut self, time: Micros) {
-        let until = self.now + time;
-        while self.now < until {
+    fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while self.now < end {
             self.now += STEP;
-            for own in self.all.values_mut() {
-                own.handle_timeout(self.now);
+            for tracker in self.trackers.values_mut() {
+                tracker.handle_timeout(self.now);
             }
         }
     }
 
-    /// The load of each server, relative to their mean.
+    /// The load of each server, relative to the mean load of all servers.
     fn relative_loads(&self, servers: usize) -> Vec<f64> {
         let mut relative_loads = vec![0.0; servers];
-        for (name, share) in self.all.values().flat_map(|own| &own.current().weights) {
-            let at: usize = name.trim_start_matches("box-").parse().expect("a number");
-            relative_loads[at] += share;
+        for (name, share) in self.trackers.values().flat_map(|tracker| &tracker.current().weights) {
+            let index: usize = name.trim_start_matches("box-").parse().expect("a number");
+            relative_loads[index] += share;
         }
         let mean = relative_loads.iter().sum::<f64>() / servers as f64;
         relative_loads.iter().map(|one| one / mean).collect()
     }
 
-    fn subset_of(&self, at: usize) -> BTreeSet<&String> {
-        self.all[&at].current().weights.keys().collect()
+    fn subset_of(&self, index: usize) -> BTreeSet<&String> {
+        self.trackers[&index].current().weights.keys().collect()
     }
 }
 
-fn max(of: &[f64]) -> f64 {
-    of.iter().copied().fold(0.0, f64::max)
+fn max(values: &[f64]) -> f64 {
+    values.iter().copied().fold(0.0, f64::max)
 }
 
-fn min(of: &[f64]) -> f64 {
-    of.iter().copied().fold(f64::INFINITY, f64::min)
+fn min(values: &[f64]) -> f64 {
+    values.iter().copied().fold(f64::INFINITY, f64::min)
 }
 
 #[test]
 fn a_restart_within_the_settling_time_changes_no_subset() {
     let mut fleet = Fleet::new(40, 30, 6);
-    let before: Vec<_> = (0..40).map(|at| fleet.all[&at].current().clone()).collect();
-    fleet.set_view(&view((0..40).filter(|at| *at != 7), 0..30), false);
+    let before: Vec<_> = (0..40).map(|index| fleet.trackers[&index].current().clone()).collect();
+    fleet.set_view(&view((0..40).filter(|index| *index != 7), 0..30), false);
     fleet.advance(2 * SECOND);
     fleet.set_view(&view(0..40, 0..30), false);
     fleet.advance(10 * SECOND);
-    for (at, before) in before.iter().enumerate() {
-        assert_eq!(fleet.all[&at].current(), before);
+    for (index, before) in before.iter().enumerate() {
+        assert_eq!(fleet.trackers[&index].current(), before);
     }
 }
 
@@ -101,8 +101,12 @@
     let mut fleet = Fleet::new(40, 30, 6);
     fleet.set_view(&view(0..40, 0..27), false);
     fleet.advance(SECOND / 4);
-    for own in fleet.all.values() {
-        assert!(!own.current().weights.keys().any(|name| ["box-27", "box-28", "box-29"].contains(&&**name)));
+    for tracker in fleet.trackers.values() {
+        assert!(!tracker
+            .current()
+            .weights
+            .keys()
+            .any(|name| ["box-27", "box-28", "box-29"].contains(&&**name)));
     }
     fleet.advance(3 * SECOND);
     let relative_loads = fleet.relative_loads(27);
@@ -111,25 +115,26 @@
 
 #[test]
 fn a_fleet_that_halves_and_doubles_stays_even_within_bounds_throughout() {
-    let (mut fleet, mut worst) = (Fleet::new(20, 24, 6), 1.0f64);
+    let (mut fleet, mut max_relative_load) = (Fleet::new(20, 24, 6), 1.0f64);
     for leaving in (10..20).rev() {
-        fleet.all.remove(&leaving);
+        fleet.trackers.remove(&leaving);
         fleet.set_view(&view(0..leaving, 0..24), false);
         fleet.advance(SECOND / 10);
     }
     for step in 0..40 {
         fleet.advance(SECOND / 4);
         let relative_loads = fleet.relative_loads(24);
-        worst = worst.max(max(&relative_loads));
-        // For a second, until views settle, the assignment is for twice as many gateways; weights then move in two.
+        max_relative_load = max_relative_load.max(max(&relative_loads));
+        // Until the views settle after one second, the assignment is for twice as many gateways. The weights then ramp
+        // for two seconds.
         assert!(
             step < 13 || min(&relative_loads) > 0.9,
-            "after {step} quarters of a second a server has hardly any load: {relative_loads:?}"
+            "after {step} quarters of a second a server has too little load: {relative_loads:?}"
         );
     }
     let settled = fleet.relative_loads(24);
     assert!(max(&settled) < 1.05 && min(&settled) > 0.95, "{settled:?}");
-    // The gateways that return have been restarted, and see the whole fleet at once.
+    // The returning gateways have been restarted, and see the whole fleet at once.
     for returning in 10..20 {
         fleet.add(returning, 6);
         fleet.set_view(&view(0..=returning, 0..24), false);
@@ -137,25 +142,27 @@
     }
     for _ in 0..48 {
         fleet.advance(SECOND / 4);
-        worst = worst.max(max(&fleet.relative_loads(24)));
+        max_relative_load = max_relative_load.max(max(&fleet.relative_loads(24)));
     }
     let settled = fleet.relative_loads(24);
     assert!(max(&settled) < 1.05 && min(&settled) > 0.95, "{settled:?}");
-    // Until the views have settled, half of the fleet assigns servers as if the other half were there.
-    assert!(worst < 2.5, "{worst}");
+    // Until the views have settled, half of the fleet assigns servers as if the other half still took part.
+    assert!(max_relative_load < 2.5, "{max_relative_load}");
 }
 
 #[test]
 fn weights_ramp_in_steps_and_preconnects_are_spread_over_time() {
     let mut fleet = Fleet::new(30, 20, 6);
-    let before = fleet.all[&0].current().clone();
+    let before = fleet.trackers[&0].current().clone();
     fleet.set_view(&view(0..30, 0..24), false);
     let (mut last, mut largest, mut preconnects) = (before.clone(), 0.0f64, Vec::new());
     for _ in 0..160 {
         fleet.advance(STEP);
         let now = fleet.now;
-        preconnects.push(fleet.all.values_mut().map(|own| own.take_preconnects(now).len()).sum::<usize>());
-        let subset = fleet.all[&0].current().clone();
+        preconnects.push(
+            fleet.trackers.values_mut().map(|tracker| tracker.take_preconnects(now).len()).sum::<usize>(),
+        );
+        let subset = fleet.trackers[&0].current().clone();
         for (name, share) in &subset.weights {
             largest = largest.max((share - last.weights.get(name).copied().unwrap_or(0.0)).abs());
         }
@@ -164,59 +171,61 @@
     assert_ne!(before, last, "nothing has moved");
     assert!(largest < 0.06, "a weight changed by {largest} in one step");
     let (sum, at_once) = (preconnects.iter().sum::<usize>(), preconnects.iter().max().copied().unwrap_or(0));
-    assert!(sum > 20 && at_once * 5 < sum, "{at_once} of {sum} preconnects were in one step");
+    assert!(sum > 20 && at_once * 5 < sum, "{at_once} of {sum} preconnects are in one step");
 }
 
 #[test]
 fn supplements_of_avoided_subsets_are_spread_over_the_servers() {
     let mut fleet = Fleet::new(300, 200, 12);
-    // One in six of the servers is avoided; some gateways have many of them.
-    let avoided: BTreeSet<String> = (0..200).filter(|at| at % 6 == 0).map(|at| format!("box-{at}")).collect();
+    // One in six servers is avoided; some gateways use many avoided servers.
+    let avoided: BTreeSet<String> =
+        (0..200).filter(|index| index % 6 == 0).map(|index| format!("box-{index}")).collect();
     let ten: BTreeSet<String> = fleet.subset_of(0).into_iter().cloned().collect();
     let all: BTreeSet<String> = avoided.union(&ten).cloned().collect();
-    for own in fleet.all.values_mut() {
-        own.set_avoided(all.clone());
+    for tracker in fleet.trackers.values_mut() {
+        tracker.set_avoided(all.clone());
     }
     fleet.advance(SECOND / 2);
     let subset = fleet.subset_of(0);
     assert!(subset.iter().filter(|name| !all.contains(**name)).count() >= MIN_SUBSET_SIZE, "{subset:?}");
     let loads: Vec<f64> = fleet.relative_loads(200);
     assert!(max(&loads) < 3.0, "{}", max(&loads));
-    // Half of the fleet avoids all of its servers, as with a bad network path, and supplements them evenly.
+    // Half of the gateways avoid all of their servers, as with a bad network path. Their supplements must be spread
+    // evenly.
     let mut fleet = Fleet::new(300, 200, 12);
-    for (at, own) in fleet.all.iter_mut().filter(|(at, _)| **at % 2 == 0) {
-        let _ = at;
-        let own_servers: BTreeSet<String> = own.current().weights.keys().cloned().collect();
-        own.set_avoided(own_servers);
+    for (index, tracker) in fleet.trackers.iter_mut().filter(|(index, _)| **index % 2 == 0) {
+        let _ = index;
+        let own_servers: BTreeSet<String> = tracker.current().weights.keys().cloned().collect();
+        tracker.set_avoided(own_servers);
     }
     fleet.advance(SECOND / 2);
     let mut gateways_of = vec![0usize; 200];
-    for (_, own) in fleet.all.iter().filter(|(at, _)| **at % 2 == 0) {
-        let own_servers = own.settled_view();
-        assert_eq!(own_servers.servers.len(), 200);
-        for name in own.current().weights.keys() {
+    for (_, tracker) in fleet.trackers.iter().filter(|(index, _)| **index % 2 == 0) {
+        let settled_view = tracker.settled_view();
+        assert_eq!(settled_view.servers.len(), 200);
+        for name in tracker.current().weights.keys() {
             gateways_of[name.trim_start_matches("box-").parse::<usize>().expect("a number")] += 1;
         }
     }
-    // 150 gateways with some 24 servers each are 18 for each server on average.
+    // 150 gateways with about 24 servers each are 18 gateways per server on average.
     assert!(gateways_of.iter().max().copied().unwrap_or(0) < 40, "{gateways_of:?}");
 }
 
 #[test]
 fn supplements_for_flapping_servers_are_retained() {
     let mut fleet = Fleet::new(40, 30, 6);
-    let own: BTreeSet<String> = fleet.subset_of(3).into_iter().cloned().collect();
+    let assigned_servers: BTreeSet<String> = fleet.subset_of(3).into_iter().cloned().collect();
     let mut changes = 0;
-    let mut last = own.clone();
+    let mut last = assigned_servers.clone();
     for step in 0..20 {
-        let avoided = if step % 2 == 0 { own.clone() } else { BTreeSet::new() };
-        fleet.all.get_mut(&3).expect("there").set_avoided(avoided);
+        let avoided = if step % 2 == 0 { assigned_servers.clone() } else { BTreeSet::new() };
+        fleet.trackers.get_mut(&3).expect("the tracker exists").set_avoided(avoided);
         fleet.advance(SECOND);
         let now: BTreeSet<String> = fleet.subset_of(3).into_iter().cloned().collect();
         changes += usize::from(now != last);
         last = now;
     }
-    assert_eq!(changes, 1, "the subset was supplemented once, and that was retained");
+    assert_eq!(changes, 1, "the subset is supplemented once, and keeps the supplements");
 }
 
 #[test]
@@ -224,11 +233,11 @@
     let mut fleet = Fleet::new(20, 24, 6);
     fleet.set_view(&view(0..20, 0..4), false);
     fleet.advance(SECOND);
-    assert!((0..20).all(|at| fleet.subset_of(at).len() >= MIN_SUBSET_SIZE), "most servers are gone");
-    // With no servers at all the subset is retained; the decision module itself knows that none is in use.
+    assert!((0..20).all(|index| fleet.subset_of(index).len() >= MIN_SUBSET_SIZE), "most servers are gone");
+    // Without any servers the subset is retained. The policy itself knows that no server is in use.
     fleet.set_view(&view(0..20, 0..0), false);
     fleet.advance(10 * SECOND);
-    assert!((0..20).all(|at| !fleet.subset_of(at).is_empty()));
+    assert!((0..20).all(|index| !fleet.subset_of(index).is_empty()));
     fleet.set_view(&view(0..20, 0..24), false);
     fleet.advance(12 * SECOND);
     let relative_loads = fleet.relative_loads(24);
@@ -242,6 +251,9 @@
         fleet.set_view(&view(0..20 - step % 2, 0..24 + step % 3), false);
         fleet.advance(SECOND);
     }
-    let servers = fleet.all[&0].settled_view().servers.len();
-    assert!(servers > 24 || fleet.all[&0].settled_view().gateways.len() < 20, "no change was ever settled");
+    let servers = fleet.trackers[&0].settled_view().servers.len();
+    assert!(
+        servers > 24 || fleet.trackers[&0].settled_view().gateways.len() < 20,
+        "no change was ever settled"
+    );
 }
