--- a/crates/gateway/src/downstream/commands.rs
+++ b/crates/gateway/src/downstream/commands.rs
@@ -48,7 +48,7 @@
         match command {
             Ok(Command::Call(call)) => self.handle_call(call).await,
             Ok(Command::Ping) => self.pipeline.push_ready(self.ping_response(), None),
-            Ok(Command::Courtesy) => self.pipeline.push_ready(b"+OK\r\n".to_vec(), None),
+            Ok(Command::ConnectionSetup) => self.pipeline.push_ready(b"+OK\r\n".to_vec(), None),
             Err(why) => self.handle_invalid(&why).await?,
         }
         Ok(())
@@ -81,7 +81,7 @@
         let id = call.request.id.clone();
         let open = OpenRequest { id, ticket, client_gone: call.client_gone.clone() };
         let number = self.pipeline.push_open(open, class);
-        let reply = ReplyHandle { ticket, number, to: self.reply_sender.clone(), places: reservations };
+        let reply = ReplyHandle { ticket, number, sender: self.reply_sender.clone(), reservations };
         // Danger: a process that was suspended would give a server more time than the client has left.
         let now = Instant::now();
         let received_at = now.checked_sub(self.input_delay).unwrap_or(now);
@@ -103,7 +103,7 @@
             return Err(EarlyRejection::ShuttingDown);
         }
         let open = shared.limits.open.reserve(1).ok_or(EarlyRejection::NoRequestSlot)?;
-        let bytes = shared.limits.bytes.reserve(call.weight()).ok_or(EarlyRejection::NoRequestSlot)?;
+        let bytes = shared.limits.bytes.reserve(call.memory_bytes()).ok_or(EarlyRejection::NoRequestSlot)?;
         Ok([open, bytes])
     }
 
