--- a/crates/lease/tests/candidacy.rs
+++ b/crates/lease/tests/candidacy.rs
@@ -70,8 +70,8 @@
         self.gateways.keys().map(|name| Participant { name: name.clone(), unwilling: false }).collect()
     }
 
-    fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += MILLISECOND;
             for (from, to, message) in std::mem::take(&mut self.in_transit) {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_first_rank_holds_and_only_few_claim() {
+fn the_first_ranked_gateway_holds_the_lease_and_few_others_claim_it() {
     let mut fleet = Fleet::new(30, &[lease()]);
     fleet.run(4 * SECOND);
     assert_eq!(fleet.holder("bills"), ranked("bills", &fleet.participants()).into_iter().next());
--- a/crates/lease/tests/election.rs
+++ b/crates/lease/tests/election.rs
@@ -151,9 +151,9 @@
         let leases = leases(3);
         let mut simulation = Simulation::new(5, 0, &leases, seed);
         (3..5).for_each(|index| simulation.acceptors[index] = None);
-        let three =
+        let three_acceptors =
             |from: usize| -> Vec<Name> { (from..from + 3).map(|index| format!("v{index}").into()).collect() };
-        simulation.acceptor_set = AcceptorSet::initial(&three(0));
+        simulation.acceptor_set = AcceptorSet::initial(&three_acceptors(0));
         (0..3).for_each(|index| simulation.disks[index] = DurableState::default());
         (0..3).for_each(|index| simulation.start_acceptor(index));
         simulation.candidates = (0..4).map(|_| None).collect();
@@ -166,7 +166,7 @@
         for number in 1..3 {
             let before = simulation.acceptor_set.names.clone();
             simulation.acceptor_set =
-                AcceptorSet { epoch: number as u32, names: three(number), previous_names: before };
+                AcceptorSet { epoch: number as u32, names: three_acceptors(number), previous_names: before };
             // The previous members and the new member restart in a random order, and candidates restart in between.
             let mut sequence: Vec<usize> = (number - 1..number + 3).collect();
             for index in (1..sequence.len()).rev() {
@@ -201,7 +201,7 @@
         simulation.run(3 * SECOND + SETTINGS.duration);
         // Messages take longer than the start delay between candidates, and one acceptor's disk has failed.
         simulation.max_delay = 12 * MILLISECOND;
-        let time = simulation.time(2);
+        let time = simulation.local_time(2);
         simulation.acceptors[2].as_mut().expect("the process runs").0.write_completed(time, 0, false);
         simulation.run(simulation.now + SECOND);
         assert!(simulation.are_held(&leases), "seed {seed}");
@@ -252,7 +252,7 @@
     // The holder ends, so that the acceptors promise another term.
     let holder = (0..2).find(|index| {
         let candidate = simulation.candidates[*index].as_ref().expect("the process runs");
-        candidate.authorization(simulation.time(3 + index), &leases[0]).is_some()
+        candidate.authorization(simulation.local_time(3 + index), &leases[0]).is_some()
     });
     simulation.candidates[holder.expect("a candidate holds the lease")] = None;
     simulation.run(simulation.now + SETTINGS.duration + SECOND);
--- a/crates/lease/tests/replicated_list.rs
+++ b/crates/lease/tests/replicated_list.rs
@@ -30,7 +30,7 @@
 struct Source {
     changes: Vec<(u64, Entry)>,
     polls: u64,
-    down: bool,
+    is_down: bool,
 }
 
 impl Source {
@@ -51,7 +51,7 @@
             None => !own.removed,
         });
         let entries = newer.map(|(_, own)| own.clone()).collect();
-        (!self.down).then(|| SourceReply { index: self.index(), is_complete: since.is_none(), entries })
+        (!self.is_down).then(|| SourceReply { index: self.index(), is_complete: since.is_none(), entries })
     }
 }
 
@@ -115,8 +115,8 @@
         }
     }
 
-    fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 5 * MILLISECOND;
             while let Some(first) = self.in_transit.first_entry().filter(|first| first.key().0 <= self.now) {
@@ -157,7 +157,7 @@
                     self.send(gateway_index, to.parse().expect("a number"), message);
                 }
                 Output::SendMessage(to, message) => {
-                    self.send(gateway_index, to.parse().expect("a number"), message)
+                    self.send(gateway_index, to.parse().expect("a number"), message);
                 }
                 Output::Updated(SourceReply { is_complete, entries, .. }) => {
                     let copy = &mut self.gateways[gateway_index].1;
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn changes_reach_all_within_a_third_of_the_maximum_age_and_one_polls() {
+fn changes_reach_all_gateways_within_a_third_of_the_maximum_age_and_only_the_holder_polls() {
     let mut simulation = Simulation::new(30, 3);
     simulation.run(2 * SECOND);
     assert!(simulation.have_converged());
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn no_copy_goes_back_under_random_faults_and_all_converge_after_them() {
+fn no_copy_returns_to_an_earlier_version_under_random_faults_and_all_converge_afterwards() {
     for seed in 1..60 {
         let mut simulation = Simulation::new(8, seed);
         simulation.run(SECOND);
@@ -226,7 +226,7 @@
                 3 => simulation.paused.clear(),
                 4 => simulation.partitioned = (0..gateway_index).collect(),
                 5 => simulation.partitioned.clear(),
-                6 => simulation.source.down = !simulation.source.down,
+                6 => simulation.source.is_down = !simulation.source.is_down,
                 _ => {
                     let name = simulation.random.below(14);
                     let removed = simulation.random.below(4) == 0;
@@ -238,7 +238,7 @@
         }
         simulation.paused.clear();
         simulation.partitioned.clear();
-        simulation.source.down = false;
+        simulation.source.is_down = false;
         simulation.loss_percent = 0;
         simulation.max_delay = 2 * MILLISECOND;
         simulation.holder = None;
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_source_that_counts_from_below_starts_an_epoch_only_by_a_holder() {
+fn only_a_holder_starts_an_epoch_for_a_source_with_a_lower_index() {
     let mut list = ReplicatedList::new(&"list".into(), MAX_AGE, None, SECOND, 0.5);
     let reply = |index| Some(SourceReply { index, is_complete: true, entries: vec![entry(1, index)] });
     list.handle_timeout(2 * SECOND, false, 0);
--- a/crates/lease/tests/simulation/mod.rs
+++ b/crates/lease/tests/simulation/mod.rs
@@ -93,14 +93,14 @@
         simulation
     }
 
-    pub fn time(&self, index: usize) -> Micros {
+    pub fn local_time(&self, index: usize) -> Micros {
         (u128::from(self.now) * u128::from(self.clock_rates[index]) / 1_000_000) as Micros
     }
 
     pub fn start_acceptor(&mut self, index: usize) {
         self.starts += 1;
         let start = ProcessId(self.starts);
-        let time = self.time(index);
+        let time = self.local_time(index);
         let acceptor = Acceptor::new(
             &self.names[index],
             start,
@@ -117,7 +117,7 @@
         self.starts += 1;
         let mut candidate =
             Candidate::new(ProcessId(1_000 + self.starts), &self.acceptor_set, SETTINGS, self.starts);
-        let time = self.time(self.names.len() + index);
+        let time = self.local_time(self.names.len() + index);
         leases.iter().for_each(|lease| candidate.pursue(time, lease, index as Micros * 10 * MILLISECOND));
         self.candidates[index] = Some(candidate);
     }
@@ -210,7 +210,7 @@
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Request(to, from, request) => {
-                let time = self.time(to);
+                let time = self.local_time(to);
                 if let Some((acceptor, _)) = &mut self.acceptors[to] {
                     acceptor.handle_request(time, from, request);
                 }
@@ -232,7 +232,7 @@
             candidate.as_ref().is_some_and(|candidate| candidate.process() == to)
         };
         let Some(index) = self.candidates.iter().position(is_target) else { return };
-        let time = self.time(self.names.len() + index);
+        let time = self.local_time(self.names.len() + index);
         if let Some(candidate) = &mut self.candidates[index] {
             candidate.handle_reply(time, from, reply);
         }
@@ -240,7 +240,7 @@
     }
 
     fn complete_write(&mut self, index: usize, start: u64, number: u64) {
-        let time = self.time(index);
+        let time = self.local_time(index);
         let Some((acceptor, current_start)) = &mut self.acceptors[index] else { return };
         if *current_start == start {
             while let Some((_, change)) =
@@ -254,7 +254,7 @@
     }
 
     fn tick_acceptor(&mut self, index: usize) {
-        let time = self.time(index);
+        let time = self.local_time(index);
         if let Some((acceptor, _)) = &mut self.acceptors[index] {
             acceptor.handle_timeout(time);
         }
@@ -262,7 +262,7 @@
     }
 
     fn tick_candidate(&mut self, index: usize, held: &mut BTreeSet<Name>) {
-        let time = self.time(self.names.len() + index);
+        let time = self.local_time(self.names.len() + index);
         let Some(candidate) = &mut self.candidates[index] else { return };
         if candidate.next_deadline().is_some_and(|deadline| deadline <= time) {
             candidate.handle_timeout(time);
@@ -286,9 +286,9 @@
     pub fn is_held(&self, lease: &Name) -> bool {
         let count = self.names.len();
         let holds = |(index, candidate): (usize, &Option<Candidate>)| {
-            candidate
-                .as_ref()
-                .is_some_and(|candidate| candidate.authorization(self.time(count + index), lease).is_some())
+            candidate.as_ref().is_some_and(|candidate| {
+                candidate.authorization(self.local_time(count + index), lease).is_some()
+            })
         };
         self.candidates.iter().enumerate().any(holds)
     }
--- a/crates/subsetting/tests/assignment.rs
+++ b/crates/subsetting/tests/assignment.rs
@@ -251,7 +251,7 @@
 /// Includes sizes at which the number of servers per gateway is just below a whole number, so that a change could make
 /// every gateway need one more server.
 #[test]
-fn no_size_of_a_fleet_moves_many_pairs_at_one_change() {
+fn one_change_moves_few_pairs_at_any_fleet_size() {
     let settings = Settings { min_servers: 3, prefers_own_zone: true };
     for (gateway_count, server_count) in [(300, 200), (150, 100), (60, 40), (100, 20), (40, 81)] {
         let (fleet_gateways, fleet_servers) = (gateways(gateway_count), servers(server_count));
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_as_far_as_it_has_capacity() {
+fn traffic_stays_in_its_zone_up_to_the_capacity_of_the_zone() {
     let (mut fleet_gateways, mut fleet_servers) = (gateways(60), servers(40));
     fleet_gateways.iter_mut().enumerate().for_each(|(index, gateway)| gateway.zone = u32::from(index >= 40));
     fleet_servers.iter_mut().enumerate().for_each(|(index, server)| server.zone = u32::from(index >= 20));
@@ -304,16 +304,16 @@
 #[test]
 fn differing_views_load_servers_nearly_evenly() {
     let (fleet_gateways, fleet_servers) = (gateways(100), servers(80));
-    let whole = assign(&fleet_gateways, &fleet_servers, SETTINGS);
+    let full_view_assignments = assign(&fleet_gateways, &fleet_servers, SETTINGS);
     for differ in [1, 5, 10] {
-        let some = &fleet_gateways[differ..];
-        let view = assign(some, &fleet_servers, SETTINGS);
+        let seen_gateways = &fleet_gateways[differ..];
+        let seen_assignments = assign(seen_gateways, &fleet_servers, SETTINGS);
         // Half of the fleet does not see the first `differ` gateways.
         let loads = loads_with_differing_views(&fleet_gateways, &fleet_servers, |index| {
             if index % 2 == 0 || index < differ {
-                (&fleet_gateways[..], &fleet_servers[..], &whole)
+                (&fleet_gateways[..], &fleet_servers[..], &full_view_assignments)
             } else {
-                (some, &fleet_servers[..], &view)
+                (seen_gateways, &fleet_servers[..], &seen_assignments)
             }
         });
         let mean = 100.0 / 80.0;
--- a/crates/subsetting/tests/load_reports.rs
+++ b/crates/subsetting/tests/load_reports.rs
@@ -29,8 +29,8 @@
         others.map(|(_, (live, _))| live.clone()).collect()
     }
 
-    fn advance(&mut self, time: Micros, attempts: impl Fn(usize) -> u64) {
-        let end = self.now + time;
+    fn advance(&mut self, duration: Micros, attempts: impl Fn(usize) -> u64) {
+        let end = self.now + duration;
         let others: Vec<_> = (0..self.gateways.len()).map(|index| self.others(index)).collect();
         while self.now < end {
             self.now += STEP;
--- a/crates/subsetting/tests/subset_tracker.rs
+++ b/crates/subsetting/tests/subset_tracker.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_is_removed_at_once_and_the_others_get_its_load() {
+fn a_missing_server_is_removed_at_once_and_the_other_servers_get_its_load() {
     let mut fleet = Fleet::new(40, 30, 6);
     fleet.set_view(&view(0..40, 0..27), false);
     fleet.advance(SECOND / 4);
