--- a/crates/lease/src/acceptor/recovery.rs
+++ b/crates/lease/src/acceptor/recovery.rs
@@ -91,7 +91,7 @@
             .any(|write| write.deferred_action.as_ref().is_some_and(DeferredAction::ends_recovery))
     }
 
-    /// What is known here of another acceptor, and promised.
+    /// What this acceptor knows about the acceptor `peer`, with its own state and promises.
     fn recovery_reply(&self, peer: &Name) -> RecoveryReply {
         let known = self.durable.peers.get(peer).cloned().unwrap_or_default();
         let frozen_epoch = match self.previous_epoch {
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -111,7 +111,7 @@
     Recovery(RecoveryReply),
 }
 
-/// Why an acceptor rejects a claim. The texts are read by operators.
+/// Why an acceptor rejects a claim. Operators are shown the texts, so they must not change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// Another process holds or may hold the lease.
