--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `fernscale check`: reads a configuration and reports its problems. It starts nothing.
+//! `fernscale check`: reads a configuration and reports its problems, without starting anything.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
         config.settings.gateway_count,
         config.settings.classes.len(),
         config.settings.plans.len(),
-        config.known.map_or(0, |known| known.servers.len()),
+        config.known_endpoints.map_or(0, |known| known.servers.len()),
     );
     Ok(())
 }
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -1,5 +1,5 @@
-//! `fernscale jobs`: the leases of the fleet, as the gateway of the configuration and the acceptors that it sees know
-//! them; and the commands to release a lease or to cordon a gateway.
+//! `fernscale jobs`: the leases of the fleet, as reported by the configured gateway and by the live acceptors, and the
+//! commands to release a lease and to cordon a gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Have a job given back by the gateway that owns it, so that another does it
+    /// Make the gateway that owns a job release it, so that another gateway takes it over
     Release {
         /// The job's name
         name: String,
     },
-    /// Have the gateway of this configuration own nothing where another can, before work on it
+    /// Cordon the configured gateway before maintenance: it owns no job that another gateway can own
     Cordon,
-    /// And let it own jobs again
+    /// Uncordon the configured gateway: it can own jobs again
     Uncordon,
 }
 
-/// A line for each problem.
+/// One line for each problem.
 type Problems = Vec<String>;
 
 pub fn run(installation: Option<PathBuf>, json: bool, command: Option<Command>) -> Result<(), Problems> {
@@ -50,20 +50,20 @@
     }
 }
 
-/// A lease that has a holder.
+/// A lease with its holder.
 struct GrantedLease {
     token: FencingToken,
     gateway: Option<Name>,
     remaining_ms: u64,
-    /// Acceptors that report this holder.
+    /// Number of acceptors that report this holder.
     acceptor_count: usize,
 }
 
-/// What the gateways report.
+/// The state of the fleet's leases, as the gateways report it.
 struct Fleet {
-    /// The view of the configuration's gateway, then those of the acceptors that have replied.
+    /// The view of the configured gateway, followed by those of the acceptors that replied.
     views: Vec<(SocketAddr, LeaseView)>,
-    /// Acceptors that are not live, or have not replied.
+    /// Acceptors that are not live or did not reply.
     silent_acceptors: Vec<Name>,
     held: BTreeMap<Name, GrantedLease>,
 }
@@ -81,11 +81,11 @@
         let local_name = views[0].1.gateway.clone();
         for acceptor in leases.acceptors.names.iter().filter(|acceptor| **acceptor != local_name) {
             let live_members = membership_view.members.iter().filter(|member| member.is_alive());
-            let mut at = live_members
+            let mut addresses = live_members
                 .filter(|member| *member.peer.name == **acceptor)
                 .map(|member| member.peer.address);
-            match at.next_back().map(|at| (at, view(at, keys))) {
-                Some((at, Ok(view))) => views.push((at, view)),
+            match addresses.next_back().map(|address| (address, view(address, keys))) {
+                Some((address, Ok(view))) => views.push((address, view)),
                 _ => silent_acceptors.push(acceptor.clone()),
             }
         }
@@ -111,7 +111,8 @@
                 _ => drop(held.insert(status.lease.clone(), granted)),
             }
         }
-        // A lease that fewer than a majority have promised has no holder, unless too few acceptors have replied.
+        // A lease needs the promises of a majority to have a holder. If fewer acceptors replied, all that replied must
+        // agree.
         let required_promises =
             majority(leases.acceptors.names.len()).min(leases.acceptors.names.len() - silent_acceptors.len());
         held.retain(|_, granted| granted.acceptor_count >= required_promises.max(1));
@@ -119,19 +120,21 @@
     }
 }
 
-fn query_leases(to: SocketAddr, keys: &[Key], query: &StatusQuery) -> Result<StatusReply, String> {
+fn query_leases(gateway: SocketAddr, keys: &[Key], query: &StatusQuery) -> Result<StatusReply, String> {
     let query = postcard::to_stdvec(query).map_err(|error| error.to_string())?;
-    let reply = membership::query(to, keys, Channel::Lease, query).map_err(|error| error.to_string())?;
-    let no_reply = |_| {
-        format!("the gateway at {to} takes no part in owning jobs: it has no [owner], or has just started")
+    let reply = membership::query(gateway, keys, Channel::Lease, query).map_err(|error| error.to_string())?;
+    let invalid_reply = |_| {
+        format!(
+            "the gateway at {gateway} does not take part in leases: it has no [owner], or has just started"
+        )
     };
-    postcard::from_bytes(&reply).map_err(no_reply)
+    postcard::from_bytes(&reply).map_err(invalid_reply)
 }
 
-fn view(to: SocketAddr, keys: &[Key]) -> Result<LeaseView, String> {
-    match query_leases(to, keys, &StatusQuery::Leases)? {
+fn view(gateway: SocketAddr, keys: &[Key]) -> Result<LeaseView, String> {
+    match query_leases(gateway, keys, &StatusQuery::Leases)? {
         StatusReply::Leases(view) => Ok(view),
-        _ => Err(format!("the gateway at {to} answers with something else")),
+        _ => Err(format!("the gateway at {gateway} sent an unexpected reply")),
     }
 }
 
@@ -145,11 +148,15 @@
         StatusReply::Cordoned(is_cordoned) if is_cordoned == cordoned => {
             println!(
                 "{}",
-                if cordoned { "this gateway owns nothing where another can" } else { "it owns jobs again" }
+                if cordoned {
+                    "the gateway is cordoned: it owns no job that another gateway can own"
+                } else {
+                    "the gateway can own jobs again"
+                }
             );
             Ok(())
         }
-        _ => Err(vec![format!("the gateway at {} answers with something else", membership_settings.listen)]),
+        _ => Err(vec![format!("the gateway at {} sent an unexpected reply", membership_settings.listen)]),
     }
 }
 
@@ -160,24 +167,26 @@
     name: &str,
 ) -> Result<(), Problems> {
     let Some(membership_settings) = &config.membership else { return Ok(()) };
-    let granted = held.get(name).ok_or_else(|| vec![format!("nobody owns '{name}' now")])?;
+    let granted = held.get(name).ok_or_else(|| vec![format!("no gateway owns '{name}'")])?;
     let membership_view = membership::query_members(membership_settings.listen, &membership_settings.keys)
         .map_err(|error| vec![error.to_string()])?;
-    let of_members =
+    let member_processes =
         membership_view.members.iter().map(|member| (member.peer.instance.0, member.peer.address));
-    let own = (membership_view.local.instance.0, views[0].0);
-    let at =
-        of_members.chain([own]).find(|(process, _)| *process == granted.token.process.0).map(|(_, at)| at);
-    let at =
-        at.ok_or_else(|| vec![format!("the owner of '{name}' can't be reached; its lease ends by itself")])?;
-    match query_leases(at, &membership_settings.keys, &StatusQuery::Release(name.into()))
+    let local_process = (membership_view.local.instance.0, views[0].0);
+    let holder = member_processes
+        .chain([local_process])
+        .find(|(process, _)| *process == granted.token.process.0)
+        .map(|(_, address)| address);
+    let holder = holder
+        .ok_or_else(|| vec![format!("the owner of '{name}' can't be reached; the lease will expire")])?;
+    match query_leases(holder, &membership_settings.keys, &StatusQuery::Release(name.into()))
         .map_err(|error| vec![error])?
     {
         StatusReply::Released(true) => {
-            println!("'{name}' is given back");
+            println!("'{name}' has been released");
             Ok(())
         }
-        _ => Err(vec![format!("the gateway at {at} does not own '{name}' any more")]),
+        _ => Err(vec![format!("the gateway at {holder} no longer owns '{name}'")]),
     }
 }
 
@@ -204,12 +213,12 @@
             views.iter().find(|(_, view)| view.gateway == *acceptor).map(|(_, view)| acceptor_state(view));
         json!({ "voter": &**acceptor, "state": view.unwrap_or("is not heard") })
     });
-    let own = views[0].1.leases.iter().map(|status| {
+    let local_leases = views[0].1.leases.iter().map(|status| {
         json!({ "job": &*status.lease, "place": status.rank, "term": status.held.map(|(token, ..)| token.term),
             "for_ms": status.held.map(|(_, since, _)| since), "refusals": status.rejections, "last": status.last_rejection })
     });
     json!({ "gateway": &*views[0].1.gateway, "jobs": jobs.collect::<Vec<_>>(),
-        "voters": acceptors.collect::<Vec<_>>(), "own": own.collect::<Vec<_>>() })
+        "voters": acceptors.collect::<Vec<_>>(), "own": local_leases.collect::<Vec<_>>() })
 }
 
 fn print_summary(
@@ -223,18 +232,18 @@
     println!("{} of {acceptor_count} voters vote, {} jobs have an owner", voting, held.len());
     if voting < majority(acceptor_count) {
         println!(
-            "no majority votes: nobody can own anything, and each gateway does what it safely can alone"
+            "no majority votes: no gateway can own a job, and each gateway does alone only what is safe"
         );
     }
     if views[0].1.cordoned {
-        println!("  {} is cordoned: it owns nothing where another can", &*views[0].1.gateway);
+        println!("  {} is cordoned: it owns no job that another gateway can own", &*views[0].1.gateway);
     }
-    for (at, view) in views.iter().filter(|(_, view)| view.acceptor.is_some()) {
-        println!("  voter {:<20} {:<22} {}", &*view.gateway, at.to_string(), acceptor_state(view));
+    for (address, view) in views.iter().filter(|(_, view)| view.acceptor.is_some()) {
+        println!("  voter {:<20} {:<22} {}", &*view.gateway, address.to_string(), acceptor_state(view));
     }
     silent_acceptors.iter().for_each(|acceptor| println!("  voter {:<20} is not heard", &**acceptor));
     for (lease, GrantedLease { token, gateway, remaining_ms, .. }) in held {
-        let holder = gateway.as_deref().unwrap_or("a gateway that is not there");
+        let holder = gateway.as_deref().unwrap_or("an unknown gateway");
         println!(
             "  {:<24} {holder:<20} term {}, for {remaining_ms} ms more, run {:016x}",
             &**lease, token.term, token.process.0
@@ -243,10 +252,10 @@
     for status in &views[0].1.leases {
         let since =
             status.held.map_or(String::new(), |(_, since, _)| format!(", owned for {} s", since / 1_000));
-        let last =
+        let last_rejection =
             status.last_rejection.as_deref().map_or(String::new(), |error| format!(", the last: {error}"));
         println!(
-            "  {:<24} here place {}{since}, {} refusals{last}",
+            "  {:<24} here place {}{since}, {} refusals{last_rejection}",
             &*status.lease, status.rank, status.rejections
         );
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The command `fernscale`. Exit codes: 0 done; 1 it could not be done, with a line for each reason on standard error;
-//! 2 the call itself is wrong.
+//! The command `fernscale`. Exit codes: 0 success; 1 failure, with one line for each reason on standard error; 2 invalid
+//! arguments.
 
 mod check;
 mod jobs;
@@ -14,76 +14,76 @@
 
 use clap::{Parser, Subcommand};
 
-/// A front door that meters many customers' use of one shared service through many gateways.
+/// A fleet of gateways that enforce the quotas of many tenants of one shared service.
 #[derive(Parser)]
-#[command(name = "fernscale", version, after_help = CODES, after_long_help = CODES)]
+#[command(name = "fernscale", version, after_help = EXIT_CODES_HELP, after_long_help = EXIT_CODES_HELP)]
 struct Arguments {
-    /// The installation's own configuration; without a command, a gateway is run by it
+    /// The installation's configuration file; without a command, a gateway runs with it
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-/// Exit code for a wrong call.
+/// Exit code for invalid arguments.
 const EXIT_USAGE: u8 = 2;
 
-const CODES: &str = "\
-Without a command it runs one gateway, as `serve` does. BALANCER_CONFIG may name the platform's configuration in JSON; \
-what that says wins over the other file.
+const EXIT_CODES_HELP: &str = "\
+Without a command, one gateway runs, as with `serve`. The environment variable BALANCER_CONFIG can name the platform's \
+configuration file in JSON; its values override those of the installation's file.
 
-Exit codes: 0 done; 1 it could not be done, with a line for each reason on standard error; 2 the call is wrong.";
+Exit codes: 0 success; 1 failure, with one line for each reason on standard error; 2 invalid arguments.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one gateway, until SIGTERM; SIGHUP reads the configuration anew
+    /// Run one gateway until SIGTERM; SIGHUP reloads the configuration
     Serve {
-        /// The installation's own configuration
+        /// The installation's configuration file
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Ask a running gateway which others it sees, by the keys of its configuration
+    /// Show the members of the fleet as a running gateway sees them; the query uses the keys of its configuration
     Members {
-        /// The installation's own configuration
+        /// The installation's configuration file
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// What it knows of all counts, instead
+        /// Show the shared counts that the gateway knows instead of the members
         #[arg(long)]
         counts: bool,
-        /// One line of JSON
+        /// Print one line of JSON
         #[arg(long)]
         json: bool,
     },
-    /// Ask how the jobs of the fleet stand: who owns each, by which term; and whether the voters vote
+    /// Show the jobs of the fleet, with the owner and term of each, and whether the voters vote
     Jobs {
-        /// The installation's own configuration
+        /// The installation's configuration file
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// One line of JSON
+        /// Print one line of JSON
         #[arg(long)]
         json: bool,
         #[command(subcommand)]
         command: Option<jobs::Command>,
     },
-    /// Ask a running gateway how the servers stand, as the fleet sees them and as it does itself
+    /// Show the status of the servers as the fleet and a running gateway see it
     Servers {
-        /// The installation's own configuration
+        /// The installation's configuration file
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// One line of JSON
+        /// Print one line of JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show which gateway uses which servers, as a running gateway sees it, or for a fleet that you think of
+    /// Show which gateway uses which servers, as a running gateway sees it or for a hypothetical fleet
     Subsets(subsets::SubsetsArguments),
-    /// Look into a store, or mend it, while no gateway has it
+    /// Read, change, verify or repair a store that no gateway has open
     Store {
         #[command(subcommand)]
         command: store::Command,
     },
-    /// Read a configuration and name all that is wrong in it; nothing is started
+    /// Check a configuration and report all its problems, without starting anything
     Check {
-        /// A `fernscale.toml`, or the platform's configuration where the name ends in `.json`
+        /// A `fernscale.toml`, or the platform's configuration if the file name ends in `.json`
         file: PathBuf,
     },
 }
@@ -122,7 +122,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(reasons) => {
-            reasons.iter().for_each(|why| eprintln!("fernscale: {why}"));
+            reasons.iter().for_each(|reason| eprintln!("fernscale: {reason}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,4 +1,4 @@
-//! `fernscale members`: the members of the fleet, or its shared counters, as a running gateway knows them.
+//! `fernscale members`: the members of the fleet, or the shared counters, as a running gateway knows them.
 
 use std::path::PathBuf;
 
@@ -38,7 +38,7 @@
         view.counter_health
     );
     if live < view.configured_gateways as usize {
-        println!("not all gateways are there: without the counter, counts are this gateway's own guess");
+        println!("not all gateways are live: without the shared counter, this gateway can only estimate the counts");
     }
     for member in &view.members {
         let (peer, state) = (&member.peer, format!("{:?}", member.state).to_lowercase());
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -1,4 +1,4 @@
-//! `fernscale servers`: the state of outlier detection in a running gateway, for each server.
+//! `fernscale servers`: the outlier status of each server, as a running gateway knows it.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 pub fn servers(installation: Option<PathBuf>, json: bool) -> Result<(), Vec<String>> {
     let config = Source::from_environment(installation).map_err(|error| vec![error])?.read()?;
     if config.outlier_detection.is_none() {
-        return Err(vec!["the configuration has no [signals]: each gateway finds out alone".into()]);
+        return Err(vec!["the configuration has no [signals]: each gateway detects outliers alone".into()]);
     }
     let settings = config.membership.ok_or_else(|| vec!["the configuration has no [mesh]".to_string()])?;
     let gateway = settings.listen;
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -9,64 +9,67 @@
 use fernscale_store::{Batch, Durability, OpenReport, Options, Store};
 use serde_json::json;
 
-/// An open store, and what opening it has found.
+/// An open store, and the report of its recovery.
 type Opened = (Store<DiskDirectory>, OpenReport);
-/// Fails with a line for each problem.
+/// The result of a command. An error has one line for each problem.
 type CommandResult = Result<(), Vec<String>>;
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Write a key's value; made where there is none
+    /// Write the value of a key; creates the store if it does not exist
     Put { folder: PathBuf, key: String, value: String },
-    /// Print a key's value
+    /// Print the value of a key
     Get { folder: PathBuf, key: String },
     /// Delete a key
     Delete { folder: PathBuf, key: String },
-    /// Print all keys and values, one JSON object a line
+    /// Print all keys and values, one JSON object per line
     Dump {
         folder: PathBuf,
-        /// Only keys that begin so
+        /// Print only keys that begin with this prefix
         #[arg(long, default_value = "")]
         prefix: String,
     },
-    /// Read everything, change nothing but a torn end, and say what is there
+    /// Read the whole store and print its size; the only change is to cut a torn end
     Verify { folder: PathBuf },
-    /// Give back the room of what is of no use any more
+    /// Free the disk space of deleted and overwritten entries
     Compact { folder: PathBuf },
     /// Copy the store to another folder, which must be empty
     Snapshot { folder: PathBuf, to: PathBuf },
-    /// Open a damaged store, and write what is left of it to another folder, which must be empty
+    /// Copy the readable entries of a damaged store to another folder, which must be empty
     Salvage { folder: PathBuf, to: PathBuf },
 }
 
-/// Keys that one scan returns.
+/// Maximum number of keys that one scan returns.
 const PAGE_KEYS: usize = 10_000;
-/// Bytes that one step of compaction examines.
+/// Maximum number of bytes that one step of compaction examines.
 const COMPACTION_SLICE_BYTES: usize = 4 * 1024 * 1024;
 
 fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// An error of the store as a problem that names its folder.
+/// Converts an error of the store into a problem that names its folder.
 fn in_folder(folder: &Path) -> impl Fn(fernscale_store::Error) -> Vec<String> + '_ {
     move |error| vec![format!("'{}': {error}", folder.display())]
 }
 
-/// Opens a store, which must exist unless it is to be created. Reports on standard error what was cut or skipped.
+/// Opens a store. The store must exist unless `create` is set. Ranges that were cut or skipped are reported on standard
+/// error.
 fn open(folder: &Path, create: bool, salvage: bool) -> Result<Opened, Vec<String>> {
     if !create && !folder.is_dir() {
-        return Err(vec![format!("'{}' is no folder", folder.display())]);
+        return Err(vec![format!("'{}' is not a folder", folder.display())]);
     }
     let files =
         DiskDirectory::new(folder).map_err(|error| vec![format!("'{}': {error}", folder.display())])?;
     let options = Options { salvage, ..Options::default() };
     let (store, report) = Store::open(files, options, now_ms()).map_err(in_folder(folder))?;
-    if let Some((segment, at, length)) = report.truncated {
-        eprintln!("fernscale: a torn end was cut: segment {segment:x}, byte {at}, {length} bytes");
+    if let Some((segment, offset, length)) = report.truncated {
+        eprintln!("fernscale: a torn end was cut: segment {segment:x}, byte {offset}, {length} bytes");
     }
-    for (segment, at, length) in &report.skipped {
-        eprintln!("fernscale: damage was passed over: segment {segment:x}, byte {at}, {length} bytes");
+    for (segment, offset, length) in &report.skipped {
+        eprintln!(
+            "fernscale: a damaged range was skipped: segment {segment:x}, byte {offset}, {length} bytes"
+        );
     }
     Ok((store, report))
 }
@@ -126,7 +129,7 @@
     }
 }
 
-/// Visits each key and value in the order of the keys.
+/// Visits all keys with their values, in key order.
 fn for_each_entry(
     store: &Store<DiskDirectory>,
     folder: &Path,
@@ -143,21 +146,21 @@
 }
 
 fn copy_store((store, _): Opened, folder: &Path, to: &Path) -> CommandResult {
-    let empty = std::fs::read_dir(to).map_or(true, |mut entries| entries.next().is_none());
-    if !empty {
+    let is_empty = std::fs::read_dir(to).map_or(true, |mut entries| entries.next().is_none());
+    if !is_empty {
         return Err(vec![format!("'{}' is not empty", to.display())]);
     }
     let (mut target, _) = open(to, true, false)?;
-    let mut failed = None;
+    let mut first_error = None;
     for_each_entry(&store, folder, b"", |key, value| {
         let expires_at = store.expires_at(key).unwrap_or(0);
         let batch = Batch::new().put_until(key, value, expires_at);
         if let Err(error) = target.write(&batch, Durability::Deferred, now_ms()) {
-            failed.get_or_insert(error);
+            first_error.get_or_insert(error);
         }
         Ok(())
     })?;
-    match failed {
+    match first_error {
         Some(error) => Err(in_folder(to)(error)),
         None => target.sync().map_err(in_folder(to)),
     }?;
@@ -165,7 +168,7 @@
     Ok(())
 }
 
-/// Bytes as JSON: text where they are UTF-8, else hex digits.
+/// Bytes as JSON: a string if they are UTF-8, else hex digits.
 fn to_json(bytes: &[u8]) -> serde_json::Value {
     match std::str::from_utf8(bytes) {
         Ok(text) => json!(text),
@@ -173,7 +176,7 @@
     }
 }
 
-/// Prints bytes. A reader that has closed the pipe ends the program without an error.
+/// Prints bytes. If the reader has closed the pipe, the program exits without an error.
 fn print_bytes(bytes: &[u8]) -> CommandResult {
     match std::io::stdout().write_all(bytes) {
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => Err(vec![error.to_string()]),
--- a/crates/cli/src/subsets.rs
+++ b/crates/cli/src/subsets.rs
@@ -1,4 +1,4 @@
-//! `fernscale subsets`: which gateway uses which servers, as a running gateway knows it, or for a hypothetical fleet.
+//! `fernscale subsets`: which gateway uses which servers, as a running gateway knows it or for a hypothetical fleet.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -14,43 +14,43 @@
 };
 use serde_json::{json, Value};
 
-/// Most gateways, and most servers, of a hypothetical fleet.
+/// Maximum number of gateways, and of servers, in a hypothetical fleet.
 const MAX_MEMBERS: usize = 5_000;
-/// Values of `--least` that are compared.
+/// Values of `--least` that the summary compares.
 const MIN_SERVERS_CHOICES: [usize; 5] = [3, 6, 12, 24, 48];
 
 #[derive(Args)]
 pub struct SubsetsArguments {
-    /// The installation's own configuration
+    /// The installation's configuration file
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// A fleet of so many equal gateways, instead of the one there is
+    /// Number of equal gateways of a hypothetical fleet, shown instead of the running fleet
     #[arg(long, requires = "servers")]
     gateways: Option<usize>,
-    /// And so many equal servers
+    /// Number of equal servers of the hypothetical fleet
     #[arg(long, requires = "gateways")]
     servers: Option<usize>,
-    /// Servers of a gateway at the least, instead of the configured
+    /// Minimum number of servers of a gateway, instead of the configured minimum
     #[arg(long)]
     least: Option<usize>,
-    /// One line of JSON
+    /// Print one line of JSON
     #[arg(long)]
     json: bool,
-    /// Draw who uses whom, and how much, as a grid
+    /// Draw a grid that shows the share of traffic from each gateway to each server
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
 }
 
-/// A line for each problem.
+/// One line for each problem.
 type Problems = Vec<String>;
 
-/// A fleet with the assignment of its servers.
+/// A fleet and the assignment of its servers to gateways.
 struct Fleet {
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
     settings: Settings,
     assignments: Assignments,
-    /// The reply of the gateway that was queried; nothing for a hypothetical fleet.
+    /// The reply of the queried gateway; `None` for a hypothetical fleet.
     gateway_view: Option<SubsetView>,
 }
 
@@ -65,17 +65,19 @@
         Fleet { gateways, servers, settings, assignments, gateway_view }
     }
 
-    fn hypothetical(gateways: usize, servers: usize, least: usize) -> Result<Fleet, Problems> {
-        for (count, what) in [(gateways, "gateways"), (servers, "servers")] {
+    fn hypothetical(gateways: usize, servers: usize, min_servers: usize) -> Result<Fleet, Problems> {
+        for (count, kind) in [(gateways, "gateways"), (servers, "servers")] {
             if !(1..=MAX_MEMBERS).contains(&count) {
-                return Err(vec![format!("from 1 to {MAX_MEMBERS} {what} can be thought of, not {count}")]);
+                return Err(vec![format!(
+                    "a hypothetical fleet has from 1 to {MAX_MEMBERS} {kind}, not {count}"
+                )]);
             }
         }
-        let gateway = |at| Gateway { name: format!("gateway-{at}"), load: 1.0, zone: 0 };
-        let server = |at| Server { name: format!("server-{at}"), weight: 1.0, zone: 0 };
-        let settings = Settings { min_servers: least, prefers_own_zone: false };
-        let (all, listed_servers) = ((0..gateways).map(gateway), (0..servers).map(server));
-        Ok(Fleet::of(all.collect(), listed_servers.collect(), settings, None))
+        let gateway = |index| Gateway { name: format!("gateway-{index}"), load: 1.0, zone: 0 };
+        let server = |index| Server { name: format!("server-{index}"), weight: 1.0, zone: 0 };
+        let settings = Settings { min_servers, prefers_own_zone: false };
+        let (gateways, servers) = ((0..gateways).map(gateway), (0..servers).map(server));
+        Ok(Fleet::of(gateways.collect(), servers.collect(), settings, None))
     }
 
     fn query(arguments: &SubsetsArguments) -> Result<Fleet, Problems> {
@@ -83,22 +85,23 @@
             Source::from_environment(arguments.config.clone()).map_err(|error| vec![error])?.read()?;
         if config.subsetting.is_none() {
             return Err(vec![
-                "the configuration has no [subsets]: each gateway takes a row by its number".into()
+                "the configuration has no [subsets]: each gateway takes the subset given by its number"
+                    .into(),
             ]);
         }
         let settings = config.membership.ok_or_else(|| {
-            vec!["the configuration has no [mesh]: subsets go by number, see --gateways and --servers"
+            vec!["the configuration has no [mesh]: subsets depend on gateway numbers; see --gateways and --servers"
                 .to_string()]
         })?;
         let gateway_address = settings.listen;
         let reply = membership::query(gateway_address, &settings.keys, Channel::Subsetting, Vec::new())
             .map_err(|error| vec![error.to_string()])?;
-        let no_reply = |_| {
+        let invalid_reply = |_| {
             vec![format!(
                 "the gateway at {gateway_address} has no subset: it has no [subsets], or has just started"
             )]
         };
-        let view: SubsetView = postcard::from_bytes(&reply).map_err(no_reply)?;
+        let view: SubsetView = postcard::from_bytes(&reply).map_err(invalid_reply)?;
         let gateways = view.gateways.iter().map(|gateway| Gateway {
             name: gateway.name.clone(),
             load: gateway.load,
@@ -116,15 +119,15 @@
         Ok(Fleet::of(gateways.collect(), servers.collect(), settings, Some(view)))
     }
 
-    /// Share of all pairs of gateway and server that move when the fleet loses a gateway, and when it loses a server.
+    /// The shares of all gateway-server pairs that move when the fleet loses a gateway and when it loses a server.
     fn moved_shares(&self) -> (f64, f64) {
-        let Fleet { gateways, servers, settings, assignments: own_assignments, .. } = self;
+        let Fleet { gateways, servers, settings, assignments, .. } = self;
         let fewer_gateways = &gateways[..gateways.len().saturating_sub(1).max(1)];
         let fewer_servers = &servers[..servers.len().saturating_sub(1).max(1)];
-        let moved = |all: &[Gateway], listed_servers: &[Server]| {
+        let moved = |new_gateways: &[Gateway], new_servers: &[Server]| {
             moved_share(
-                (gateways, servers, own_assignments),
-                (all, listed_servers, &assign(all, listed_servers, *settings)),
+                (gateways, servers, assignments),
+                (new_gateways, new_servers, &assign(new_gateways, new_servers, *settings)),
             )
         };
         (moved(fewer_gateways, servers), moved(gateways, fewer_servers))
@@ -133,22 +136,22 @@
     fn figures(&self) -> Value {
         let balance = evenness(&self.gateways, &self.servers, &self.assignments);
         let (by_gateway, by_server) = self.moved_shares();
-        let least = |counts: &mut dyn Iterator<Item = usize>| counts.min().unwrap_or(0);
+        let min = |counts: &mut dyn Iterator<Item = usize>| counts.min().unwrap_or(0);
         json!({
             "gateways": self.gateways.len(), "servers": self.servers.len(), "least": self.settings.min_servers,
             "pairs": balance.pairs, "all_pairs": self.gateways.len() * self.servers.len(),
             "busiest": balance.max_load, "idlest": balance.min_load, "uncovered": balance.uncovered,
-            "servers_of_a_gateway": [least(&mut self.assignments.by_gateway.iter().map(Vec::len)), balance.max_servers_of_gateway],
+            "servers_of_a_gateway": [min(&mut self.assignments.by_gateway.iter().map(Vec::len)), balance.max_servers_of_gateway],
             "most_gateways_of_a_server": balance.max_gateways_of_server,
             "moved_by_a_gateway": by_gateway, "moved_by_a_server": by_server,
         })
     }
 
-    /// A drawing with a row for each gateway and a column for each server. A cell is the darker the more of the gateway's
-    /// traffic goes to the server.
+    /// An SVG drawing with a row for each gateway and a column for each server. The larger the share of the gateway's
+    /// traffic that goes to the server, the darker the cell.
     fn svg(&self) -> String {
-        const CELL: usize = 6;
-        let (width, height) = (CELL * self.servers.len(), CELL * self.gateways.len());
+        const CELL_PIXELS: usize = 6;
+        let (width, height) = (CELL_PIXELS * self.servers.len(), CELL_PIXELS * self.gateways.len());
         let max_weight = self
             .assignments
             .by_gateway
@@ -156,31 +159,31 @@
             .flatten()
             .map(|assigned| assigned.weight)
             .fold(f64::MIN_POSITIVE, f64::max);
-        let mut to = String::new();
+        let mut svg = String::new();
         let _ = writeln!(
-            to,
+            svg,
             "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {width} {height}\" width=\"{width}\" height=\"{height}\">\n\
              <rect width=\"{width}\" height=\"{height}\" fill=\"#f6f6f2\"/>"
         );
-        for (row, parts) in self.assignments.by_gateway.iter().enumerate() {
-            for part in parts {
-                let opacity = 0.15 + 0.85 * part.weight / max_weight;
-                let (x, y) = (CELL * part.server, CELL * row);
-                let (who, whom) =
-                    (escaped(&self.gateways[row].name), escaped(&self.servers[part.server].name));
+        for (row, subset) in self.assignments.by_gateway.iter().enumerate() {
+            for assigned in subset {
+                let opacity = 0.15 + 0.85 * assigned.weight / max_weight;
+                let (x, y) = (CELL_PIXELS * assigned.server, CELL_PIXELS * row);
+                let (gateway, server) =
+                    (escaped(&self.gateways[row].name), escaped(&self.servers[assigned.server].name));
                 let _ = writeln!(
-                    to,
-                    "<rect x=\"{x}\" y=\"{y}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"#1d4e5f\" fill-opacity=\"{opacity:.2}\">\
-                     <title>{who}: {whom}, {:.1} in 100</title></rect>",
-                    100.0 * part.weight
+                    svg,
+                    "<rect x=\"{x}\" y=\"{y}\" width=\"{CELL_PIXELS}\" height=\"{CELL_PIXELS}\" fill=\"#1d4e5f\" fill-opacity=\"{opacity:.2}\">\
+                     <title>{gateway}: {server}, {:.1} in 100</title></rect>",
+                    100.0 * assigned.weight
                 );
             }
         }
-        to + "</svg>\n"
+        svg + "</svg>\n"
     }
 }
 
-/// A name as XML text: names come from the endpoint list, which may contain any character.
+/// Escapes a name for XML. Names come from the endpoint list and can contain any character.
 fn escaped(name: &str) -> String {
     name.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
@@ -188,7 +191,7 @@
 pub fn run(arguments: SubsetsArguments) -> Result<(), Problems> {
     if let Some(least) = arguments.least.filter(|least| *least < MIN_SUBSET_SIZE) {
         return Err(vec![format!(
-            "--least is {MIN_SUBSET_SIZE} at the least, not {least}: a gateway must survive losing two"
+            "--least must be at least {MIN_SUBSET_SIZE}, not {least}: a gateway must survive the loss of two servers"
         )]);
     }
     let default_min_servers = Settings::default().min_servers;
@@ -203,7 +206,9 @@
         std::fs::write(file, fleet.svg()).map_err(failed)?;
     }
     if fleet.assignments.by_gateway.is_empty() || fleet.servers.is_empty() {
-        return Err(vec!["nothing is dealt yet: the fleet has not settled, or no server is known".into()]);
+        return Err(vec![
+            "no servers are assigned yet: the membership has not settled, or no server is known".into(),
+        ]);
     }
     let mut figures = fleet.figures();
     if arguments.json {
@@ -225,7 +230,8 @@
 
 fn print_summary(fleet: &Fleet, figures: &Value) {
     let number = |name: &str| figures[name].as_f64().unwrap_or(0.0);
-    let [fewest, greatest] = [0, 1].map(|at| figures["servers_of_a_gateway"][at].as_u64().unwrap_or(0));
+    let [min_servers, max_servers] =
+        [0, 1].map(|index| figures["servers_of_a_gateway"][index].as_u64().unwrap_or(0));
     println!(
         "{} gateways share {} servers, {} each at the least: {} pairs instead of {}",
         number("gateways"),
@@ -235,7 +241,7 @@
         number("all_pairs"),
     );
     println!(
-        "  {fewest} to {greatest} servers a gateway, up to {} gateways a server, {} servers without any",
+        "  {min_servers} to {max_servers} servers a gateway, up to {} gateways a server, {} servers without any",
         number("most_gateways_of_a_server"),
         number("uncovered"),
     );
@@ -256,7 +262,7 @@
     }
 }
 
-/// Prints what other values of `--least` would give.
+/// Prints the figures for other values of `--least`.
 fn print_choices(fleet: &Fleet) -> Result<(), Problems> {
     println!("  least   pairs  up to a gateway  up to a server  busiest  moved by a gateway  by a server");
     for least in MIN_SERVERS_CHOICES {
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 
-const GOOD: &str = r#"
+const VALID_CONFIG: &str = r#"
 [gateway]
 name = "front"
 listen = "127.0.0.1:0"
@@ -25,7 +25,7 @@
 
 fn fernscale(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
-    command.args(arguments).env_remove("BALANCER_CONFIG").output().expect("it runs")
+    command.args(arguments).env_remove("BALANCER_CONFIG").output().expect("the command runs")
 }
 
 fn errors(output: &Output) -> Vec<String> {
@@ -38,82 +38,91 @@
     file
 }
 
-/// The problems that `check` reports of a text, each from its position on.
+/// The problems that `check` reports for a configuration text, without the path of the file.
 fn problems(text: &str) -> Vec<String> {
     let folder = tempfile::tempdir().expect("a folder");
     let file = write_file(folder.path(), "fernscale.toml", text);
     let output = fernscale(&["check", &file.display().to_string()]);
     assert_eq!(output.status.code(), Some(i32::from(!output.stderr.is_empty())));
-    let place = |line: &String| line.split_once("': ").expect("a place").1.to_string();
-    errors(&output).iter().map(place).collect()
+    let without_file = |line: &String| line.split_once("': ").expect("a position").1.to_string();
+    errors(&output).iter().map(without_file).collect()
 }
 
 #[test]
 fn a_valid_file_is_accepted() {
-    assert_eq!(problems(GOOD), Vec::<String>::new());
+    assert_eq!(problems(VALID_CONFIG), Vec::<String>::new());
 }
 
 #[test]
 fn every_problem_is_reported_with_its_position() {
-    let text = GOOD.replace("listen", "lisen").replace("400ms", "400").replace("burst = 10", "burst = -1");
-    let told = problems(&text);
-    let begins = [
+    let text =
+        VALID_CONFIG.replace("listen", "lisen").replace("400ms", "400").replace("burst = 10", "burst = -1");
+    let reported = problems(&text);
+    let expected = [
         "line 2, column 1: 'gateway.listen' is missing",
-        "line 4, column 1: 'gateway.lisen' is no known key; 'listen' is perhaps meant",
-        "line 10, column 10: 'lane[0].agreed' is '400', which is no time",
-        "line 15, column 9: 'plan[0].burst' is -1; from 0 to 1000000000 is allowed",
+        "line 4, column 1: 'gateway.lisen' is not a known key; did you mean 'listen'?",
+        "line 10, column 10: 'lane[0].agreed' is '400', which is not a duration",
+        "line 15, column 9: 'plan[0].burst' is -1; it must be from 0 to 1000000000",
     ];
-    assert_eq!(told.len(), begins.len(), "{told:#?}");
-    for (told, begins) in told.iter().zip(begins) {
-        assert!(told.starts_with(begins), "{told}");
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
+    for (reported, expected) in reported.iter().zip(expected) {
+        assert!(reported.starts_with(expected), "{reported}");
     }
 }
 
 #[test]
 fn contradicting_values_are_reported() {
-    for (from, to, meant) in [
-        ("hard-stop = \"1s 500ms\"", "hard-stop = \"100ms\"", "before the agreed time"),
+    for (from, to, expected) in [
+        ("hard-stop = \"1s 500ms\"", "hard-stop = \"100ms\"", "'hard-stop' is shorter than 'agreed'"),
         ("repeat = \"redoable\"", "repeat = \"labelled\"", "'lane[0].memory' is missing"),
-        ("repeat = \"redoable\"", "repeat = \"redoable\"\ngroup = \"zone\"", "labelled lanes only"),
-        ("listen = ", "number = 1\nlisten = ", "'gateway.number' is 1, of 1 gateways"),
-        ("burst = 10", "burst = 10\nceiling = { rate = 2, burst = 1 }", "below the plan's own"),
+        (
+            "repeat = \"redoable\"",
+            "repeat = \"redoable\"\ngroup = \"zone\"",
+            "allowed for labelled lanes only",
+        ),
+        (
+            "listen = ",
+            "number = 1\nlisten = ",
+            "'gateway.number' is 1; it must be below 'gateway.gateways', which is 1",
+        ),
+        ("burst = 10", "burst = 10\nceiling = { rate = 2, burst = 1 }", "below the plan's rate"),
         ("burst = 10", "", "'plan[0].burst' is missing"),
-        ("name = \"team\"", "name = \"te,am\"", "can't be a name"),
+        ("name = \"team\"", "name = \"te,am\"", "is not a valid name"),
         ("rate = 5", "rate = nan", "from 0 to"),
-        ("[[plan]]", "[log]\nform = \"jsn\"\n[[plan]]", "'json' is perhaps meant"),
+        ("[[plan]]", "[log]\nform = \"jsn\"\n[[plan]]", "did you mean 'json'?"),
         (
             "[[plan]]",
             "[mesh]\nlisten = \"127.0.0.1:1\"\nkeys = [\"abc\"]\n[[plan]]",
-            "a key is 32 hex digits",
+            "a key must have 32 hex digits",
         ),
-        ("[[plan]]", "[mesh]\nlisten = \"127.0.0.1:1\"\nkeys = []\n[[plan]]", "holds no key"),
+        ("[[plan]]", "[mesh]\nlisten = \"127.0.0.1:1\"\nkeys = []\n[[plan]]", "'mesh.keys' is empty"),
         ("[[plan]]", "[mesh]\nlisten = \"127.0.0.1:1\"\n[[plan]]", "'mesh.keys' is missing"),
         (
             "[[plan]]",
             "[mesh]\nlisten = \"127.0.0.1:1\"\nadvertise = \"0.0.0.0:1\"\n[[plan]]",
-            "an address of its own",
+            "it can't be unspecified",
         ),
         ("[[plan]]", "[trials]\nclock-ahead = \"1s\"\nclock-behind = \"1s\"\n[[plan]]", "not both"),
         ("[[plan]]", "[trials]\nclock-pace = 9\n[[plan]]", "from 0.5 to 2"),
-        ("[[plan]]", "[subsets]\nleast = 2\n[[plan]]", "'subsets.least' is 2; from 3 to"),
+        ("[[plan]]", "[subsets]\nleast = 2\n[[plan]]", "'subsets.least' is 2; it must be from 3 to"),
         (
             "[[plan]]",
             "[subsets]\nzone = \"b\"\n[servers]\nzones = [\"a\"]\n[[plan]]",
-            "not among 'servers.zones'",
+            "not listed in 'servers.zones'",
         ),
-        ("[[plan]]", "[subsets]\nzone = \"b\"\n[[plan]]", "none of the zones"),
+        ("[[plan]]", "[subsets]\nzone = \"b\"\n[[plan]]", "not a configured zone"),
         ("[[plan]]", "[signals]\n[[plan]]", "[signals] needs [mesh]"),
         (
             "[[plan]]",
             "[signals]\nzone = \"b\"\n[servers]\nzones = [\"a\"]\n[[plan]]",
-            "not among 'servers.zones'",
+            "not listed in 'servers.zones'",
         ),
-        ("[[plan]]", "[subsets]\nleats = 9\n[[plan]]", "'least' is perhaps meant"),
+        ("[[plan]]", "[subsets]\nleats = 9\n[[plan]]", "did you mean 'least'?"),
         ("agreed = \"400ms\"", "agreed = \"400ms", "line 10, column"),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let told = problems(&GOOD.replace(from, to));
-        assert!(told.iter().any(|told| told.contains(meant)), "{to}: {told:#?}");
+        assert!(VALID_CONFIG.contains(from), "{from}");
+        let reported = problems(&VALID_CONFIG.replace(from, to));
+        assert!(reported.iter().any(|problem| problem.contains(expected)), "{to}: {reported:#?}");
     }
 }
 
@@ -127,42 +136,42 @@
         assert_eq!(output.status.code(), Some(2));
         assert_eq!(errors(&output).len(), 1, "one line, {:?}", errors(&output));
     }
-    let none = fernscale(&[]);
-    assert_eq!((none.status.code(), errors(&none).len()), (Some(1), 1));
+    let without_config = fernscale(&[]);
+    assert_eq!((without_config.status.code(), errors(&without_config).len()), (Some(1), 1));
 }
 
 #[test]
 fn a_hypothetical_fleet_is_printed_and_drawn() {
     let folder = tempfile::tempdir().expect("a folder");
     let svg = folder.path().join("who-uses-whom.svg");
-    let drawn = svg.display().to_string();
-    let shown = fernscale(&["subsets", "--gateways", "30", "--servers", "24", "--json", "--svg", &drawn]);
-    let shown: Value = serde_json::from_slice(&shown.stdout).expect("an object");
-    assert!(shown["pairs"].as_u64().is_some_and(|pairs| (360..720).contains(&pairs)), "{shown}");
-    assert!(shown["busiest"].as_f64().is_some_and(|busiest| busiest < 1.05), "{shown}");
-    let drawn = std::fs::read_to_string(svg).expect("drawn");
-    assert_eq!(drawn.matches("<title>").count() as u64, shown["pairs"].as_u64().unwrap_or(0));
-    let (table, few) = (
+    let svg_path = svg.display().to_string();
+    let output = fernscale(&["subsets", "--gateways", "30", "--servers", "24", "--json", "--svg", &svg_path]);
+    let figures: Value = serde_json::from_slice(&output.stdout).expect("an object");
+    assert!(figures["pairs"].as_u64().is_some_and(|pairs| (360..720).contains(&pairs)), "{figures}");
+    assert!(figures["busiest"].as_f64().is_some_and(|busiest| busiest < 1.05), "{figures}");
+    let drawing = std::fs::read_to_string(svg).expect("the drawing");
+    assert_eq!(drawing.matches("<title>").count() as u64, figures["pairs"].as_u64().unwrap_or(0));
+    let (table, too_small) = (
         fernscale(&["subsets", "--gateways", "300", "--servers", "200"]),
         fernscale(&["subsets", "--gateways", "300", "--servers", "200", "--least", "2"]),
     );
     assert!(String::from_utf8_lossy(&table.stdout).contains("instead of 60000"));
-    assert!(errors(&few).iter().any(|line| line.contains("3 at the least")), "{few:?}");
-    let alone = fernscale(&["subsets", "--gateways", "3"]);
-    assert_eq!(alone.status.code(), Some(2));
+    assert!(errors(&too_small).iter().any(|line| line.contains("must be at least 3")), "{too_small:?}");
+    let without_servers = fernscale(&["subsets", "--gateways", "3"]);
+    assert_eq!(without_servers.status.code(), Some(2));
 }
 
-/// The platform's values win over those of the file, key by key; the log is JSON with stable event names.
+/// The platform's values override those of the installation's file key by key. The log is JSON with stable event names.
 #[test]
-fn the_platform_file_wins_over_the_installation_file() {
+fn the_platform_file_overrides_the_installation_file() {
     let folder = tempfile::tempdir().expect("a folder");
-    let own = format!("{GOOD}[log]\nform = \"json\"\n");
-    let own = write_file(folder.path(), "fernscale.toml", &own);
-    let over = json!({ "name": "other", "limits": { "sockets": 300 }, "seed": "12" });
-    let platform = write_file(folder.path(), "platform.json", &over.to_string());
+    let installation = format!("{VALID_CONFIG}[log]\nform = \"json\"\n");
+    let installation = write_file(folder.path(), "fernscale.toml", &installation);
+    let overrides = json!({ "name": "other", "limits": { "sockets": 300 }, "seed": "12" });
+    let platform = write_file(folder.path(), "platform.json", &overrides.to_string());
     let mut gateway = Command::new(env!("CARGO_BIN_EXE_fernscale"));
-    gateway.arg("--config").arg(&own).env("BALANCER_CONFIG", &platform).stderr(Stdio::piped());
-    let mut gateway = gateway.spawn().expect("it starts");
+    gateway.arg("--config").arg(&installation).env("BALANCER_CONFIG", &platform).stderr(Stdio::piped());
+    let mut gateway = gateway.spawn().expect("the gateway starts");
     let line = BufReader::new(gateway.stderr.take().expect("piped")).lines().next();
     gateway.kill().expect("killed");
     gateway.wait().expect("ended");
@@ -171,12 +180,13 @@
     assert_eq!((&record["gateway"], &record["sockets"]), (&json!("other"), &json!(300)));
 }
 
-/// Settings of the platform that can't be served end the program with one line that names key and value, before it listens.
+/// If the platform's settings are not supported, the program exits before it listens, with one line that names key and
+/// value.
 #[test]
 fn unsupported_settings_are_reported_in_one_line_with_key_and_value() {
     let example = include_str!("../../../examples/config.json");
     let folder = tempfile::tempdir().expect("a folder");
-    for (place, value, told) in [
+    for (path, value, expected) in [
         ("lanes/0/effect", json!("once"), "'lanes.0.effect=once' is no effect"),
         ("lanes/1/group", json!("rack"), "'lanes.1.group=rack' is no group"),
         ("lanes/0/giveUpMs", json!(-5.0), "'lanes.0.giveUpMs=-5' is below 0"),
@@ -191,25 +201,25 @@
         ("ceilings/dialTimeoutMs", json!(0), "'ceilings.dialTimeoutMs=0' leaves no time"),
         ("rules/coldFrom", json!(3), "'rules.coldFrom=3' is more than all"),
         ("rules/warmUpMs", json!(-1), "'rules.warmUpMs=-1' is below 0"),
-        ("../limits/sockets", json!(10), "'limits.sockets=10' is below 64: nobody could be let in"),
+        ("../limits/sockets", json!(10), "'limits.sockets=10' is below 64: no client could be accepted"),
     ] {
         let mut config: Value = serde_json::from_str(example).expect("json");
-        let (mut at, mut last) = (&mut config["settings"], "");
-        if let Some(outer) = place.strip_prefix("../") {
-            (at, last) = (&mut config, outer);
+        let (mut target, mut root_path) = (&mut config["settings"], "");
+        if let Some(outer) = path.strip_prefix("../") {
+            (target, root_path) = (&mut config, outer);
         }
-        for key in if last.is_empty() { place } else { last }.split('/') {
-            at = match key.parse::<usize>() {
-                Ok(number) => &mut at[number],
-                Err(_) => &mut at[key],
+        for key in if root_path.is_empty() { path } else { root_path }.split('/') {
+            target = match key.parse::<usize>() {
+                Ok(index) => &mut target[index],
+                Err(_) => &mut target[key],
             };
         }
-        *at = value;
+        *target = value;
         let file = write_file(folder.path(), "config.json", &config.to_string());
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
-        let output = command.env("BALANCER_CONFIG", &file).output().expect("it runs");
-        assert_eq!(output.status.code(), Some(1), "{place}");
+        let output = command.env("BALANCER_CONFIG", &file).output().expect("the command runs");
+        assert_eq!(output.status.code(), Some(1), "{path}");
         let lines = errors(&output);
-        assert!(lines.len() == 1 && lines[0].contains(told), "{place}: {lines:?}");
+        assert!(lines.len() == 1 && lines[0].contains(expected), "{path}: {lines:?}");
     }
 }
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,17 +1,17 @@
-//! What tests of several gateways share: addresses, and a configuration that is whole.
+//! Shared code of the tests that run several gateways: addresses, and a complete configuration.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A free address on a host that no other test has.
+/// A free address on a loopback host that no other test process uses.
 pub fn free() -> SocketAddr {
-    static GIVEN: AtomicU32 = AtomicU32::new(1);
-    let (given, process) = (GIVEN.fetch_add(1, Ordering::SeqCst), std::process::id());
-    let host = [127, 250 + (process / 250 % 2) as u8, (process % 250) as u8, given as u8];
+    static NEXT_HOST: AtomicU32 = AtomicU32::new(1);
+    let (next_host, process) = (NEXT_HOST.fetch_add(1, Ordering::SeqCst), std::process::id());
+    let host = [127, 250 + (process / 250 % 2) as u8, (process % 250) as u8, next_host as u8];
     TcpListener::bind(SocketAddr::from((host, 0))).and_then(|listener| listener.local_addr()).expect("a port")
 }
 
-/// One of three gateways that speak with each other, and what else it is to say.
+/// The configuration of one of three gateways that communicate, with `more` appended.
 pub fn config(
     name: &str,
     listen: SocketAddr,
--- a/crates/cli/tests/mesh.rs
+++ b/crates/cli/tests/mesh.rs
@@ -1,5 +1,4 @@
-//! Membership of gateways that run as processes: which members are live, which messages are accepted, and how keys are
-//! rotated.
+//! Membership of gateways that run as processes: live members, authentication of messages, and rotation of keys.
 
 mod fleet;
 
@@ -42,17 +41,17 @@
         std::fs::write(&file, config(name, listen, mesh, seed, keys, "")).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
         command.arg("--config").arg(&file).env_remove("BALANCER_CONFIG").stderr(Stdio::null());
-        let process = command.spawn().expect("it starts");
+        let process = command.spawn().expect("the gateway starts");
         Gateway { process, file, listen, mesh, seed, name: name.into(), _folder: folder }
     }
 
     fn members(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
         command.args(["members", "--config"]).arg(&self.file).args(arguments).env_remove("BALANCER_CONFIG");
-        command.output().expect("it runs")
+        command.output().expect("the command runs")
     }
 
-    /// Names of the other gateways that it takes for live, sorted.
+    /// The sorted names of the other gateways that this gateway considers live.
     fn live_members(&self) -> Vec<String> {
         let view: Value = serde_json::from_slice(&self.members(&["--json"]).stdout).unwrap_or_default();
         let members = view["members"].as_array().cloned().unwrap_or_default();
@@ -76,11 +75,11 @@
         }
     }
 
-    fn wait_until_printed(&self, words: &str) {
+    fn wait_until_printed(&self, text: &str) {
         let started_at = Instant::now();
         loop {
             let printed = String::from_utf8_lossy(&self.members(&[]).stdout).into_owned();
-            if printed.contains(words) {
+            if printed.contains(text) {
                 return;
             }
             assert!(started_at.elapsed() < TIMEOUT, "{printed}");
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Replaces the keys by a new configuration.
+    /// Reloads the configuration with other keys.
     fn set_keys(&self, keys: &[&str]) {
         self.reload(&config(&self.name, self.listen, self.mesh, self.seed, keys, ""));
     }
@@ -116,7 +115,7 @@
 }
 
 #[test]
-fn messages_by_a_clock_that_is_too_far_off_are_rejected_until_it_is_corrected() {
+fn messages_are_rejected_while_the_senders_clock_is_too_far_off() {
     let first = Gateway::start("a", None, &[OLD_KEY]);
     let second = Gateway::start("b", Some(&first), &[OLD_KEY]);
     first.wait_until_live(&["b"]);
@@ -125,22 +124,22 @@
     first.wait_until_live(&[]);
     second.reload(&correct);
     first.wait_until_live(&["b"]);
-    // Clocks may be some seconds off.
+    // A clock error of a few seconds is tolerated.
     second.reload(&format!("{correct}\n[trials]\nclock-behind = \"5s\"\n"));
     std::thread::sleep(Duration::from_secs(2));
     first.wait_until_live(&["b"]);
 }
 
 #[test]
-fn the_advertised_address_is_the_one_that_others_know_and_use() {
+fn other_gateways_know_and_use_the_advertised_address_only() {
     let first = Gateway::start("a", None, &[OLD_KEY]);
     let (real, advertised) = (free(), free());
-    // What is sent to the advertised address is forwarded to the real one, which nothing else knows.
-    let forward = UdpSocket::bind(advertised).expect("a socket");
+    // Datagrams to the advertised address are forwarded to the real address, which no other gateway knows.
+    let forwarder = UdpSocket::bind(advertised).expect("a socket");
     std::thread::spawn(move || {
         let mut bytes = [0; 2_000];
-        while let Ok((length, _)) = forward.recv_from(&mut bytes) {
-            let _ = forward.send_to(&bytes[..length], real);
+        while let Ok((length, _)) = forwarder.recv_from(&mut bytes) {
+            let _ = forwarder.send_to(&bytes[..length], real);
         }
     });
     let folder = tempfile::tempdir().expect("a folder");
@@ -151,7 +150,7 @@
         .expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
     command.arg("--config").arg(&file).env_remove("BALANCER_CONFIG").stderr(Stdio::null());
-    let process = command.spawn().expect("it starts");
+    let process = command.spawn().expect("the gateway starts");
     let second = Gateway {
         process,
         file,
@@ -176,7 +175,7 @@
     second.wait_until_live(&["a"]);
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!((first.live_members(), stranger.live_members()), (vec!["b".to_string()], Vec::new()));
-    // It can't query the members either.
+    // The stranger can't query the members either.
     std::fs::write(&stranger.file, config("x", stranger.listen, first.mesh, first.mesh, &[NEW_KEY], ""))
         .expect("written");
     let reply = stranger.members(&[]);
@@ -191,24 +190,24 @@
     let socket = UdpSocket::bind((first.mesh.ip(), 0)).expect("a socket");
     let mut forged = [7u8; 600];
     forged[0] = 1;
-    let (to, ends) = (first.mesh, AtomicBool::new(false));
+    let (target, flood_ends) = (first.mesh, AtomicBool::new(false));
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            while !ends.load(Ordering::Relaxed) {
+            while !flood_ends.load(Ordering::Relaxed) {
                 for _ in 0..200 {
-                    let _ = socket.send_to(&forged, to);
+                    let _ = socket.send_to(&forged, target);
                 }
                 std::thread::sleep(Duration::from_millis(5));
             }
         });
-        // A busy machine may lose valid datagrams among so many for a moment, but not for long.
+        // During the flood, a busy machine may drop valid datagrams, but only for a short time.
         std::thread::sleep(Duration::from_millis(1500));
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             first.wait_until_live(&["b"]);
             second.wait_until_live(&["a"]);
         }));
-        ends.store(true, Ordering::Relaxed);
-        assert!(result.is_ok(), "not seen while the flood lasts");
+        flood_ends.store(true, Ordering::Relaxed);
+        assert!(result.is_ok(), "the members are not live during the flood");
     });
 }
 
@@ -226,7 +225,7 @@
     }
     let third = Gateway::start("c", Some(&first), &[NEW_KEY]);
     third.wait_until_live(&["a", "b"]);
-    let late = Gateway::start("d", Some(&first), &[OLD_KEY]);
+    let old_key_gateway = Gateway::start("d", Some(&first), &[OLD_KEY]);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(late.live_members(), Vec::<String>::new());
+    assert_eq!(old_key_gateway.live_members(), Vec::<String>::new());
 }
--- a/crates/gateway/src/program/config.rs
+++ b/crates/gateway/src/program/config.rs
@@ -1,5 +1,6 @@
-//! The configuration of a gateway: read from an installation's own file, the platform's JSON, or both, the latter over the
-//! former, and checked as a whole. It never changes or starts anything.
+//! The configuration of a gateway. It is read from the installation's file, the platform's JSON file, or both, and then
+//! checked as a whole. Values of the platform's file override those of the installation's file. Reading a configuration
+//! changes and starts nothing.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,11 +20,11 @@
 
 pub use super::config_error::ConfigError;
 
-/// Environment variable with the path of the platform's file.
+/// Environment variable that holds the path of the platform's file.
 const PLATFORM_FILE_VARIABLE: &str = "BALANCER_CONFIG";
-/// Environment variable with the address for operators, for a file without one.
+/// Environment variable that holds the operator address. It is used if no file sets one.
 pub(super) const OPERATOR_VARIABLE: &str = "BALANCER_OPERATOR";
-/// Environment variable with the number of the descriptor of an inherited listening socket.
+/// Environment variable that holds the descriptor number of an inherited listening socket.
 pub const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_PASSED_SOCKET";
 
 /// A checked configuration.
@@ -31,64 +32,66 @@
 pub struct Config {
     /// The gateway's name, unique among the gateways.
     pub name: String,
-    /// Address for clients.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Address of the shared counter, if there is one.
+    /// Address of the shared counter, if it is configured.
     pub counter: Option<SocketAddr>,
-    /// Address for operators, if there is one.
+    /// Address on which operators connect, if it is configured.
     pub operator: Option<SocketAddr>,
-    /// Descriptor of the listening socket that this process was started with; without one it binds its own.
+    /// Descriptor of the inherited listening socket. `None`: the process binds its own socket.
     pub inherited_socket: Option<RawFd>,
-    /// File descriptors that the gateway may open.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// Memory that the gateway may use, in MiB.
+    /// Maximum memory use in MiB.
     pub memory_mb: usize,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Settings of the protocols and of what lies around the decision module.
+    /// Settings of the protocols and of all other code outside the decision module.
     pub platform_settings: PlatformSettings,
     /// Format and level of the log.
     pub logging: LogSettings,
-    /// Membership among the gateways, if there is one.
+    /// Settings of the membership of gateways. `None`: the gateway runs without membership.
     pub membership: Option<membership::Settings>,
-    /// Leases of the fleet, if it has any.
+    /// Settings of the fleet's leases. `None`: the gateway takes no part in leases.
     pub leases: Option<leases::Settings>,
-    /// Subsetting by the fleet; without it each gateway takes a subset by its number.
+    /// Settings of subsetting by the fleet. `None`: the gateway takes the subset given by its number.
     pub subsetting: Option<subsetting::Settings>,
-    /// Shared outlier detection; without it each gateway detects outliers alone.
+    /// Settings of shared outlier detection. `None`: the gateway detects outliers alone.
     pub outlier_detection: Option<outlier_detection::Settings>,
-    /// Leases for tests of the lease subsystem.
+    /// Leases that tests of the lease subsystem use.
     pub trial_leases: Option<trial_leases::Settings>,
     /// Faults to inject into the store.
     pub store_faults: durable_store::StoreFaults,
     /// Faults to inject into the clocks.
     pub clock_fault: ClockFault,
-    /// The fields of the platform's form that only a restart changes.
-    pub fixed: Value,
-    /// The endpoints known before discovery replies.
-    pub known: Option<EndpointUpdate>,
+    /// The fields of the platform's form that only a restart can change.
+    pub restart_only_fields: Value,
+    /// The endpoints that are used until discovery replies.
+    pub known_endpoints: Option<EndpointUpdate>,
 }
 
-/// The files of a configuration. The platform's wins over the other.
+/// The files of a configuration. Values of the platform's file override those of the installation's file.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    /// An installation's own file, `fernscale.toml`.
+    /// The installation's file, `fernscale.toml`.
     pub installation: Option<PathBuf>,
-    /// The platform's, in JSON.
+    /// The platform's file, in JSON.
     pub platform: Option<PathBuf>,
 }
 
 impl Source {
-    /// The given file of the installation, if any, and the platform's file that the environment names.
+    /// The given installation file, if any, and the platform's file if the environment names one.
     ///
     /// # Errors
-    /// There is neither.
+    /// Neither file is given.
     pub fn from_environment(installation: Option<PathBuf>) -> Result<Self, String> {
         let platform = std::env::var_os(PLATFORM_FILE_VARIABLE).map(PathBuf::from);
         if installation.is_none() && platform.is_none() {
-            return Err(format!("no configuration: neither --config nor {PLATFORM_FILE_VARIABLE} names one"));
+            return Err(format!(
+                "no configuration: neither --config nor {PLATFORM_FILE_VARIABLE} names a file"
+            ));
         }
         Ok(Source { installation, platform })
     }
@@ -96,24 +99,25 @@
     /// Reads and checks the files.
     ///
     /// # Errors
-    /// Every problem that was found, each a line that begins with the file.
+    /// All problems found. Each is one line that begins with the path of the file.
     pub fn read(&self) -> Result<Config, Vec<String>> {
-        let (config, known) = self.read_without_known_endpoints()?;
-        let Some(known) = known else { return Ok(config) };
-        let reader = SlicedReader::of(known.get().as_bytes());
+        let (config, endpoints_json) = self.read_without_known_endpoints()?;
+        let Some(endpoints_json) = endpoints_json else { return Ok(config) };
+        let reader = SlicedReader::of(endpoints_json.get().as_bytes());
         let mut reader = reader.map_err(|reason| self.problem(&reason))?;
         while reader.read_slice(&KnownEndpoints::default(), &config.platform_settings) {}
         self.with_known_endpoints(config, reader)
     }
 
-    /// The same in slices, for a gateway that runs: a list of thousands of endpoints must not hold up client requests.
+    /// Reads and checks the files like [`Self::read`], and yields between slices of the endpoint list. A running gateway
+    /// uses this, because parsing thousands of endpoints at once would delay client requests.
     ///
     /// # Errors
-    /// Those of [`Self::read`].
+    /// The same as for [`Self::read`].
     pub async fn read_in_slices(&self) -> Result<Config, Vec<String>> {
-        let (config, known) = self.read_without_known_endpoints()?;
-        let Some(known) = known else { return Ok(config) };
-        let reader = SlicedReader::of(known.get().as_bytes());
+        let (config, endpoints_json) = self.read_without_known_endpoints()?;
+        let Some(endpoints_json) = endpoints_json else { return Ok(config) };
+        let reader = SlicedReader::of(endpoints_json.get().as_bytes());
         let mut reader = reader.map_err(|reason| self.problem(&reason))?;
         while reader.read_slice(&KnownEndpoints::default(), &config.platform_settings) {
             yield_between_slices().await;
@@ -122,70 +126,72 @@
     }
 
     fn with_known_endpoints(&self, config: Config, reader: SlicedReader) -> Result<Config, Vec<String>> {
-        let known =
+        let known_endpoints =
             reader.end(&mut KnownEndpoints::default()).map_err(|error| self.problem(&error.reason))?;
-        Ok(Config { known: Some(known), ..config })
+        Ok(Config { known_endpoints: Some(known_endpoints), ..config })
     }
 
-    /// A problem of the files together.
+    /// A problem of the merged configuration. It is reported under the platform's file if there is one.
     fn problem(&self, reason: &dyn std::fmt::Display) -> Vec<String> {
-        let named = self.platform.as_deref().or(self.installation.as_deref());
-        vec![in_file(named.unwrap_or(Path::new("configuration")), reason)]
+        let path = self.platform.as_deref().or(self.installation.as_deref());
+        vec![in_file(path.unwrap_or(Path::new("configuration")), reason)]
     }
 
-    /// Everything but the platform's list of known endpoints, and the text of that list.
+    /// Reads everything except the platform's list of known endpoints, which is returned as JSON text.
     fn read_without_known_endpoints(&self) -> Result<(Config, Option<Box<RawValue>>), Vec<String>> {
         let mut installation = InstallationConfig::default();
         if let Some(path) = &self.installation {
-            installation = file::read(&content(path)?, self.platform.is_none())
-                .map_err(|found| found.iter().map(|problem| in_file(path, problem)).collect::<Vec<_>>())?;
+            installation = file::read(&read_text(path)?, self.platform.is_none()).map_err(|problems| {
+                problems.iter().map(|problem| in_file(path, problem)).collect::<Vec<_>>()
+            })?;
             if let Some(fields) = installation.config.as_object_mut() {
                 fields.entry("seed").or_insert_with(|| format!("{:016x}", rand::random::<u64>()).into());
             }
         }
         let mut config = std::mem::take(&mut installation.config);
-        let mut known = None;
+        let mut endpoints_json = None;
         if let Some(path) = &self.platform {
-            let (over, servers) = platform(&content(path)?).map_err(|error| vec![in_file(path, &error)])?;
-            config = file::overlay(config, over);
-            known = servers;
+            let (platform_config, platform_endpoints) =
+                parse_platform_file(&read_text(path)?).map_err(|error| vec![in_file(path, &error)])?;
+            config = file::overlay(config, platform_config);
+            endpoints_json = platform_endpoints;
         }
-        if let Some(fields) = config.as_object_mut().filter(|_| known.is_some()) {
+        if let Some(fields) = config.as_object_mut().filter(|_| endpoints_json.is_some()) {
             fields.remove("known");
         }
-        let read = from_value(&config, InstallationConfig { config: Value::Null, ..installation });
-        Ok((read.map_err(|reason| self.problem(&reason))?, known))
+        let checked = from_value(&config, InstallationConfig { config: Value::Null, ..installation });
+        Ok((checked.map_err(|reason| self.problem(&reason))?, endpoints_json))
     }
 }
 
-/// The platform's file, and apart from it the text of its list of known endpoints, if it has one.
-fn platform(text: &str) -> Result<(Value, Option<Box<RawValue>>), serde_json::Error> {
+/// Parses the platform's file. Its list of known endpoints, if any, is returned separately as JSON text.
+fn parse_platform_file(text: &str) -> Result<(Value, Option<Box<RawValue>>), serde_json::Error> {
     let fields: BTreeMap<String, &RawValue> = match serde_json::from_str(text) {
-        // Anything but an object is rejected later, for its missing fields.
+        // A value that is not an object is rejected later, because required fields are missing.
         Err(error) if error.is_data() => return Ok((serde_json::from_str(text)?, None)),
         other => other?,
     };
-    let mut known = None;
+    let mut endpoints_json = None;
     let mut config = serde_json::Map::new();
     for (name, value) in fields {
         if name == "known" && value.get() != "null" {
-            known = Some(value.to_owned());
+            endpoints_json = Some(value.to_owned());
         } else {
             config.insert(name, serde_json::from_str(value.get())?);
         }
     }
-    Ok((Value::Object(config), known))
+    Ok((Value::Object(config), endpoints_json))
 }
 
-fn content(path: &Path) -> Result<String, Vec<String>> {
+fn read_text(path: &Path) -> Result<String, Vec<String>> {
     std::fs::read_to_string(path).map_err(|error| vec![in_file(path, &format!("can't be read: {error}"))])
 }
 
-fn in_file(path: &Path, what: &dyn std::fmt::Display) -> String {
-    format!("'{}': {what}", path.display())
+fn in_file(path: &Path, reason: &dyn std::fmt::Display) -> String {
+    format!("'{}': {reason}", path.display())
 }
 
-/// The top level of the platform's form.
+/// The top-level object of the platform's form.
 struct PlatformForm<'c>(&'c Value);
 
 impl PlatformForm<'_> {
@@ -204,7 +210,7 @@
         configured.map_or(default, |configured| configured as u64) as usize
     }
 
-    /// The settings under flat names, with the seed of the random generator.
+    /// The settings under flat names, together with the seed of the random number generator.
     fn flat_settings(&self) -> Result<FlatFields, ConfigError> {
         let seed = self.text("seed")?;
         let seed =
@@ -215,7 +221,7 @@
         Ok(flat)
     }
 
-    /// Address for operators: that of the form, else that of the environment, else none.
+    /// Operator address: from the form, else from the environment, else none.
     fn operator_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         if self.0.get("operator").is_some() {
             return self.address("operator").map(Some);
@@ -224,23 +230,23 @@
         text.parse().map(Some).map_err(|_| ConfigError::InvalidOperatorVariable { found: text })
     }
 
-    /// The fields that a running gateway can't take from a new configuration.
-    fn fixed_fields(&self) -> Value {
+    /// The fields that a running gateway does not apply from a new configuration.
+    fn restart_only_fields(&self) -> Value {
         let is_reloadable = |name: &str| ["discovery", "counter", "known", "seed"].contains(&name);
         let fields = self.0.as_object().into_iter().flatten().filter(|(name, _)| !is_reloadable(name));
         fields.map(|(name, value)| (name.clone(), value.clone())).collect()
     }
 }
 
-/// The descriptor of the listening socket that the environment names, if it does.
+/// The descriptor of the inherited listening socket, if the environment names one.
 fn inherited_socket() -> Result<Option<RawFd>, ConfigError> {
     let Ok(text) = std::env::var(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
-    // The first three are the standard streams.
-    let number = text.parse().ok().filter(|number| *number > 2);
-    number.map(Some).ok_or(ConfigError::InvalidSocketVariable { found: text })
+    // Descriptors 0 to 2 are the standard streams.
+    let descriptor = text.parse().ok().filter(|descriptor| *descriptor > 2);
+    descriptor.map(Some).ok_or(ConfigError::InvalidSocketVariable { found: text })
 }
 
-/// Checks what the sections of an installation's file need of each other and of the platform's form.
+/// Checks the dependencies of the installation file's sections on each other and on the platform's form.
 fn check_fleet_sections(
     installation: &InstallationConfig,
     form: &PlatformForm,
@@ -297,9 +303,9 @@
     if max_descriptors < MIN_DESCRIPTORS as usize {
         return Err(ConfigError::TooFewDescriptors { found: max_descriptors, minimum: MIN_DESCRIPTORS });
     }
-    let known = config.get("known").filter(|known| !known.is_null());
+    let known_endpoints = config.get("known").filter(|endpoints| !endpoints.is_null());
     Ok(Config {
-        fixed: form.fixed_fields(),
+        restart_only_fields: form.restart_only_fields(),
         name: form.text("name")?.into(),
         listen: form.address("listen")?,
         discovery: form.address("discovery")?,
@@ -317,20 +323,20 @@
         trial_leases: installation.trial_leases,
         store_faults: installation.store_faults,
         clock_fault: installation.clock_fault,
-        known: known
-            .map(|known| catalog::endpoint_update(known, &platform_settings))
+        known_endpoints: known_endpoints
+            .map(|endpoints| catalog::endpoint_update(endpoints, &platform_settings))
             .transpose()
             .map_err(|error| ConfigError::KnownEndpoints(error.reason))?,
         platform_settings,
     })
 }
 
-/// File descriptors without a configured limit: what systems commonly allow.
+/// Default limit on file descriptors: the common default of operating systems.
 const DEFAULT_DESCRIPTORS: u64 = 1_024;
-/// Memory without a configured limit, in MiB: what the smallest machines have.
+/// Default limit on memory in MiB: the memory of the smallest supported machines.
 const DEFAULT_MEMORY_MB: u64 = 192;
 
-/// Nested settings under the flat names that settings are read by: `lanes.0.value`, `lanes.count`.
+/// Nested settings under flat names such as `lanes.0.value` and `lanes.count`, by which the settings are read.
 struct FlatFields(HashMap<String, String>);
 
 impl FlatFields {
@@ -338,7 +344,7 @@
         let nested_key = |name: &str| if key.is_empty() { name.into() } else { format!("{key}.{name}") };
         match value {
             Value::Null => {}
-            Value::Bool(on) => drop(self.0.insert(key.into(), on.to_string())),
+            Value::Bool(flag) => drop(self.0.insert(key.into(), flag.to_string())),
             Value::Number(number) => drop(self.0.insert(key.into(), number.to_string())),
             Value::String(text) => drop(self.0.insert(key.into(), text.clone())),
             Value::Object(fields) => {
--- a/crates/gateway/src/program/config_error.rs
+++ b/crates/gateway/src/program/config_error.rs
@@ -1,86 +1,86 @@
-//! What can be wrong with a configuration as a whole, after its files have been read.
+//! Errors of a configuration as a whole, found after its files have been parsed.
 
 use fernscale_policy::settings::SettingsError;
 use thiserror::Error;
 
 use super::config::{INHERITED_SOCKET_VARIABLE, OPERATOR_VARIABLE};
 
-/// The first problem of a configuration. Keys are those of the platform's form.
+/// The first problem found in a configuration. Keys are those of the platform's form.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    /// A key that must have a text has none.
-    #[error("'{key}' is missing, or no text")]
+    /// A key that requires a string is missing or has another type.
+    #[error("'{key}' is missing or not a string")]
     MissingText {
         /// The key.
         key: String,
     },
-    /// A key has a text that is not an address and port.
-    #[error("'{key}' is '{found}', which is no address of a socket")]
+    /// The value of a key is not an address and port.
+    #[error("'{key}' is '{found}', which is not an address and port")]
     InvalidAddress {
         /// The key.
         key: String,
-        /// Its text.
+        /// The value found.
         found: String,
     },
-    /// The environment's address for operators is not an address and port.
-    #[error("{OPERATOR_VARIABLE} is '{found}', which is no address of a socket")]
+    /// The operator address in the environment is not an address and port.
+    #[error("{OPERATOR_VARIABLE} is '{found}', which is not an address and port")]
     InvalidOperatorVariable {
-        /// The variable's text.
+        /// The value of the variable.
         found: String,
     },
-    /// The environment's inherited socket is not a descriptor's number, or that of a standard stream.
-    #[error("{INHERITED_SOCKET_VARIABLE} is '{found}', which is no descriptor of a socket")]
+    /// The inherited socket in the environment is not a descriptor number, or is a standard stream.
+    #[error("{INHERITED_SOCKET_VARIABLE} is '{found}', which is not the descriptor of a socket")]
     InvalidSocketVariable {
-        /// The variable's text.
+        /// The value of the variable.
         found: String,
     },
-    /// The seed is not a hex number of 64 bits.
-    #[error("'seed' is '{found}', which is no hex number")]
+    /// The seed is not a 64-bit hex number.
+    #[error("'seed' is '{found}', which is not a 64-bit hex number")]
     InvalidSeed {
-        /// The seed's text.
+        /// The value found.
         found: String,
     },
-    /// The settings are missing.
-    #[error("'settings' is missing, or no object")]
+    /// The settings are missing or not an object.
+    #[error("'settings' is missing or not an object")]
     MissingSettings,
     /// A setting is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The settings have no request class or no plan.
-    #[error("'settings' has no 'lanes' or no 'tiersOfService'")]
+    #[error("'settings.lanes' or 'settings.tiersOfService' is missing or empty")]
     NothingToServe,
-    /// A section of the installation's file works over membership, which is not configured.
-    #[error("[{section}] needs [mesh], by which gateways speak with each other")]
+    /// A section of the installation's file depends on membership, which is not configured.
+    #[error("[{section}] needs [mesh], over which gateways communicate")]
     NeedsMembership {
         /// The section.
         section: &'static str,
     },
-    /// The endpoint list can be leased only where discovery is polled.
-    #[error("'owner.list' needs a discovery that is asked: mode 'on-request', with 'ask-within'")]
+    /// The endpoint list is leased, but discovery is not polled.
+    #[error("'owner.list' needs polled discovery: set 'discovery.mode' to 'on-request', and 'discovery.ask-within'")]
     ListNeedsPolling,
-    /// This gateway is an acceptor without a store.
-    #[error("'{name}' is among 'owner.voters': it needs [store], where promises are kept")]
+    /// This gateway is an acceptor, but has no store.
+    #[error("'{name}' is listed in 'owner.voters': it needs [store], which holds its promises")]
     AcceptorNeedsStore {
         /// The gateway's name.
         name: String,
     },
-    /// A section names a zone that the settings don't have.
-    #[error("'{section}.zone' is '{zone}', which is none of the zones")]
+    /// A section names a zone that the settings don't list.
+    #[error("'{section}.zone' is '{zone}', which is not a configured zone")]
     UnknownZone {
         /// The section.
         section: &'static str,
-        /// The zone that it names.
+        /// The unknown zone.
         zone: String,
     },
-    /// The limit on descriptors is too low to serve clients.
-    #[error("'limits.sockets={found}' is below {minimum}: nobody could be let in")]
+    /// The limit on descriptors is too low to accept clients.
+    #[error("'limits.sockets={found}' is below {minimum}: no client could be accepted")]
     TooFewDescriptors {
         /// The configured limit.
         found: usize,
-        /// The lowest that is allowed.
+        /// The lowest allowed limit.
         minimum: u64,
     },
-    /// The list of known endpoints can't be used; the text says why.
+    /// The list of known endpoints is invalid, for the given reason.
     #[error("{0}")]
     KnownEndpoints(String),
 }
--- a/crates/gateway/src/program/file/fleet_sections.rs
+++ b/crates/gateway/src/program/file/fleet_sections.rs
@@ -1,5 +1,5 @@
-//! The sections of `fernscale.toml` that the platform's form has no keys for: `[mesh]`, `[store]`, `[owner]`, `[subsets]`
-//! and `[signals]`, about the work of the gateways together, and `[trials]`, the faults to inject in tests.
+//! The sections of `fernscale.toml` without keys in the platform's form: `[mesh]`, `[store]`, `[owner]`, `[subsets]` and
+//! `[signals]`, which configure the cooperation of gateways, and `[trials]`, which configures faults to inject in tests.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,17 +16,17 @@
 use crate::fleet::{leases, membership, outlier_detection, subsetting, trial_leases};
 use crate::transport::clock::ClockFault;
 
-/// Shortest lease: some round trips of a message on a busy machine.
+/// Shortest lease: several message round trips on a busy machine.
 const MIN_LEASE: Micros = SECOND / 2;
-/// Longest lease, which is how long a lease without a holder may stay so.
+/// Longest lease. A lease whose holder has died can stay without a holder for this long.
 const MAX_LEASE: Micros = 600 * SECOND;
 const DEFAULT_LEASE: Micros = 3 * SECOND;
-/// Default share by which the clocks of two machines may run apart: many times what they do.
+/// Default bound on the relative clock drift between two machines: many times the real drift.
 const DEFAULT_DRIFT: f64 = 0.01;
 
 const MAX_SUBSET_SIZE: u64 = 10_000;
 
-/// All that this file's sections say.
+/// The settings read from these sections.
 pub(super) struct FleetSections {
     pub membership: Option<membership::Settings>,
     pub leases: Option<leases::Settings>,
@@ -83,7 +83,10 @@
     let delay = section.time("effect-pause", 0..=MAX_TIME);
     let address = section.address("effects");
     if let Some(name) = names.first().filter(|_| address.is_none()) {
-        section.problem(name.offset, "'trials.jobs' need 'trials.effects', the address that is told of them");
+        section.problem(
+            name.offset,
+            "'trials.jobs' need 'trials.effects', the address that receives their effects",
+        );
     }
     Some(trial_leases::Settings {
         lease_names: lease_names(names),
@@ -97,7 +100,7 @@
     let ahead = section.time("clock-ahead", 0..=MAX_TIME);
     let behind = section.time("clock-behind", 0..=MAX_TIME);
     if let Some(behind) = behind.as_ref().filter(|_| ahead.is_some()) {
-        section.problem(behind.offset, "a clock is ahead or behind, not both: leave one of the two away");
+        section.problem(behind.offset, "a clock is ahead or behind, not both: remove one of the two keys");
     }
     let pace = section.number("clock-pace", 0.5..=2.0);
     let signed = |time: Option<Located<Micros>>| time.map_or(0, |time| time.value as i64);
@@ -107,14 +110,14 @@
     }
 }
 
-/// Nothing, beside the problems, where the address or the keys are missing.
+/// Returns `None`, with the problems reported, if the address or the keys are missing or invalid.
 fn membership_settings(section: &mut Section) -> Option<membership::Settings> {
     let listen = section.required("listen", Section::address);
     let advertise = section.address("advertise");
     if let Some(address) = advertise.as_ref().filter(|address| address.value.ip().is_unspecified()) {
         section.problem(
             address.offset,
-            "'mesh.advertise' is where others find this gateway: name an address of its own",
+            "'mesh.advertise' is the address at which other gateways reach this one: it can't be unspecified",
         );
     }
     let seeds = seed_addresses(section);
@@ -131,7 +134,7 @@
     let address = |seed: Located<String>| {
         let address = seed.value.parse().ok();
         if address.is_none() {
-            let problem = format!("'{}' is no address and port as in \"127.0.0.1:7946\"", seed.value);
+            let problem = format!("'{}' is not an address and port such as \"127.0.0.1:7946\"", seed.value);
             section.problem(seed.offset, problem);
         }
         address
@@ -140,19 +143,22 @@
 }
 
 fn keys(section: &mut Section) -> Vec<Key> {
-    let given = section.required("keys", Section::names).unwrap_or_default();
-    if given.is_empty() && section.contains("keys") {
-        section.problem(section.offset(), "'mesh.keys' holds no key: the first seals, all of them open");
+    let key_texts = section.required("keys", Section::names).unwrap_or_default();
+    if key_texts.is_empty() && section.contains("keys") {
+        section.problem(
+            section.offset(),
+            "'mesh.keys' is empty: the first key authenticates sent messages, all keys are accepted",
+        );
     }
     let key = |text: &Located<String>| {
         let key = Key::parse(&text.value);
         if key.is_none() {
-            // Danger: a problem is logged, so it must not contain the key.
-            section.problem(text.offset, "a key is 32 hex digits");
+            // Danger: problems are logged, so the message must not contain the key.
+            section.problem(text.offset, "a key must have 32 hex digits");
         }
         key
     };
-    given.iter().filter_map(key).collect()
+    key_texts.iter().filter_map(key).collect()
 }
 
 fn lease_settings(
@@ -169,7 +175,8 @@
     let change = section.count("change", 0..=u64::from(u32::MAX));
     let epoch = change.as_ref().map_or(0, |change| change.value as u32);
     if (epoch > 0) == previous.is_empty() {
-        let problem = "a change of the voters has a number, counted from 1 ('owner.change'), and names those before it ('owner.voters-before')";
+        let problem = "a change of the voters needs both its number, counted from 1 ('owner.change'), \
+             and the voters before the change ('owner.voters-before')";
         section.problem(change.map_or(section.offset(), |change| change.offset), problem);
     }
     Some(leases::Settings {
@@ -187,14 +194,14 @@
 
 fn check_acceptors(section: &Section, acceptors: &[Located<String>]) {
     for acceptor in acceptors.iter().filter(|acceptor| acceptor.value.len() > MAX_NAME_BYTES) {
-        section.problem(acceptor.offset, format!("a voter's name has {MAX_NAME_BYTES} bytes at the most"));
+        section.problem(acceptor.offset, format!("a voter's name must not exceed {MAX_NAME_BYTES} bytes"));
     }
     let found = acceptors.len();
     if found.is_multiple_of(2) || found > MAX_ACCEPTORS {
         section.problem(
             acceptors.first().map_or(section.offset(), |acceptor| acceptor.offset),
             format!(
-                "'owner.voters' names {found} gateways; name 1, 3, 5 or 7, as an even one more saves nothing"
+                "'owner.voters' lists {found} gateways; list 1, 3, 5 or 7, because an even number adds no fault tolerance"
             ),
         );
     }
@@ -213,11 +220,11 @@
     }
 }
 
-/// This gateway's zone. Where `[servers]` lists no zones, the platform's file may, which is checked later.
+/// This gateway's zone. If `[servers]` lists no zones, the platform's file may list them; that is checked later.
 fn local_zone(section: &mut Section, zones: &[String]) -> Option<String> {
     let zone = section.text("zone")?;
     if !zones.is_empty() && !zones.contains(&zone.value) {
-        section.problem(zone.offset, format!("'{}' is not among 'servers.zones'", zone.value));
+        section.problem(zone.offset, format!("'{}' is not listed in 'servers.zones'", zone.value));
     }
     Some(zone.value)
 }
--- a/crates/gateway/src/program/file/gateway_sections.rs
+++ b/crates/gateway/src/program/file/gateway_sections.rs
@@ -1,5 +1,5 @@
-//! The sections of `fernscale.toml` about this gateway and what it calls: `[gateway]`, `[discovery]`, `[counter]`,
-//! `[operator]`, `[limits]`, `[clients]`, `[trips]`, `[servers]` and `[log]`.
+//! The sections of `fernscale.toml` about this gateway and the services that it calls: `[gateway]`, `[discovery]`,
+//! `[counter]`, `[operator]`, `[limits]`, `[clients]`, `[trips]`, `[servers]` and `[log]`.
 
 use serde_json::{json, Map};
 
@@ -10,10 +10,10 @@
 const MIB: u64 = 1024 * 1024;
 
 const MAX_GATEWAYS: u64 = 100_000;
-/// The fewest descriptors that a gateway can work with: its own, and some for each kind of connection.
+/// The minimum number of descriptors: those that the gateway itself needs, and some for each kind of connection.
 pub const MIN_DESCRIPTORS: u64 = 64;
 const MAX_DESCRIPTORS: u64 = 1 << 24;
-/// The least memory that a gateway can work with: the program and one message.
+/// The minimum memory: the program and one message.
 const MIN_MEMORY_BYTES: u64 = 16 * MIB;
 pub(super) const MAX_MEMORY_BYTES: u64 = 1 << 44;
 const MAX_ATTEMPTS: u64 = 100;
@@ -46,7 +46,10 @@
         if let Some(number) = number.as_ref().filter(|number| number.value >= gateway_count) {
             gateway.problem(
                 number.offset,
-                format!("'gateway.number' is {}, of {gateway_count} gateways counted from 0", number.value),
+                format!(
+                    "'gateway.number' is {}; it must be below 'gateway.gateways', which is {gateway_count}",
+                    number.value
+                ),
             );
         }
         self.settings.insert("balancers".into(), json!(gateway_count));
@@ -55,7 +58,7 @@
         if let Some(seed) = seed.as_ref().filter(|seed| u64::from_str_radix(&seed.value, 16).is_err()) {
             gateway.problem(
                 seed.offset,
-                format!("'gateway.seed' is '{}', which is no hex number of 64 bits", seed.value),
+                format!("'gateway.seed' is '{}', which is not a 64-bit hex number", seed.value),
             );
         }
         insert_some(&mut self.config, "seed", seed.map(|seed| seed.value));
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Reads the required address of a section to the platform's key of the same name.
+    /// Reads the required address of a section into the platform's key with the section's name.
     fn read_address(&mut self, key: &str, section: &mut Section) {
         let address = section.required("address", Section::address);
         insert_some(&mut self.config, key, address.map(|address| address.value.to_string()));
@@ -123,7 +126,7 @@
         for key in ["zones", "kinds"] {
             let names = servers.names(key).unwrap_or_default();
             for name in names.iter().filter(|name| name.value.contains(',')) {
-                let problem = format!("'{}' has a comma, which names can't have", name.value);
+                let problem = format!("'{}' contains a comma, which is not allowed in names", name.value);
                 servers.problem(name.offset, problem);
             }
             self.settings.insert(key.into(), json!(values(names)));
@@ -151,7 +154,7 @@
     names.into_iter().map(|name| name.value).collect()
 }
 
-/// A section that is a problem where it is missing, if it is required.
+/// The section with a key. If it is required and missing, a problem is reported.
 fn section_required_if<'a>(
     is_required: bool,
     file: &mut Section<'a>,
--- a/crates/gateway/src/program/file/mod.rs
+++ b/crates/gateway/src/program/file/mod.rs
@@ -1,8 +1,8 @@
-//! `fernscale.toml`: the configuration of installations that are not the platform. The file is read whole, with every
-//! problem in it, and brought into the form of the platform's JSON, so that one reader takes both from there on. Nothing
-//! here starts or checks what the configuration leads to.
+//! `fernscale.toml`: the configuration of installations outside the platform. The file is read as a whole, and every
+//! problem is reported. It is converted into the form of the platform's JSON, so that the same code reads both. This
+//! module starts nothing, and does not check the configuration as a whole.
 //!
-//! Times and sizes carry their units (`250ms`, `64MiB`), shares are from 0 to 1, units are those of the quotas.
+//! Times and sizes have units (`250ms`, `64MiB`), shares are from 0 to 1, and units are the units of quotas.
 
 mod fleet_sections;
 mod gateway_sections;
@@ -21,15 +21,15 @@
 
 /// One second in microseconds.
 const SECOND: Micros = 1_000_000;
-/// The longest time that any key may be set to.
+/// The longest time that a key can be set to.
 const MAX_TIME: Micros = 86_400 * SECOND;
-/// The largest number of units that any quota may name; a shared counter could not hold more.
+/// The largest number of units of a quota. A shared counter could not hold more.
 const MAX_UNITS: f64 = 1e9;
 
-/// The content of a file: the part that has a platform's form, and the sections that have none.
+/// The content of a file: the part in the platform's form, and the sections that have no equivalent in that form.
 #[derive(Debug, Default)]
 pub struct InstallationConfig {
-    /// The platform's form.
+    /// The part in the platform's form.
     pub config: Value,
     /// `[log]`.
     pub logging: LogSettings,
@@ -41,19 +41,19 @@
     pub subsetting: Option<subsetting::Settings>,
     /// `[signals]`.
     pub outlier_detection: Option<outlier_detection::Settings>,
-    /// The leases of `[trials]`.
+    /// The trial leases of `[trials]`.
     pub trial_leases: Option<trial_leases::Settings>,
-    /// The store's faults of `[trials]`.
+    /// The faults of the store in `[trials]`.
     pub store_faults: durable_store::StoreFaults,
-    /// The clock's faults of `[trials]`.
+    /// The fault of the clock in `[trials]`.
     pub clock_fault: ClockFault,
 }
 
-/// Reads a file. `is_only_file`: no platform's file says who this gateway is and what it serves, so the sections for that
-/// are required.
+/// Reads a file. If `is_only_file` is set, there is no platform's file, and the sections that define the gateway and its
+/// service are required.
 ///
 /// # Errors
-/// Every problem of the file, in its order.
+/// All problems of the file, ordered by position.
 pub fn read(text: &str, is_only_file: bool) -> Result<InstallationConfig, Vec<Problem>> {
     let problems = Problems::new(text);
     let (table, errors) = DeTable::parse_recoverable(text);
@@ -61,7 +61,7 @@
         problems.add(error.span().map_or(0, |span| span.start), error.message().to_string());
     }
     if !errors.is_empty() {
-        // Keys that the parser has lost would be reported as missing, though the file may have them.
+        // The parser may have dropped keys that the file has; they would be reported as missing.
         return Err(problems.into_sorted());
     }
     let config = read_file(Section::root(table.get_ref(), &problems), is_only_file);
@@ -71,7 +71,7 @@
     }
 }
 
-/// The platform's form of a file while its sections are read.
+/// The platform's form of a file, built while the sections are read.
 struct PlatformForm {
     config: Map<String, Value>,
     settings: Map<String, Value>,
@@ -98,14 +98,14 @@
         self.config.into()
     }
 
-    /// Names that `[servers]` lists under a key.
+    /// The names that `[servers]` lists under a key.
     fn names(&self, key: &str) -> Vec<String> {
         let names = self.settings.get(key).and_then(Value::as_array).into_iter().flatten();
         names.filter_map(|name| name.as_str().map(String::from)).collect()
     }
 }
 
-/// Reads all sections. Problems list the known sections in the order in which they are read here.
+/// Reads all sections. The message on an unknown section lists the known sections in the order in which they are read here.
 fn read_file(mut file: Section, is_only_file: bool) -> InstallationConfig {
     let mut form = PlatformForm::new();
     form.read_gateway_sections(&mut file, is_only_file);
@@ -138,20 +138,20 @@
     time.value as f64 / 1000.0
 }
 
-/// Lays the platform's configuration over that of a file: its values win, objects are merged key by key, and lists are
-/// replaced whole.
+/// Merges the platform's configuration into that of the installation's file. The platform's values take precedence. Objects
+/// are merged key by key; lists are replaced as a whole.
 pub fn overlay(file: Value, platform: Value) -> Value {
     match (file, platform) {
-        (Value::Object(mut merged), Value::Object(over)) => {
-            for (key, value) in over {
+        (Value::Object(mut merged), Value::Object(overrides)) => {
+            for (key, value) in overrides {
                 let value = match merged.remove(&key) {
-                    Some(below) => overlay(below, value),
+                    Some(overridden) => overlay(overridden, value),
                     None => value,
                 };
                 merged.insert(key, value);
             }
             Value::Object(merged)
         }
-        (_, over) => over,
+        (_, platform) => platform,
     }
 }
--- a/crates/gateway/src/program/file/service_sections.rs
+++ b/crates/gateway/src/program/file/service_sections.rs
@@ -1,4 +1,4 @@
-//! The sections of `fernscale.toml` about what a gateway serves and by whom it is served: `[[server]]`, the servers known
+//! The sections of `fernscale.toml` about the servers, requests and tenants of a gateway: `[[server]]`, the servers known
 //! before discovery replies; `[[lane]]`, the request classes; and `[[plan]]`, the plans of tenants.
 
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
         self.insert_list(file, "plan", "tiersOfService", plans, is_only_file);
     }
 
-    /// Sets a list of the platform's settings. An empty one is a problem where no other file can have it.
+    /// Sets a list in the platform's settings. An empty list is a problem unless another file can define it.
     fn insert_list(
         &mut self,
         file: &Section,
@@ -33,20 +33,20 @@
             return;
         }
         if list.is_empty() {
-            file.problem(file.offset(), format!("no '[[{key}]]' is there; one at least is needed"));
+            file.problem(file.offset(), format!("no '[[{key}]]' section; at least one is required"));
         }
         self.settings.insert(platform_key.into(), list.into());
     }
 }
 
-/// Reads the sections of a list, `[[key]]`, whose names must differ.
+/// Reads the sections of a list, `[[key]]`, whose names must be unique.
 fn read_list(file: &mut Section, key: &'static str, read: impl Fn(&mut Section) -> Value) -> Vec<Value> {
     let mut names = BTreeSet::new();
     file.read_sections(key, |section| {
         let value = read(section);
         if let Some(name) = value.get("name").and_then(Value::as_str) {
             if !names.insert(name.to_string()) {
-                section.problem(section.offset(), format!("another {key} is named '{name}' already"));
+                section.problem(section.offset(), format!("another {key} already has the name '{name}'"));
             }
         }
         value
@@ -64,16 +64,16 @@
         "status": "in_service", "since_ms": 0 })
 }
 
-/// A name that `[servers]` must list.
+/// Reads a name that must be listed in `[servers]`.
 fn listed_name(server: &mut Section, key: &'static str, listed: &[String]) -> Option<String> {
     let name = server.text(key)?;
     if !listed.contains(&name.value) {
-        server.problem(name.offset, format!("'{}' is not among 'servers.{key}s'", name.value));
+        server.problem(name.offset, format!("'{}' is not listed in 'servers.{key}s'", name.value));
     }
     Some(name.value)
 }
 
-/// A request class in the platform's form.
+/// Reads a request class into the platform's form.
 fn request_class(class: &mut Section) -> Value {
     let name = class.required("name", delimiter_free_name);
     let idempotency = class.required("repeat", |class, key| {
@@ -90,14 +90,17 @@
     };
     if let Some(idempotency) = idempotency.as_ref().filter(|_| !is_keyed) {
         if scope.is_some() || retention.is_some() {
-            class.problem(idempotency.offset, "'group' and 'memory' are of labelled lanes only".to_string());
+            class.problem(
+                idempotency.offset,
+                "'group' and 'memory' are allowed for labelled lanes only".to_string(),
+            );
         }
     }
     let objective = class.required("agreed", |class, key| class.time(key, 1000..=MAX_TIME));
     let deadline = class.required("hard-stop", |class, key| class.time(key, 1000..=MAX_TIME));
     if let (Some(objective), Some(deadline)) = (&objective, &deadline) {
         if deadline.value < objective.value {
-            class.problem(deadline.offset, "'hard-stop' comes before the agreed time".to_string());
+            class.problem(deadline.offset, "'hard-stop' is shorter than 'agreed'".to_string());
         }
     }
     let priority_weight = class.number("importance", 0.0..=1e6).map_or(1.0, |weight| weight.value);
@@ -112,7 +115,7 @@
     })
 }
 
-/// The plan of a tenant in the platform's form.
+/// Reads a plan into the platform's form.
 fn plan(plan: &mut Section) -> Value {
     let name = plan.required("name", delimiter_free_name);
     let units = |plan: &mut Section, key| plan.number(key, 0.0..=MAX_UNITS);
@@ -141,7 +144,7 @@
     })
 }
 
-/// The hard ceiling of a plan: units a second, and units at once.
+/// The hard ceiling of a plan: its rate in units per second, and its burst in units.
 #[derive(Default)]
 struct Ceiling {
     rate: f64,
@@ -149,27 +152,27 @@
 }
 
 impl Ceiling {
-    /// Reads a ceiling, which must not be below the plan's own rate.
+    /// Reads a ceiling. Its rate must not be below the plan's own rate.
     fn read(ceiling: &mut Section, plan_rate: Option<&Located<f64>>) -> Self {
         let rate =
             ceiling.required("rate", |ceiling, key| ceiling.number(key, f64::MIN_POSITIVE..=MAX_UNITS));
         let burst = ceiling.required("burst", |ceiling, key| ceiling.number(key, 0.0..=MAX_UNITS));
         if let (Some(rate), Some(plan_rate)) = (&rate, plan_rate) {
             if rate.value < plan_rate.value {
-                ceiling.problem(rate.offset, "the ceiling's rate is below the plan's own".to_string());
+                ceiling.problem(rate.offset, "the ceiling's rate is below the plan's rate".to_string());
             }
         }
         Ceiling { rate: rate.map_or(0.0, |rate| rate.value), burst: burst.map_or(0.0, |burst| burst.value) }
     }
 }
 
-/// A name without the characters that delimit names in a command's list.
+/// Reads a name that must not contain the characters that delimit names in command arguments.
 fn delimiter_free_name(section: &mut Section, key: &'static str) -> Option<Located<String>> {
     let name = section.text(key)?;
     if name.value.contains([',', '=']) || name.value.chars().any(char::is_control) {
         section.problem(
             name.offset,
-            format!("'{}' can't be a name: it has ',', '=' or a control character", name.value),
+            format!("'{}' is not a valid name: it contains ',', '=' or a control character", name.value),
         );
     }
     Some(name)
--- a/crates/gateway/src/program/fleet.rs
+++ b/crates/gateway/src/program/fleet.rs
@@ -1,5 +1,6 @@
-//! Starts the subsystems of the fleet and connects them with the gateway: it implements what they need of it, and turns
-//! their events and requests into those of the dispatcher and of discovery. It keeps no state once they run.
+//! Starts the fleet subsystems and connects them to the gateway. This module implements the traits through which they use
+//! the gateway, and converts their events and requests into those of the dispatcher and of discovery. It keeps no state
+//! after the subsystems have started.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -24,10 +25,10 @@
 use crate::shared::{Event, Shared};
 use crate::transport::clock::Clock;
 
-/// Pause between two attempts to bind the address that another process of this gateway still has.
+/// Pause between two attempts to bind the membership address while another process of this gateway holds it.
 const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The configured subsystems of the fleet that are not started yet.
+/// The configured fleet subsystems before their start.
 pub struct Fleet {
     pub leases: Option<leases::Settings>,
     pub trial_leases: Option<trial_leases::Settings>,
@@ -38,7 +39,8 @@
 }
 
 impl Fleet {
-    /// Starts all that is configured, as membership runs. Each is set in `shared` before the next one starts.
+    /// Starts all configured subsystems on a running membership. Each subsystem is set in `shared` before the next one
+    /// starts.
     pub fn start(self, shared: &Rc<Shared>, membership: Rc<Membership>) {
         let host: HostHandle = shared.clone();
         let _ = shared.membership.set(membership.clone());
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Starts what works without membership: the subset by the gateway's number.
+    /// Starts the only subsystem that works without membership: subsetting by the gateway's number.
     pub fn start_without_membership(self, shared: &Rc<Shared>) {
         let host: HostHandle = shared.clone();
         if let Some((settings, local)) = self.subsetting {
@@ -72,8 +74,8 @@
         }
     }
 
-    /// Starts all once the previous process of this gateway has let the address of membership go. Updates of shared
-    /// counters that were collected meanwhile are delivered first.
+    /// Starts all subsystems as soon as the previous process of this gateway has released the membership address. Updates
+    /// of shared counters that were collected during the wait are delivered first.
     pub async fn start_when_address_is_free(
         self,
         shared: Rc<Shared>,
@@ -92,7 +94,7 @@
                 Err(error) if error.kind() == ErrorKind::AddrInUse => {}
                 Err(error) => {
                     let reason = error.to_string();
-                    warn!(shared.log, #"mesh.none", "goes on without the other gateways"; "why" => reason);
+                    warn!(shared.log, #"mesh.none", "running without membership"; "why" => reason);
                     return;
                 }
             }
@@ -127,8 +129,8 @@
         &self.platform
     }
 
-    fn set_fresh_until(&self, until: Micros) {
-        self.endpoints_fresh_until.set(until);
+    fn set_fresh_until(&self, expires_at: Micros) {
+        self.endpoints_fresh_until.set(expires_at);
     }
 
     fn apply_list(&self, update: &mut EndpointUpdate) {
--- a/crates/gateway/src/program/log.rs
+++ b/crates/gateway/src/program/log.rs
@@ -1,6 +1,6 @@
-//! The log: lines on standard error, as text or as JSON. Every record has a stable event name, which is its tag, and
-//! fields. Outsiders can cause some records at will, so each event has a maximum number of records a second; those left
-//! out are counted and reported with the next one that passes.
+//! The log: lines on standard error, as text or as JSON. Every record has fields and a stable event name, which is its
+//! slog tag. Clients can cause some records at will, so each event has a maximum number of records per second. Suppressed
+//! records are counted, and the count is logged before the event's first record of a later second.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,37 +11,38 @@
 use slog::{b, o, record, Drain, FnValue, LevelFilter, Logger, OwnedKVList, PushFnValue, Record};
 use slog_term::{FullFormat, PlainSyncDecorator};
 
-/// Form of the lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One object a line.
+    /// One JSON object per line.
     Json,
 }
 
 pub use slog::Level;
 
-/// The section `[log]` of the configuration.
+/// The settings of the log, from the configuration section `[log]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
     /// The least severe level that is written.
     pub level: Level,
-    /// Records of one event that are written in a second.
+    /// Maximum number of records of one event per second.
     pub max_records_per_second: u32,
 }
 
 impl Default for LogSettings {
-    /// Records of single connections and requests are at the level `debug`, as writing them costs more than serving.
+    /// Text at the level `info`. Records of single connections and requests have the level `debug`, because writing them
+    /// costs more than serving the requests.
     fn default() -> Self {
         LogSettings { format: LogFormat::Text, level: Level::Info, max_records_per_second: 20 }
     }
 }
 
-/// The logger of a gateway. Every record carries the gateway's name.
+/// Creates the logger of a gateway. Every record contains the gateway's name.
 pub fn start(name: &str, logging: LogSettings) -> Logger {
     let root = o!("gateway" => name.to_string());
     match logging.format {
@@ -77,58 +78,58 @@
     Logger::root(Mutex::new(LevelFilter::new(rate_limited, logging.level)).fuse(), fields)
 }
 
-/// Passes a maximum number of records of each event in a second. Danger: without it, a client that can cause records takes
-/// the core and fills the log.
+/// A drain that limits the records of each event per second. Danger: without the limit, a client that causes records can
+/// use up the processor core and fill the log.
 pub struct RateLimited<D> {
     inner: D,
     max_per_second: u32,
     events: RefCell<BTreeMap<String, EventWindow>>,
 }
 
-/// The records of one event in the current second.
+/// The record counts of one event in the current window.
 struct EventWindow {
-    began_at: Instant,
-    passed: u32,
-    left_out: u32,
+    started_at: Instant,
+    written: u32,
+    suppressed: u32,
 }
 
-/// Length of the window in which records are counted.
+/// Length of the window over which records are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What is to be done with a record.
+/// The rate limiter's decision on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
-    /// Whether it is written.
+    /// Whether the record is written.
     pub is_admitted: bool,
-    /// Earlier records of the event that were left out and are to be reported now.
-    pub left_out: u32,
+    /// Number of suppressed records of the event in the previous window, to be reported now.
+    pub suppressed: u32,
 }
 
 impl<D> RateLimited<D> {
-    /// Passes at most `max_per_second` records of each event to a drain.
+    /// A drain that passes at most `max_per_second` records of each event per second to `inner`.
     pub fn new(inner: D, max_per_second: u32) -> Self {
         RateLimited { inner, max_per_second, events: RefCell::default() }
     }
 
-    /// Counts a record of an event and decides on it.
+    /// Counts a record of an event and decides whether it is written.
     pub fn admit(&self, event: &str, now: Instant) -> Admission {
         let mut events = self.events.borrow_mut();
-        // Bounded: the names of events are constants of the code.
+        // The map is bounded, because event names are constants of the code.
         if !events.contains_key(event) {
-            events.insert(event.into(), EventWindow { began_at: now, passed: 0, left_out: 0 });
+            events.insert(event.into(), EventWindow { started_at: now, written: 0, suppressed: 0 });
         }
         let Some(window) = events.get_mut(event) else {
-            return Admission { is_admitted: true, left_out: 0 };
+            return Admission { is_admitted: true, suppressed: 0 };
         };
-        let mut left_out = 0;
-        if now.duration_since(window.began_at) >= WINDOW {
-            left_out = window.left_out;
-            *window = EventWindow { began_at: now, passed: 0, left_out: 0 };
+        let mut suppressed = 0;
+        if now.duration_since(window.started_at) >= WINDOW {
+            suppressed = window.suppressed;
+            *window = EventWindow { started_at: now, written: 0, suppressed: 0 };
         }
-        let is_admitted = window.passed < self.max_per_second;
-        window.passed += u32::from(is_admitted);
-        window.left_out += u32::from(!is_admitted);
-        Admission { is_admitted, left_out }
+        let is_admitted = window.written < self.max_per_second;
+        window.written += u32::from(is_admitted);
+        window.suppressed += u32::from(!is_admitted);
+        Admission { is_admitted, suppressed }
     }
 }
 
@@ -137,11 +138,11 @@
     type Err = D::Err;
 
     fn log(&self, record: &Record, fields: &OwnedKVList) -> Result<(), D::Err> {
-        let Admission { is_admitted, left_out } = self.admit(record.tag(), Instant::now());
-        if left_out > 0 {
+        let Admission { is_admitted, suppressed } = self.admit(record.tag(), Instant::now());
+        if suppressed > 0 {
             let event = record.tag();
-            let message = format_args!("records were left out");
-            let more = b!("of" => event, "records" => left_out);
+            let message = format_args!("records were suppressed by the rate limit");
+            let more = b!("of" => event, "records" => suppressed);
             self.inner.log(&record!(Level::Warning, "log.left-out", &message, more), fields)?;
         }
         if is_admitted {
--- a/crates/gateway/src/program/mod.rs
+++ b/crates/gateway/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: its configuration, how it starts and ends, and its log.
+//! The gateway program: its configuration, startup, shutdown and log.
 
 pub mod config;
 mod config_error;
--- a/crates/gateway/src/program/problem.rs
+++ b/crates/gateway/src/program/problem.rs
@@ -1,16 +1,16 @@
-//! Problems of a configuration file: where they are, and which known name was probably meant by an unknown one.
+//! Problems of a configuration file: their positions, and suggestions for misspelt names.
 
 use std::cell::RefCell;
 use std::fmt;
 
-/// One thing that is wrong in a file.
+/// One problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// Line, from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// What was found and what is allowed.
+    /// The value found and the allowed values.
     pub message: String,
 }
 
@@ -27,12 +27,12 @@
 }
 
 impl<'t> Problems<'t> {
-    /// A text without problems so far.
+    /// A text with no problems found yet.
     pub fn new(text: &'t str) -> Self {
         Problems { text, found: RefCell::default() }
     }
 
-    /// Adds a problem at an offset in bytes.
+    /// Adds a problem at a byte offset.
     pub fn add(&self, offset: usize, message: String) {
         let before = &self.text[..self.text.floor_char_boundary(offset)];
         let line = before.matches('\n').count() + 1;
@@ -40,7 +40,7 @@
         self.found.borrow_mut().push(Problem { line, column, message });
     }
 
-    /// All problems in the order of the file.
+    /// All problems, ordered by position.
     pub fn into_sorted(self) -> Vec<Problem> {
         let mut found = self.found.into_inner();
         found.sort();
@@ -48,25 +48,25 @@
     }
 }
 
-/// One letter of a key may differ from a similar key for each so many letters that it has.
-const LETTERS_PER_TYPO: usize = 3;
+/// Letters of a name per edit by which it may differ from a known name that is suggested.
+const LETTERS_PER_EDIT: usize = 3;
 
-/// The known name most similar to a given one, if any is similar enough.
+/// The known name that is most similar to the given name, if any is similar enough.
 pub fn nearest<'n>(given: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
-    let near = known.into_iter().map(|name| (strsim::damerau_levenshtein(given, name), name)).min()?;
-    (near.0 <= given.chars().count().div_ceil(LETTERS_PER_TYPO)).then_some(near.1)
+    let closest = known.into_iter().map(|name| (strsim::damerau_levenshtein(given, name), name)).min()?;
+    (closest.0 <= given.chars().count().div_ceil(LETTERS_PER_EDIT)).then_some(closest.1)
 }
 
-/// The end of a problem about an unknown name: the similar name, or all known ones.
+/// The end of a message about an unknown name: the most similar known name, or all known names.
 pub(super) fn suggestion<'n>(given: &str, known: impl IntoIterator<Item = &'n str> + Clone) -> String {
     match nearest(given, known.clone()) {
-        Some(name) => format!("; '{name}' is perhaps meant"),
+        Some(name) => format!("; did you mean '{name}'?"),
         None => {
-            let all: Vec<_> = known.into_iter().map(|name| format!("'{name}'")).collect();
-            if all.is_empty() {
+            let names: Vec<_> = known.into_iter().map(|name| format!("'{name}'")).collect();
+            if names.is_empty() {
                 String::new()
             } else {
-                format!("; known here: {}", all.join(", "))
+                format!("; known names: {}", names.join(", "))
             }
         }
     }
--- a/crates/gateway/src/program/reader.rs
+++ b/crates/gateway/src/program/reader.rs
@@ -1,8 +1,8 @@
-//! Reads a TOML file key by key and collects every problem with its position, instead of ending at the first. It knows
-//! types and bounds, and never what a key means.
+//! Reads a TOML file key by key and collects every problem with its position, instead of stopping at the first. The reader
+//! checks types and bounds; the meaning of keys is up to the caller.
 //!
-//! A section remembers the keys that were read. Any other key of the table is unknown, and is reported with the most
-//! similar one that was read. So the code that reads a section is also the list of its keys.
+//! A section records the keys that the caller reads. Any other key of the table is unknown, and is reported together with
+//! the most similar key that was read. The code that reads a section therefore also defines its allowed keys.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 
 pub use super::problem::{nearest, Problem, Problems};
 
-/// A value with its offset in the file, in bytes.
+/// A value with its byte offset in the file.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// The offset.
+    /// The byte offset.
     pub offset: usize,
 }
 
@@ -33,7 +33,7 @@
 
 /// One table of the file.
 pub struct Section<'a> {
-    /// The name with those of the sections around it; empty for the whole file.
+    /// The section's name, prefixed with the names of the enclosing sections. Empty for the whole file.
     name: String,
     table: &'a DeTable<'a>,
     offset: usize,
@@ -41,7 +41,7 @@
     problems: &'a Problems<'a>,
 }
 
-/// What a problem calls the type of a value.
+/// The name of a value's type in messages.
 fn type_name(value: &DeValue) -> &'static str {
     match value {
         DeValue::String(_) => "text",
@@ -55,17 +55,17 @@
 }
 
 impl<'a> Section<'a> {
-    /// The whole file.
+    /// The section that stands for the whole file.
     pub fn root(table: &'a DeTable<'a>, problems: &'a Problems<'a>) -> Self {
         Section { name: String::new(), table, offset: 0, known_keys: Vec::new(), problems }
     }
 
-    /// Where the section begins, in bytes.
+    /// The byte offset at which the section begins.
     pub fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Adds a problem at an offset in bytes.
+    /// Adds a problem at a byte offset.
     pub fn problem(&self, offset: usize, message: impl Into<String>) {
         self.problems.add(offset, message.into());
     }
@@ -85,31 +85,31 @@
         Some((value.get_ref(), start))
     }
 
-    fn wrong_type(&self, key: &str, value: &DeValue, offset: usize, suggestion: &str) {
+    fn wrong_type(&self, key: &str, value: &DeValue, offset: usize, expected: &str) {
         self.problem(
             offset,
-            format!("'{}' is {}, and {suggestion} is meant", self.qualified_name(key), type_name(value)),
+            format!("'{}' is {}; expected {expected}", self.qualified_name(key), type_name(value)),
         );
     }
 
     fn out_of_bounds(
         &self,
         key: &str,
-        given: &str,
+        found: &str,
         offset: usize,
         minimum: &dyn fmt::Display,
         maximum: &dyn fmt::Display,
     ) {
         let key = self.qualified_name(key);
-        self.problem(offset, format!("'{key}' is {given}; from {minimum} to {maximum} is allowed"));
+        self.problem(offset, format!("'{key}' is {found}; it must be from {minimum} to {maximum}"));
     }
 
-    /// Whether the file has a key.
+    /// Whether the section has a key.
     pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// Reads a key that must be there; a missing one is a problem of the section.
+    /// Reads a required key. If the key is missing, a problem is reported at the start of the section.
     pub fn required<T>(
         &mut self,
         key: &'static str,
@@ -123,7 +123,7 @@
         read(self, key)
     }
 
-    /// A text that is not empty.
+    /// Reads a string that is not empty.
     pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         match self.get(key)? {
             (DeValue::String(text), offset) if !text.is_empty() => {
@@ -140,10 +140,10 @@
         }
     }
 
-    /// True or false.
+    /// Reads a boolean.
     pub fn flag(&mut self, key: &'static str) -> Option<bool> {
         match self.get(key)? {
-            (DeValue::Boolean(on), _) => Some(*on),
+            (DeValue::Boolean(flag), _) => Some(*flag),
             (other, offset) => {
                 self.wrong_type(key, other, offset, "true or false");
                 None
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A number, whole or not, within bounds.
+    /// Reads a number, whole or fractional, within bounds.
     pub fn number(&mut self, key: &'static str, allowed: RangeInclusive<f64>) -> Option<Located<f64>> {
         let (value, offset) = self.get(key)?;
         let text = match value {
@@ -162,7 +162,7 @@
                 return None;
             }
         };
-        // TOML allows underscores between digits, and the parser of numbers does not.
+        // TOML allows underscores between digits; the parser of the standard library does not.
         match text.replace('_', "").parse::<f64>() {
             Ok(number) if allowed.contains(&number) => Some(Located::new(number, offset)),
             _ => {
@@ -172,52 +172,55 @@
         }
     }
 
-    /// A whole number within bounds.
+    /// Reads a whole number within bounds.
     pub fn count(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
         let number = self.number(key, *allowed.start() as f64..=*allowed.end() as f64)?;
         if number.value.fract() != 0.0 {
-            self.problem(number.offset, format!("'{}' is no whole number", self.qualified_name(key)));
+            self.problem(number.offset, format!("'{}' is not a whole number", self.qualified_name(key)));
             return None;
         }
         Some(Located::new(number.value as u64, number.offset))
     }
 
-    /// A time within bounds with its unit, as in `250ms` or `1m 30s`.
+    /// Reads a duration with its unit, such as `250ms` or `1m 30s`, within bounds.
     pub fn time(&mut self, key: &'static str, allowed: RangeInclusive<Micros>) -> Option<Located<Micros>> {
-        let found = self.with_unit(key, "a time as in \"250ms\"")?;
+        let found = self.with_unit(key, "a duration such as \"250ms\"")?;
         match humantime::parse_duration(&found.value).map(|time| time.as_micros()) {
             Ok(time) if (u128::from(*allowed.start())..=u128::from(*allowed.end())).contains(&time) => {
                 Some(Located::new(time as Micros, found.offset))
             }
             Ok(_) => {
-                let show =
+                let format =
                     |time: &Micros| humantime::format_duration(std::time::Duration::from_micros(*time));
-                let minimum = show(allowed.start());
-                self.out_of_bounds(key, &found.value, found.offset, &minimum, &show(allowed.end()));
+                let minimum = format(allowed.start());
+                self.out_of_bounds(key, &found.value, found.offset, &minimum, &format(allowed.end()));
                 None
             }
             Err(error) => {
-                let (key, given) = (self.qualified_name(key), found.value);
-                self.problem(found.offset, format!("'{key}' is '{given}', which is no time: {error}"));
+                let (key, text) = (self.qualified_name(key), found.value);
+                self.problem(found.offset, format!("'{key}' is '{text}', which is not a duration: {error}"));
                 None
             }
         }
     }
 
-    /// A size within bounds with its unit, as in `64MiB`; in bytes.
+    /// Reads a size with its unit, such as `64MiB`, within bounds. The result is in bytes.
     pub fn size(&mut self, key: &'static str, allowed: RangeInclusive<u64>) -> Option<Located<u64>> {
-        let found = self.with_unit(key, "a size as in \"64MiB\"")?;
+        let found = self.with_unit(key, "a size such as \"64MiB\"")?;
         match found.value.parse::<bytesize::ByteSize>() {
             Ok(size) if allowed.contains(&size.as_u64()) => Some(Located::new(size.as_u64(), found.offset)),
             Ok(_) => {
-                let show = |size: &u64| bytesize::ByteSize(*size).to_string();
-                let minimum = show(allowed.start());
-                self.out_of_bounds(key, &found.value, found.offset, &minimum, &show(allowed.end()));
+                let format = |size: &u64| bytesize::ByteSize(*size).to_string();
+                let minimum = format(allowed.start());
+                self.out_of_bounds(key, &found.value, found.offset, &minimum, &format(allowed.end()));
                 None
             }
             Err(_) => {
-                let (key, given) = (self.qualified_name(key), found.value);
-                self.problem(found.offset, format!("'{key}' is '{given}', which is no size as in \"64MiB\""));
+                let (key, text) = (self.qualified_name(key), found.value);
+                self.problem(
+                    found.offset,
+                    format!("'{key}' is '{text}', which is not a size such as \"64MiB\""),
+                );
                 None
             }
         }
@@ -233,36 +236,40 @@
         }
     }
 
-    /// An address and port.
+    /// Reads an address and port.
     pub fn address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let text = self.text(key)?;
         match text.value.parse() {
             Ok(address) => Some(Located::new(address, text.offset)),
             Err(_) => {
-                let (key, given) = (self.qualified_name(key), text.value);
-                let message =
-                    format!("'{key}' is '{given}', which is no address and port as in \"127.0.0.1:7001\"");
+                let (key, found) = (self.qualified_name(key), text.value);
+                let message = format!(
+                    "'{key}' is '{found}', which is not an address and port such as \"127.0.0.1:7001\""
+                );
                 self.problem(text.offset, message);
                 None
             }
         }
     }
 
-    /// The choice that goes by one of several words.
+    /// Reads a string that names one of several choices.
     pub fn choice<T: Copy>(&mut self, key: &'static str, choices: &[(&str, T)]) -> Option<Located<T>> {
         let text = self.text(key)?;
-        match choices.iter().find(|(word, _)| *word == text.value) {
+        match choices.iter().find(|(name, _)| *name == text.value) {
             Some((_, choice)) => Some(Located::new(*choice, text.offset)),
             None => {
-                let (qualified_name, given) = (self.qualified_name(key), &text.value);
-                let hint = suggestion(given, choices.iter().map(|(word, _)| *word));
-                self.problem(text.offset, format!("'{qualified_name}' is '{given}'{hint}"));
+                let (qualified_name, found) = (self.qualified_name(key), &text.value);
+                let hint = suggestion(found, choices.iter().map(|(name, _)| *name));
+                self.problem(
+                    text.offset,
+                    format!("'{qualified_name}' is '{found}', which is not a valid choice{hint}"),
+                );
                 None
             }
         }
     }
 
-    /// A list of names, none twice.
+    /// Reads a list of distinct names.
     pub fn names(&mut self, key: &'static str) -> Option<Vec<Located<String>>> {
         let (value, offset) = self.get(key)?;
         let DeValue::Array(items) = value else {
@@ -285,7 +292,7 @@
         Some(names)
     }
 
-    /// A section within this one. Its caller calls [`Self::finish`].
+    /// A subsection. The caller must call [`Self::finish`] on it.
     pub fn section(&mut self, key: &'static str) -> Option<Section<'a>> {
         let (value, offset) = self.get(key)?;
         let DeValue::Table(table) = value else {
@@ -301,7 +308,7 @@
         })
     }
 
-    /// Reads a section with a function, and reports its unknown keys. Nothing where the section is missing.
+    /// Reads a subsection with a function, and reports its unknown keys. Returns `None` if the subsection is missing.
     pub fn read_section<T>(
         &mut self,
         key: &'static str,
@@ -313,7 +320,7 @@
         Some(value)
     }
 
-    /// The same for each section of a list, `[[key]]`.
+    /// Reads each section of a list, `[[key]]`, like [`Self::read_section`].
     pub fn read_sections<T>(
         &mut self,
         key: &'static str,
@@ -330,7 +337,7 @@
     fn sections(&mut self, key: &'static str) -> Vec<Section<'a>> {
         let Some((value, offset)) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value else {
-            self.wrong_type(key, value, offset, "a list of sections, [[…]],");
+            self.wrong_type(key, value, offset, "a list of sections, [[…]]");
             return Vec::new();
         };
         let section = |(index, item): (usize, &'a Spanned<DeValue<'a>>)| {
@@ -338,7 +345,7 @@
             let DeValue::Table(table) = item.get_ref() else {
                 self.problem(
                     offset,
-                    format!("'{name}' is {}, and a section is meant", type_name(item.get_ref())),
+                    format!("'{name}' is {}; expected a section", type_name(item.get_ref())),
                 );
                 return None;
             };
@@ -347,13 +354,13 @@
         items.iter().enumerate().filter_map(section).collect()
     }
 
-    /// Reports every key that was not read as unknown.
+    /// Reports every key that was not read as an unknown key.
     pub fn finish(self) {
         for key in self.table.keys() {
             let (name, offset) = (key.get_ref(), key.span().start);
             if !self.known_keys.contains(&&**name) {
                 let hint = suggestion(name, self.known_keys.iter().copied());
-                self.problem(offset, format!("'{}' is no known key{hint}", self.qualified_name(name)));
+                self.problem(offset, format!("'{}' is not a known key{hint}", self.qualified_name(name)));
             }
         }
     }
--- a/crates/gateway/src/program/reload.rs
+++ b/crates/gateway/src/program/reload.rs
@@ -1,5 +1,5 @@
-//! Applying a new configuration to a running gateway: the addresses of discovery and the shared counter, the keys of
-//! membership and the injected faults. Everything else waits for a restart.
+//! Applies a new configuration to a running gateway: the addresses of discovery and of the shared counter, the keys of
+//! membership, and the injected faults. All other changes take effect after a restart.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 use crate::discovery;
 use crate::shared::{Event, Shared};
 
-/// The addresses in use that a new configuration may change, and the fields that it may not.
+/// The addresses in use, which a new configuration can change, and the fields that only a restart can change.
 pub(super) struct ReloadableAddresses {
     discovery: SocketAddr,
     counter: Option<SocketAddr>,
-    fixed: Value,
+    restart_only_fields: Value,
 }
 
 impl ReloadableAddresses {
@@ -25,11 +25,12 @@
         ReloadableAddresses {
             discovery: config.discovery,
             counter: config.counter,
-            fixed: config.fixed.clone(),
+            restart_only_fields: config.restart_only_fields.clone(),
         }
     }
 
-    /// Applies what may change and logs whether the rest has changed. Calls to the old counter are still waited for.
+    /// Applies the changes that need no restart, and logs whether any other field has changed. Calls in flight to the old
+    /// shared counter are still completed.
     pub(super) async fn apply(&mut self, new: Config, shared: &Rc<Shared>, mailboxes: &Mailboxes) {
         new.clock_fault.step();
         if let Some((membership, settings)) = shared.membership.get().zip(new.membership.as_ref()) {
@@ -47,8 +48,8 @@
             self.discovery = new.discovery;
             drop(mailboxes.discovery.send(discovery::Order::ChangeAddress(new.discovery)).await);
         }
-        info!(shared.log, #"config.used", "the new configuration is used"; "discovery" => new.discovery.to_string(),
-            "counter" => new.counter.map(|counter| counter.to_string()),
-            "waits_for_restart" => new.fixed != self.fixed);
+        info!(shared.log, #"config.used", "the new configuration has been applied";
+            "discovery" => new.discovery.to_string(), "counter" => new.counter.map(|counter| counter.to_string()),
+            "waits_for_restart" => new.restart_only_fields != self.restart_only_fields);
     }
 }
--- a/crates/gateway/src/program/run.rs
+++ b/crates/gateway/src/program/run.rs
@@ -1,5 +1,5 @@
-//! The life of a gateway process: binds its listeners, starts its actors in order, follows signals, and ends with the
-//! shutdown. What the actors do is theirs.
+//! The lifecycle of a gateway process: binds the listeners, starts the actors in order, handles signals and shuts down.
+//! The behaviour of the actors is defined in their own modules.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io::ErrorKind;
@@ -36,24 +36,24 @@
 
 pub use super::start_error::StartError;
 
-/// Descriptors for membership: a socket, a listener, exchanges both ways.
+/// Descriptors reserved for membership: its datagram socket, its listener, and incoming and outgoing exchanges.
 const MEMBERSHIP_DESCRIPTORS: usize = 16;
-/// Descriptors for the leases: the store's files, messages too long for a datagram.
+/// Descriptors reserved for leases: the store's files, and connections for messages that exceed a datagram.
 const LEASE_DESCRIPTORS: usize = 24;
-/// How long the other processes of this gateway may take to acknowledge this one before it accepts clients. Until they
-/// do, requests that need a share of the gateway's limits are shed.
+/// How long this process waits for the other processes of this gateway to acknowledge it before it accepts clients. Until
+/// they do, requests that need a share of the gateway's limits are shed.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two looks at whether clients can be accepted.
+/// Interval at which the process checks whether it can accept clients.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs a gateway until SIGTERM and through its shutdown. SIGHUP reads the configuration again.
+/// Runs a gateway until SIGTERM, then shuts it down gracefully. SIGHUP reloads the configuration.
 ///
 /// # Errors
-/// What keeps the gateway from starting: an address that can't be bound, or an inherited socket that is none.
+/// The gateway can't start: for example, an address can't be bound, or the inherited descriptor is not a listening socket.
 pub fn run(source: Source, config: Config, log: Logger) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
-    let main = executor.clone();
-    async_io::block_on(main.run(gateway(source, config, log, executor)))
+    let driver = executor.clone();
+    async_io::block_on(driver.run(gateway(source, config, log, executor)))
 }
 
 async fn gateway(
@@ -65,16 +65,16 @@
     install_clock_fault(config.clock_fault, &log);
     let mut signals = Signals::install().map_err(StartError::Signals)?;
     let listeners = Listeners::bind(&config)?;
-    info!(log, #"gateway.starts", "starts"; "listen" => config.listen.to_string(), "sockets" => config.max_descriptors,
-        "memory_mb" => config.memory_mb,
-        "known" => config.known.as_ref().map_or(0, |known| known.servers.len()));
+    info!(log, #"gateway.starts", "gateway is starting"; "listen" => config.listen.to_string(),
+        "sockets" => config.max_descriptors, "memory_mb" => config.memory_mb,
+        "known" => config.known_endpoints.as_ref().map_or(0, |known| known.servers.len()));
     let shared = Rc::new(new_shared(&config, executor, log, listeners.operators.is_some()));
     let mut addresses = ReloadableAddresses::of(&config);
     let clients = Rc::new(listeners.clients);
     let mailboxes = start_actors(&shared, config, &clients, listeners.operators)?;
     loop {
         let signal = signals.next().await;
-        info!(shared.log, #"signal.taken", "a signal was taken"; "signal" => signal.name());
+        info!(shared.log, #"signal.taken", "signal received"; "signal" => signal.name());
         if signal == Signal::Terminate {
             break;
         }
@@ -82,7 +82,8 @@
             Ok(config) => addresses.apply(config, &shared, &mailboxes).await,
             Err(problems) => {
                 let problems = problems.join("; ");
-                warn!(shared.log, #"config.refused", "the new configuration is not used"; "why" => problems);
+                warn!(shared.log, #"config.refused", "the new configuration is invalid and was not applied";
+                    "why" => problems);
             }
         }
     }
@@ -93,7 +94,7 @@
 fn install_clock_fault(fault: ClockFault, log: &Logger) {
     fault.install();
     if fault != ClockFault::default() {
-        warn!(log, #"trial.clock", "this process's clocks are wrong on purpose"; "ahead_us" => fault.ahead,
+        warn!(log, #"trial.clock", "a clock fault is injected into this process"; "ahead_us" => fault.ahead,
             "pace_millionths" => fault.pace);
     }
 }
@@ -139,13 +140,13 @@
     }
 }
 
-/// Where the running gateway can be reached from the signal loop.
+/// The mailboxes through which the signal loop reaches the running actors.
 pub(super) struct Mailboxes {
-    /// The dispatcher's.
+    /// Mailbox of the dispatcher.
     pub events: Sender<Event>,
-    /// That of the actor that calls discovery.
+    /// Mailbox of the discovery actor.
     pub discovery: Sender<discovery::Order>,
-    /// Closed when no more clients are to be accepted from a shared listener.
+    /// Closing this channel stops accepting clients from a shared listener.
     pub stop_accepting: Sender<()>,
 }
 
@@ -159,40 +160,42 @@
     let executor = &shared.executor;
     let (events, event_mailbox) = async_channel::bounded(MAX_QUEUED_EVENTS);
     let (discovery_orders, discovery_mailbox) = async_channel::bounded(MAX_QUEUED_ORDERS);
-    let known_endpoints = config.known.as_ref().filter(|known| !known.servers.is_empty());
+    let known_endpoints = config.known_endpoints.as_ref().filter(|known| !known.servers.is_empty());
     let known_index = known_endpoints.map(|known| known.index);
-    let list = EndpointListConfig {
+    let endpoint_list = EndpointListConfig {
         poll_interval: config.settings.list_poll_interval.unwrap_or(0),
         known_index,
         orders: discovery_orders.clone(),
         events: events.clone(),
     };
-    start_fleet(shared, &config, list)?;
+    start_fleet(shared, &config, endpoint_list)?;
     let counter = config.counter.map(|address| Counter::start(shared, &events, address));
-    let list = DiscoveryActor::new(shared, &events, config.discovery, known_index);
-    executor.spawn(list.run(discovery_mailbox)).detach();
+    let discovery = DiscoveryActor::new(shared, &events, config.discovery, known_index);
+    executor.spawn(discovery.run(discovery_mailbox)).detach();
     if config.settings.list_poll_interval.is_none() {
         let _ = discovery_orders.try_send(discovery::Order::Watch(true));
     }
     let dispatcher = Dispatcher::new(shared, config.settings, &events, counter, discovery_orders.clone());
     let (operator_orders, operator_mailbox) = async_channel::bounded(operator::MAX_QUEUED_ORDERS);
-    executor.spawn(dispatcher.run(config.known, event_mailbox, operator_mailbox)).detach();
+    executor.spawn(dispatcher.run(config.known_endpoints, event_mailbox, operator_mailbox)).detach();
     if let Some(listener) = operators {
         executor.spawn(OperatorListener::new(shared, operator_orders.clone()).run(listener)).detach();
     }
-    let (stop_accepting, stopped) = async_channel::bounded(1);
-    let door = Listener::new(shared, &events, stopped);
+    let (stop_accepting, stop_requested) = async_channel::bounded(1);
+    let client_listener = Listener::new(shared, &events, stop_requested);
     let shares_listener = config.inherited_socket.is_some();
     if shares_listener {
         let join = Link::join(shared.clone(), std::env::temp_dir(), config.max_descriptors, operator_orders);
         executor.spawn(join).detach();
     }
-    executor.spawn(accept_clients(shared.clone(), door, clients.clone(), shares_listener)).detach();
+    executor
+        .spawn(accept_clients(shared.clone(), client_listener, clients.clone(), shares_listener))
+        .detach();
     Ok(Mailboxes { events, discovery: discovery_orders, stop_accepting })
 }
 
-/// Starts the subsystems of the fleet, at once or, where another process of this gateway has the address of membership,
-/// when it has let that go.
+/// Starts the fleet subsystems. If another process of this gateway still holds the membership address, they start when that
+/// process has released it.
 fn start_fleet(
     shared: &Rc<Shared>,
     config: &Config,
@@ -221,7 +224,7 @@
     match Membership::start(&host, &config.name, gateway_count, settings) {
         Ok(membership) => fleet.start(shared, membership),
         Err(error) if error.kind() == ErrorKind::AddrInUse && config.inherited_socket.is_some() => {
-            info!(shared.log, #"mesh.waits", "another process of this gateway speaks with the others";
+            info!(shared.log, #"mesh.waits", "waiting until the other process releases the membership address";
                 "listen" => settings.listen.to_string());
             let start = fleet.start_when_address_is_free(
                 shared.clone(),
@@ -236,21 +239,22 @@
     Ok(())
 }
 
-/// Accepts clients. On a shared listener the other process serves them until this one has endpoints, and its share of the
-/// gateway's limits is settled.
+/// Accepts clients. On a shared listener this process first waits until it has endpoints and its share of the gateway's
+/// limits is settled; meanwhile the other process serves the clients.
 async fn accept_clients(
     shared: Rc<Shared>,
-    door: Listener,
-    listener: Rc<Async<TcpListener>>,
+    client_listener: Listener,
+    socket: Rc<Async<TcpListener>>,
     shares_listener: bool,
 ) {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let is_settled = || {
-        shared.hot_restart.get().is_some_and(|link| link.is_settled()) || began_at.elapsed() > SETTLE_TIMEOUT
+        shared.hot_restart.get().is_some_and(|link| link.is_settled())
+            || started_at.elapsed() > SETTLE_TIMEOUT
     };
     while shares_listener && !(shared.ready.get() && is_settled()) {
         Timer::after(POLL_INTERVAL).await;
     }
     shared.listening.set(true);
-    door.run(&listener).await;
+    client_listener.run(&socket).await;
 }
--- a/crates/gateway/src/program/signals.rs
+++ b/crates/gateway/src/program/signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a gateway follows. None is lost, whatever a single system call reports, and none waits behind others.
+//! The signals that a gateway handles. A failed system call loses no signal, and no signal is queued behind others.
 //!
-//! A handler sets a flag, which can't fail, and then wakes the event loop by a byte, which can: the call may be interrupted, or
-//! find the buffer full. So the flags are also looked at now and then. Signals of a kind that come before the first is taken
-//! are one.
+//! A handler sets a flag, which can't fail, and then writes a byte to wake the event loop, which can fail: the call may
+//! be interrupted, or the buffer may be full. The flags are therefore also checked at an interval. Signals of the same
+//! kind that arrive before the first of them is handled count as one.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -15,19 +15,20 @@
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
 
-/// How often the flags are looked at without a wakeup: a request that came this long after SIGTERM is still served.
+/// Interval at which the flags are checked without a wakeup. Requests that arrive up to this long after SIGTERM are still
+/// served.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a wakeup that could not be read. Danger: an error that lasts would hold the event loop.
+/// Pause after a failed read of a wakeup. Danger: without the pause, a permanent error would block the event loop.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// Wakeups that are read at once.
+/// Maximum number of wakeups read at a time.
 const MAX_WAKEUPS: usize = 64;
 
-/// A signal that a gateway follows.
+/// A signal that a gateway handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: it is to shut down.
+    /// SIGTERM: shut down.
     Terminate,
-    /// SIGHUP: it is to read its configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// The signals of this process from its installation on.
+/// The signals that this process has received since the handlers were installed.
 pub(super) struct Signals {
     terminate: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -53,20 +54,20 @@
     ///
     /// # Errors
     ///
-    /// What the system reports where there is no descriptor for the wakeups, or a handler can't be installed.
+    /// The operating system's error if no descriptor is available for the wakeups, or a handler can't be installed.
     pub(super) fn install() -> io::Result<Self> {
         let (wakeups, waker) = UnixStream::pair()?;
         let signals =
             Signals { terminate: Arc::default(), reload: Arc::default(), wakeups: Async::new(wakeups)? };
         for (signal, flag) in [(SIGTERM, &signals.terminate), (SIGHUP, &signals.reload)] {
-            // In this order, so that a wakeup finds the flag set.
+            // The flag is registered first, so that it is set when the wakeup arrives.
             flag::register(signal, flag.clone())?;
             pipe::register(signal, waker.try_clone()?)?;
         }
         Ok(signals)
     }
 
-    /// Waits for the next signal; a shutdown goes first.
+    /// Waits for the next signal. SIGTERM takes precedence.
     pub(super) async fn next(&mut self) -> Signal {
         loop {
             if self.terminate.swap(false, Ordering::SeqCst) {
--- a/crates/gateway/src/program/start_error.rs
+++ b/crates/gateway/src/program/start_error.rs
@@ -1,4 +1,4 @@
-//! What can keep a gateway from starting once its configuration is read.
+//! Errors that prevent a gateway from starting after its configuration has been read.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 
 use super::config::INHERITED_SOCKET_VARIABLE;
 
-/// Why a gateway has not started.
+/// Why a gateway could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The handlers of signals can't be installed.
-    #[error("no signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("can't install the signal handlers: {0}")]
     Signals(io::Error),
-    /// An address can't be listened on.
+    /// The gateway can't listen on an address.
     #[error("can't listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         error: io::Error,
     },
     /// The inherited descriptor is not a listening socket.
     #[error(
-        "{INHERITED_SOCKET_VARIABLE} names descriptor {descriptor}, which is no listening socket: {reason}"
+        "{INHERITED_SOCKET_VARIABLE} names descriptor {descriptor}, which is not a listening socket: {reason}"
     )]
     InheritedSocket {
-        /// Its number.
+        /// The number of the descriptor.
         descriptor: RawFd,
-        /// What was found instead.
+        /// Why the descriptor can't be used.
         reason: io::Error,
     },
-    /// The address of membership can't be listened on.
-    #[error("can't speak with gateways on {address}: {error}")]
+    /// The gateway can't listen on the membership address.
+    #[error("can't listen for other gateways on {address}: {error}")]
     Membership {
         /// The address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         error: io::Error,
     },
 }
--- a/crates/gateway/tests/logging.rs
+++ b/crates/gateway/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log's rate limit, against clients that can cause records at will.
+//! The rate limit of the log, which protects against clients that cause records at will.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,14 @@
 #[test]
 fn records_beyond_the_limit_of_an_event_are_counted_and_other_events_are_unaffected() {
     let (limiter, start) = (RateLimited::new((), 3), Instant::now());
-    let passed = (0..10).filter(|_| limiter.admit("client.not-accepted", start).is_admitted).count();
-    assert_eq!(passed, 3);
-    assert_eq!(limiter.admit("gateway.ends", start), Admission { is_admitted: true, left_out: 0 });
+    let written = (0..10).filter(|_| limiter.admit("client.not-accepted", start).is_admitted).count();
+    assert_eq!(written, 3);
+    assert_eq!(limiter.admit("gateway.ends", start), Admission { is_admitted: true, suppressed: 0 });
     let later = start + Duration::from_secs(1);
     assert_eq!(
         limiter.admit("client.not-accepted", later),
-        Admission { is_admitted: true, left_out: 7 },
-        "those left out are told once"
+        Admission { is_admitted: true, suppressed: 7 },
+        "the number of suppressed records is reported once"
     );
-    assert_eq!(limiter.admit("client.not-accepted", later), Admission { is_admitted: true, left_out: 0 });
+    assert_eq!(limiter.admit("client.not-accepted", later), Admission { is_admitted: true, suppressed: 0 });
 }
