--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -31,7 +31,7 @@
     },
     /// Read the whole store and print its size; the only change is to cut a torn end
     Verify { folder: PathBuf },
-    /// Free the disk space of deleted and overwritten entries
+    /// Free the disk space of obsolete entries
     Compact { folder: PathBuf },
     /// Copy the store to another folder, which must be empty
     Snapshot { folder: PathBuf, to: PathBuf },
