--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -17,8 +17,8 @@
     let gateway = settings.listen;
     let reply = membership::query(gateway, &settings.keys, Channel::OutlierDetection, Vec::new())
         .map_err(|error| vec![error.to_string()])?;
-    let no_reply = |_| vec![format!("the gateway at {gateway} has no [signals], or has just started")];
-    let view: OutlierView = postcard::from_bytes(&reply).map_err(no_reply)?;
+    let invalid_reply = |_| vec![format!("the gateway at {gateway} has no [signals], or has just started")];
+    let view: OutlierView = postcard::from_bytes(&reply).map_err(invalid_reply)?;
     if json {
         println!("{}", to_json(&view));
     } else {
--- a/crates/cli/tests/large_fleet.rs
+++ b/crates/cli/tests/large_fleet.rs
@@ -40,10 +40,10 @@
 /// Period of the throttle.
 const THROTTLE_PERIOD: Duration = Duration::from_millis(30);
 
-/// These tests measure time, so they run one at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+/// Ensures that these tests run one at a time, because they measure time.
+fn exclusive_run() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// One listener that stands for all servers of a fleet. Each server has its own address.
@@ -69,11 +69,11 @@
         let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
         let port = listener.local_addr().expect("an address").port();
         let calls: Arc<Mutex<Vec<_>>> = Arc::default();
-        let seen = calls.clone();
+        let recorded_calls = calls.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let seen = seen.clone();
-                thread::spawn(move || ManyServers::serve(&stream, silent_interval, &seen));
+                let recorded_calls = recorded_calls.clone();
+                thread::spawn(move || ManyServers::serve(&stream, silent_interval, &recorded_calls));
             }
         });
         ManyServers { port, calls }
@@ -81,13 +81,13 @@
 
     fn serve(stream: &TcpStream, silent_interval: usize, calls: &Mutex<Vec<(Instant, usize)>>) {
         let server = server_at(stream.local_addr().expect("an address").ip());
-        commands(stream, |words| {
+        commands(stream, |arguments| {
             let mut calls = calls.lock().expect("calls");
             calls.push((Instant::now(), server));
             let is_silent = calls.len().is_multiple_of(silent_interval);
             drop(calls);
             let mut writer = stream;
-            let id = &words[2];
+            let id = &arguments[2];
             is_silent
                 || writer
                     .write_all(format!("*3\r\n${}\r\n{id}\r\n$-1\r\n$-1\r\n", id.len()).as_bytes())
@@ -112,8 +112,8 @@
     }
 }
 
-/// A discovery agent that sends complete lists. It answers a call as soon as its newest list is not the one that the caller
-/// knows, and records when it first sent each list.
+/// A discovery agent that sends complete lists. It answers a call as soon as its newest list differs from the list that the
+/// caller knows, or with an empty change at the timeout of the call. It records when it first sent each list.
 struct Agent {
     address: SocketAddr,
     newest: Arc<Mutex<(usize, Arc<String>)>>,
@@ -244,7 +244,7 @@
 /// servers drain with each list, and some requests are never answered.
 #[test]
 fn answers_are_on_time_and_draining_servers_get_no_requests_while_long_lists_arrive() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     const LISTS: usize = 6;
     const DRAINED: usize = 300;
     let servers = ManyServers::start(4);
@@ -325,7 +325,7 @@
 
 #[test]
 fn processing_a_long_list_does_not_delay_other_requests() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let (longest, _) = cost_of_complete_lists(LARGEST_FLEET);
     assert!(
         longest < Duration::from_millis(30),
@@ -335,7 +335,7 @@
 
 #[test]
 fn reloading_a_configuration_with_thousands_of_servers_does_not_delay_requests() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     const TIMES: usize = 5;
     let all = ManyServers::start(usize::MAX);
     let list = all.list(1, OVERSIZED_FLEET, 0..0);
@@ -374,7 +374,7 @@
 
 #[test]
 fn the_cost_of_a_request_does_not_grow_with_the_number_of_listed_servers() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let (common, oversized) = (cost_of_requests(COMMON_FLEET), cost_of_requests(OVERSIZED_FLEET));
     assert!(
         oversized < common * 3,
