--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,25 +1,26 @@
-//! Batches of changes, and how soon they are to be durable. A batch knows nothing of the store that it is written to.
+//! Batches of changes and their durability. A batch is independent of the store to which it is written.
 
 use crate::error::{Error, Result};
 use crate::frame::{FrameBuilder, OperationKind};
 
-/// Longest key, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 64 * 1024;
-/// Longest value, in bytes: a batch of one key always fits in a frame.
+/// Maximum length of a value, in bytes. A batch with one key always fits into a frame.
 pub const MAX_VALUE_BYTES: usize = 16 * 1024 * 1024;
 
-/// When a batch is to be durable.
+/// When a batch becomes durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// With a later sync, whenever that comes.
+    /// At the next sync. The batch itself sets no deadline for the sync.
     Deferred,
-    /// Within so many milliseconds, together with others: by [`Store::sync_deadline`](crate::Store::sync_deadline).
+    /// Within this number of milliseconds. Batches share a sync, which is due at
+    /// [`Store::sync_deadline`](crate::Store::sync_deadline).
     Within(u64),
     /// Before the write returns.
     Immediate,
 }
 
-/// Changes that are applied together or not at all. Of two for one key the later one holds.
+/// Changes that are applied atomically. If a batch changes a key twice, the later change takes effect.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     pub(crate) changes: Vec<Change>,
@@ -28,29 +29,29 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub key: Vec<u8>,
-    /// The new value; the key is deleted, if none.
+    /// The new value; `None` deletes the key.
     pub value: Option<Value>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Value {
     bytes: Vec<u8>,
-    /// Unix milliseconds; 0: never.
+    /// Unix milliseconds; 0 means that the value never expires.
     expires_at: u64,
 }
 
 impl Batch {
-    /// A batch without changes.
+    /// Creates an empty batch.
     pub fn new() -> Self {
         Batch::default()
     }
 
-    /// Adds a value that does not expire.
+    /// Adds a value that never expires.
     pub fn put(self, key: &[u8], value: &[u8]) -> Self {
         self.put_until(key, value, 0)
     }
 
-    /// Adds a value that expires at a time, in Unix milliseconds; 0: never.
+    /// Adds a value that expires at `expires_at`, in Unix milliseconds; 0 means never.
     pub fn put_until(mut self, key: &[u8], value: &[u8], expires_at: u64) -> Self {
         let value = Value { bytes: value.into(), expires_at };
         self.changes.push(Change { key: key.into(), value: Some(value) });
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,81 +1,81 @@
-//! The errors of a store. Operators read the texts.
+//! The errors of a store. Operators read their texts.
 
 use std::io;
 
-/// Why an operation on a store has failed.
+/// The error of a failed operation on a store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The directory is locked by another process.
-    #[error("another process has this store")]
+    #[error("another process has locked this store")]
     Locked,
-    /// File access has failed.
+    /// A file operation failed.
     #[error("{what}: {why}")]
     Io {
-        /// What was accessed.
+        /// The object of the file operation.
         what: &'static str,
         /// The error of the operating system.
         why: io::Error,
     },
-    /// A sync has failed. What was written since the last success may be lost; the store must be opened again.
-    #[error("what was written could not be made durable, and nothing more is taken: {0}")]
+    /// A sync failed. Batches written since the last successful sync may be lost. The store must be reopened.
+    #[error("a sync failed, and the store rejects all further writes: {0}")]
     Sync(io::Error),
-    /// An earlier write or sync has failed in a way that leaves the state of the disk unknown.
-    #[error("nothing is taken any more since a write could not be made durable")]
+    /// An earlier write or sync failed and left the state of the disk unknown.
+    #[error("the store rejects all writes since an earlier write or sync failed")]
     Failed,
-    /// A range of a segment can't be decoded, and is not the torn end of the log.
+    /// A range of a segment can't be decoded and is not the torn end of the log.
     #[error(
-        "segment {segment:x} is damaged at byte {offset}, {length} bytes long; the rest opens with salvage"
+        "segment {segment:x} is damaged at byte {offset}, {length} bytes long; the remaining data opens with salvage"
     )]
     Damaged {
-        /// Number of the segment.
+        /// The number of the segment.
         segment: u64,
-        /// First damaged byte.
+        /// Offset of the first damaged byte.
         offset: u64,
-        /// Bytes up to the next frame, or to the end.
+        /// Length up to the next frame or the end of the segment, in bytes.
         length: u64,
     },
-    /// There are segments before and after this number, and none with it.
+    /// A segment is missing between two existing segments.
     #[error("segment {segment:x} is missing")]
     Missing {
-        /// Number of the segment.
+        /// The number of the segment.
         segment: u64,
     },
-    /// A segment does not begin with the header of this version.
-    #[error("segment {segment:x} is no segment of this version")]
+    /// A segment does not start with the header of this format version.
+    #[error("segment {segment:x} does not start with the header of this format version")]
     UnknownFormat {
-        /// Number of the segment.
+        /// The number of the segment.
         segment: u64,
     },
     /// A batch would exceed [`Options::max_disk_bytes`](crate::Options::max_disk_bytes).
-    #[error("the store may hold {limit} bytes on disk, and this needs {needed}")]
+    #[error("the store needs {needed} bytes on disk with this batch; the limit is {limit}")]
     DiskBound {
-        /// Bytes with the batch.
+        /// Required size including the batch, in bytes.
         needed: u64,
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         limit: u64,
     },
     /// A batch would exceed [`Options::max_index_bytes`](crate::Options::max_index_bytes).
-    #[error("the index may hold {limit} bytes in memory, and this needs {needed}")]
+    #[error("the index needs {needed} bytes of memory with this batch; the limit is {limit}")]
     IndexBound {
-        /// Bytes with the batch.
+        /// Required size including the batch, in bytes.
         needed: u64,
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         limit: u64,
     },
     /// A key, a value or a batch is too long.
-    #[error("a {what} of {length} bytes is too long; {limit} are the most")]
+    #[error("a {what} of {length} bytes is too long; the limit is {limit} bytes")]
     TooLong {
-        /// Which of the three.
+        /// The item that is too long: `key`, `value` or `batch`.
         what: &'static str,
         /// Its length, in bytes.
         length: usize,
-        /// Longest permitted length, in bytes.
+        /// The maximum length, in bytes.
         limit: usize,
     },
 }
 
 impl Error {
-    /// Converts an error of an access to `what`.
+    /// Returns a function that converts an I/O error on the object `what`.
     pub(crate) fn io(what: &'static str) -> impl Fn(io::Error) -> Error {
         move |why| Error::Io { what, why }
     }
--- a/crates/store/src/fault_injection.rs
+++ b/crates/store/src/fault_injection.rs
@@ -1,6 +1,6 @@
-//! A directory that injects faults in front of another one: a quota, slow and failing syncs, for trials without privileges.
-//! It never holds data: what is written is in the inner directory, where a process that starts again finds it. The quota
-//! counts the lengths of the files, as a file system would.
+//! A directory that wraps another directory and injects faults: a quota, slow syncs and failed syncs. Fault tests with it
+//! need no privileges. It buffers no data: all writes go to the inner directory, so that they are there when the process is
+//! restarted. The quota counts the lengths of the files, like the quota of a file system.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,14 +10,14 @@
 
 use crate::files::{Directory, FileHandle};
 
-/// The faults of a directory, which may be changed while it is in use.
+/// The faults to inject. They can be changed while the directory is in use.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Largest length of all files together, in bytes.
+    /// Maximum total length of all files, in bytes.
     pub quota_bytes: Cell<Option<u64>>,
-    /// Every sync takes so much longer, and blocks the calling thread for it.
+    /// Additional duration of every sync. The sync blocks the calling thread for this time.
     pub sync_delay: Cell<Duration>,
-    /// Every sync fails.
+    /// Whether every sync fails.
     pub sync_fails: Cell<bool>,
     lengths: RefCell<BTreeMap<String, u64>>,
 }
@@ -31,8 +31,8 @@
     fn check_quota(&self, name: &str, length: u64) -> io::Result<()> {
         let mut lengths = self.lengths.borrow_mut();
         let others: u64 = lengths.iter().filter(|(other, _)| *other != name).map(|(_, length)| length).sum();
-        let known = lengths.get(name).copied().unwrap_or(0);
-        if length > known && self.quota_bytes.get().is_some_and(|quota| others + length > quota) {
+        let current_length = lengths.get(name).copied().unwrap_or(0);
+        if length > current_length && self.quota_bytes.get().is_some_and(|quota| others + length > quota) {
             return Err(Faults::storage_full());
         }
         lengths.insert(name.into(), length);
@@ -44,7 +44,7 @@
             std::thread::sleep(self.sync_delay.get());
         }
         if self.sync_fails.get() {
-            return Err(io::Error::other("a sync that fails on purpose"));
+            return Err(io::Error::other("injected sync failure"));
         }
         Ok(())
     }
@@ -58,7 +58,7 @@
 }
 
 impl<F> FaultyDirectory<F> {
-    /// Injects faults in front of a directory.
+    /// Wraps a directory.
     pub fn new(inner: F, faults: &Rc<Faults>) -> Self {
         FaultyDirectory { inner, faults: faults.clone() }
     }
@@ -109,8 +109,8 @@
         self.inner.length()
     }
 
-    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()> {
-        self.inner.read(offset, into)
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        self.inner.read(offset, buffer)
     }
 
     fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,4 @@
-//! The file access that a store needs, and no more: a trait, and its implementation for the file system.
+//! The file operations that a store needs: traits and their implementation for the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -7,17 +7,17 @@
 
 use rustix::fs::{flock, FlockOperation};
 
-/// One directory of files. Names have no slashes.
+/// A directory of files. File names contain no slashes.
 pub trait Directory {
     /// An open file.
     type Handle: FileHandle;
-    /// Locks the directory for this process; an error of kind `WouldBlock` if another has locked it.
+    /// Locks the directory for this process. Returns an error of kind `WouldBlock` if another process has locked it.
     fn lock(&mut self) -> io::Result<()>;
-    /// The names of all files.
+    /// Returns the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// Opens a file to read and write; with `create` it must not exist, without it must.
+    /// Opens a file for reading and writing. The file must not exist if `create` is true, and must exist otherwise.
     fn open(&mut self, name: &str, create: bool) -> io::Result<Self::Handle>;
-    /// Removes a file. An open handle of it stays usable.
+    /// Removes a file. Open handles to the file stay usable.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Makes the creation and removal of files durable.
     fn sync_names(&mut self) -> io::Result<()>;
@@ -25,15 +25,15 @@
 
 /// An open file. Offsets and lengths are in bytes.
 pub trait FileHandle {
-    /// The length of the file.
+    /// Returns the length of the file.
     fn length(&self) -> io::Result<u64>;
-    /// Fills a buffer from an offset on, or fails.
-    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()>;
-    /// Writes all bytes at an offset, or fails after some of them.
+    /// Fills the buffer from `offset`. Returns an error if the file is too short.
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()>;
+    /// Writes all bytes at `offset`. If it returns an error, some of the bytes may have been written.
     fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Sets the length.
+    /// Sets the length of the file.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Makes what was written durable.
+    /// Makes all writes to the file durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Those of creating it.
+    /// Returns the error of creating the directory.
     pub fn new(path: &Path) -> io::Result<DiskDirectory> {
         std::fs::create_dir_all(path)?;
         Ok(DiskDirectory { path: path.into(), lock: None })
@@ -70,7 +70,6 @@
         Ok(())
     }
 
-    /// The names of all files.
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
@@ -97,8 +96,8 @@
         Ok(self.metadata()?.len())
     }
 
-    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()> {
-        self.read_exact_at(into, offset)
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        self.read_exact_at(buffer, offset)
     }
 
     fn write(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,25 +1,27 @@
-//! The encoding of a batch in a segment: one frame, which decodes completely or not at all. This module accesses no files.
+//! The encoding of a batch as one frame in a segment. A frame decodes completely or not at all. This module accesses no
+//! files.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 4 | length of the content, above 0 |
+//! | 4 | length of the content, greater than 0 |
 //! | 4 | CRC-32 of the segment's number, the frame's offset and the content |
 //! | 8 | sequence number of the batch |
-//! | 8 | sequence number of the last batch that was durable when this was written: those up to it can be damaged, not missing |
-//! | 8 | the latest time known when it was written, Unix milliseconds |
-//! | 4 | number of the operations that follow |
+//! | 8 | sequence number of the last batch that was durable when the frame was written: a batch up to this number that is missing proves damage |
+//! | 8 | latest time seen when the frame was written, in Unix milliseconds |
+//! | 4 | number of operations that follow |
 //!
-//! An operation: one byte for its kind, 8 for the time when the value expires (0: never), 4 and 4 for the lengths of key and
-//! value, key, value. All numbers are little-endian. As the checksum covers the offset, the bytes of a frame within the value
-//! of another, or in a file that was used before, are no frame there.
+//! An operation consists of its kind (1 byte), the expiry time of the value (8 bytes; 0 means never), the length of the key
+//! (4 bytes), the length of the value (4 bytes), the key and the value. All numbers are little-endian. The checksum covers
+//! the segment number and the offset, so a copy of a frame at another position is not valid: in the value of another frame,
+//! or in a reused file.
 
-/// Longest content, in bytes: a bound on what a damaged length can make a reader read.
+/// Maximum length of the content, in bytes. It limits what a reader reads because of a damaged length field.
 pub const MAX_CONTENT_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes before the content.
+/// Length of the frame header before the content, in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// Bytes of the content before the first operation.
+/// Length of the content before the first operation, in bytes.
 const CONTENT_HEADER_BYTES: usize = 8 + 8 + 8 + 4;
-/// Bytes of an operation before its key.
+/// Length of an operation before its key, in bytes.
 const OPERATION_HEADER_BYTES: usize = 1 + 8 + 4 + 4;
 
 /// The kind of an operation.
@@ -31,12 +33,12 @@
     Delete,
 }
 
-/// One operation, within the bytes of its frame.
+/// An operation that borrows from the bytes of its frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation<'b> {
     /// The kind.
     pub kind: OperationKind,
-    /// When the value expires, in Unix milliseconds; 0: never.
+    /// Expiry time of the value, in Unix milliseconds; 0 means never.
     pub expires_at: u64,
     /// The key.
     pub key: &'b [u8],
@@ -47,36 +49,36 @@
 }
 
 impl Operation<'_> {
-    /// Offset of the next operation in the frame's content.
+    /// Returns the offset of the next operation in the frame's content.
     fn end(&self) -> usize {
         self.value_offset - HEADER_BYTES + self.value.len()
     }
 }
 
-/// What a frame states of its batch.
+/// The description of the batch in a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
     /// Sequence number of the batch.
     pub sequence: u64,
     /// Sequence number of the last batch that was durable when this one was written.
     pub durable_sequence: u64,
-    /// The latest time known then, in Unix milliseconds.
+    /// Latest time seen when this batch was written, in Unix milliseconds.
     pub written_at: u64,
 }
 
 /// A decoded frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'b> {
-    /// What it states of its batch.
+    /// The description of the batch.
     pub header: FrameHeader,
-    /// Bytes of the frame.
+    /// Length of the frame, in bytes.
     pub length: usize,
-    /// Known to hold nothing but complete operations.
+    /// The validated content, which contains only complete operations.
     content: &'b [u8],
 }
 
 impl<'b> Frame<'b> {
-    /// The operations, in their order.
+    /// Returns the operations in order.
     pub fn operations(&self) -> impl Iterator<Item = Operation<'b>> {
         let content = self.content;
         let mut offset = CONTENT_HEADER_BYTES;
@@ -96,7 +98,7 @@
 }
 
 impl FrameBuilder {
-    /// Adds an operation. `expires_at` is in Unix milliseconds; 0: never.
+    /// Adds an operation. `expires_at` is in Unix milliseconds; 0 means never.
     pub fn push(&mut self, kind: OperationKind, expires_at: u64, key: &[u8], value: &[u8]) {
         let bytes = &mut self.operations;
         bytes.push(u8::from(matches!(kind, OperationKind::Delete)));
@@ -108,17 +110,17 @@
         self.count += 1;
     }
 
-    /// Number of operations.
+    /// Returns the number of operations.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Bytes of the encoded frame.
+    /// Returns the length of the encoded frame, in bytes.
     pub fn length(&self) -> usize {
         HEADER_BYTES + CONTENT_HEADER_BYTES + self.operations.len()
     }
 
-    /// Encodes the frame for an offset of a segment.
+    /// Encodes the frame for an offset in a segment.
     pub fn encode(&self, segment: u64, offset: u64, header: FrameHeader) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.length());
         bytes.extend(((CONTENT_HEADER_BYTES + self.operations.len()) as u32).to_le_bytes());
@@ -152,7 +154,8 @@
     Some(u64::from_le_bytes(bytes.try_into().ok()?))
 }
 
-/// Decodes the frame at the start of some bytes, which are at an offset of a segment; none where there is no complete frame.
+/// Decodes the frame at the start of `bytes`, which are at `offset` in a segment. Returns `None` if there is no complete
+/// frame.
 pub fn decode(bytes: &[u8], segment: u64, offset: u64) -> Option<Frame<'_>> {
     let length = read_u32(bytes, 0)? as usize;
     if !(CONTENT_HEADER_BYTES..=MAX_CONTENT_BYTES).contains(&length) {
@@ -175,7 +178,7 @@
     (end == content.len()).then_some(Frame { header, length: HEADER_BYTES + length, content })
 }
 
-/// Decodes the operation at an offset of a frame's content.
+/// Decodes the operation at an offset in a frame's content.
 fn decode_operation(content: &[u8], offset: usize) -> Option<Operation<'_>> {
     let kind = match content.get(offset)? {
         0 => OperationKind::Put,
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,19 +1,19 @@
-//! The index: for each key where its value is in the log. It lists every key that is there, expired or not, and never reads
-//! a value.
+//! The index maps each key to the location of its value in the log. It contains expired keys until they are removed, and
+//! never reads a value.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Bytes that an entry takes in memory beside its key: an upper estimate.
+/// Upper estimate of the memory that an entry needs in addition to its key, in bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 96;
 
-/// Where a value is in the log.
+/// The location of a value in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ValueLocation {
     pub segment: u64,
     pub offset: u64,
     pub length: u32,
-    /// Unix milliseconds; 0: never.
+    /// Unix milliseconds; 0 means that the value never expires.
     pub expires_at: u64,
 }
 
@@ -24,12 +24,12 @@
 }
 
 impl Index {
-    /// Bytes that the entry of a key takes in memory.
+    /// Returns the memory that the entry of a key needs, in bytes.
     pub fn entry_bytes(key: &[u8]) -> u64 {
         key.len() as u64 + ENTRY_OVERHEAD_BYTES
     }
 
-    /// Bytes that the index takes in memory.
+    /// Returns the memory that the index needs, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -50,7 +50,7 @@
         self.locations.get(key).copied()
     }
 
-    /// Returns the location that is replaced.
+    /// Sets the location of a key and returns the previous one.
     pub fn insert(&mut self, key: &[u8], location: ValueLocation) -> Option<ValueLocation> {
         let previous = self.locations.insert(key.into(), location);
         if previous.is_none() {
@@ -59,24 +59,24 @@
         previous
     }
 
-    /// Returns the location that is removed.
+    /// Removes a key and returns its location.
     pub fn remove(&mut self, key: &[u8]) -> Option<ValueLocation> {
         let previous = self.locations.remove(key)?;
         self.bytes -= Index::entry_bytes(key);
         Some(previous)
     }
 
-    /// The keys with a prefix, in order, from behind the key `after` on.
+    /// Iterates in order over the keys with a prefix that are greater than `after`.
     pub fn scan<'i>(
         &'i self,
         prefix: &'i [u8],
         after: Option<&[u8]>,
     ) -> impl Iterator<Item = (&'i [u8], ValueLocation)> {
-        let from = match after {
+        let start = match after {
             Some(after) if after >= prefix => Bound::Excluded(after),
             _ => Bound::Included(prefix),
         };
-        let entries = self.locations.range::<[u8], _>((from, Bound::Unbounded));
+        let entries = self.locations.range::<[u8], _>((start, Bound::Unbounded));
         let entries = entries.map(|(key, location)| (&**key, *location));
         entries.take_while(move |(key, _)| key.starts_with(prefix))
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small embedded store for what must survive a restart: keys and values in an append-only log of segments, with an index
-//! in memory, in the manner of Bitcask. Batches are atomic; after any crash the store is a prefix of the batches, in order,
-//! that contains all that were acknowledged as durable.
+//! A small embedded key-value store for state that must survive a restart. It has the design of Bitcask: an append-only log
+//! of segments, with an index in memory. Batches are atomic. After any crash the store holds a prefix of the batches, in
+//! order, that contains every batch that was acknowledged as durable.
 //!
-//! [`files`] is all the file access there is, behind a trait, so that tests can fail, tear and lose writes. [`frame`] is the
-//! encoding of a batch in the log. [`Store`] has no thread and no clock: times are passed in, in milliseconds of Unix time,
-//! and the caller does compaction in slices.
+//! All file access goes through the traits in [`files`], so that tests can fail, tear and lose writes. [`frame`] is the
+//! encoding of a batch in the log. [`Store`] has no thread and no clock: the caller passes the current time, in Unix
+//! milliseconds, and runs compaction in slices.
 
 #![warn(missing_docs)]
 
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -1,15 +1,16 @@
 //! The options of a store.
 
-/// What may be chosen when a store is opened.
+/// Options for opening a store.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Opens what is left around damage. Keys may be lost, and some that were deleted or replaced may reappear.
+    /// Skips damaged ranges instead of returning an error. Keys may be lost, and deleted keys or replaced values may
+    /// reappear.
     pub salvage: bool,
-    /// A segment that would grow longer is followed by another.
+    /// Maximum length of a segment, in bytes. A batch that would exceed it starts a new segment.
     pub max_segment_bytes: u64,
-    /// Bound of all segments together, in bytes.
+    /// Maximum total length of all segments, in bytes.
     pub max_disk_bytes: u64,
-    /// Bound of the index, in bytes.
+    /// Maximum memory of the index, in bytes.
     pub max_index_bytes: u64,
 }
 
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,16 +1,16 @@
-//! One file of the log: its name, its header, and how much of it is live. The frames behind the header are
-//! [`crate::frame`]'s.
+//! A segment, which is one file of the log: its name, its header and the number of its live bytes. [`crate::frame`] encodes
+//! the frames that follow the header.
 
 const MAGIC: [u8; 8] = *b"fernstor";
 const VERSION: u32 = 1;
-/// Bytes before the first frame: magic, version, and four of zero.
+/// Length of the segment header, in bytes: the magic number, the version and four zero bytes.
 pub(crate) const HEADER_BYTES: u64 = 16;
 
 pub(crate) struct Segment<H> {
     pub file: H,
-    /// Bytes with the header.
+    /// Length including the header, in bytes.
     pub length: u64,
-    /// Bytes of the keys and values in it that the index refers to.
+    /// Bytes of the keys and values in this segment that the index refers to.
     pub live_bytes: u64,
 }
 
@@ -24,7 +24,7 @@
     format!("{segment:016x}.log")
 }
 
-/// The number of a segment; none where the file is no segment.
+/// Parses the segment number in a file name. Returns `None` if the file is not a segment.
 pub(crate) fn number(file_name: &str) -> Option<u64> {
     let digits = file_name.strip_suffix(".log").filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok()
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,5 +1,5 @@
-//! The store: it owns the log and the index, appends batches, makes them durable and reads values. Segments are numbered
-//! without gaps; only the last one is written to.
+//! The store owns the log and the index. It appends batches, makes them durable and reads values. Segments are numbered
+//! without gaps, and only the last segment is written to.
 
 mod compaction;
 mod recovery;
@@ -17,7 +17,7 @@
 
 pub use recovery::OpenReport;
 
-/// An open store in a directory. It is locked for this process.
+/// An open store in a directory. The directory is locked for this process.
 pub struct Store<D: Directory> {
     directory: D,
     options: Options,
@@ -25,38 +25,38 @@
     index: Index,
     last_sequence: u64,
     durable_sequence: u64,
-    /// When what was written is to be durable at the latest, Unix milliseconds.
+    /// The deadline of the next sync, in Unix milliseconds.
     sync_deadline: Option<u64>,
-    /// The latest time known, so that a clock that goes back restores nothing that has expired.
+    /// The latest time seen. It keeps expired values expired if the clock is set back.
     latest_time: u64,
-    /// The state of the disk is unknown, and nothing more is written.
+    /// The state of the disk is unknown, and all further writes are rejected.
     has_failed: bool,
-    /// How far the oldest segment has been compacted.
+    /// The offset up to which the oldest segment has been compacted.
     compaction_offset: u64,
 }
 
-/// Sequence numbers of batches; 0 where there is none yet.
+/// Sequence numbers of batches; 0 if there is no such batch yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sequences {
-    /// Of the last batch.
+    /// Sequence number of the last batch.
     pub last: u64,
-    /// Of the last batch that is durable.
+    /// Sequence number of the last durable batch.
     pub durable: u64,
 }
 
 impl<D: Directory> Store<D> {
-    /// Opens the store in a directory, or creates an empty one. `now` is in Unix milliseconds, as all times are.
+    /// Opens the store in a directory, or creates an empty store. `now` and all other times are in Unix milliseconds.
     ///
     /// # Errors
     ///
-    /// [`Error::Locked`] where another process has it open; [`Error::Damaged`], [`Error::Missing`] and
-    /// [`Error::UnknownFormat`] where it can be opened with [`Options::salvage`] only.
+    /// [`Error::Locked`] if another process has opened the store; [`Error::Damaged`], [`Error::Missing`] or
+    /// [`Error::UnknownFormat`] if the store can be opened only with [`Options::salvage`].
     pub fn open(mut directory: D, options: Options, now: u64) -> Result<(Self, OpenReport)> {
         directory.lock().map_err(|why| match why.kind() {
             io::ErrorKind::WouldBlock => Error::Locked,
-            _ => Error::Io { what: "the folder's lock", why },
+            _ => Error::Io { what: "the directory's lock", why },
         })?;
-        let names = directory.list().map_err(Error::io("the folder"))?;
+        let names = directory.list().map_err(Error::io("the directory"))?;
         let mut numbers: Vec<u64> = names.iter().filter_map(|name| segment::number(name)).collect();
         numbers.sort_unstable();
         let mut store = Store {
@@ -74,11 +74,12 @@
         let mut report = OpenReport::default();
         store.recover(&numbers, &mut report)?;
         if store.segments.is_empty() {
-            // Where all segments were cut away, a number that was used must not be used again: checksums cover numbers.
+            // If recovery discarded all segments, their numbers must not be reused: a checksum covers the segment number, so
+            // an old frame would be valid in a new segment with the same number.
             let number = numbers.last().map_or(1, |last| last + 1);
             store.add_segment(number)?;
         }
-        // What was recovered must not be lost by the next crash either.
+        // Recovered batches must survive the next crash, too.
         store.sync()?;
         report.keys = store.index.len();
         Ok((store, report))
@@ -94,32 +95,32 @@
         Ok(())
     }
 
-    /// Bytes of all segments.
+    /// Returns the total length of all segments, in bytes.
     pub fn disk_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.length).sum()
     }
 
-    /// Number of keys, with those that have expired and are not removed yet.
+    /// Returns the number of keys, including expired keys that are not removed yet.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether there are no keys.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// The sequence numbers of the last batch and of the last durable one.
+    /// Returns the sequence numbers of the last batch and of the last durable batch.
     pub fn sequences(&self) -> Sequences {
         Sequences { last: self.last_sequence, durable: self.durable_sequence }
     }
 
-    /// Writes a batch, complete or not at all, and returns its sequence number.
+    /// Writes a batch atomically and returns its sequence number.
     ///
     /// # Errors
     ///
-    /// [`Error::TooLong`], [`Error::IndexBound`] and [`Error::DiskBound`] leave the store as it was. After
-    /// [`Error::Sync`] and [`Error::Failed`] nothing more is written until it is opened again.
+    /// [`Error::TooLong`], [`Error::IndexBound`] and [`Error::DiskBound`] leave the store unchanged. After
+    /// [`Error::Sync`] and [`Error::Failed`] the store rejects all writes until it is reopened.
     pub fn write(&mut self, batch: &Batch, durability: Durability, now: u64) -> Result<u64> {
         self.latest_time = self.latest_time.max(now);
         let builder = batch.encode()?;
@@ -149,14 +150,14 @@
         }
         let needed = self.disk_bytes() + frame_length as u64;
         let limit = self.options.max_disk_bytes;
-        // Deletions are accepted at the bound, as they are the way to get below it.
+        // Deletions are accepted at the limit, because they are how a caller gets below the limit.
         if needed > limit && !batch.only_deletes() {
             return Err(Error::DiskBound { needed, limit });
         }
         Ok(())
     }
 
-    /// Appends a frame and indexes it. Returns its sequence number.
+    /// Appends a frame, adds its values to the index and returns its sequence number.
     fn append(&mut self, builder: FrameBuilder) -> Result<u64> {
         if self.has_failed {
             return Err(Error::Failed);
@@ -173,7 +174,7 @@
         let offset = segment.length;
         let bytes = builder.encode(number, offset, header);
         if let Err(why) = segment.file.write(offset, &bytes) {
-            // A part that is there must not be found complete after a crash, as the write is reported as failed.
+            // Removes the partial frame: the write is reported as failed, so recovery must not find a complete frame.
             if segment.file.truncate(offset).is_err() {
                 self.has_failed = true;
             }
@@ -186,7 +187,8 @@
         Ok(sequence)
     }
 
-    /// The number of the last segment, or of a new one where a frame of this length would make that too long.
+    /// Returns the number of the segment for a frame of this length: the last segment, or a new segment if the frame would
+    /// make the last one too long.
     fn segment_for(&mut self, frame_length: usize) -> Result<u64> {
         let (number, segment) = self.segments.last_key_value().ok_or(Error::Failed)?;
         let number = *number;
@@ -194,13 +196,13 @@
         if is_empty || segment.length + frame_length as u64 <= self.options.max_segment_bytes {
             return Ok(number);
         }
-        // What is in the new segment must not outlive what is in this one.
+        // A crash must not lose batches of this segment and keep later ones in the new segment.
         self.sync()?;
         self.add_segment(number + 1).inspect_err(|_| self.has_failed = true)?;
         Ok(number + 1)
     }
 
-    /// Points the index to the values of a frame.
+    /// Updates the index with the operations of a frame.
     fn index_frame(&mut self, segment: u64, offset: u64, frame: &Frame<'_>) {
         for operation in frame.operations() {
             let location = ValueLocation {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Points the index to a value, or removes the key, and counts what is live in each segment.
+    /// Sets the location of a key in the index, or removes the key, and updates the live bytes of the segments.
     fn update_index(&mut self, key: &[u8], location: Option<ValueLocation>) {
         let live_bytes = |location: ValueLocation| u64::from(location.length) + key.len() as u64;
         let previous = match location {
@@ -233,16 +235,16 @@
         }
     }
 
-    /// The time at which `handle_timeout` is to be called, for batches that are to be durable by then.
+    /// Returns the time at which the caller must call [`Store::handle_timeout`] to make pending batches durable.
     pub fn sync_deadline(&self) -> Option<u64> {
         self.sync_deadline
     }
 
-    /// Syncs if the deadline has come.
+    /// Syncs if the sync deadline has passed.
     ///
     /// # Errors
     ///
-    /// As [`Store::sync`].
+    /// The errors of [`Store::sync`].
     pub fn handle_timeout(&mut self, now: u64) -> Result<()> {
         self.latest_time = self.latest_time.max(now);
         match self.sync_deadline {
@@ -251,12 +253,12 @@
         }
     }
 
-    /// Makes everything that was written durable.
+    /// Makes all written batches durable.
     ///
     /// # Errors
     ///
-    /// [`Error::Sync`] the first time, and [`Error::Failed`] from then on: after a failed sync it is not known what the disk
-    /// holds, so that nothing more is written.
+    /// [`Error::Sync`] for the first failed sync, and [`Error::Failed`] afterwards: the content of the disk is unknown after
+    /// a failed sync, so the store rejects all further writes.
     pub fn sync(&mut self) -> Result<()> {
         if self.has_failed {
             return Err(Error::Failed);
@@ -283,26 +285,26 @@
         Ok(value)
     }
 
-    /// When the value of a key expires, in Unix milliseconds; 0: never. None where there is no such key.
+    /// Returns the expiry time of a key, in Unix milliseconds; 0 means never. Returns `None` if the key does not exist.
     pub fn expires_at(&self, key: &[u8]) -> Option<u64> {
         self.index.get(key).map(|location| location.expires_at)
     }
 
-    /// The value of a key; none where there is no such key, or it has expired.
+    /// Returns the value of a key, or `None` if the key does not exist or has expired.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] where the value can't be read.
+    /// [`Error::Io`] if the value can't be read.
     pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>> {
         let location = self.index.get(key).filter(|location| self.is_live(*location, now));
         location.map(|location| self.read_value(location)).transpose()
     }
 
-    /// Up to `limit` keys with a prefix and their values, in the order of the keys, from behind the key `after` on.
+    /// Returns up to `limit` keys with a prefix that are greater than `after`, and their values, in the order of the keys.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] where a value can't be read.
+    /// [`Error::Io`] if a value can't be read.
     pub fn scan(
         &self,
         prefix: &[u8],
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -1,6 +1,6 @@
-//! Compaction: the live values of the oldest segment are appended again, made durable, and the segment is removed. Only the
-//! oldest segment is ever compacted, so that a deletion outlives every older value of its key, and disappears with the oldest
-//! segment. A crash at any step leaves a value twice at most, with the same content.
+//! Compaction appends the live values of the oldest segment to the log again, makes them durable and removes the segment.
+//! Only the oldest segment is compacted: a deletion therefore outlives every older value of its key, and is removed with the
+//! oldest segment. After a crash at any step a value is at most twice in the log, with the same content.
 
 use super::Store;
 use crate::error::{Error, Result};
@@ -8,11 +8,12 @@
 use crate::frame::{self, FrameBuilder, OperationKind};
 use crate::segment::{self, HEADER_BYTES};
 
-/// Compaction of a segment begins when more than this fraction of the log is not live.
+/// Compaction of a segment starts when more than this fraction of the log is not live.
 const MAX_WASTE: f64 = 0.5;
 
 impl<D: Directory> Store<D> {
-    /// Compacts the next `budget` bytes, if enough of the log is not live. Returns false where there is nothing to do.
+    /// Compacts the next `budget` bytes if compaction is under way or enough of the log is not live. Returns whether there
+    /// was anything to compact.
     pub fn compact(&mut self, budget: usize, now: u64) -> Result<bool> {
         self.latest_time = self.latest_time.max(now);
         let Some(oldest) = self.compactable_segment() else { return Ok(false) };
@@ -28,7 +29,7 @@
         Ok(true)
     }
 
-    /// The oldest segment, if its compaction is under way or worth while.
+    /// Returns the oldest segment if its compaction is under way or if the log exceeds [`MAX_WASTE`].
     fn compactable_segment(&self) -> Option<u64> {
         let (oldest, _) = self.segments.first_key_value()?;
         let (active, _) = self.segments.last_key_value()?;
@@ -42,8 +43,8 @@
         (is_under_way || is_wasteful).then_some(*oldest)
     }
 
-    /// The live values of the oldest segment from where compaction has come to until `end`. Expired keys are removed from
-    /// the index.
+    /// Returns the live values of the oldest segment between `compaction_offset` and `end`, and advances `compaction_offset`.
+    /// Removes expired keys from the index.
     fn collect_live(&mut self, oldest: u64, length: u64, end: u64, now: u64) -> Result<FrameBuilder> {
         let mut live = FrameBuilder::default();
         while self.compaction_offset < end {
@@ -51,7 +52,7 @@
             let bytes = self.read_frame(oldest, frame_offset, length)?;
             let frame = bytes.as_deref().and_then(|bytes| frame::decode(bytes, oldest, frame_offset));
             let Some(frame) = frame else {
-                // Damage that salvage skipped: the next frame is found as it was when the store was opened.
+                // Salvage skipped damage here. Recovery searched for the next frame byte by byte, and so does compaction.
                 self.compaction_offset += 1;
                 continue;
             };
@@ -73,16 +74,17 @@
         Ok(live)
     }
 
-    /// Removes the oldest segment once its live values are durable elsewhere.
+    /// Makes the live values of the oldest segment durable in the last segment, then removes the oldest segment.
     fn remove_compacted(&mut self, oldest: u64) -> Result<()> {
         self.sync()?;
         self.segments.remove(&oldest);
         self.compaction_offset = HEADER_BYTES;
         self.directory.remove(&segment::file_name(oldest)).map_err(Error::io("a compacted segment"))?;
-        self.directory.sync_names().map_err(Error::io("the folder"))
+        self.directory.sync_names().map_err(Error::io("the directory"))
     }
 
-    /// The bytes that a frame at an offset would have, by its length; none where it would not end within the segment.
+    /// Reads the bytes of a frame at an offset, as its length field states. Returns `None` if the frame would extend beyond
+    /// the end of the segment.
     fn read_frame(&self, segment: u64, offset: u64, length: u64) -> Result<Option<Vec<u8>>> {
         let Some(segment) = self.segments.get(&segment) else { return Ok(None) };
         if offset + frame::HEADER_BYTES as u64 > length {
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery when a store is opened: it replays the segments into the index, cuts a torn end, and distinguishes damage from
-//! that. It never writes a frame.
+//! Recovery of a store when it is opened: replays the segments into the index, truncates a torn end and distinguishes it
+//! from damage. Recovery never writes a frame.
 
 use super::Store;
 use crate::error::{Error, Result};
@@ -7,24 +7,24 @@
 use crate::frame;
 use crate::segment::{self, Segment, HEADER_BYTES};
 
-/// What was found when a store was opened.
+/// The result of recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpenReport {
-    /// Batches that were replayed.
+    /// Number of replayed batches.
     pub batches: u64,
-    /// Keys in the index.
+    /// Number of keys in the index.
     pub keys: usize,
-    /// A torn end that was cut: the segment, the offset, and how many bytes.
+    /// The truncated torn end: segment number, offset and length in bytes.
     pub truncated: Option<(u64, u64, u64)>,
-    /// Damage that was skipped, likewise.
+    /// The skipped damaged ranges: segment number, offset and length in bytes.
     pub skipped: Vec<(u64, u64, u64)>,
 }
 
-/// Bytes that are no frame.
+/// A range of bytes without a valid frame.
 struct Gap {
-    /// Where the next frame begins, if there is one.
+    /// Offset of the next frame, if there is one.
     next: Option<u64>,
-    /// A frame behind the gap was written when a batch in the gap was durable.
+    /// A frame after the gap states that a batch in the gap was durable.
     lost_durable_batch: bool,
 }
 
@@ -50,7 +50,7 @@
         let file = self.directory.open(&name, false).map_err(Error::io("a segment"))?;
         let length = file.length().map_err(Error::io("a segment's length"))?;
         if length < HEADER_BYTES && is_newest {
-            // The crash came while the segment was created.
+            // A crash interrupted the creation of the segment.
             return self.discard_segment(file, number, length, report);
         }
         let mut bytes = vec![0; length as usize];
@@ -86,7 +86,7 @@
         self.directory.remove(&segment::file_name(number)).map_err(Error::io("a torn segment"))
     }
 
-    /// Replays the frames of a segment, and returns where they end.
+    /// Replays the frames of a segment and returns the offset of their end.
     fn replay(&mut self, number: u64, bytes: &[u8], is_newest: bool, report: &mut OpenReport) -> Result<u64> {
         let length = bytes.len() as u64;
         let mut offset = HEADER_BYTES.min(length);
@@ -117,8 +117,8 @@
         Ok(length)
     }
 
-    /// Examines the bytes from an offset where no frame begins. A later frame proves damage if it states that a missing batch
-    /// was durable: of batches that were not, a crash may lose any part.
+    /// Examines the bytes from an offset without a valid frame. A later frame proves damage if it states that a missing batch
+    /// was durable. A crash may lose any of the batches that were not durable.
     fn gap(&self, number: u64, bytes: &[u8], offset: u64) -> Gap {
         let mut gap = Gap { next: None, lost_durable_batch: false };
         for next in offset + 1..bytes.len() as u64 {
--- a/crates/store/tests/fault_injection.rs
+++ b/crates/store/tests/fault_injection.rs
@@ -1,4 +1,4 @@
-//! A real directory with injected faults: a quota, slow and failing syncs. What was durable before is kept.
+//! The store in a real directory with injected faults: a quota, slow syncs and failed syncs. Durable batches survive them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,10 @@
     store.write(&Batch::new().put(b"a", b"one"), Durability::Immediate, 0).expect("written");
     faults.quota_bytes.set(Some(store.disk_bytes() + 10));
     let long = [7; 100];
-    assert!(store.write(&Batch::new().put(b"b", &long), Durability::Immediate, 0).is_err(), "it is full");
+    assert!(
+        store.write(&Batch::new().put(b"b", &long), Durability::Immediate, 0).is_err(),
+        "the directory is full"
+    );
     faults.quota_bytes.set(None);
     store.write(&Batch::new().put(b"c", &long), Durability::Immediate, 0).expect("there is space again");
     drop(store);
--- a/crates/store/tests/first_version.rs
+++ b/crates/store/tests/first_version.rs
@@ -1,5 +1,5 @@
-//! Guards stored data: a folder that the first version wrote opens with all that it held, and what this version writes
-//! is the same bytes.
+//! Guards compatibility of stored data: this version opens a directory that the first version wrote, with all its data, and
+//! writes identical bytes.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 const NOW: u64 = 1_700_000_000_000;
 const SEGMENTS: usize = 6;
 
-fn recorded() -> PathBuf {
+fn recorded_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/first_version")
 }
 
@@ -18,22 +18,22 @@
     Options { max_segment_bytes: 400, ..Options::default() }
 }
 
-fn opened(folder: &Path) -> Store<DiskDirectory> {
-    let files = DiskDirectory::new(folder).expect("a folder");
-    Store::open(files, options(), NOW).expect("it opens").0
+fn open_store(directory: &Path) -> Store<DiskDirectory> {
+    let files = DiskDirectory::new(directory).expect("a directory");
+    Store::open(files, options(), NOW).expect("opened").0
 }
 
-/// The segments of a folder, by their names.
-fn segments(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let files = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("a file").path());
+/// Reads the segments of a directory, by file name.
+fn segments(directory: &Path) -> BTreeMap<String, Vec<u8>> {
+    let files = std::fs::read_dir(directory).expect("a directory").map(|entry| entry.expect("a file").path());
     let logs = files.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
-    let named = |path: PathBuf| path.file_name().expect("a name").to_string_lossy().into_owned();
-    logs.map(|path| (named(path.clone()), std::fs::read(path).expect("read"))).collect()
+    let file_name = |path: PathBuf| path.file_name().expect("a name").to_string_lossy().into_owned();
+    logs.map(|path| (file_name(path.clone()), std::fs::read(path).expect("read"))).collect()
 }
 
-/// Keys of the lease's space and others: replaced, deleted, ended, and such that end later.
-fn write(folder: &Path) {
-    let mut store = opened(folder);
+/// Writes lease keys and other keys: values that are replaced, deleted, expired, and not yet expired.
+fn write_batches(directory: &Path) {
+    let mut store = open_store(directory);
     for step in 0..12u64 {
         let batch = Batch::new()
             .put(b"owner/head", &[step as u8; 20])
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn a_folder_of_the_first_version_opens_with_all_it_held() {
-    let copy = tempfile::tempdir().expect("a folder");
-    let segments = segments(&recorded());
+fn a_directory_of_the_first_version_opens_with_all_its_data() {
+    let copy = tempfile::tempdir().expect("a directory");
+    let segments = segments(&recorded_directory());
     assert_eq!(segments.len(), SEGMENTS);
     for (name, bytes) in &segments {
         std::fs::write(copy.path().join(name), bytes).expect("copied");
     }
-    let store = opened(copy.path());
+    let store = open_store(copy.path());
     assert_eq!((store.sequences(), store.len()), (Sequences { last: 12, durable: 12 }, 15));
     let promise =
         |job: u64| store.get(format!("owner/promise/job-{job}").as_bytes(), NOW + 20).expect("read");
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn what_is_written_is_the_same_bytes_as_by_the_first_version() {
-    let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path());
-    assert_eq!(segments(folder.path()), segments(&recorded()));
+fn this_version_writes_the_same_bytes_as_the_first_version() {
+    let directory = tempfile::tempdir().expect("a directory");
+    write_batches(directory.path());
+    assert_eq!(segments(directory.path()), segments(&recorded_directory()));
 }
--- a/crates/store/tests/simulated_disk/mod.rs
+++ b/crates/store/tests/simulated_disk/mod.rs
@@ -1,4 +1,4 @@
-//! A directory in memory that fails on demand and, in a crash, loses and tears what was not made durable.
+//! A directory in memory that fails on demand. A crash loses or tears writes that are not durable.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Content {
-    pub now: Vec<u8>,
+    pub current: Vec<u8>,
     durable: Vec<u8>,
     /// Operations since the last sync: writes at offsets, truncations to lengths.
     unsynced: Vec<(u64, Option<Vec<u8>>)>,
@@ -21,30 +21,30 @@
 #[derive(Debug, Default)]
 pub struct DiskState {
     pub files: BTreeMap<String, Content>,
-    /// Removed files whose removal is not durable.
+    /// Removed files whose removal is not durable yet.
     removed: BTreeMap<String, Content>,
     locked: bool,
     pub fail_sync: bool,
-    /// Bytes that may still be written.
+    /// Free space in bytes; `None` if unlimited.
     pub remaining_bytes: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk(pub Rc<RefCell<DiskState>>);
 
-fn apply(to: &mut Vec<u8>, offset: u64, bytes: Option<&[u8]>) {
+fn apply(content: &mut Vec<u8>, offset: u64, bytes: Option<&[u8]>) {
     let offset = offset as usize;
     match bytes {
-        None => to.resize(offset, 0),
+        None => content.resize(offset, 0),
         Some(bytes) => {
-            to.resize(to.len().max(offset + bytes.len()), 0);
-            to[offset..offset + bytes.len()].copy_from_slice(bytes);
+            content.resize(content.len().max(offset + bytes.len()), 0);
+            content[offset..offset + bytes.len()].copy_from_slice(bytes);
         }
     }
 }
 
 impl SimulatedDisk {
-    /// Loses power. Of the operations that were not durable a random part survives, some writes in part.
+    /// Simulates a power failure. A random part of the operations that are not durable survives; some writes are torn.
     pub fn crash(&self, random: &mut ChaCha8Rng) {
         let mut disk = self.0.borrow_mut();
         disk.locked = false;
@@ -67,7 +67,7 @@
                 }
             }
             *content = Content {
-                now: remaining.clone(),
+                current: remaining.clone(),
                 durable: remaining,
                 unsynced: Vec::new(),
                 name_is_durable: true,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Ends the process. The operating system keeps all writes.
+    /// Simulates the end of the process. The operating system keeps all writes.
     pub fn kill(&self) {
         self.0.borrow_mut().locked = false;
     }
 
-    /// An independent copy of the files.
+    /// Returns an independent copy of the files.
     pub fn copy(&self) -> SimulatedDisk {
         let disk = self.0.borrow();
         SimulatedDisk(Rc::new(RefCell::new(DiskState { files: disk.files.clone(), ..DiskState::default() })))
@@ -135,7 +135,7 @@
 }
 
 impl OpenFile {
-    fn with<T>(&self, operation: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
+    fn with_content<T>(&self, operation: impl FnOnce(&mut Content) -> T) -> io::Result<T> {
         let mut disk = self.disk.borrow_mut();
         disk.files.get_mut(&self.name).map(operation).ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
     }
@@ -143,14 +143,14 @@
 
 impl FileHandle for OpenFile {
     fn length(&self) -> io::Result<u64> {
-        self.with(|content| content.now.len() as u64)
+        self.with_content(|content| content.current.len() as u64)
     }
 
-    fn read(&self, offset: u64, into: &mut [u8]) -> io::Result<()> {
-        let part = self.with(|content| {
-            content.now.get(offset as usize..offset as usize + into.len()).map(<[u8]>::to_vec)
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        let bytes = self.with_content(|content| {
+            content.current.get(offset as usize..offset as usize + buffer.len()).map(<[u8]>::to_vec)
         })?;
-        into.copy_from_slice(&part.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?);
+        buffer.copy_from_slice(&bytes.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?);
         Ok(())
     }
 
@@ -161,8 +161,8 @@
         if let Some(remaining_bytes) = &mut self.disk.borrow_mut().remaining_bytes {
             *remaining_bytes -= fits as u64;
         }
-        self.with(|content| {
-            apply(&mut content.now, offset, Some(&bytes[..fits]));
+        self.with_content(|content| {
+            apply(&mut content.current, offset, Some(&bytes[..fits]));
             content.unsynced.push((offset, Some(bytes[..fits].to_vec())));
         })?;
         if fits == bytes.len() {
@@ -173,18 +173,18 @@
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        self.with(|content| {
-            apply(&mut content.now, length, None);
+        self.with_content(|content| {
+            apply(&mut content.current, length, None);
             content.unsynced.push((length, None));
         })
     }
 
     fn sync(&mut self) -> io::Result<()> {
         if self.disk.borrow().fail_sync {
-            return Err(io::Error::other("the sync fails"));
+            return Err(io::Error::other("injected sync failure"));
         }
-        self.with(|content| {
-            content.durable = content.now.clone();
+        self.with_content(|content| {
+            content.durable = content.current.clone();
             content.unsynced.clear();
         })
     }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store under truncation, damage, crashes, full disks and clocks that go back: always a prefix of the batches.
+//! The store under truncation, damage, crashes, full disks and clocks that are set back: the store always holds a prefix of
+//! the batches.
 
 mod simulated_disk;
 
@@ -24,8 +25,8 @@
     Store::open(files.clone(), options(), now).map(|(store, _)| store)
 }
 
-/// Some batches over several segments; the files, and the state after each batch.
-fn written() -> (SimulatedDisk, Vec<Map>) {
+/// Writes batches over several segments. Returns the files and the state after each batch.
+fn write_batches() -> (SimulatedDisk, Vec<Map>) {
     let files = SimulatedDisk::default();
     let mut store = open(&files, 1).expect("opened");
     let mut states = vec![Map::new()];
@@ -48,23 +49,23 @@
 
 #[test]
 fn a_log_cut_at_any_byte_recovers_to_the_last_complete_batch() {
-    let (files, states) = written();
+    let (files, states) = write_batches();
     let names: Vec<String> = files.0.borrow().files.keys().cloned().collect();
     assert!(names.len() >= 3, "several segments: {names:?}");
     let mut before = states.len();
     for (index, name) in names.iter().enumerate().rev() {
-        let length = files.0.borrow().files[name].now.len();
+        let length = files.0.borrow().files[name].current.len();
         for cut in (0..=length).rev() {
             let copy = files.copy();
             {
                 let mut disk = copy.0.borrow_mut();
                 names[index + 1..].iter().for_each(|later| drop(disk.files.remove(later)));
-                disk.files.get_mut(name).expect("there").now.truncate(cut);
+                disk.files.get_mut(name).expect("the file exists").current.truncate(cut);
             }
             let store = open(&copy, 1).unwrap_or_else(|error| panic!("{name} cut at {cut}: {error}"));
             let found = state(&store, 1);
             let at = states.iter().rposition(|state| *state == found);
-            let at = at.unwrap_or_else(|| panic!("{name} cut at {cut}: no state that ever was: {found:?}"));
+            let at = at.unwrap_or_else(|| panic!("{name} cut at {cut}: no earlier state matches: {found:?}"));
             assert!(
                 at <= before && before - at <= 1 || cut == length,
                 "{name} cut at {cut}: {before} to {at}"
@@ -77,43 +78,43 @@
 
 #[test]
 fn a_log_with_any_byte_changed_is_rejected_or_recovers_to_an_earlier_batch() {
-    let (files, states) = written();
+    let (files, states) = write_batches();
     let names: Vec<String> = files.0.borrow().files.keys().cloned().collect();
     let last = names.last().expect("some").clone();
     for name in &names {
-        let length = files.0.borrow().files[name].now.len();
+        let length = files.0.borrow().files[name].current.len();
         for at in 0..length {
             for change in [0x01, 0x80, 0xff] {
                 let copy = files.copy();
-                copy.0.borrow_mut().files.get_mut(name).expect("there").now[at] ^= change;
+                copy.0.borrow_mut().files.get_mut(name).expect("the file exists").current[at] ^= change;
                 match open(&copy, 1) {
                     Ok(store) => {
                         let found = state(&store, 1);
-                        assert!(states.contains(&found), "{name}, byte {at}: a state that never was");
-                        assert!(*name == last, "{name}, byte {at}: damage in the middle went unseen");
+                        assert!(states.contains(&found), "{name}, byte {at}: no earlier state matches");
+                        assert!(*name == last, "{name}, byte {at}: damage in the middle was not detected");
                     }
                     Err(Error::Damaged { .. } | Error::UnknownFormat { .. }) => {}
                     Err(other) => panic!("{name}, byte {at}: {other}"),
                 }
                 copy.kill();
-                // Salvage finds no value that was never written.
+                // Salvage returns only values that were written.
                 let salvage = Options { salvage: true, ..options() };
                 let (store, _) = Store::open(copy, salvage, 1).expect("salvaged");
                 for (key, value) in state(&store, 1) {
-                    let was = states.iter().any(|state| state.get(&key) == Some(&value));
-                    assert!(was, "{name}, byte {at}: {key:?} never had that");
+                    let was_written = states.iter().any(|state| state.get(&key) == Some(&value));
+                    assert!(was_written, "{name}, byte {at}: {key:?} never had this value");
                 }
             }
         }
     }
 }
 
-/// Random writes, syncs, compactions and crashes, beside the states after each batch.
+/// Runs random writes, syncs, compactions and crashes, and compares the store with the expected state after each step.
 fn run_random_operations(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let files = SimulatedDisk::default();
     let mut store = open(&files, 0).expect("opened");
-    // By sequence number; the batches of compactions change nothing.
+    // The expected states by sequence number. Batches written by compaction change no state.
     let mut states: BTreeMap<u64, Map> = BTreeMap::from([(0, Map::new())]);
     for _ in 0..random.gen_range(10..120) {
         match random.gen_range(0..20) {
@@ -124,7 +125,10 @@
                 store = open(&files, 0).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
                 let found = state(&store, 0);
                 let last = store.sequences().last;
-                assert!(last >= durable, "seed {seed}: {durable} were durable, {last} are there");
+                assert!(
+                    last >= durable,
+                    "seed {seed}: batch {durable} was durable, but the last batch is {last}"
+                );
                 let (_, expected) = states.range(..=last).next_back().expect("the first");
                 assert_eq!(&found, expected, "seed {seed}: not the state after batch {last}");
                 states.retain(|number, _| *number <= last);
@@ -241,11 +245,11 @@
     assert_eq!(store.sequences(), Sequences { last: 3, durable: 0 });
     store.handle_timeout(1030).expect("synced");
     assert_eq!((store.sync_deadline(), store.sequences()), (None, Sequences { last: 3, durable: 3 }));
-    store.write(&put(b"d"), Durability::Within(5), 900).expect("a clock that went back");
+    store.write(&put(b"d"), Durability::Within(5), 900).expect("written with a clock that was set back");
     assert_eq!(store.sync_deadline(), Some(1035));
 }
 
-/// Frames that are cut, shifted and changed: decoding never panics, and returns only what was written at that place.
+/// Decoding truncated, shifted and changed frames never panics, and returns a frame only at the offset it was encoded for.
 #[test]
 fn arbitrary_bytes_do_not_break_the_frame_decoder() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -268,10 +272,10 @@
         let offset = random.gen_range(0..100);
         let header = FrameHeader { sequence: 7, durable_sequence: 6, written_at: 5 };
         let encoded = builder.encode(segment, offset, header);
-        let read = frame::decode(&encoded, segment, offset).expect("as it was written");
+        let read = frame::decode(&encoded, segment, offset).expect("decoded");
         assert_eq!((read.header, read.length), (header, encoded.len()));
         assert_eq!(read.operations().count(), builder.count() as usize);
-        assert_eq!(frame::decode(&encoded, segment, offset + 1), None, "another place");
+        assert_eq!(frame::decode(&encoded, segment, offset + 1), None, "another offset");
         assert_eq!(frame::decode(&encoded, segment + 1, offset), None, "another segment");
         let mut damaged = encoded.clone();
         match random.gen_range(0..4) {
@@ -290,7 +294,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_restores_no_expired_value() {
+fn a_clock_that_is_set_back_restores_no_expired_value() {
     let files = SimulatedDisk::default();
     let mut store = open(&files, 1000).expect("opened");
     store
@@ -308,26 +312,26 @@
 
 #[test]
 fn a_frame_within_a_value_is_not_decoded() {
-    let (files, _) = written();
+    let (files, _) = write_batches();
     let names: Vec<String> = files.0.borrow().files.keys().cloned().collect();
-    let inner = files.0.borrow().files[&names[0]].now.clone();
+    let inner = files.0.borrow().files[&names[0]].current.clone();
     let other = SimulatedDisk::default();
     let mut store = open(&other, 0).expect("opened");
     store.write(&Batch::new().put(b"v", &inner), Durability::Immediate, 0).expect("written");
     let expected = state(&store, 0);
     drop(store);
     other.kill();
-    // With a damaged header the outer frame is not decoded, and the frames in its value are not either.
+    // The damaged header makes the outer frame invalid. The frames in its value must not be decoded instead.
     let name = other.0.borrow().files.keys().next().expect("one").clone();
-    other.0.borrow_mut().files.get_mut(&name).expect("there").now[20] ^= 1;
-    let store = open(&other, 0).expect("the torn end is cut");
+    other.0.borrow_mut().files.get_mut(&name).expect("the file exists").current[20] ^= 1;
+    let store = open(&other, 0).expect("the torn end is truncated");
     assert_eq!((state(&store, 0), expected.len()), (Map::new(), 1));
 }
 
 #[test]
-fn writes_beyond_the_bounds_are_rejected_and_deletions_are_not() {
-    let bounds = Options { max_disk_bytes: 600, max_index_bytes: 200, ..options() };
-    let (mut store, _) = Store::open(SimulatedDisk::default(), bounds, 0).expect("opened");
+fn writes_beyond_the_limits_are_rejected_and_deletions_are_accepted() {
+    let limits = Options { max_disk_bytes: 600, max_index_bytes: 200, ..options() };
+    let (mut store, _) = Store::open(SimulatedDisk::default(), limits, 0).expect("opened");
     let put = |key: &[u8], size| Batch::new().put(key, &vec![1; size]);
     store.write(&put(b"a", 10), Durability::Deferred, 0).expect("written");
     store.write(&put(b"b", 10), Durability::Deferred, 0).expect("written");
@@ -341,7 +345,7 @@
 }
 
 #[test]
-fn a_directory_belongs_to_one_process_and_keeps_its_data() {
+fn a_directory_is_locked_by_one_process_and_keeps_its_data() {
     let directory = tempfile::tempdir().expect("a directory");
     let files = || fernscale_store::files::DiskDirectory::new(directory.path()).expect("made");
     let (mut store, _) = Store::open(files(), Options::default(), 0).expect("opened");
