--- a/crates/simulator-adapter/src/base64.rs
+++ b/crates/simulator-adapter/src/base64.rs
@@ -1,32 +1,32 @@
-//! Base64 as the protocol has it: the standard digits with padding, and `-` for no bytes at all.
+//! Base64 in the protocol's form: the standard alphabet with padding, and `-` for an empty byte string.
 
 use crate::error::ProtocolError;
 
-const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 const EMPTY: &str = "-";
 
-/// Bytes as text.
+/// Encodes bytes.
 pub fn encode(data: &[u8]) -> String {
     if data.is_empty() {
         return EMPTY.into();
     }
     let mut text = String::new();
     for chunk in data.chunks(3) {
-        let missing = 3 - chunk.len();
-        let bits = chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * missing);
+        let padding = 3 - chunk.len();
+        let bits = chunk.iter().fold(0u32, |bits, byte| bits << 8 | u32::from(*byte)) << (8 * padding);
         for position in 0..4 {
-            let digit = DIGITS[(bits >> (18 - 6 * position)) as usize & 63];
+            let digit = ALPHABET[(bits >> (18 - 6 * position)) as usize & 63];
             text.push(if position <= chunk.len() { char::from(digit) } else { '=' });
         }
     }
     text
 }
 
-/// Text as bytes. Bits beyond whole bytes are passed over.
+/// Decodes a text. Ignores trailing bits that do not fill a byte.
 ///
 /// # Errors
 ///
-/// [`ProtocolError::NotBase64`] where the text holds anything else.
+/// [`ProtocolError::NotBase64`] if the text contains another character.
 pub fn decode(text: &str) -> Result<Vec<u8>, ProtocolError> {
     let mut data = Vec::new();
     if text == EMPTY {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,68 +1,68 @@
-//! What can be wrong with a line of the protocol; each error ends the process, with the line's number and text.
+//! Errors in lines of the protocol. Each error ends the process, which prints the line's number and text.
 
 use fernscale_policy::settings::SettingsError;
 use thiserror::Error;
 
-/// A line that can't be understood, or that does not fit where it stands.
+/// A line that is invalid, or not allowed at its position in the session.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// A field is missing or can't be used.
+    /// A field is missing or invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// A field was expected as a name, `=` and a value.
+    /// A field is not a name, `=` and a value.
     #[error("no '=' in '{found}'")]
     NoValue {
-        /// What stands there.
+        /// The field without `=`.
         found: String,
     },
-    /// The next entry of an endpoint list was expected.
-    #[error("'{found}' where {remaining} more rows of a list belong")]
+    /// Another line interrupts the entries of an endpoint list.
+    #[error("'{found}' instead of one of {remaining} remaining 'row' lines of an endpoint list")]
     ListIncomplete {
-        /// The line that stands there.
+        /// The name of the other line.
         found: String,
-        /// How many entries are still to come.
+        /// Number of missing entries.
         remaining: u64,
     },
-    /// The line is about a gateway that has not started.
-    #[error("no instance '{name}' here")]
+    /// The line refers to a gateway that is not running.
+    #[error("no gateway instance '{name}' is running")]
     UnknownInstance {
         /// The gateway's name.
         name: String,
     },
-    /// The line refers to an endpoint list that did not come before it.
-    #[error("list {list} was never given")]
+    /// The line refers to an endpoint list that has not been received.
+    #[error("endpoint list {list} has not been received")]
     UnknownList {
         /// The list's number.
         list: u64,
     },
-    /// A form of an endpoint list was expected.
-    #[error("'form={found}' is no form of a list")]
+    /// The form of the endpoint list is unknown.
+    #[error("'form={found}' is not a form of an endpoint list")]
     UnknownListForm {
-        /// The form that stands there.
+        /// The unknown form.
         found: String,
     },
-    /// The line's name is no event's.
-    #[error("'{name}' is no event")]
+    /// The line's name is not an event.
+    #[error("'{name}' is not an event")]
     UnknownEvent {
         /// The line's name.
         name: String,
     },
-    /// An endpoint's state was expected.
-    #[error("'condition={found}' is no condition")]
+    /// The endpoint state is unknown.
+    #[error("'condition={found}' is not an endpoint state")]
     UnknownEndpointState {
-        /// The state that stands there.
+        /// The unknown state.
         found: String,
     },
-    /// The outcome of a call was expected.
-    #[error("'rc={found}' is no outcome")]
+    /// The outcome of a call is unknown.
+    #[error("'rc={found}' is not an outcome")]
     UnknownOutcome {
-        /// The outcome that stands there.
+        /// The unknown outcome.
         found: String,
     },
-    /// Bytes in base64 were expected.
+    /// A text is not valid base64.
     #[error("'{found}' is not base64")]
     NotBase64 {
-        /// The text that stands there.
+        /// The invalid text.
         found: String,
     },
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The actions of one gateway, written as lines of the protocol; it performs and decides nothing.
+//! Writes the actions of one gateway as lines of the protocol. It neither performs actions nor takes decisions.
 
 use std::cell::RefCell;
 use std::fmt::{Display, Write};
@@ -10,15 +10,15 @@
 use crate::names::{action, field};
 use crate::protocol::milliseconds;
 
-/// The receiver of a message to all gateways.
+/// The receiver field of a message to all gateways.
 const ALL_GATEWAYS: &str = "-1";
 
-/// What an instance shares with its host: the time of the batch, and the actions written so far.
+/// The state that an instance shares with its host: the time of the batch and the written actions.
 #[derive(Default)]
 pub struct ActionQueue {
     /// The time of the batch.
     pub now: Micros,
-    /// Lines, each with its end.
+    /// The written actions, as lines with line ends.
     pub actions: String,
 }
 
@@ -29,16 +29,17 @@
 }
 
 impl ProtocolHost {
-    /// A host for the gateway of this name.
+    /// Creates the host of the gateway `name`.
     pub fn new(name: &str, queue: &Rc<RefCell<ActionQueue>>) -> Self {
         ProtocolHost { name: name.into(), queue: Rc::clone(queue) }
     }
 
     fn write(&mut self, action: &str, fields: &[(&str, &dyn Display)]) {
         let actions = &mut self.queue.borrow_mut().actions;
-        write!(actions, "{action} {}={}", field::GATEWAY, self.name).expect("a string takes all");
+        write!(actions, "{action} {}={}", field::GATEWAY, self.name)
+            .expect("writing to a string does not fail");
         for (name, value) in fields {
-            write!(actions, " {name}={value}").expect("a string takes all");
+            write!(actions, " {name}={value}").expect("writing to a string does not fail");
         }
         actions.push('\n');
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One gateway of a session: its engine, and the delivery of events to it. A panic ends the gateway's event, not the
-//! process.
+//! A gateway instance of a session: its engine and the delivery of events to it. A panic aborts the handling of an event, not
+//! the process.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -16,10 +16,10 @@
 use crate::names::{field, line};
 use crate::protocol::Line;
 
-/// The endpoint lists of a session, by their numbers.
+/// The endpoint lists of a session, by number.
 pub type EndpointLists = HashMap<u64, Vec<Endpoint>>;
 
-/// The text of a panic in an engine.
+/// The message of a panic in an engine.
 pub struct Panicked(pub String);
 
 impl From<Box<dyn Any + Send>> for Panicked {
@@ -34,13 +34,13 @@
 
 /// Why an event was not handled.
 pub enum DeliveryError {
-    /// Its line can't be understood; the session can't go on.
+    /// The event's line is invalid. The session must end.
     Protocol(ProtocolError),
-    /// The engine panicked; the session goes on.
+    /// The engine panicked. The session continues.
     Panicked(Panicked),
 }
 
-/// One gateway.
+/// A gateway instance.
 pub struct Instance {
     engine: Engine<ProtocolHost>,
     queue: Rc<RefCell<ActionQueue>>,
@@ -48,11 +48,11 @@
 }
 
 impl Instance {
-    /// Starts a gateway.
+    /// Starts a gateway instance.
     ///
     /// # Errors
     ///
-    /// The panic of its engine; actions written before it are lost.
+    /// Returns the panic of the engine. The actions written before the panic are lost.
     pub fn start(
         name: &str,
         settings: Settings,
@@ -65,20 +65,20 @@
         Ok(Instance { engine, queue, load_fields })
     }
 
-    /// Takes the actions written since they were last taken.
+    /// Takes the actions written since the previous call.
     pub fn take_actions(&mut self) -> String {
         std::mem::take(&mut self.queue.borrow_mut().actions)
     }
 
-    /// Hands an event to the engine.
+    /// Delivers an event to the engine.
     ///
     /// # Errors
     ///
-    /// What is wrong with the line, or the panic of the engine; actions written before can still be taken.
+    /// Returns the error in the line or the panic of the engine. The actions written before the error can still be taken.
     pub fn deliver(&mut self, event: &Line, lists: &EndpointLists, now: Micros) -> Result<(), DeliveryError> {
         self.queue.borrow_mut().now = now;
         match catch_unwind(AssertUnwindSafe(|| self.dispatch(event, lists))) {
-            Ok(understood) => understood.map_err(DeliveryError::Protocol),
+            Ok(result) => result.map_err(DeliveryError::Protocol),
             Err(panic) => Err(DeliveryError::Panicked(Panicked::from(panic))),
         }
     }
@@ -124,8 +124,8 @@
         let list = event.whole(field::LIST)?;
         let Some(entries) = lists.get(&list) else { return Err(ProtocolError::UnknownList { list }) };
         match form {
-            "D" => self.engine.endpoints_updated(false, entries), // difference
-            "F" | "C" => self.engine.endpoints_updated(true, entries), // full
+            "D" => self.engine.endpoints_updated(false, entries), // differences
+            "F" | "C" => self.engine.endpoints_updated(true, entries), // full list
             other => return Err(ProtocolError::UnknownListForm { found: other.into() }),
         }
         Ok(())
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The adapter between the decision module and the operators' simulator: lines in on standard input, actions out on
-//! standard output. It holds no decision.
+//! The adapter between the decision module and the operators' simulator. It reads lines from standard input and writes
+//! actions to standard output. It takes no decisions.
 
 mod base64;
 mod error;
@@ -14,10 +14,10 @@
 
 use session::{Progress, Session};
 
-/// The output can't be written.
+/// Exit code if the output can't be written.
 const OUTPUT_FAILED: u8 = 1;
 
-/// The input can't be read or understood.
+/// Exit code if the input can't be read or is invalid.
 const INPUT_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,42 +1,42 @@
-//! The names of the simulator's protocol, each with what it stands for: the one place that translates them.
+//! The names of the simulator's protocol and their meanings. No other module contains these names.
 //!
-//! They are the operators' and stay as they are when names here change.
+//! The operators define the names in the protocol. They don't change when a constant here is renamed.
 
-/// Names of lines: events that come in and frames around them.
+/// Names of input lines: events and the lines that delimit batches.
 pub mod line {
-    /// Opens a batch.
+    /// Starts a batch.
     pub const BATCH_START: &str = "begin_batch";
-    /// Ends a batch and asks for the actions.
+    /// Ends a batch and requests its actions.
     pub const BATCH_END: &str = "your_turn";
-    /// An endpoint list follows, an entry a line.
+    /// Starts an endpoint list. Its entries follow, one per line.
     pub const ENDPOINT_LIST: &str = "directory";
-    /// An entry of the endpoint list.
+    /// An entry of an endpoint list.
     pub const ENDPOINT: &str = "row";
     /// A gateway starts.
     pub const START: &str = "born";
     /// A gateway stops.
     pub const STOP: &str = "stop";
-    /// A client's request has come in.
+    /// A client's request was received.
     pub const REQUEST: &str = "ask";
-    /// A response has begun to stream.
+    /// A response has started to stream.
     pub const RESPONSE_STARTED: &str = "flowing";
     /// An attempt has ended.
     pub const ATTEMPT_COMPLETED: &str = "returned";
-    /// A client has gone.
+    /// A client has disconnected.
     pub const CLIENT_DISCONNECTED: &str = "dropped";
     /// A timer has fired.
     pub const TIMER: &str = "reminder";
     /// A health check has ended.
     pub const HEALTH_CHECK_COMPLETED: &str = "probe_done";
-    /// A message of another gateway has come.
+    /// A message from another gateway was received.
     pub const MESSAGE: &str = "mail";
     /// A call to the shared counter has ended.
     pub const COUNTER_REPLY: &str = "tally_back";
-    /// The endpoint list has changed, or could not be had.
+    /// The endpoint list has changed or is unavailable.
     pub const WATCH_EVENT: &str = "membership";
 }
 
-/// Names of the actions that go out.
+/// Names of the output lines: the actions of gateways and the lines that complete a reply.
 pub mod action {
     /// Forward a request.
     pub const FORWARD: &str = "issue";
@@ -54,7 +54,7 @@
     pub const CLOSE_IDLE_CONNECTIONS: &str = "drop_conns";
     /// Add to a shared counter.
     pub const UPDATE_COUNTER: &str = "post_amount";
-    /// Open or end the watch on the endpoint list.
+    /// Open or close the watch on the endpoint list.
     pub const WATCH_ENDPOINTS: &str = "keep_informed";
     /// Poll the endpoint list.
     pub const POLL_ENDPOINTS: &str = "lookup";
@@ -64,13 +64,13 @@
     pub const LOG: &str = "emit";
     /// A gateway has panicked.
     pub const PANICKED: &str = "die";
-    /// All actions of a batch are written.
+    /// The reply to a batch is complete.
     pub const BATCH_DONE: &str = "done";
 }
 
 /// Names of the fields of lines and actions.
 pub mod field {
-    /// The gateway that a line is about.
+    /// The gateway to which a line belongs.
     pub const GATEWAY: &str = "who";
     /// The time of a batch, in milliseconds.
     pub const BATCH_TIME: &str = "atTimeMs";
@@ -78,9 +78,9 @@
     pub const BATCH: &str = "turn";
     /// The number of an endpoint list within a batch.
     pub const LIST: &str = "list";
-    /// How many entries an endpoint list has.
+    /// Number of entries of an endpoint list.
     pub const LIST_LENGTH: &str = "membersList";
-    /// What an endpoint list is: a full one, changes, or none.
+    /// The form of an endpoint list: full, differences or unavailable.
     pub const LIST_FORM: &str = "form";
     /// A server's name.
     pub const SERVER: &str = "server";
@@ -94,7 +94,7 @@
     pub const ENDPOINT_STATE: &str = "condition";
     /// A server's weight.
     pub const ENDPOINT_WEIGHT: &str = "rating";
-    /// When a server started, in milliseconds; 0 where that is long past.
+    /// The start time of a server, in milliseconds; 0 if the server started long ago.
     pub const STARTED_AT: &str = "launchedMs";
     /// A request's id.
     pub const REQUEST: &str = "tid";
@@ -110,21 +110,21 @@
     pub const UNITS: &str = "weight";
     /// The first gateway of a tenant.
     pub const FIRST_GATEWAY: &str = "fromNo";
-    /// How many gateways a tenant's requests come through.
+    /// Number of gateways that receive a tenant's requests (the gateway spread).
     pub const GATEWAY_SPREAD: &str = "doors";
-    /// The time until a client's deadline, in milliseconds.
+    /// The time remaining until the client's deadline, in milliseconds.
     pub const TIME_LEFT: &str = "ttlMs";
-    /// How a call ended.
+    /// The outcome of a call.
     pub const OUTCOME: &str = "rc";
-    /// How long a call took, in milliseconds.
+    /// The duration of a call, in milliseconds.
     pub const ELAPSED: &str = "delaySeenMs";
-    /// A request has its final answer.
+    /// Whether the request has its final answer.
     pub const IS_FINAL: &str = "doneFlag";
-    /// The units that an attempt cost; 0 where the estimate holds.
+    /// The actual units of an attempt; 0 if the estimate applies.
     pub const ACTUAL_UNITS: &str = "cost";
-    /// The values of a load report, with commas between them.
+    /// The values of a load report, separated by commas.
     pub const LOAD: &str = "serverStats";
-    /// The names of these values, in the line that starts a gateway.
+    /// The names of the load report's values, in the line that starts a gateway.
     pub const LOAD_FIELDS: &str = "telemetry.names";
     /// A timer's token.
     pub const TIMER_TOKEN: &str = "ctx";
@@ -136,9 +136,9 @@
     pub const COUNTER_KEY: &str = "name";
     /// A counter's total.
     pub const TOTAL: &str = "total";
-    /// What is added to a counter.
+    /// The amount to add to a counter.
     pub const AMOUNT: &str = "amount";
-    /// For how long a new counter is kept, in milliseconds.
+    /// The lifetime of a new counter, in milliseconds.
     pub const LIFETIME: &str = "livesMs";
     /// The time limit of an attempt, in milliseconds.
     pub const TIME_LIMIT: &str = "limitMs";
@@ -146,10 +146,10 @@
     pub const RETRY_AFTER: &str = "holdOffMs";
     /// A timer's delay, in milliseconds.
     pub const DELAY: &str = "waitMs";
-    /// The watch on the endpoint list is open.
+    /// Whether to open or close the watch on the endpoint list.
     pub const WATCHING: &str = "active";
-    /// The gateway that a message goes to; -1 for all.
+    /// The gateway that receives a message; -1 for all gateways.
     pub const RECEIVER: &str = "addressee";
-    /// A text for people.
+    /// A text for human readers.
     pub const MESSAGE: &str = "message";
 }
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Lines of the protocol: splitting, and the records that they carry. It keeps nothing from one line to the next.
+//! Parses lines of the protocol and the records in their fields. Parsing keeps no state between lines.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,9 @@
 use crate::error::ProtocolError;
 use crate::names::field;
 
-/// One line: its name and its `name=value` fields.
+/// A parsed line: its name and its `name=value` fields.
 pub struct Line<'a> {
-    /// What the line is, see [`crate::names::line`]; empty for an empty line.
+    /// The name of the line, see [`crate::names::line`]. The name of an empty line is empty.
     pub name: &'a str,
     fields: HashMap<&'a str, &'a str>,
 }
@@ -22,11 +22,11 @@
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line.
+    /// Splits a line into its name and its fields.
     ///
     /// # Errors
     ///
-    /// [`ProtocolError::NoValue`] where a field has no `=`.
+    /// [`ProtocolError::NoValue`] if a field has no `=`.
     pub fn parse(text: &'a str) -> Result<Self, ProtocolError> {
         let mut parts = text.split(' ');
         let name = parts.next().unwrap_or_default();
@@ -40,22 +40,22 @@
         Ok(Line { name, fields })
     }
 
-    /// The name of the gateway that the line is about.
+    /// Returns the name of the gateway to which the line belongs.
     pub fn gateway(&self) -> Result<&str, ProtocolError> {
         Ok(self.text(field::GATEWAY)?)
     }
 
-    /// An identifier that has to be there.
+    /// Returns a required identifier.
     pub fn id(&self, key: &str) -> Result<Id, ProtocolError> {
         Ok(Id::from(self.text(key)?))
     }
 
-    /// An index or a number, from 0.
+    /// Returns a required index or number, which starts at 0.
     pub fn index(&self, key: &str) -> Result<usize, ProtocolError> {
         Ok(self.whole(key)? as usize)
     }
 
-    /// How a call ended.
+    /// Returns the outcome of a call.
     pub fn outcome(&self) -> Result<Outcome, ProtocolError> {
         match self.text(field::OUTCOME)? {
             "S" => Ok(Outcome::Ok),           // success
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A server's load report, whose values have these names; empty where the line has none.
+    /// Returns a server's load report, whose values have these names. The report is empty if the line has none.
     pub fn load(&self, names: &[String]) -> Result<LoadReport, ProtocolError> {
         let mut load = LoadReport::default();
         let Some(text) = self.field(field::LOAD) else { return Ok(load) };
@@ -80,7 +80,7 @@
         Ok(load)
     }
 
-    /// A client's request.
+    /// Returns a client's request.
     pub fn request(&self) -> Result<Request, ProtocolError> {
         Ok(Request {
             id: self.id(field::REQUEST)?,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// The end of an attempt; `load_fields` are the names of the load report's values.
+    /// Returns the result of an attempt. `load_fields` are the names of the load report's values.
     pub fn attempt_completed(&self, load_fields: &[String]) -> Result<AttemptCompleted, ProtocolError> {
         Ok(AttemptCompleted {
             request: self.id(field::REQUEST)?,
@@ -109,7 +109,7 @@
         })
     }
 
-    /// An entry of an endpoint list.
+    /// Returns an entry of an endpoint list.
     pub fn endpoint(&self) -> Result<Endpoint, ProtocolError> {
         let started_at = Some(self.time_or(field::STARTED_AT, 0)?).filter(|at| *at > 0);
         Ok(Endpoint {
@@ -134,7 +134,7 @@
     }
 }
 
-/// A time as the protocol writes it: milliseconds with three decimals.
+/// Formats a time for the protocol: milliseconds with three decimal places.
 pub fn milliseconds(time: Micros) -> String {
     format!("{}.{:03}", time / 1000, time % 1000)
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! A session with the simulator: batches of lines, the gateways that they start and stop, and the reply to each batch.
+//! A session with the simulator. It reads batches of lines, starts and stops gateway instances, and builds the reply to each
+//! batch.
 
 use std::collections::HashMap;
 
@@ -10,19 +11,19 @@
 use crate::names::{action, field, line};
 use crate::protocol::Line;
 
-/// What a line has brought.
+/// The state of the batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on.
+    /// The batch continues.
     BatchOpen,
-    /// The batch is complete, and so is the reply to it.
+    /// The batch and its reply are complete.
     BatchComplete,
 }
 
 /// An endpoint list whose entries are being read.
-struct OpenList {
+struct IncompleteList {
     list: u64,
-    /// Entries still to come; never 0.
+    /// Number of missing entries; never 0.
     remaining: u64,
 }
 
@@ -30,24 +31,24 @@
 #[derive(Default)]
 pub struct Session {
     instances: HashMap<String, Instance>,
-    /// The endpoint lists as they stand at this point of the batch.
+    /// The endpoint lists at the present line of the batch.
     lists: EndpointLists,
-    open_list: Option<OpenList>,
+    incomplete_list: Option<IncompleteList>,
     now: Micros,
     batch: String,
     reply: String,
 }
 
 impl Session {
-    /// Takes one line, without its end.
+    /// Handles a line. `text` excludes the line end.
     ///
     /// # Errors
     ///
-    /// What is wrong with the line; the session can't go on.
+    /// Returns the error in the line. The session must end.
     pub fn read_line(&mut self, text: &str) -> Result<Progress, ProtocolError> {
         let line = Line::parse(text)?;
-        if let Some(open) = self.open_list.take() {
-            self.read_endpoint(open, &line)?;
+        if let Some(incomplete) = self.incomplete_list.take() {
+            self.read_endpoint(incomplete, &line)?;
             return Ok(Progress::BatchOpen);
         }
         match line.name {
@@ -57,8 +58,8 @@
                 self.batch = line.text(field::BATCH)?.to_string();
             }
             line::BATCH_END => {
-                let done = format!("{} {}={}\n", action::BATCH_DONE, field::BATCH, self.batch);
-                self.reply.push_str(&done);
+                let batch_done = format!("{} {}={}\n", action::BATCH_DONE, field::BATCH, self.batch);
+                self.reply.push_str(&batch_done);
                 return Ok(Progress::BatchComplete);
             }
             line::ENDPOINT_LIST => self.start_list(&line)?,
@@ -71,7 +72,7 @@
         Ok(Progress::BatchOpen)
     }
 
-    /// Takes the reply to a batch that is complete.
+    /// Takes the reply to the complete batch.
     pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
@@ -80,17 +81,18 @@
         let list = line.whole(field::LIST)?;
         let remaining = line.whole_or(field::LIST_LENGTH, 0)?;
         self.lists.insert(list, Vec::new());
-        self.open_list = Some(OpenList { list, remaining }).filter(|open| open.remaining > 0);
+        self.incomplete_list = Some(IncompleteList { list, remaining }).filter(|list| list.remaining > 0);
         Ok(())
     }
 
-    fn read_endpoint(&mut self, open: OpenList, line: &Line) -> Result<(), ProtocolError> {
-        let OpenList { list, remaining } = open;
+    fn read_endpoint(&mut self, incomplete: IncompleteList, line: &Line) -> Result<(), ProtocolError> {
+        let IncompleteList { list, remaining } = incomplete;
         if line.name != line::ENDPOINT {
             return Err(ProtocolError::ListIncomplete { found: line.name.into(), remaining });
         }
         self.lists.entry(list).or_default().push(line.endpoint()?);
-        self.open_list = Some(OpenList { list, remaining: remaining - 1 }).filter(|open| open.remaining > 0);
+        self.incomplete_list =
+            Some(IncompleteList { list, remaining: remaining - 1 }).filter(|list| list.remaining > 0);
         Ok(())
     }
 
--- a/crates/simulator-adapter/tests/batches.rs
+++ b/crates/simulator-adapter/tests/batches.rs
@@ -1,4 +1,4 @@
-//! The binary on literal batches.
+//! Runs the adapter on literal batches.
 
 mod common;
 
@@ -14,18 +14,18 @@
 const REQUEST: &str =
     "ask who=gateway-0 tid=a fromNo=0 weight=1 service=0 contract=0 caller=u:1 doors=1 ttlMs=900.5";
 
-fn batch(turn: u32, at: f64, events: &[&str]) -> String {
+fn batch(number: u32, time_ms: f64, events: &[&str]) -> String {
     let events: String = events.iter().map(|event| format!("{event}\n")).collect();
-    format!("begin_batch atTimeMs={at} turn={turn}\n{events}your_turn\n\n")
+    format!("begin_batch atTimeMs={time_ms} turn={number}\n{events}your_turn\n\n")
 }
 
 #[test]
-fn empty_batches_and_the_end_of_input() {
+fn empty_batches_are_answered_and_the_end_of_input_ends_the_process() {
     assert_eq!(replies(&(batch(1, 5.0, &[]) + &batch(2, 6.5, &[]))), "done turn=1\ndone turn=2\n");
 }
 
 #[test]
-fn a_request_is_forwarded_and_an_answered_one_stays_answered() {
+fn a_request_is_forwarded_and_a_late_disconnect_does_not_answer_it_again() {
     let returned = "returned who=gateway-0 tid=a go=0 server=10.0.0.1:80 delaySeenMs=20 rc=S doneFlag=1";
     let dropped = "dropped who=gateway-0 tid=a";
     let out =
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_restart_within_a_batch_forgets_all_and_lists_resolve_in_order() {
+fn a_restart_within_a_batch_resets_the_state_and_lists_resolve_in_order() {
     let other = LIST.replace("10.0.0.1", "10.0.0.2");
     let other_request = REQUEST.replace("tid=a", "tid=b");
     let out = replies(&batch(
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn a_line_that_is_not_understood_is_named_and_ends_the_process() {
-    let bad = [
+fn an_invalid_line_is_reported_and_ends_the_process() {
+    let invalid_lines = [
         "ask who=gateway-0 tid=a weight=many service=0 ttlMs=5",
         "returned who=gateway-0 tid=a go=0 server=s rc=Q",
         "reminder who=gateway-9 ctx=look",
         "unheard who=gateway-0",
         "nonsense here",
     ];
-    for line in bad {
+    for line in invalid_lines {
         let output = run(&batch(1, 1.0, &[START, LIST, line]));
         assert_eq!(output.status.code(), Some(2), "{line}");
         assert!(String::from_utf8_lossy(&output.stderr).contains(line), "{line}");
--- a/crates/simulator-adapter/tests/common/mod.rs
+++ b/crates/simulator-adapter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter on some input.
+//! Runs the adapter as a process.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,13 +9,13 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    let mut stdin = child.stdin.take().expect("piped");
+        .expect("the adapter starts");
+    let mut stdin = child.stdin.take().expect("stdin is piped");
     let input = input.to_string();
-    // A line that can't be understood ends the process, which may then read no further. Answers fill their pipe while
-    // the input is still being written.
+    // A separate thread writes the input, because the replies can fill their pipe before all input is written. An invalid
+    // line ends the process, which then reads no further, so a write error is ignored.
     let writer = std::thread::spawn(move || drop(stdin.write_all(input.as_bytes())));
-    let output = child.wait_with_output().expect("the binary ends");
+    let output = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("the input is written");
     output
 }
@@ -23,5 +23,5 @@
 pub fn replies(input: &str) -> String {
     let output = run(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("UTF-8")
 }
--- a/crates/simulator-adapter/tests/session.rs
+++ b/crates/simulator-adapter/tests/session.rs
@@ -1,4 +1,5 @@
-//! Guards the adapter's lines: a session of several gateways with every kind of line, and the answers recorded for it.
+//! Guards the adapter's protocol: compares its replies with the recorded replies to a session of several gateways, which
+//! contains every kind of line.
 
 mod common;
 
@@ -6,16 +7,16 @@
 const OUTPUT: &str = include_str!("session/output.txt");
 
 #[test]
-fn a_session_is_answered_as_it_was() {
-    let answers = common::replies(INPUT);
-    for (number, (answer, recorded)) in answers.lines().zip(OUTPUT.lines()).enumerate() {
-        assert_eq!(answer, recorded, "line {}", number + 1);
+fn a_recorded_session_gets_the_recorded_replies() {
+    let replies = common::replies(INPUT);
+    for (number, (reply, recorded)) in replies.lines().zip(OUTPUT.lines()).enumerate() {
+        assert_eq!(reply, recorded, "line {}", number + 1);
     }
-    assert_eq!(answers.len(), OUTPUT.len());
+    assert_eq!(replies.len(), OUTPUT.len());
 }
 
 #[test]
-fn the_session_has_every_kind_of_line() {
+fn the_session_contains_every_kind_of_line() {
     let events = [
         "born",
         "stop",
