--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The gateway as a process among small servers, a list and a counter: one test for each failure found or feared.
+//! Runs the gateway as a process with test servers, an endpoint list and a shared counter. Each test guards against one
+//! failure.
 
 mod clocks;
 mod crossings;
--- a/crates/cli/tests/sockets/operator.rs
+++ b/crates/cli/tests/sockets/operator.rs
@@ -1,4 +1,4 @@
-//! The second address: health, figures, servers taken out of use and called back.
+//! The operator address: health, metrics, cordon and uncordon.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -7,65 +7,68 @@
 
 use super::process::*;
 
-const LATE: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_TIME: Duration = Duration::from_secs(1);
 
 #[test]
-fn health_is_yes_only_while_it_serves() {
-    let server = Server::start(Does::Late(400));
+fn health_is_ok_only_while_the_gateway_serves() {
+    let server = Server::start(Behavior::Delayed(400));
     let mut gateway = Gateway::start(&[&server]);
-    assert_eq!(gateway.operate("GET", "/admin/health", "").0, 200);
+    assert_eq!(gateway.operator_request("GET", "/admin/health", "").0, 200);
     let mut client = gateway.client();
-    client.write(&call("t1", "read", 1_200));
+    client.write(&request_command("t1", "read", 1_200));
     thread::sleep(Duration::from_millis(50));
     gateway.signal("-TERM");
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(gateway.operate("GET", "/admin/health", "").0, 503);
+    assert_eq!(gateway.operator_request("GET", "/admin/health", "").0, 503);
     assert_eq!(client.read(), "t1");
-    assert_eq!(gateway.code(SOON), Some(0));
-    let silent = Gateway::unready(discovery(String::new(), false), NO_SERVERS, 1024);
-    assert_eq!(silent.operate("GET", "/admin/health", "").0, 503);
+    assert_eq!(gateway.wait_for_exit(TIMEOUT), Some(0));
+    let silent = Gateway::start_unready(discovery(String::new(), false), NO_SERVERS, 1024);
+    assert_eq!(silent.operator_request("GET", "/admin/health", "").0, 503);
 }
 
 #[test]
-fn figures_tell_what_was_answered_and_tried_and_what_is_open() {
-    let (good, bad) = (Server::start(Does::Serve), Server::start(Does::Fail));
+fn metrics_count_responses_attempts_and_open_requests() {
+    let (good, bad) = (Server::start(Behavior::Serve), Server::start(Behavior::Fail));
     let gateway = Gateway::start(&[&good]);
     let failing = Gateway::start(&[&bad]);
     let mut client = gateway.client();
-    for at in 0..5 {
-        assert_eq!(client.ask(&call(&format!("t{at}"), "read", 1_200)), format!("t{at}"));
+    for index in 0..5 {
+        assert_eq!(
+            client.request(&request_command(&format!("t{index}"), "read", 1_200)),
+            format!("t{index}")
+        );
     }
-    assert_eq!(client.ask(&call("late", "pay", 1)).split(' ').next(), Some("-BUSY"));
-    assert_eq!(gateway.figure("responses.read.ok"), 5);
-    assert_eq!(gateway.figure("responses.pay.shed"), 1);
-    assert_eq!((gateway.figure("tries"), good.calls()), (5, 5));
-    assert_eq!((gateway.figure("active"), gateway.figure("pool_size")), (0, 1));
-    assert!(failing.client().ask(&call("p1", "pay", 1_200)).starts_with("-ERR"));
-    assert_eq!((failing.figure("responses.pay.errors"), failing.figure("tries")), (1, 1));
-    *good.does.lock().expect("does") = Does::Silent;
-    client.write(&call("open", "read", 1_200));
+    assert_eq!(client.request(&request_command("late", "pay", 1)).split(' ').next(), Some("-BUSY"));
+    assert_eq!(gateway.metric("responses.read.ok"), 5);
+    assert_eq!(gateway.metric("responses.pay.shed"), 1);
+    assert_eq!((gateway.metric("tries"), good.calls()), (5, 5));
+    assert_eq!((gateway.metric("active"), gateway.metric("pool_size")), (0, 1));
+    assert!(failing.client().request(&request_command("p1", "pay", 1_200)).starts_with("-ERR"));
+    assert_eq!((failing.metric("responses.pay.errors"), failing.metric("tries")), (1, 1));
+    *good.behavior.lock().expect("behavior") = Behavior::Silent;
+    client.write(&request_command("open", "read", 1_200));
     while good.calls() < 6 {
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!((gateway.figure("active"), gateway.figure("tries")), (1, 6));
+    assert_eq!((gateway.metric("active"), gateway.metric("tries")), (1, 6));
 }
 
 #[test]
-fn callers_that_stall_keep_nobody_out() {
-    let server = Server::start(Does::Serve);
+fn stalled_operator_connections_block_no_other() {
+    let server = Server::start(Behavior::Serve);
     let gateway = Gateway::start(&[&server]);
     let mut stalled = Vec::new();
-    for at in 0..100 {
+    for index in 0..100 {
         let mut stream = TcpStream::connect(gateway.operator).expect("connected");
-        stream.write_all(&b"GET /admin/health HT"[..at % 20]).expect("written");
+        stream.write_all(&b"GET /admin/health HT"[..index % 20]).expect("written");
         stalled.push(stream);
-        if at % 10 == 9 {
-            let began = Instant::now();
-            assert_eq!(gateway.operate("GET", "/admin/health", "").0, 200);
-            assert!(began.elapsed() < LATE);
+        if index % 10 == 9 {
+            let started_at = Instant::now();
+            assert_eq!(gateway.operator_request("GET", "/admin/health", "").0, 200);
+            assert!(started_at.elapsed() < MAX_RESPONSE_TIME);
         }
     }
-    // In pieces it is a call as well.
+    // A request that arrives byte by byte is answered, too.
     let mut slow = TcpStream::connect(gateway.operator).expect("connected");
     for byte in b"GET /admin/health HTTP/1.1\r\n\r" {
         slow.write_all(&[*byte]).expect("written");
@@ -78,8 +81,8 @@
 }
 
 #[test]
-fn a_call_that_makes_no_sense_gets_an_error_that_names_why() {
-    let server = Server::start(Does::Serve);
+fn an_invalid_operator_request_gets_an_error_with_the_reason() {
+    let server = Server::start(Behavior::Serve);
     let gateway = Gateway::start(&[&server]);
     let post =
         |body: &str| format!("POST /admin/cordon HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -97,54 +100,56 @@
         (post("s\u{1}"), 400, "control"),
         (post("nobody"), 404, "'nobody'"),
     ] {
-        let (told, text) = operate(gateway.operator, &call);
-        assert_eq!(told, status, "{call}");
+        let (actual, text) = operator_request(gateway.operator, &call);
+        assert_eq!(actual, status, "{call}");
         assert!(text.contains(why), "{text}");
     }
-    assert_eq!(gateway.client().ask(&call("t1", "read", 1_200)), "t1");
+    assert_eq!(gateway.client().request(&request_command("t1", "read", 1_200)), "t1");
 }
 
 #[test]
-fn a_server_out_of_use_gets_nothing_until_it_is_called_back() {
-    let (one, other) = (Server::start(Does::Serve), Server::start(Does::Serve));
+fn a_cordoned_server_gets_no_attempts_until_it_is_uncordoned() {
+    let (one, other) = (Server::start(Behavior::Serve), Server::start(Behavior::Serve));
     let gateway = Gateway::start(&[&one, &other]);
     let mut client = gateway.client();
     let mut ask = |from: usize| {
-        (from..from + 20).for_each(|at| drop(client.ask(&call(&format!("t{at}"), "read", 1_200))));
+        (from..from + 20)
+            .for_each(|index| drop(client.request(&request_command(&format!("t{index}"), "read", 1_200))));
     };
     ask(0);
     assert!(one.calls() > 0 && other.calls() > 0);
-    // Twice out, and one call back undoes both.
-    assert_eq!(gateway.operate("POST", "/admin/cordon", "s0").0, 200);
-    assert_eq!(gateway.operate("POST", "/admin/cordon", "s0\n").0, 200);
-    let (calls, size) = (one.calls(), gateway.figure("pool_size"));
-    assert_eq!((size, gateway.figure("pool_ejected")), (2, 1));
+    // One uncordon reverses two cordons.
+    assert_eq!(gateway.operator_request("POST", "/admin/cordon", "s0").0, 200);
+    assert_eq!(gateway.operator_request("POST", "/admin/cordon", "s0\n").0, 200);
+    let (calls, size) = (one.calls(), gateway.metric("pool_size"));
+    assert_eq!((size, gateway.metric("pool_ejected")), (2, 1));
     ask(20);
     assert_eq!(one.calls(), calls);
-    assert_eq!(gateway.operate("POST", "/admin/uncordon", "s0").0, 200);
-    assert_eq!(gateway.figure("pool_ejected"), 0);
+    assert_eq!(gateway.operator_request("POST", "/admin/uncordon", "s0").0, 200);
+    assert_eq!(gateway.metric("pool_ejected"), 0);
     ask(40);
-    // Cold, it is met at once, and carefully.
+    // The uncordoned server gets attempts at once, but few, because it is in slow start.
     assert!(one.calls() > calls && one.calls() < calls + 10, "{} after {calls}", one.calls());
-    assert_eq!(gateway.operate("POST", "/admin/uncordon", "nobody").0, 404);
+    assert_eq!(gateway.operator_request("POST", "/admin/uncordon", "nobody").0, 404);
 }
 
 #[test]
-fn operators_are_answered_while_clients_have_all_places() {
-    let server = Server::start(Does::Late(300));
-    // 41 for itself and operators, 13 servers, 29 clients, 3 turned away.
+fn operators_are_answered_while_clients_use_all_slots() {
+    let server = Server::start(Behavior::Delayed(300));
+    // Descriptors: 41 for the gateway itself and operators, 13 for servers, 29 for clients, 3 for rejected clients.
     let gateway = Gateway::with_sockets(&[&server], 86);
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
-    for (at, client) in clients.iter_mut().enumerate() {
-        let _ = client.stream.write_all(&call(&format!("t{at}"), "read", 1_400));
+    for (index, client) in clients.iter_mut().enumerate() {
+        let _ = client.stream.write_all(&request_command(&format!("t{index}"), "read", 1_400));
     }
     for _ in 0..20 {
-        let began = Instant::now();
-        assert_eq!(gateway.operate("GET", "/admin/health", "").0, 200);
-        assert!(gateway.figure("active") <= 29);
-        assert!(began.elapsed() < LATE);
+        let started_at = Instant::now();
+        assert_eq!(gateway.operator_request("GET", "/admin/health", "").0, 200);
+        assert!(gateway.metric("active") <= 29);
+        assert!(started_at.elapsed() < MAX_RESPONSE_TIME);
         thread::sleep(Duration::from_millis(20));
     }
-    let files = std::fs::read_dir(format!("/proc/{}/fd", gateway.process.id())).expect("it runs").count();
+    let files =
+        std::fs::read_dir(format!("/proc/{}/fd", gateway.process.id())).expect("the gateway runs").count();
     assert!(files <= 86, "{files} descriptors");
 }
--- a/crates/cli/tests/sockets/pools.rs
+++ b/crates/cli/tests/sockets/pools.rs
@@ -1,4 +1,5 @@
-//! Pools of connections that a client keeps: left alone while there is room, and let go without a reset where there is none.
+//! Connection pools of clients. The gateway keeps their connections while it has free slots, and otherwise closes idle ones
+//! without a reset.
 
 use std::io::Read;
 use std::thread;
@@ -6,55 +7,57 @@
 
 use super::process::*;
 
-/// So many connections, each of which has asked once.
+/// Opens a pool of connections and sends one request on each.
 fn pool(gateway: &Gateway, name: &str, size: usize) -> Vec<Client> {
     let mut pool: Vec<Client> = (0..size).map(|_| gateway.client()).collect();
-    round(&mut pool, &format!("{name}-0"));
+    request_on_each(&mut pool, &format!("{name}-0"));
     pool
 }
 
-/// Each connection asks, one after the other.
-fn round(pool: &mut [Client], name: &str) {
-    for (at, client) in pool.iter_mut().enumerate() {
-        let id = format!("{name}-{at}");
-        assert_eq!(client.ask(&call(&id, "read", 1_200)), id);
+/// Sends one request on each connection, in order.
+fn request_on_each(pool: &mut [Client], name: &str) {
+    for (index, client) in pool.iter_mut().enumerate() {
+        let id = format!("{name}-{index}");
+        assert_eq!(client.request(&request_command(&id, "read", 1_200)), id);
     }
 }
 
-fn ended(pool: &[Client]) -> usize {
-    pool.iter().filter(|client| client.ended()).count()
+fn closed_count(pool: &[Client]) -> usize {
+    pool.iter().filter(|client| client.is_closed()).count()
 }
 
 #[test]
-fn a_pool_keeps_its_connections_while_there_is_room() {
-    let server = Server::start(Does::Serve);
+fn a_pool_keeps_its_connections_while_slots_are_free() {
+    let server = Server::start(Behavior::Serve);
     let gateway = Gateway::start(&[&server]);
-    // Clients have 617 places.
+    // 617 connection slots are for clients.
     for size in [150, 400] {
         let mut pool = pool(&gateway, &format!("p{size}"), size);
-        for turn in 1..3 {
+        for round in 1..3 {
             thread::sleep(Duration::from_millis(150));
-            assert_eq!(ended(&pool), 0, "of {size}, before their round {turn}");
-            round(&mut pool, &format!("p{size}-{turn}"));
+            assert_eq!(closed_count(&pool), 0, "pool of {size}, before round {round}");
+            request_on_each(&mut pool, &format!("p{size}-{round}"));
         }
         drop(pool);
-        while gateway.figure("active") > 0 {}
+        while gateway.metric("active") > 0 {}
     }
 }
 
 #[test]
-fn many_small_pools_that_fill_the_places_to_the_last_come_to_rest() {
-    let server = Server::start(Does::Serve);
-    // Clients have 84 places.
+fn many_small_pools_that_use_every_slot_become_stable() {
+    let server = Server::start(Behavior::Serve);
+    // 84 connection slots are for clients.
     let gateway = Gateway::with_sockets(&[&server], 180);
-    let mut pools: Vec<Vec<Client>> = (0..12).map(|at| pool(&gateway, &format!("s{at}"), 7)).collect();
-    for turn in 1.. {
+    let mut pools: Vec<Vec<Client>> = (0..12).map(|index| pool(&gateway, &format!("s{index}"), 7)).collect();
+    for round in 1.. {
         let mut opened = 0;
-        for (at, pool) in pools.iter_mut().enumerate() {
-            // Whoever finds its connection ended opens another, as any pool does.
-            for (own, client) in pool.iter_mut().enumerate() {
-                let id = format!("s{at}-{own}-{turn}");
-                while client.ended() || client.try_ask(&call(&id, "read", 1_200)).as_ref() != Some(&id) {
+        for (index, pool) in pools.iter_mut().enumerate() {
+            // Like any pool, it replaces a closed connection.
+            for (member, client) in pool.iter_mut().enumerate() {
+                let id = format!("s{index}-{member}-{round}");
+                while client.is_closed()
+                    || client.try_request(&request_command(&id, "read", 1_200)).as_ref() != Some(&id)
+                {
                     *client = gateway.client();
                     opened += 1;
                 }
@@ -63,73 +66,74 @@
         if opened == 0 {
             break;
         }
-        assert!(turn < 60, "after {turn} rounds {opened} connections are still opened anew in each");
+        assert!(round < 60, "after {round} rounds the pools still open {opened} connections per round");
     }
 }
 
 #[test]
-fn at_full_places_newcomers_are_served_and_no_request_of_a_pool_meets_a_reset() {
-    let server = Server::start(Does::Serve);
-    // Clients have 97 places; ten are for those who are turned away.
+fn with_all_slots_used_new_clients_are_served_and_no_request_of_a_pool_gets_a_reset() {
+    let server = Server::start(Behavior::Serve);
+    // 97 connection slots are for clients, and ten for connections that are rejected.
     let gateway = Gateway::with_sockets(&[&server], 200);
     let mut pool = pool(&gateway, "p", 97);
-    pool.retain(|client| !client.ended());
-    round(&mut pool, "p-1");
-    let mut crowd = Vec::new();
-    for at in 0..150 {
-        let mut newcomer = gateway.client();
-        let id = format!("c{at}");
-        assert_eq!(newcomer.ask(&call(&id, "read", 1_200)), id);
-        // Whoever has to go for it, it is not the one that has just been answered.
+    pool.retain(|client| !client.is_closed());
+    request_on_each(&mut pool, "p-1");
+    let mut new_clients = Vec::new();
+    for index in 0..150 {
+        let mut new_client = gateway.client();
+        let id = format!("c{index}");
+        assert_eq!(new_client.request(&request_command(&id, "read", 1_200)), id);
+        // The gateway must not close the connection that it has just answered to free a slot.
         thread::sleep(Duration::from_millis(3));
-        assert!(!newcomer.ended(), "newcomer {at} has pushed itself out");
-        crowd.push(newcomer);
+        assert!(!new_client.is_closed(), "the connection of new client {index} was closed");
+        new_clients.push(new_client);
     }
-    // Those who asked once have gone before those who asked again, and the last of them has its place.
+    // Connections with one request were closed before those with several. The latest of them is still open.
     assert!(
-        pool.len() >= 60 && ended(&pool) == 0,
-        "{} of {} of the pool had to go",
-        ended(&pool),
+        pool.len() >= 60 && closed_count(&pool) == 0,
+        "{} of {} connections of the pool were closed",
+        closed_count(&pool),
         pool.len()
     );
-    assert!(!crowd[149].ended());
-    // Newcomers that ask again leave nobody else to go. Who has been chosen writes all the same: it is read, and the end
-    // is a clean one.
+    assert!(!new_clients[149].is_closed());
+    // New clients that send a second request leave only pool connections to close. A pool may still write to a closing
+    // connection: the gateway reads the request, and the connection ends without a reset.
     let mut late = 0;
-    for at in 0..60 {
-        let mut newcomer = gateway.client();
-        for turn in 0..2 {
-            let id = format!("n{at}-{turn}");
-            assert_eq!(newcomer.ask(&call(&id, "read", 1_200)), id);
+    for index in 0..60 {
+        let mut new_client = gateway.client();
+        for round in 0..2 {
+            let id = format!("n{index}-{round}");
+            assert_eq!(new_client.request(&request_command(&id, "read", 1_200)), id);
         }
-        crowd.push(newcomer);
-        for client in pool.iter_mut().filter(|client| client.ended()) {
-            client.write(&call(&format!("late{at}"), "read", 1_200));
+        new_clients.push(new_client);
+        for client in pool.iter_mut().filter(|client| client.is_closed()) {
+            client.write(&request_command(&format!("late{index}"), "read", 1_200));
             thread::sleep(Duration::from_millis(2));
-            assert!(client.stream.take_error().expect("asked").is_none(), "a request met a reset");
-            assert_eq!(client.stream.read(&mut [0]).expect("a clean end"), 0);
+            assert!(client.stream.take_error().expect("asked").is_none(), "a request got a reset");
+            assert_eq!(client.stream.read(&mut [0]).expect("an end without a reset"), 0);
             late += 1;
         }
-        pool.retain(|client| !client.ended());
+        pool.retain(|client| !client.is_closed());
     }
-    assert!(late > 20, "only {late} of the pool had to go");
+    assert!(late > 20, "only {late} connections of the pool were closed");
 }
 
 #[test]
-fn a_crowd_that_connects_and_says_nothing_closes_no_connection_of_a_pool() {
-    let server = Server::start(Does::Serve);
-    // Clients have 97 places.
+fn many_silent_connections_close_no_connection_of_a_pool() {
+    let server = Server::start(Behavior::Serve);
+    // 97 connection slots are for clients.
     let gateway = Gateway::with_sockets(&[&server], 200);
     let mut pool = pool(&gateway, "p", 40);
-    // Slower than places for as many as come in a quarter of a second: faster, those who asked once go before them.
-    let crowd: Vec<Client> = (0..120)
+    // The silent connections arrive slowly enough that the free slots suffice for those of a quarter of a second. If they
+    // arrived faster, the gateway would close connections with one request before them.
+    let new_clients: Vec<Client> = (0..120)
         .map(|_| {
             thread::sleep(Duration::from_millis(10));
             gateway.client()
         })
         .collect();
     thread::sleep(Duration::from_millis(300));
-    assert!(ended(&crowd) > 0, "the crowd found room for all");
-    assert_eq!(ended(&pool), 0, "of those who asked once");
-    round(&mut pool, "p-1");
+    assert!(closed_count(&new_clients) > 0, "all silent connections stayed open");
+    assert_eq!(closed_count(&pool), 0, "connections with one request were closed");
+    request_on_each(&mut pool, "p-1");
 }
--- a/crates/cli/tests/sockets/process.rs
+++ b/crates/cli/tests/sockets/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process among small servers, a list and a counter.
+//! Starts the gateway as a process, and provides test servers, discovery services, clients and operator requests.
 
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -12,75 +12,82 @@
 
 use fernscale_gateway::protocol::resp;
 
-pub const SOON: Duration = Duration::from_secs(5);
-/// A list without servers.
+pub const TIMEOUT: Duration = Duration::from_secs(5);
+/// An endpoint list without servers.
 pub const NO_SERVERS: &str = r#"{"index":0,"snapshot":true,"endpoints":[]}"#;
 
-/// What a small server does with a call.
+/// How a test server answers an attempt.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
+pub enum Behavior {
     Serve,
-    /// Answers, and closes the connection some time later.
+    /// Answers, and closes the connection 50 ms later.
     ServeAndClose,
-    Full,
+    /// Answers that it is overloaded.
+    Overloaded,
     Fail,
-    Garble,
-    /// Reads the call and resets the connection.
+    /// Answers with invalid syntax.
+    InvalidReply,
+    /// Reads the attempt and resets the connection.
     Reset,
+    /// Never answers.
     Silent,
-    /// Answers after so many milliseconds.
-    Late(u64),
-    /// Answers once it does something else.
+    /// Answers after this number of milliseconds.
+    Delayed(u64),
+    /// Delays the answer until the behavior is changed.
     Hold,
-    /// Begins an answer that never ends.
-    Torn,
-    /// Adds something to a good answer that does not belong to it: at once, and some thousandths of a second later.
-    Behind(&'static str),
-    Copy,
-    /// A value of so many bytes, with a pause in ms in its middle.
+    /// Sends the start of an answer and never completes it.
+    PartialReply,
+    /// Sends the start of an answer with a valid value, and then these bytes.
+    TrailingBytes(&'static str),
+    /// Sends a valid answer, and the same answer again 4 ms later.
+    DuplicateReply,
+    /// Answers with a value of `length` bytes, with a pause in milliseconds in the middle of the value.
     Large {
         length: usize,
         pause: u64,
     },
-    /// A value said to have so many bytes that breaks off, or stops, there.
-    Cut {
+    /// Announces a value of `length` bytes but sends only `sent_bytes`. Then closes the connection if at least 1000 bytes were
+    /// sent, and keeps it open otherwise.
+    Truncated {
         length: usize,
-        at: usize,
+        sent_bytes: usize,
     },
-    /// A value with something else than a line end behind it.
-    LineEnd {
+    /// Answers with a value of `length` bytes that is not followed by a line end.
+    MissingLineEnd {
         length: usize,
     },
-    /// Serves the first call of a connection and breaks under the second.
+    /// Answers the first attempt on a connection, and closes the connection on the second.
     ServeOnce,
 }
 
 pub struct Server {
     pub address: SocketAddr,
-    pub does: Arc<Mutex<Does>>,
-    /// The calls that came whole, and the connections open now.
+    pub behavior: Arc<Mutex<Behavior>>,
+    /// The complete commands that were received.
     pub calls: Arc<Mutex<Vec<Vec<String>>>>,
-    pub open: Arc<AtomicUsize>,
+    /// Number of open connections.
+    pub open_connections: Arc<AtomicUsize>,
 }
 
-/// A free address that no other test can get, also once it is let go.
-pub fn listen() -> (TcpListener, SocketAddr) {
-    static GIVEN: AtomicUsize = AtomicUsize::new(0);
-    let (given, process) = (GIVEN.fetch_add(1, Ordering::SeqCst), std::process::id());
-    let ip = [127, (process % 250) as u8 + 1, (given / 250) as u8, (given % 250) as u8 + 1];
+/// Binds a listener to a free address. No other test gets this address, even after the listener is closed.
+pub fn bind_listener() -> (TcpListener, SocketAddr) {
+    static NEXT_ADDRESS: AtomicUsize = AtomicUsize::new(0);
+    let (number, process_id) = (NEXT_ADDRESS.fetch_add(1, Ordering::SeqCst), std::process::id());
+    let ip = [127, (process_id % 250) as u8 + 1, (number / 250) as u8, (number % 250) as u8 + 1];
     let listener = TcpListener::bind(SocketAddr::from((ip, 0))).expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// Reads commands off a connection until it ends.
-pub fn commands(mut stream: &TcpStream, mut act: impl FnMut(Vec<String>) -> bool) {
+/// Calls `handle` for each command on a connection, until the connection ends or `handle` returns false.
+pub fn read_commands(mut stream: &TcpStream, mut handle: impl FnMut(Vec<String>) -> bool) {
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     loop {
-        while let Some((words, length)) = resp::command(&bytes).expect("a command in good form") {
-            let words = words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect();
+        while let Some((arguments, length)) = resp::command(&bytes).expect("a valid command") {
+            let arguments =
+                arguments.iter().map(|argument| String::from_utf8_lossy(argument).into_owned()).collect();
             bytes.drain(..length);
-            if !act(words) {
+            if !handle(arguments) {
                 return;
             }
         }
@@ -92,80 +99,83 @@
 }
 
 impl Server {
-    pub fn start(does: Does) -> Self {
-        let (listener, address) = listen();
-        let (does, calls, open) = (Arc::new(Mutex::new(does)), Arc::default(), Arc::default());
-        let server = Server { address, does, calls, open };
-        let (does, calls, open) = (server.does.clone(), server.calls.clone(), server.open.clone());
+    pub fn start(behavior: Behavior) -> Self {
+        let (listener, address) = bind_listener();
+        let (behavior, calls, open_connections) =
+            (Arc::new(Mutex::new(behavior)), Arc::default(), Arc::default());
+        let server = Server { address, behavior, calls, open_connections };
+        let (behavior, calls, open_connections) =
+            (server.behavior.clone(), server.calls.clone(), server.open_connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (does, calls, open) = (does.clone(), calls.clone(), open.clone());
-                open.fetch_add(1, Ordering::SeqCst);
+                let (behavior, calls, open_connections) =
+                    (behavior.clone(), calls.clone(), open_connections.clone());
+                open_connections.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
-                    Server::serve(&stream, &does, &calls);
-                    open.fetch_sub(1, Ordering::SeqCst);
+                    Server::serve(&stream, &behavior, &calls);
+                    open_connections.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
         server
     }
 
-    pub fn serve(stream: &TcpStream, does: &Mutex<Does>, calls: &Mutex<Vec<Vec<String>>>) {
-        let mut served_here = 0;
-        commands(stream, |words| {
-            let value = words[2].clone();
-            calls.lock().expect("calls").push(words);
-            served_here += 1;
+    pub fn serve(stream: &TcpStream, behavior: &Mutex<Behavior>, calls: &Mutex<Vec<Vec<String>>>) {
+        let mut served_on_connection = 0;
+        read_commands(stream, |arguments| {
+            let value = arguments[2].clone();
+            calls.lock().expect("calls").push(arguments);
+            served_on_connection += 1;
             let mut writer = stream;
-            while *does.lock().expect("does") == Does::Hold {
+            while *behavior.lock().expect("behavior") == Behavior::Hold {
                 thread::sleep(Duration::from_millis(1));
             }
-            let does = *does.lock().expect("does");
+            let behavior = *behavior.lock().expect("behavior");
             let mut write = |bytes: &[u8]| writer.write_all(bytes).is_ok();
             let served = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
-            match does {
-                Does::Serve => write(served.as_bytes()),
-                Does::ServeAndClose => {
+            match behavior {
+                Behavior::Serve => write(served.as_bytes()),
+                Behavior::ServeAndClose => {
                     write(served.as_bytes());
                     thread::sleep(Duration::from_millis(50));
                     false
                 }
-                Does::Late(ms) => {
+                Behavior::Delayed(ms) => {
                     thread::sleep(Duration::from_millis(ms));
                     write(served.as_bytes())
                 }
-                Does::ServeOnce => served_here == 1 && write(served.as_bytes()),
-                Does::Large { length, pause } => {
+                Behavior::ServeOnce => served_on_connection == 1 && write(served.as_bytes()),
+                Behavior::Large { length, pause } => {
                     let half = vec![b'v'; length / 2];
                     write(format!("*3\r\n${length}\r\n").as_bytes()) && write(&half) && {
                         thread::sleep(Duration::from_millis(pause));
                         write(&half) && write(b"\r\n$6\r\ncost=1\r\n$-1\r\n")
                     }
                 }
-                Does::Cut { length, at } => {
+                Behavior::Truncated { length, sent_bytes } => {
                     write(format!("*3\r\n${length}\r\n").as_bytes());
-                    write(&vec![b'v'; at]);
-                    // What has hardly begun stays open; a part of a value ends.
-                    at < 1_000
+                    write(&vec![b'v'; sent_bytes]);
+                    // After few bytes the connection stays open; after a larger part of the value it is closed.
+                    sent_bytes < 1_000
                 }
-                Does::LineEnd { length } => {
+                Behavior::MissingLineEnd { length } => {
                     write(format!("*3\r\n${length}\r\n").as_bytes());
                     write(&vec![b'v'; length]) && write(b"vv$-1\r\n$-1\r\n")
                 }
-                Does::Full => write(b"-BUSY\r\n"),
-                Does::Fail => write(b"-ERR failed\r\n"),
-                Does::Garble => write(b"?what\r\n"),
-                Does::Torn => write(b"*3\r\n$9\r\nhalf"),
-                Does::Behind(more) => {
+                Behavior::Overloaded => write(b"-BUSY\r\n"),
+                Behavior::Fail => write(b"-ERR failed\r\n"),
+                Behavior::InvalidReply => write(b"?what\r\n"),
+                Behavior::PartialReply => write(b"*3\r\n$9\r\nhalf"),
+                Behavior::TrailingBytes(more) => {
                     write(format!("*3\r\n${}\r\n{value}\r\n{more}", value.len()).as_bytes())
                 }
-                Does::Copy => {
+                Behavior::DuplicateReply => {
                     write(served.as_bytes());
                     thread::sleep(Duration::from_millis(4));
                     write(served.as_bytes())
                 }
-                Does::Reset => false,
-                Does::Silent | Does::Hold => true,
+                Behavior::Reset => false,
+                Behavior::Silent | Behavior::Hold => true,
             }
         });
     }
@@ -175,17 +185,19 @@
     }
 }
 
-/// Answers a call that does not wait with the whole list, and lets watches wait; `known` false: it is silent.
+/// Starts a discovery service. It answers each poll with the full list and never answers a watch. If `answers` is false, it
+/// never answers at all.
 pub fn discovery(list: String, answers: bool) -> SocketAddr {
-    let (listener, address) = listen();
+    let (listener, address) = bind_listener();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let list = list.clone();
             thread::spawn(move || {
                 let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
-                while let Some(first) = lines.next() {
+                while let Some(request_line) = lines.next() {
                     lines.by_ref().take_while(|line| !line.is_empty()).for_each(drop);
-                    if answers && (!first.contains("since=") || first.contains("timeout_ms=0")) {
+                    if answers && (!request_line.contains("since=") || request_line.contains("timeout_ms=0"))
+                    {
                         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
                         (&stream).write_all((head + &list).as_bytes()).expect("written");
                     }
@@ -196,26 +208,30 @@
     address
 }
 
-/// An agent with a list that can be changed: a watch is answered once it has been. And how often it was asked.
-pub fn agent(list: &Arc<Mutex<String>>) -> (SocketAddr, Arc<AtomicUsize>) {
-    let (listener, address) = listen();
-    let (list, asked) = (list.clone(), Arc::new(AtomicUsize::new(0)));
-    let count = asked.clone();
+/// Starts a discovery service whose list can be changed. It answers a watch as soon as the list changes. Returns the address
+/// and the number of received requests.
+pub fn changeable_discovery(list: &Arc<Mutex<String>>) -> (SocketAddr, Arc<AtomicUsize>) {
+    let (listener, address) = bind_listener();
+    let (list, request_count) = (list.clone(), Arc::new(AtomicUsize::new(0)));
+    let count = request_count.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (list, asked) = (list.clone(), asked.clone());
+            let (list, request_count) = (list.clone(), request_count.clone());
             thread::spawn(move || {
                 let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
-                while let Some(first) = lines.next() {
+                while let Some(request_line) = lines.next() {
                     lines.by_ref().take_while(|line| !line.is_empty()).for_each(drop);
-                    asked.fetch_add(1, Ordering::SeqCst);
-                    let now = || list.lock().expect("the list").clone();
-                    let (known, waits) = (now(), first.contains("since=") && !first.contains("timeout_ms=0"));
-                    while waits && now() == known {
+                    request_count.fetch_add(1, Ordering::SeqCst);
+                    let current = || list.lock().expect("the list").clone();
+                    let (known, waits) = (
+                        current(),
+                        request_line.contains("since=") && !request_line.contains("timeout_ms=0"),
+                    );
+                    while waits && current() == known {
                         thread::sleep(Duration::from_millis(1));
                     }
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", now().len());
-                    if (&stream).write_all((head + &now()).as_bytes()).is_err() {
+                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", current().len());
+                    if (&stream).write_all((head + &current()).as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -239,10 +255,10 @@
     }
 }
 
-pub fn members(servers: &[&Server]) -> String {
-    let server = |(at, server): (usize, &&Server)| {
+pub fn endpoint_list(servers: &[&Server]) -> String {
+    let server = |(index, server): (usize, &&Server)| {
         format!(
-            r#"{{"name":"s{at}","address":"{}","zone":"a","type":"m","group":0,"status":"in_service",
+            r#"{{"name":"s{index}","address":"{}","zone":"a","type":"m","group":0,"status":"in_service",
                 "weight":1.0,"since_ms":0,"unknown":[{{}}]}}"#,
             server.address
         )
@@ -252,7 +268,7 @@
 }
 
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str, sockets: usize) -> String {
-    let lane = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         format!(
             r#"{{"name":"{name}","effect":"{effect}","group":"all","memorySpanMs":5000.0,"onTimeMs":1000.0,
                 "giveUpMs":1500.0,"value":1.0,"lateWorth":0.0,"stream":false}}"#
@@ -269,12 +285,12 @@
                 "specifics":{{"sharedCounter":false,"countWaitMs":50.0}},"telemetry":{{"how":"none","names":[]}},
                 "lanes":[{},{}],
                 "tiersOfService":[{{"name":"team","unitsPerS":1e6,"burst":1e6,"excessCost":1.0}}]}}}}"#,
-        lane("read", "read_like"),
-        lane("pay", "non_idempotent")
+        class("read", "read_like"),
+        class("pay", "non_idempotent")
     )
 }
 
-pub fn file(config: &str) -> PathBuf {
+pub fn write_temporary_file(config: &str) -> PathBuf {
     static FILES: AtomicUsize = AtomicUsize::new(0);
     let name = format!("fernscale-{}-{}.json", std::process::id(), FILES.fetch_add(1, Ordering::SeqCst));
     let file = std::env::temp_dir().join(name);
@@ -282,16 +298,16 @@
     file
 }
 
-pub fn process(file: &Path, operator: SocketAddr) -> Child {
-    process_with(&[], file, operator)
+pub fn spawn_gateway(file: &Path, operator: SocketAddr) -> Child {
+    spawn_with_arguments(&[], file, operator)
 }
 
-/// By an installation's own file beside the platform's.
-pub fn process_by_own(own: &Path, file: &Path, operator: SocketAddr) -> Child {
-    process_with(&["--config".as_ref(), own.as_os_str()], file, operator)
+/// Starts the gateway with the installation's own configuration file in addition to the platform's.
+pub fn spawn_gateway_with_own_config(own_config: &Path, file: &Path, operator: SocketAddr) -> Child {
+    spawn_with_arguments(&["--config".as_ref(), own_config.as_os_str()], file, operator)
 }
 
-fn process_with(arguments: &[&OsStr], file: &Path, operator: SocketAddr) -> Child {
+fn spawn_with_arguments(arguments: &[&OsStr], file: &Path, operator: SocketAddr) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernscale"));
     command
         .args(arguments)
@@ -303,22 +319,23 @@
 }
 
 impl Gateway {
-    pub fn unready(discovery: SocketAddr, known: &str, sockets: usize) -> Self {
-        Gateway::unready_with(discovery, known, sockets, |config| config)
+    pub fn start_unready(discovery: SocketAddr, known: &str, sockets: usize) -> Self {
+        Gateway::start_unready_with(discovery, known, sockets, |config| config)
     }
 
-    pub fn unready_with(
+    pub fn start_unready_with(
         discovery: SocketAddr,
         known: &str,
         sockets: usize,
         change: impl Fn(String) -> String,
     ) -> Self {
-        // A process that another test starts may hold the address for a moment: then with another one.
+        // A process of another test may use the address for a moment. The start is retried with another address.
         for _ in 0..10 {
-            let (listen, operator) = (listen().1, listen().1);
-            let file = file(&change(config(listen, discovery, known, sockets)));
-            let mut gateway = Gateway { process: process(&file, operator), file, listen, operator };
-            // To try until it listens would in the end connect a socket of this range with itself.
+            let (listen, operator) = (bind_listener().1, bind_listener().1);
+            let file = write_temporary_file(&change(config(listen, discovery, known, sockets)));
+            let mut gateway = Gateway { process: spawn_gateway(&file, operator), file, listen, operator };
+            // Waits for the log record. Connecting until the gateway listens could connect a socket of this address range to
+            // itself.
             let mut log =
                 BufReader::new(gateway.process.stderr.take().expect("piped")).lines().map_while(Result::ok);
             let started = log.any(|line| line.contains("starts"));
@@ -327,7 +344,7 @@
                 return gateway;
             }
         }
-        panic!("it does not start");
+        panic!("the gateway does not start");
     }
 
     pub fn start(servers: &[&Server]) -> Self {
@@ -335,40 +352,44 @@
     }
 
     pub fn with_sockets(servers: &[&Server], sockets: usize) -> Self {
-        Gateway::with(servers, sockets, |config| config)
+        Gateway::start_with(servers, sockets, |config| config)
     }
 
-    /// With its configuration changed.
-    pub fn with(servers: &[&Server], sockets: usize, change: impl Fn(String) -> String) -> Self {
-        Gateway::unready_with(discovery(members(servers), true), NO_SERVERS, sockets, change).ready()
+    /// Starts a ready gateway with a changed configuration.
+    pub fn start_with(servers: &[&Server], sockets: usize, change: impl Fn(String) -> String) -> Self {
+        Gateway::start_unready_with(discovery(endpoint_list(servers), true), NO_SERVERS, sockets, change)
+            .wait_until_ready()
     }
 
-    /// As soon as it is able to serve.
-    pub fn ready(self) -> Self {
+    /// Waits until the gateway is ready.
+    pub fn wait_until_ready(self) -> Self {
         let gateway = self;
-        let (mut client, began) = (gateway.client(), Instant::now());
-        while client.ask(&ping()) != "+PONG" {
-            assert!(began.elapsed() < SOON, "it does not get ready");
+        let (mut client, started_at) = (gateway.client(), Instant::now());
+        while client.request(&ping()) != "+PONG" {
+            assert!(started_at.elapsed() < TIMEOUT, "the gateway does not get ready");
             thread::sleep(Duration::from_millis(5));
         }
         gateway
     }
 
     pub fn client(&self) -> Client {
-        Client::to(self.listen)
+        Client::connect(self.listen)
     }
 
-    /// An operator's call: the status and the body of the answer.
-    pub fn operate(&self, method: &str, path: &str, body: &str) -> (u16, String) {
+    /// Sends an operator's request. Returns the status and the body of the response.
+    pub fn operator_request(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let length = body.len();
-        operate(self.operator, &format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"))
+        operator_request(
+            self.operator,
+            &format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"),
+        )
     }
 
     /// One of the figures.
-    pub fn figure(&self, name: &str) -> u64 {
-        let (_, figures) = self.operate("GET", "/admin/stats", "");
-        let line = figures.lines().find_map(|line| line.strip_prefix(&format!("gateway.{name}:")));
-        let value = line.and_then(|line| line.split('|').next()).expect("the figure is there");
+    pub fn metric(&self, name: &str) -> u64 {
+        let (_, metrics) = self.operator_request("GET", "/admin/stats", "");
+        let line = metrics.lines().find_map(|line| line.strip_prefix(&format!("gateway.{name}:")));
+        let value = line.and_then(|line| line.split('|').next()).expect("the metric exists");
         value.parse().expect("a number")
     }
 
@@ -377,26 +398,26 @@
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
     }
 
-    /// Its exit code, within the time given.
-    pub fn code(&mut self, time: Duration) -> Option<i32> {
-        let began = Instant::now();
+    /// Waits for the end of the process and returns its exit code.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
+        let started_at = Instant::now();
         loop {
             if let Some(status) = self.process.try_wait().expect("waited") {
                 return status.code();
             }
-            assert!(began.elapsed() < time, "it does not end");
+            assert!(started_at.elapsed() < timeout, "the gateway does not end");
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// What is answered to these bytes at the second address, read to its end.
-pub fn operate(address: SocketAddr, bytes: &str) -> (u16, String) {
+/// Sends these bytes to the operator address. Returns the status and the body of the response.
+pub fn operator_request(address: SocketAddr, bytes: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("connected");
-    stream.set_read_timeout(Some(SOON)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream.write_all(bytes.as_bytes()).expect("written");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer and an end");
+    stream.read_to_string(&mut answer).expect("a response and the end of the connection");
     let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
     (status, answer.split_once("\r\n\r\n").expect("a head").1.into())
 }
@@ -410,15 +431,15 @@
     resp::write_command(&[b"PING"])
 }
 
-pub fn call(id: &str, lane: &str, left: u64) -> Vec<u8> {
-    let list = format!("c={lane},t=team,d={left},units=1,spread=1,first=0");
-    resp::write_command(&[b"CALL.POST", b"00000000b4d65521", id.as_bytes(), list.as_bytes(), b"BODY"])
+pub fn request_command(id: &str, class: &str, time_left_ms: u64) -> Vec<u8> {
+    let fields = format!("c={class},t=team,d={time_left_ms},units=1,spread=1,first=0");
+    resp::write_command(&[b"CALL.POST", b"00000000b4d65521", id.as_bytes(), fields.as_bytes(), b"BODY"])
 }
 
 impl Client {
-    pub fn to(address: SocketAddr) -> Self {
+    pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("connected");
-        stream.set_read_timeout(Some(SOON)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         Client { stream, bytes: Vec::new() }
     }
 
@@ -426,16 +447,16 @@
         self.stream.write_all(bytes).expect("written");
     }
 
-    /// The next reply: the line of it, or its value. Empty if the connection has ended.
+    /// Reads the next reply and returns its value or its line. Returns an empty string if the connection has ended.
     pub fn read(&mut self) -> String {
         self.try_read().unwrap_or_default()
     }
 
-    /// The same; none if the connection has ended.
+    /// Like `read`, but returns `None` if the connection has ended.
     fn try_read(&mut self) -> Option<String> {
         let mut part = [0; 4096];
         loop {
-            if let Some((reply, length)) = resp::reply(&self.bytes).expect("a reply in good form") {
+            if let Some((reply, length)) = resp::reply(&self.bytes).expect("a valid reply") {
                 let text = match reply {
                     resp::Reply::Bulk(Some(value)) => String::from_utf8_lossy(value).into_owned(),
                     _ => String::from_utf8_lossy(&self.bytes[..length - 2]).into_owned(),
@@ -452,21 +473,21 @@
         }
     }
 
-    /// The answer; none if the connection ends under the command.
-    pub fn try_ask(&mut self, bytes: &[u8]) -> Option<String> {
+    /// Sends a command and returns the reply. Returns `None` if the connection ends before the reply.
+    pub fn try_request(&mut self, bytes: &[u8]) -> Option<String> {
         self.stream.write_all(bytes).ok()?;
         self.try_read()
     }
 
-    /// Whether the gateway has ended the connection.
-    pub fn ended(&self) -> bool {
+    /// Returns whether the gateway has closed the connection.
+    pub fn is_closed(&self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
-        let looked = self.stream.peek(&mut [0]);
+        let result = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false).expect("set");
-        !matches!(looked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+        !matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    pub fn ask(&mut self, bytes: &[u8]) -> String {
+    pub fn request(&mut self, bytes: &[u8]) -> String {
         self.write(bytes);
         self.read()
     }
--- a/crates/cli/tests/sockets/records.rs
+++ b/crates/cli/tests/sockets/records.rs
@@ -1,4 +1,4 @@
-//! What the log tells of one request: that it was taken, each attempt, its answer, and why it was given up or not taken.
+//! The log records of one request: its acceptance, each attempt, its answer, and the reason if it failed or was rejected.
 
 use std::io::{BufRead, BufReader};
 use std::process::Child;
@@ -8,108 +8,119 @@
 
 use super::process::*;
 
-/// A gateway that writes all its records, as objects, and what it has written.
-struct Recorded {
+/// A gateway that logs all records as JSON objects, and these records.
+struct LoggingGateway {
     process: Child,
     client: Client,
     records: Arc<Mutex<Vec<serde_json::Value>>>,
 }
 
-impl Drop for Recorded {
+impl Drop for LoggingGateway {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
-impl Recorded {
+impl LoggingGateway {
     fn start(servers: &[&Server]) -> Self {
-        let (listen, operator) = (listen().1, listen().1);
-        let own = file("[log]\nform = \"json\"\nlevel = \"debug\"\nmost-a-second = 1000\n");
-        let platform = file(&config(listen, discovery(members(servers), true), NO_SERVERS, 1024));
-        let mut process = process_by_own(&own, &platform, operator);
+        let (listen, operator) = (bind_listener().1, bind_listener().1);
+        let own_config =
+            write_temporary_file("[log]\nform = \"json\"\nlevel = \"debug\"\nmost-a-second = 1000\n");
+        let platform =
+            write_temporary_file(&config(listen, discovery(endpoint_list(servers), true), NO_SERVERS, 1024));
+        let mut process = spawn_gateway_with_own_config(&own_config, &platform, operator);
         let mut lines = BufReader::new(process.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        assert!(lines.any(|line| line.contains("gateway.starts")), "it starts");
+        assert!(lines.any(|line| line.contains("gateway.starts")), "the gateway starts");
         let records = Arc::new(Mutex::new(Vec::new()));
-        let told = records.clone();
+        let collected = records.clone();
         thread::spawn(move || {
             let objects = lines.filter_map(|line| serde_json::from_str(&line).ok());
-            objects.for_each(|record| told.lock().expect("records").push(record));
+            objects.for_each(|record| collected.lock().expect("records").push(record));
         });
-        let mut recorded = Recorded { process, client: Client::to(listen), records };
-        let began = Instant::now();
-        while recorded.client.ask(&ping()) != "+PONG" {
-            assert!(began.elapsed() < SOON, "it does not get ready");
+        let mut gateway = LoggingGateway { process, client: Client::connect(listen), records };
+        let started_at = Instant::now();
+        while gateway.client.request(&ping()) != "+PONG" {
+            assert!(started_at.elapsed() < TIMEOUT, "the gateway does not get ready");
             thread::sleep(Duration::from_millis(5));
         }
-        recorded
+        gateway
     }
 
-    /// The records of a request, as soon as there is one of this event: the events, and its `why`.
-    fn told(&self, id: &str, event: &str) -> (Vec<String>, String) {
-        let began = Instant::now();
+    /// Waits for a record of a request with this event. Returns all events of the request, and the field `why` of the record.
+    fn events_and_reason(&self, id: &str, event: &str) -> (Vec<String>, String) {
+        let started_at = Instant::now();
         loop {
             let records = self.records.lock().expect("records").clone();
-            let its: Vec<_> = records.into_iter().filter(|record| record["id"] == id).collect();
-            if let Some(last) = its.iter().find(|record| record["event"] == event) {
+            let request_records: Vec<_> = records.into_iter().filter(|record| record["id"] == id).collect();
+            if let Some(record) = request_records.iter().find(|record| record["event"] == event) {
                 let text = |value: &serde_json::Value| value.as_str().unwrap_or_default().to_string();
-                return (its.iter().map(|record| text(&record["event"])).collect(), text(&last["why"]));
+                return (
+                    request_records.iter().map(|record| text(&record["event"])).collect(),
+                    text(&record["why"]),
+                );
             }
-            assert!(began.elapsed() < SOON, "no '{event}' of '{id}'");
+            assert!(started_at.elapsed() < TIMEOUT, "no record '{event}' of request '{id}'");
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
 #[test]
-fn one_request_can_be_followed_through_its_attempts_to_its_answer_and_the_reason_of_it() {
-    for (lane, answer, attempts, why) in
+fn the_log_shows_each_attempt_of_a_request_its_answer_and_the_reason() {
+    for (class, answer, attempts, why) in
         [("pay", "-ERR abandoned", 1, "not-repeatable"), ("read", "-BUSY 500", 2, "no-server")]
     {
-        let servers = [Server::start(Does::Fail), Server::start(Does::Fail)];
-        let mut gateway = Recorded::start(&[&servers[0], &servers[1]]);
-        assert_eq!(gateway.client.ask(&call("t1", lane, 1_200)), answer);
-        let (events, told) = gateway.told("t1", "request.answered");
-        let tries = ["attempt.begun", "attempt.ended"].repeat(attempts);
-        assert_eq!(events, [&["request.accepted"], &tries[..], &["request.answered"]].concat(), "in {lane}");
-        assert_eq!(told, why, "in {lane}");
+        let servers = [Server::start(Behavior::Fail), Server::start(Behavior::Fail)];
+        let mut gateway = LoggingGateway::start(&[&servers[0], &servers[1]]);
+        assert_eq!(gateway.client.request(&request_command("t1", class, 1_200)), answer);
+        let (events, reason) = gateway.events_and_reason("t1", "request.answered");
+        let attempt_events = ["attempt.begun", "attempt.ended"].repeat(attempts);
+        assert_eq!(
+            events,
+            [&["request.accepted"], &attempt_events[..], &["request.answered"]].concat(),
+            "in {class}"
+        );
+        assert_eq!(reason, why, "in {class}");
     }
 }
 
 #[test]
-fn a_request_with_hardly_any_time_is_given_up_for_that() {
-    let server = Server::start(Does::Serve);
-    let mut gateway = Recorded::start(&[&server]);
-    assert_eq!(gateway.client.ask(&call("t3", "read", 30)), "-BUSY 500");
-    assert_eq!(gateway.told("t3", "request.answered").1, "no-time");
+fn a_request_with_too_little_time_left_is_rejected_for_that_reason() {
+    let server = Server::start(Behavior::Serve);
+    let mut gateway = LoggingGateway::start(&[&server]);
+    assert_eq!(gateway.client.request(&request_command("t3", "read", 30)), "-BUSY 500");
+    assert_eq!(gateway.events_and_reason("t3", "request.answered").1, "no-time");
 }
 
 #[test]
-fn a_request_that_is_not_taken_is_told_with_its_reason() {
-    let server = Server::start(Does::Late(300));
-    let mut gateway = Recorded::start(&[&server]);
-    gateway.client.write(&[call("t1", "read", 1_200), call("t1", "read", 1_200)].concat());
-    assert_eq!(gateway.told("t1", "request.refused").1, "id-in-use");
+fn a_refused_request_is_logged_with_its_reason() {
+    let server = Server::start(Behavior::Delayed(300));
+    let mut gateway = LoggingGateway::start(&[&server]);
+    gateway
+        .client
+        .write(&[request_command("t1", "read", 1_200), request_command("t1", "read", 1_200)].concat());
+    assert_eq!(gateway.events_and_reason("t1", "request.refused").1, "id-in-use");
 }
 
-/// Guards against rejections whose reason nobody can tell afterwards, as single requests are recorded at the level debug alone.
+/// Guards against rejections without a known reason: single requests are logged only at the level debug.
 #[test]
-fn requests_that_no_server_answered_are_counted_by_reason_in_one_record_a_second() {
-    let servers = [Server::start(Does::Fail), Server::start(Does::Fail)];
-    let mut gateway = Recorded::start(&[&servers[0], &servers[1]]);
+fn unserved_requests_are_counted_by_reason_in_one_record_per_second() {
+    let servers = [Server::start(Behavior::Fail), Server::start(Behavior::Fail)];
+    let mut gateway = LoggingGateway::start(&[&servers[0], &servers[1]]);
     for id in ["t1", "t2"] {
-        assert_eq!(gateway.client.ask(&call(id, "pay", 1_200)), "-ERR abandoned");
+        assert_eq!(gateway.client.request(&request_command(id, "pay", 1_200)), "-ERR abandoned");
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let record = loop {
         let records = gateway.records.lock().expect("records").clone();
         if let Some(record) = records.iter().find(|record| record["event"] == "requests.unserved") {
             break record.clone();
         }
-        assert!(began.elapsed() < SOON, "no record");
+        assert!(started_at.elapsed() < TIMEOUT, "no record");
         thread::sleep(Duration::from_millis(5));
     };
     assert_eq!((&record["level"], &record["requests"]), (&"INFO".into(), &2.into()));
     assert_eq!(record["reasons"], "not-repeatable=2");
-    assert!(record["within_us"].as_u64().is_some_and(|within| within >= 1_000_000), "{record}");
+    assert!(record["within_us"].as_u64().is_some_and(|period| period >= 1_000_000), "{record}");
 }
