--- a/crates/cli/tests/large_fleet.rs
+++ b/crates/cli/tests/large_fleet.rs
@@ -76,7 +76,7 @@
 
     fn serve(stream: &TcpStream, silent: usize, calls: &Mutex<Vec<(Instant, usize)>>) {
         let server = server_at(stream.local_addr().expect("an address").ip());
-        commands(stream, |words| {
+        read_commands(stream, |words| {
             let mut calls = calls.lock().expect("calls");
             calls.push((Instant::now(), server));
             let silent = calls.len().is_multiple_of(silent);
@@ -116,7 +116,7 @@
 
 impl Agent {
     fn start(index: usize, list: String) -> Self {
-        let (listener, address) = listen();
+        let (listener, address) = bind_listener();
         let newest = Arc::new(Mutex::new((index, Arc::new(list))));
         let agent = Agent { address, newest, written: Arc::default() };
         let (newest, written) = (agent.newest.clone(), agent.written.clone());
@@ -177,7 +177,7 @@
 fn gateway(agent: &Agent, servers: usize) -> Gateway {
     let gateways = format!("\"balancers\":{}", servers / SERVERS_A_GATEWAY);
     let many = |config: String| config.replace("\"balancers\":1", &gateways);
-    Gateway::unready_with(agent.address, NO_SERVERS, 1024, many).ready()
+    Gateway::start_unready_with(agent.address, NO_SERVERS, 1024, many).wait_until_ready()
 }
 
 /// Processor time that a gateway has used.
@@ -229,7 +229,7 @@
 }
 
 fn request(number: usize) -> Vec<u8> {
-    call(&format!("{number:016x}"), "read", DEADLINE.as_millis() as u64)
+    request_command(&format!("{number:016x}"), "read", DEADLINE.as_millis() as u64)
 }
 
 /// The incident: a gateway with a part of a core, lists that come whole one after another, servers that drain with each, and
@@ -253,7 +253,7 @@
                 thread::sleep(Duration::from_millis(25 * at));
                 while !over.load(Ordering::SeqCst) {
                     let began = Instant::now();
-                    client.ask(&request(sent.fetch_add(1, Ordering::SeqCst)));
+                    client.request(&request(sent.fetch_add(1, Ordering::SeqCst)));
                     let took = began.elapsed();
                     let mut latest = latest.lock().expect("latest");
                     *latest = took.max(*latest);
@@ -267,7 +267,7 @@
         agent.has(list, servers.list(list, LARGEST, 0..DRAINED * (list - 1)));
         let began = Instant::now();
         while !agent.has_written(list) {
-            assert!(began.elapsed() < 2 * SOON, "list {list} is not asked for");
+            assert!(began.elapsed() < 2 * TIMEOUT, "list {list} is not asked for");
             thread::sleep(Duration::from_millis(1));
         }
         thread::sleep(Duration::from_millis(600));
@@ -308,7 +308,7 @@
         let began = Instant::now();
         while !agent.has_written(list) || began.elapsed() < Duration::from_millis(500) {
             let used = processor_time(&gateway);
-            assert_eq!(client.ask(&ping()), "+PONG");
+            assert_eq!(client.request(&ping()), "+PONG");
             longest = longest.max(processor_time(&gateway) - used);
         }
     }
@@ -340,7 +340,7 @@
         let began = Instant::now();
         while began.elapsed() < Duration::from_millis(300) {
             let used = processor_time(&gateway);
-            assert_eq!(client.ask(&ping()), "+PONG");
+            assert_eq!(client.request(&ping()), "+PONG");
             longest = longest.max(processor_time(&gateway) - used);
         }
     }
@@ -358,9 +358,9 @@
     let gateway = gateway(&agent, servers);
     let mut client = gateway.client();
     // The first ones dial.
-    (0..REQUESTS).for_each(|number| drop(client.ask(&request(number))));
+    (0..REQUESTS).for_each(|number| drop(client.request(&request(number))));
     let before = processor_time(&gateway);
-    (REQUESTS..2 * REQUESTS).for_each(|number| drop(client.ask(&request(number))));
+    (REQUESTS..2 * REQUESTS).for_each(|number| drop(client.request(&request(number))));
     processor_time(&gateway) - before
 }
 
