--- a/crates/cli/tests/large_fleet.rs
+++ b/crates/cli/tests/large_fleet.rs
@@ -81,7 +81,7 @@
 
     fn serve(stream: &TcpStream, silent_interval: usize, calls: &Mutex<Vec<(Instant, usize)>>) {
         let server = server_at(stream.local_addr().expect("an address").ip());
-        commands(stream, |arguments| {
+        read_commands(stream, |arguments| {
             let mut calls = calls.lock().expect("calls");
             calls.push((Instant::now(), server));
             let is_silent = calls.len().is_multiple_of(silent_interval);
@@ -122,7 +122,7 @@
 
 impl Agent {
     fn start(index: usize, list: String) -> Self {
-        let (listener, address) = listen();
+        let (listener, address) = bind_listener();
         let newest = Arc::new(Mutex::new((index, Arc::new(list))));
         let agent = Agent { address, newest, sent_at: Arc::default() };
         let (newest, sent_at) = (agent.newest.clone(), agent.sent_at.clone());
@@ -184,7 +184,7 @@
 fn gateway(agent: &Agent, servers: usize) -> Gateway {
     let gateways = format!("\"balancers\":{}", servers / SERVERS_PER_GATEWAY);
     let with_gateways = |config: String| config.replace("\"balancers\":1", &gateways);
-    Gateway::unready_with(agent.address, NO_SERVERS, 1024, with_gateways).ready()
+    Gateway::start_unready_with(agent.address, NO_SERVERS, 1024, with_gateways).wait_until_ready()
 }
 
 /// The processor time that a gateway has used so far.
@@ -237,7 +237,7 @@
 }
 
 fn request(number: usize) -> Vec<u8> {
-    call(&format!("{number:016x}"), "read", DEADLINE.as_millis() as u64)
+    request_command(&format!("{number:016x}"), "read", DEADLINE.as_millis() as u64)
 }
 
 /// Guards against a past incident: a gateway with a fraction of a core receives complete lists one after another, more
@@ -261,7 +261,7 @@
                 thread::sleep(Duration::from_millis(25 * index));
                 while !ended.load(Ordering::SeqCst) {
                     let started_at = Instant::now();
-                    client.ask(&request(sent.fetch_add(1, Ordering::SeqCst)));
+                    client.request(&request(sent.fetch_add(1, Ordering::SeqCst)));
                     let took = started_at.elapsed();
                     let mut slowest = slowest.lock().expect("the slowest");
                     *slowest = took.max(*slowest);
@@ -275,7 +275,7 @@
         agent.set_list(list, servers.list(list, LARGEST_FLEET, 0..DRAINED * (list - 1)));
         let started_at = Instant::now();
         while !agent.has_sent(list) {
-            assert!(started_at.elapsed() < 2 * SOON, "list {list} was not requested");
+            assert!(started_at.elapsed() < 2 * TIMEOUT, "list {list} was not requested");
             thread::sleep(Duration::from_millis(1));
         }
         thread::sleep(Duration::from_millis(600));
@@ -316,7 +316,7 @@
         let started_at = Instant::now();
         while !agent.has_sent(list) || started_at.elapsed() < Duration::from_millis(500) {
             let used = processor_time(&gateway);
-            assert_eq!(client.ask(&ping()), "+PONG");
+            assert_eq!(client.request(&ping()), "+PONG");
             longest = longest.max(processor_time(&gateway) - used);
         }
     }
@@ -348,7 +348,7 @@
         let started_at = Instant::now();
         while started_at.elapsed() < Duration::from_millis(300) {
             let used = processor_time(&gateway);
-            assert_eq!(client.ask(&ping()), "+PONG");
+            assert_eq!(client.request(&ping()), "+PONG");
             longest = longest.max(processor_time(&gateway) - used);
         }
     }
@@ -366,9 +366,9 @@
     let gateway = gateway(&agent, servers);
     let mut client = gateway.client();
     // The first requests open the connections to the servers.
-    (0..REQUESTS).for_each(|number| drop(client.ask(&request(number))));
+    (0..REQUESTS).for_each(|number| drop(client.request(&request(number))));
     let before = processor_time(&gateway);
-    (REQUESTS..2 * REQUESTS).for_each(|number| drop(client.ask(&request(number))));
+    (REQUESTS..2 * REQUESTS).for_each(|number| drop(client.request(&request(number))));
     processor_time(&gateway) - before
 }
 
