--- a/crates/gateway/src/fleet/membership/mod.rs
+++ b/crates/gateway/src/fleet/membership/mod.rs
@@ -262,8 +262,8 @@
             match output {
                 NodeOutput::SendDatagram { to, packet } => self.send_datagram(to, &packet),
                 NodeOutput::ExchangeState { to } => self.begin_exchange(to),
-                NodeOutput::SendStream { to, carried } => {
-                    let message = StreamMessage::Payload(self.local(), carried);
+                NodeOutput::SendStream { to, payload } => {
+                    let message = StreamMessage::Payload(self.local(), payload);
                     self.send_stream(to, self.sealer.borrow_mut().seal(unix(), &message));
                 }
                 NodeOutput::Received(payload) => self.publish(payload),
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -72,7 +72,7 @@
         /// Where to.
         to: SocketAddr,
         /// The payload.
-        carried: Payload,
+        payload: Payload,
     },
     /// A payload for another subsystem has arrived.
     Received(ReceivedPayload),
--- a/crates/membership/src/node/payloads.rs
+++ b/crates/membership/src/node/payloads.rs
@@ -53,7 +53,7 @@
         if payload.body.len() <= MAX_DATAGRAM_PAYLOAD {
             self.send_packet(to, PacketBody::Payload(payload), Vec::new(), Vec::new());
         } else {
-            self.outputs.push_back(Output::SendStream { to, carried: payload });
+            self.outputs.push_back(Output::SendStream { to, payload });
         }
         Ok(())
     }
--- a/crates/membership/tests/recorded_run.rs
+++ b/crates/membership/tests/recorded_run.rs
@@ -109,10 +109,10 @@
                 self.hash.write_value(&(1u8, to));
                 self.schedule(Delivery::Exchange { from, to });
             }
-            Output::SendStream { to, carried } => {
-                self.hash.write_value(&(2u8, to, &carried));
+            Output::SendStream { to, payload } => {
+                self.hash.write_value(&(2u8, to, &payload));
                 let sender = self.nodes[&from].local().clone();
-                self.schedule(Delivery::Stream { sender, to, payload: carried });
+                self.schedule(Delivery::Stream { sender, to, payload });
             }
             Output::Received(received) => {
                 self.hash.write_value(&(3u8, &received.sender, received.channel, &received.body));
