--- a/crates/gateway/src/fleet/outlier_detection.rs
+++ b/crates/gateway/src/fleet/outlier_detection.rs
@@ -81,7 +81,7 @@
     /// Records that an attempt is forwarded to a server. If the server is ejected and this gateway has a trial permit for it,
     /// the attempt uses up the permit and the function returns true: no further attempt may follow.
     pub fn use_trial_permit(&self, server: &str) -> bool {
-        self.detector.borrow_mut().may_forward(self.host.clock().now(), server)
+        self.detector.borrow_mut().use_trial_permit(self.host.clock().now(), server)
     }
 
     /// Updates the detector with the endpoint list and the received reports. Returns the servers that are newly ejected and
--- a/crates/lab/src/outlier_simulation.rs
+++ b/crates/lab/src/outlier_simulation.rs
@@ -128,7 +128,7 @@
             };
             let name = self.servers[server].name.clone();
             self.sent += 1;
-            if self.signals[at].may_forward(shared, &name) {
+            if self.signals[at].use_trial_permit(shared, &name) {
                 *self.tries.entry(server).or_default() += 1;
                 self.barred[at].insert(name.clone());
             }
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -168,7 +168,7 @@
     }
 
     /// An attempt goes to a server. Returns whether it used up this gateway's permit to try an ejected one.
-    pub fn may_forward(&mut self, shared: Micros, server: &str) -> bool {
+    pub fn use_trial_permit(&mut self, shared: Micros, server: &str) -> bool {
         let was_permitted = self.trial_permits.remove(server);
         if was_permitted {
             self.last_trials.insert(server.into(), Interval::at(shared).number);
--- a/crates/outlier-detection/tests/recorded_run.rs
+++ b/crates/outlier-detection/tests/recorded_run.rs
@@ -136,7 +136,7 @@
             if self.ejected[gateway].contains(&name) || !self.rng.gen_bool(0.12) {
                 continue;
             }
-            let is_trial = self.detectors[gateway].may_forward(shared, &name);
+            let is_trial = self.detectors[gateway].use_trial_permit(shared, &name);
             self.hash.write_u8(is_trial.into());
             if is_trial {
                 self.ejected[gateway].insert(name.clone());
