--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,8 +1,9 @@
-//! One node of the membership protocol, without I/O. Its caller hands it authenticated messages, calls `handle_timeout` at
-//! `next_deadline`, and carries out what `poll_output` returns. No call takes longer than the members are many.
+//! One node of the membership protocol, without I/O. The caller passes in authenticated messages, calls `handle_timeout` at
+//! `next_deadline`, and executes the outputs of `poll_output`. The cost of a call is at most linear in the number of
+//! members.
 //!
-//! This module joins the parts and applies claims about members. Each part has a file and private state: the member table,
-//! the failure detector, dissemination of membership and of counters, anti-entropy, and payloads of other subsystems.
+//! This module connects the submodules and applies membership updates. Each submodule has its own private state: the member
+//! table, the failure detector, dissemination of membership and of counters, anti-entropy, and payloads of other subsystems.
 
 mod anti_entropy;
 mod counter_gossip;
@@ -36,64 +37,65 @@
 use crate::payload::{Payload, ReceivedPayload};
 use crate::peer::Peer;
 
-/// How often counter contributions are sent while there are any to send.
+/// Interval between rounds of counter gossip. A round without pending contributions sends nothing.
 const GOSSIP_INTERVAL: Micros = 50 * MILLISECOND;
-/// Members that learn of it directly when this node leaves.
+/// Number of members that a leaving node notifies directly.
 const LEAVE_FANOUT: usize = 2 * FANOUT;
-/// Members with which a leaving node exchanges its complete state: datagrams may be lost, and nobody could repeat them.
+/// Number of members with which a leaving node exchanges its complete state. Datagrams may be lost, and no other node could
+/// resend them.
 const LEAVE_EXCHANGES: usize = 2;
 
-/// Who a node is, and whom it contacts first.
+/// The identity of a node and the addresses that it contacts first.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The node itself.
     pub local: Peer,
-    /// Addresses of other nodes. Those that are no live members are pinged as long as the node runs.
+    /// Addresses of other nodes. The node keeps pinging every seed that is not a live member.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What the caller is to do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Seal this packet and send it as one datagram.
     SendDatagram {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
         /// At most `MAX_DATAGRAM_BYTES` when sealed.
         packet: Packet,
     },
     /// Exchange complete states with this address, over a stream.
     ExchangeState {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
     },
     /// Send this payload over a stream.
     SendStream {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
         /// The payload.
         payload: Payload,
     },
     /// A payload for another subsystem has arrived.
     Received(ReceivedPayload),
-    /// A change that operators are shown.
+    /// A membership change to report to operators.
     Event(Event),
 }
 
-/// A change of membership that operators are shown.
+/// A membership change that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member that was unknown or dead is there.
+    /// A member that was unknown or dead is live.
     Joined(Peer),
-    /// A member did not acknowledge a probe, or another node says so.
+    /// A member did not acknowledge a probe of this node or of another one.
     Suspected(Peer),
-    /// A suspected member answered after all.
+    /// A suspected member refuted the suspicion.
     Refuted(Peer),
-    /// A suspicion was not refuted in time.
+    /// A suspected member did not refute the suspicion in time.
     Died(Peer),
-    /// A member has shut down.
+    /// A member shut down and announced it.
     Left(Peer),
-    /// Two live gateways have one name: the one that was known, and the one that joined.
+    /// Two live gateways have the same name: the known gateway comes first, the one that joined second.
     DuplicateName(Peer, Peer),
 }
 
@@ -113,15 +115,15 @@
 }
 
 impl Node {
-    /// A node that knows nobody yet. All of its random choices come from the seed.
+    /// Creates a node without members. All of its random choices come from the seed.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Nodes that start together must not all send at the same instants.
-        let mut first_within = |interval: Micros| now + rng.gen_range(1..=interval);
-        let first_period = first_within(PROBE_PERIOD);
-        let next_gossip = first_within(GOSSIP_INTERVAL);
-        let first_reconnect = first_within(MILLISECOND);
-        let first_exchange = first_within(ANTI_ENTROPY_INTERVAL);
+        // Random offsets keep nodes that start together from sending at the same instants.
+        let mut random_start = |interval: Micros| now + rng.gen_range(1..=interval);
+        let first_period = random_start(PROBE_PERIOD);
+        let next_gossip = random_start(GOSSIP_INTERVAL);
+        let first_reconnect = random_start(MILLISECOND);
+        let first_exchange = random_start(ANTI_ENTROPY_INTERVAL);
         Node {
             incarnation: 1,
             seeds: config.seeds,
@@ -142,53 +144,53 @@
         self.members.local()
     }
 
-    /// The other nodes that are known, in whatever state, in the order of their instances.
+    /// All other known nodes in any state, ordered by instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// The other nodes that are alive or only suspected.
+    /// The other nodes that are alive or suspected.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.members.live()
     }
 
-    /// When `handle_timeout` is to be called next.
+    /// When the caller must call `handle_timeout` next.
     pub fn next_deadline(&self) -> Micros {
         let periodic = self.next_gossip.min(self.anti_entropy.next_deadline());
         periodic.min(self.failure_detector.next_deadline())
     }
 
-    /// What the caller is to do next, in order.
+    /// The next output. The caller executes outputs in this order.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// This gateway adds an amount to a counter that expires after the lifetime, if it is new.
+    /// Adds an amount of this gateway to a counter. A new counter expires after `lifetime`.
     pub fn add_to_counter(&mut self, now: Micros, key: &str, amount: f64, lifetime: Micros) {
         self.counter_gossip.add(now, key, amount, lifetime, &self.members);
     }
 
-    /// What all gateways have added to a counter, as far as this node knows.
+    /// The sum of all contributions to a counter that this node knows.
     pub fn counter_total(&self, now: Micros, key: &str) -> Option<f64> {
         self.counters().total(now, key)
     }
 
-    /// What each gateway has added to each counter, as far as this node knows.
+    /// The contributions to all counters that this node knows.
     pub fn counters(&self) -> &PnCounters {
         self.counter_gossip.counters()
     }
 
-    /// The totals of the counters in the order of their keys; as many as fit into one message over a stream.
+    /// The totals of the counters, ordered by key, as many as fit into one stream message.
     pub fn counter_totals(&self, now: Micros) -> Vec<CounterTotal> {
         self.counter_gossip.totals(now)
     }
 
-    /// Counter updates that could not be counted or sent because a bound was reached, since the start.
+    /// Number of counter updates since the start that were not counted or not sent because a limit was reached.
     pub fn dropped_updates(&self) -> u64 {
         self.counter_gossip.dropped_updates()
     }
 
-    /// Does what is due.
+    /// Runs all timers that have expired.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.has_left {
             self.failure_detector.stop();
@@ -205,7 +207,7 @@
         self.handle_anti_entropy_timeouts(now);
     }
 
-    /// An authenticated packet has arrived from an address.
+    /// Handles an authenticated packet that arrived from an address.
     pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet) {
         let Packet { sender, incarnation, body, updates, counters } = packet;
         if !self.accepts(&sender) {
@@ -216,7 +218,7 @@
         self.apply_update(now, alive);
         self.members.heard_from(now, sender.instance);
         if !was_known && self.members.contains(sender.instance) {
-            // It may know much that this node was never sent.
+            // The new member may have state that this node never received.
             self.outputs.push_back(Output::ExchangeState { to: sender.address });
         }
         for update in updates {
@@ -234,26 +236,26 @@
         }
     }
 
-    /// This node shuts down: it sends what is pending, notifies some members, and exchanges its state with two of them.
-    /// Afterwards it sends and accepts nothing.
+    /// Shuts this node down: it sends pending contributions, notifies some members, and exchanges its state with two of
+    /// them. Afterwards the node neither sends nor accepts messages.
     pub fn leave(&mut self, now: Micros) {
         self.send_counters(now);
         self.send_own_state(MemberState::Left, LEAVE_FANOUT);
-        self.exchange_with_random(LEAVE_EXCHANGES);
+        self.exchange_with_random_members(LEAVE_EXCHANGES);
         self.has_left = true;
     }
 
-    /// Whether messages of a sender are taken in at all.
+    /// Whether this node processes messages of a sender.
     fn accepts(&self, sender: &Peer) -> bool {
         !self.has_left && sender.instance != self.local().instance
     }
 
-    /// Sends a message with the claims about members that were sent least.
+    /// Sends a message with the membership updates that were sent least often.
     fn send(&mut self, to: SocketAddr, body: PacketBody) {
         let free_bytes = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES;
         let mut updates = self.member_updates.take(&self.members, free_bytes);
-        // Only a suspected member can refute that, so it learns of it whatever else the packet carries; and so does the
-        // member that is to ping it.
+        // Only a suspected member itself can refute the suspicion. So a packet to that member, and a request to ping that
+        // member, always carries the suspicion.
         let is_subject = |member: &&Member| match &body {
             PacketBody::PingRequest(_, target) => member.peer.instance == target.instance,
             _ => member.peer.address == to,
@@ -278,7 +280,7 @@
         self.outputs.push_back(Output::SendDatagram { to, packet });
     }
 
-    /// Sends the state of this node itself to some random members.
+    /// Sends this node's own state to some random members.
     fn send_own_state(&mut self, state: MemberState, count: usize) {
         let own = MemberUpdate { peer: self.local().clone(), incarnation: self.incarnation, state };
         for to in self.members.sample_live(&mut self.rng, count, None) {
@@ -302,10 +304,11 @@
         }
     }
 
-    /// Applies what another node claims of a member. That one is dead counts as a suspicion until a suspicion has stood
-    /// here long enough to be refuted.
+    /// Applies a membership update from another node. A claim that a member is dead is downgraded to a suspicion until this
+    /// node has suspected the member long enough for a refutation to arrive.
     ///
-    /// Danger: a node whose messages reach nobody takes all others for dead, and once they arrive all would believe it.
+    /// Otherwise a node whose messages reach no other node would declare all others dead, and every node would accept those
+    /// claims as soon as its messages arrive again.
     fn apply_gossip(&mut self, now: Micros, mut update: MemberUpdate) {
         if update.state == MemberState::Dead && self.may_refute(now, &update.peer) {
             update.state = MemberState::Suspect;
@@ -313,7 +316,7 @@
         self.apply_update(now, update);
     }
 
-    /// Whether a member may still refute that it is dead. A claim about this node itself is refuted at once.
+    /// Whether a member still has time to refute a claim that it is dead. This node refutes claims about itself at once.
     fn may_refute(&self, now: Micros, peer: &Peer) -> bool {
         self.members.get(peer.instance).is_some_and(|member| match member.state {
             MemberState::Alive => true,
@@ -322,7 +325,7 @@
         })
     }
 
-    /// Applies a claim about a member or about this node, and does what follows from it.
+    /// Applies an update about a member or about this node, and reacts to the resulting change.
     fn apply_update(&mut self, now: Micros, update: MemberUpdate) {
         if update.peer.instance == self.local().instance {
             self.refute(now, &update);
@@ -335,9 +338,9 @@
         }
     }
 
-    /// Refutes a claim that this node is not alive, by a higher incarnation.
+    /// Refutes a claim that this node is not alive by raising its incarnation.
     ///
-    /// Danger: without it a partition or a pause would have this node dead for good.
+    /// Without the refutation, this node would stay dead for the others after a partition or a pause.
     fn refute(&mut self, now: Micros, claim: &MemberUpdate) {
         if self.has_left || claim.state == MemberState::Alive || claim.incarnation < self.incarnation {
             return;
@@ -351,7 +354,7 @@
         let instance = change.peer.instance;
         self.member_updates.enqueue(instance, self.members.transmission_limit());
         if change.before == MemberState::Dead {
-            // As when a partition heals: each side has what the other was not sent.
+            // For example, a partition has healed: each side has state that the other did not receive.
             self.outputs.push_back(Output::ExchangeState { to: change.peer.address });
         }
         if change.before != MemberState::Alive && change.after == MemberState::Alive {
@@ -372,7 +375,7 @@
         self.member_updates.enqueue(peer.instance, self.members.transmission_limit());
         self.outputs.push_back(Output::Event(Event::Joined(peer)));
         for member in replaced {
-            // Otherwise the new process could not listen at that address.
+            // A new process listens at this address, so the previous process has ended.
             self.apply_update(now, member.update_to(MemberState::Dead));
         }
     }
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Repair of what gossip missed: complete exchanges of state with a random member, and pings to nodes that are not members,
-//! by which partitions heal. It decides when and with whom; streams are the caller's.
+//! Anti-entropy, which repairs what gossip missed: complete state exchanges with a random member, and pings to nodes that are
+//! not live members, so that partitions heal. This module decides when and with which nodes; the caller owns the streams.
 
 use std::net::SocketAddr;
 
@@ -11,9 +11,9 @@
 use super::{Node, Output};
 use crate::packet::{FullState, MemberState, MemberUpdate};
 
-/// How often a dead member or a seed is pinged.
+/// Interval between pings to a dead member or a seed.
 const RECONNECT_INTERVAL: Micros = SECOND;
-/// The mean time between two complete exchanges that this node begins.
+/// Mean time between two complete state exchanges that this node starts.
 pub(super) const ANTI_ENTROPY_INTERVAL: Micros = 10 * SECOND;
 
 pub(super) struct AntiEntropy {
@@ -26,7 +26,7 @@
         AntiEntropy { next_reconnect: first_reconnect, next_exchange: first_exchange }
     }
 
-    /// No time-out follows.
+    /// Stops anti-entropy. Afterwards there is no deadline.
     pub fn stop(&mut self) {
         self.next_reconnect = Micros::MAX;
         self.next_exchange = Micros::MAX;
@@ -59,18 +59,18 @@
             self.reconnect();
         }
         if self.anti_entropy.start_exchange(now, &mut self.rng) {
-            self.exchange_with_random(1);
+            self.exchange_with_random_members(1);
         }
     }
 
-    pub(super) fn exchange_with_random(&mut self, count: usize) {
+    pub(super) fn exchange_with_random_members(&mut self, count: usize) {
         for to in self.members.sample_live(&mut self.rng, count, None) {
             self.outputs.push_back(Output::ExchangeState { to });
         }
     }
 
-    /// Pings a dead member, or a seed that is no live member. A node without live members pings them all, as the first seed
-    /// may be down.
+    /// Pings one random address among the dead members and the seeds that are not live members. A node without live members
+    /// pings all of these addresses, since a single seed may be down.
     fn reconnect(&mut self) {
         let live: Vec<SocketAddr> = self.members.live().map(|member| member.peer.address).collect();
         let dead = self.members.in_state(MemberState::Dead).map(|member| member.peer.address);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All that is known here, for an exchange over a stream.
+    /// The complete state of this node, for an exchange over a stream.
     pub fn full_state(&self, now: Micros) -> FullState {
         let present = self.members.iter().filter(|member| member.state != MemberState::Left);
         FullState {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The state of another node has arrived, from a sender that was authenticated.
+    /// Handles the complete state of another node. The caller has authenticated the sender.
     pub fn handle_full_state(&mut self, now: Micros, state: FullState) {
         let FullState { sender, incarnation, updates, counters } = state;
         if !self.accepts(&sender) {
--- a/crates/membership/src/node/counter_gossip.rs
+++ b/crates/membership/src/node/counter_gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination of shared counters: which contributions are still to be sent, to whom and how often, and their division into
-//! datagrams. The counters' values are merged in `PnCounters`; sockets and addresses are the node's.
+//! Dissemination of shared counters: the queue of pending contributions, their receivers and their remaining transmissions.
+//! `PnCounters` merges the counters' values; `Node` and its caller send the datagrams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,48 +13,52 @@
 use crate::packet::{CounterEntry, CounterTotal, MAX_STREAM_BYTES};
 use crate::recent_changes::{ContributionKey, RecentChanges};
 
-/// Datagrams to each random member in one round of gossip. What finds no room waits for the next round.
+/// Maximum number of datagrams to each random member in a gossip round. Entries that do not fit wait for the next round.
 const MAX_GOSSIP_DATAGRAMS: usize = 3;
-/// Datagrams to each contributor of a counter in one round. A tenant has few gateways, so this does not grow with the fleet.
+/// Maximum number of datagrams to each contributor of a counter in a round. A tenant uses few gateways, so the traffic does
+/// not grow with the fleet.
 const MAX_DIRECT_DATAGRAMS: usize = 2;
-/// Pending contributions that are sorted for one round: some times as many as fit into it.
+/// Maximum number of pending contributions that are sorted for a round, several times as many as fit into the round.
 const MAX_CONSIDERED_ENTRIES: usize = 512;
-/// Transmissions of a contribution that was known before: of the local node's, and of another's.
+/// Transmissions of a change to a known contribution: to the local node's contribution, and to another node's.
 const OWN_CHANGE_TRANSMISSIONS: u32 = 2;
 const FORWARDED_CHANGE_TRANSMISSIONS: u32 = 1;
-/// Transmissions of a dead node's contribution by each that knows it: it may be the only one, and datagrams get lost.
+/// Transmissions of a dead node's contribution by each node that knows it. This node may be the only one, and datagrams may be
+/// lost.
 const ORPHAN_TRANSMISSIONS: u32 = 3;
 /// Transmissions of a contribution that has stopped changing.
 const QUIET_TRANSMISSIONS: u32 = 1;
-/// Counters that are known. At the bound a new one is not counted here.
+/// Maximum number of known counters. At the limit this node does not count new ones.
 const MAX_COUNTERS: usize = 65_536;
-/// Contributions that wait to be sent. At the bound a further one is dropped, and anti-entropy brings it.
+/// Maximum number of pending contributions. At the limit further ones are dropped, and anti-entropy delivers them later.
 const MAX_PENDING_UPDATES: usize = 32_768;
-/// Totals in one message over a stream: each takes its key and less than twenty bytes.
+/// Maximum number of totals in one stream message. A total takes its key and less than twenty bytes.
 const MAX_TOTALS: usize = MAX_STREAM_BYTES / (MAX_KEY_BYTES + 20);
 
-/// A contribution that is to be sent.
+/// The transmission state of a pending contribution.
 #[derive(Clone, Copy)]
 struct PendingUpdate {
     remaining_transmissions: u32,
     changes_since_sent: u32,
-    /// The older goes first.
+    /// The position in the queue. Older contributions go first.
     enqueued: u64,
-    /// Perhaps no node knows of it: all are to learn of it once, so that the contributors of a counter know each other.
+    /// Whether other nodes may not know the contribution. Such a contribution goes to all nodes, so that the contributors of a
+    /// counter know each other.
     is_new: bool,
-    /// Another node's, which goes straight to the counter's contributors as that node can't send it itself.
+    /// Whether the contribution goes directly to the counter's contributors, as the local node's contributions do. This is set
+    /// for contributions whose node cannot send them itself, and for retransmissions.
     direct: bool,
 }
 
-/// What one round of gossip sends.
+/// The datagrams of one gossip round.
 pub(super) struct GossipRound {
-    /// To contributors of the same counters, in the order of their instances.
+    /// Datagrams to contributors of the same counters, ordered by instance.
     pub direct: Vec<(SocketAddr, DatagramBatch)>,
-    /// To some random members.
+    /// Datagrams to some random members.
     pub random: DatagramBatch,
 }
 
-/// Whether a contribution got into the datagrams that it is for.
+/// Whether a contribution fit into the datagrams of its receivers.
 #[derive(Clone, Copy, Default)]
 struct Placement {
     placed: bool,
@@ -109,7 +113,7 @@
         self.recent_changes.remove_expired(now);
     }
 
-    /// The local node adds to a counter.
+    /// Adds an amount of the local node to a counter.
     pub fn add(&mut self, now: Micros, key: &str, amount: f64, lifetime: Micros, members: &MemberTable) {
         let Some(change) = self.counters.add(now, self.local, key, amount, lifetime) else {
             self.dropped_updates += 1;
@@ -120,11 +124,11 @@
         self.enqueue_change(change, self.local, members);
     }
 
-    /// Merges contributions that another node sent, and passes on those that were news.
+    /// Merges contributions that another node sent, and queues the ones that changed a counter for forwarding.
     pub fn merge(&mut self, now: Micros, entries: Vec<CounterEntry>, members: &MemberTable) {
         for entry in entries {
             if entry.instance == self.local {
-                // The local contribution is known best here.
+                // No other node has a newer version of the local contribution.
                 continue;
             }
             let lifetime = Micros::from(entry.expires_in_ms) * MILLISECOND;
@@ -149,7 +153,7 @@
         self.enqueue(key, change.is_new, transmissions);
     }
 
-    /// Sends a contribution at least so many times from now on.
+    /// Schedules at least the given number of transmissions of a contribution.
     fn enqueue(&mut self, key: ContributionKey, is_new: bool, transmissions: u32) {
         self.enqueued += 1;
         if self.pending.len() >= MAX_PENDING_UPDATES && !self.pending.contains_key(&key) {
@@ -167,7 +171,7 @@
         pending.changes_since_sent += 1;
     }
 
-    /// Sends a contribution so many times to all contributors of its counter.
+    /// Schedules the given number of transmissions of a contribution to all contributors of its counter.
     fn enqueue_direct(&mut self, key: ContributionKey, transmissions: u32) {
         self.enqueue(key.clone(), false, transmissions);
         if let Some(pending) = self.pending.get_mut(&key) {
@@ -180,9 +184,9 @@
         self.recent_changes.record(now, key);
     }
 
-    /// A counter has a new contributor, which is to learn of the contributions whose nodes are gone.
+    /// Sends the contributions of nodes that are not live to the contributors of a counter, after a new one has joined them.
     ///
-    /// Danger: without them a restarted gateway would go by less than the total.
+    /// Without these contributions a restarted gateway would see less than the total.
     fn enqueue_orphans_of(&mut self, now: Micros, counter: &Arc<str>, members: &MemberTable) {
         if self.counters.contribution(counter, self.local).is_none() {
             return;
@@ -195,7 +199,8 @@
         }
     }
 
-    /// A node is gone and can send nothing any more: the contributors of its counters send each other what they know of it.
+    /// Sends the contributions of a node that is no longer live to the other contributors of its counters. That node cannot
+    /// send them itself, so all contributors of the counters do.
     pub fn enqueue_contributions_of(&mut self, now: Micros, gone: Instance) {
         let counters: Vec<Arc<str>> = self.counters.keys_of_instance(gone).collect();
         for counter in counters {
@@ -205,9 +210,9 @@
         }
     }
 
-    /// Sends again what changed while a member may have received nothing, in the counters that it contributes to.
+    /// Resends changes that a returned member may have missed while it was unreachable, in the counters that it contributes to.
     ///
-    /// Danger: a contribution that no longer changes would else be missing there until anti-entropy.
+    /// Otherwise the member would lack contributions that no longer change until anti-entropy delivers them.
     pub fn resend_to_returned(&mut self, returned: Instance, since: Micros) {
         let recent = self.recent_changes.since(since);
         let missed: Vec<ContributionKey> = recent
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Sends again all that changed while others may have received nothing from this node.
+    /// Resends all changes that other nodes may have missed while this node was unreachable.
     pub fn resend_all(&mut self, since: Micros) {
         let missed: Vec<ContributionKey> = self.recent_changes.since(since).cloned().collect();
         for key in missed {
@@ -227,17 +232,17 @@
         }
     }
 
-    /// Sends once more what has stopped changing.
+    /// Resends contributions that have stopped changing.
     pub fn enqueue_quiet(&mut self, now: Micros) {
         for key in self.recent_changes.take_quiet(now) {
             self.enqueue_direct(key, QUIET_TRANSMISSIONS);
         }
     }
 
-    /// Takes what the next round of gossip sends, or nothing where no contribution is pending.
+    /// Takes the datagrams of the next gossip round, or `None` if no contribution is pending.
     ///
-    /// Contributions go straight to the contributors of the same counter; new ones, and those of other live nodes, go to
-    /// random members.
+    /// The local node's contributions and those marked `direct` go to the contributors of the same counter. New
+    /// contributions, those of other nodes, and those without a live contributor to send to go to random members.
     pub fn take_round(&mut self, now: Micros, members: &MemberTable) -> Option<GossipRound> {
         if self.pending.is_empty() {
             return None;
@@ -259,11 +264,11 @@
                     placement.record(batch.push(&entry, MAX_DIRECT_DATAGRAMS));
                 }
             }
-            let has_no_contributor = !placement.placed && !placement.rejected;
-            if !own_or_direct || pending.is_new || has_no_contributor {
+            let has_no_receiver = !placement.placed && !placement.rejected;
+            if !own_or_direct || pending.is_new || has_no_receiver {
                 placement.record(random.push(&entry, MAX_GOSSIP_DATAGRAMS));
             }
-            // What did not fit everywhere stays as it was, and comes first in the next round.
+            // A contribution that did not fit everywhere stays pending with all of its remaining transmissions.
             if placement.is_complete() {
                 self.use_up_transmission(&key);
             }
@@ -274,10 +279,12 @@
         Some(GossipRound { direct: addressed.collect(), random })
     }
 
-    /// Pending contributions in the order in which they find room: own ones, new ones, others; in each class those that
-    /// change most, so that counters in constant use don't wait for counters that were used once; then the oldest.
+    /// Pending contributions by priority: the local node's, then new ones, then others. Within each class the contributions
+    /// with the most changes come first, so that counters in constant use don't wait for counters that were used once. The
+    /// oldest come first among equals.
     fn prioritized(&self) -> Vec<ContributionKey> {
-        let class = |key: &ContributionKey, pending: &PendingUpdate| match key.instance == self.local {
+        let priority_class = |key: &ContributionKey, pending: &PendingUpdate| match key.instance == self.local
+        {
             true => 0,
             false if pending.is_new => 1,
             false => 2,
@@ -287,7 +294,7 @@
             .iter()
             .map(|(key, pending)| {
                 let rarity = u32::MAX - pending.changes_since_sent;
-                (class(key, pending), rarity, pending.enqueued, key.clone())
+                (priority_class(key, pending), rarity, pending.enqueued, key.clone())
             })
             .collect();
         if ranked.len() > MAX_CONSIDERED_ENTRIES {
@@ -307,7 +314,7 @@
         }
     }
 
-    /// A contribution as it goes over the wire, unless its counter expires within a millisecond.
+    /// The wire format of a contribution, or `None` if its counter expires within a millisecond.
     fn entry(&self, now: Micros, key: &ContributionKey) -> Option<CounterEntry> {
         let contribution = self.counters.contribution(&key.counter, key.instance)?;
         let expires_in_ms = (self.counters.expires_in(now, &key.counter)? / MILLISECOND) as u32;
@@ -330,7 +337,7 @@
         entries.collect()
     }
 
-    /// The totals of the first counters by key, as many as fit into one message over a stream.
+    /// The totals of the counters, ordered by key, as many as fit into one stream message.
     pub fn totals(&self, now: Micros) -> Vec<CounterTotal> {
         let mut totals: Vec<CounterTotal> = Vec::new();
         for known in self.counters.entries(now) {
--- a/crates/membership/src/node/datagram_batch.rs
+++ b/crates/membership/src/node/datagram_batch.rs
@@ -1,18 +1,18 @@
-//! Division of counter entries into datagrams that stay below the packet size. It neither chooses nor sends them.
+//! Packing of counter entries into datagrams of limited size. This module neither chooses nor sends the entries.
 
 use crate::packet::{CounterEntry, MAX_DATAGRAM_BYTES};
 
-/// Bytes that the seal, the sender and the head of a packet take at the most; the rest is for what it carries.
+/// Maximum size of the seal, the sender and the packet header. The rest of a datagram is available for updates and entries.
 pub(super) const DATAGRAM_OVERHEAD_BYTES: usize = 220;
-/// Bytes that an entry takes beside its key, at the most.
+/// Maximum encoded size of an entry without its key.
 const ENTRY_OVERHEAD_BYTES: usize = 36;
 
-/// The batch has as many datagrams as it may have, and the last one is full.
+/// The batch has the maximum number of datagrams, and the last datagram is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("all datagrams of the batch are full")]
 pub(super) struct BatchFull;
 
-/// Entries for one receiver, by datagram.
+/// Entries for one receiver, grouped by datagram.
 #[derive(Clone, Default)]
 pub(super) struct DatagramBatch {
     datagrams: Vec<Vec<CounterEntry>>,
@@ -20,7 +20,7 @@
 }
 
 impl DatagramBatch {
-    /// Adds an entry to the last datagram, or to a further one while there are fewer than so many.
+    /// Adds an entry to the last datagram. If that is full, adds a datagram unless the batch has `max_datagrams` already.
     pub fn push(&mut self, entry: &CounterEntry, max_datagrams: usize) -> Result<(), BatchFull> {
         let size = entry.key.len() + ENTRY_OVERHEAD_BYTES;
         if size > self.free_bytes {
--- a/crates/membership/src/node/failure_detector.rs
+++ b/crates/membership/src/node/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector: direct and indirect probes, and suspicions that run out. It says which members are suspect or
-//! dead; how others learn of that is dissemination.
+//! SWIM's failure detector: direct and indirect probes, and suspicions that time out. It decides which members are suspect or
+//! dead; `member_updates` disseminates the decisions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,26 +15,27 @@
 use crate::packet::{MemberState, MemberUpdate, PacketBody};
 use crate::peer::Peer;
 
-/// How long an acknowledgement may take until other members are asked to ping.
+/// How long a node waits for an acknowledgement before it asks other members to ping.
 const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
-/// Members that are asked to ping one that did not acknowledge. All of their links must be bad to miss a live one.
+/// Number of members that are asked to ping a member that did not acknowledge. A live member is missed only if all of their
+/// links are faulty.
 const INDIRECT_PROBES: usize = 3;
-/// Suspects that are pinged in each period, in addition to the probed member.
+/// Number of suspects that are pinged in each period, in addition to the probed member.
 const SUSPECTS_PER_PERIOD: usize = 3;
-/// Members that are asked to ping each of those suspects.
+/// Number of members that are asked to ping each of those suspects.
 const INDIRECT_PROBES_OF_SUSPECT: usize = 2;
-/// Pings on behalf of others that are under way. Beyond, a ping request is ignored.
+/// Maximum number of pings in flight on behalf of other nodes. At the limit, ping requests are ignored.
 const MAX_FORWARDED_PINGS: usize = 256;
 
 struct Probe {
     instance: Instance,
     sequence_number: u64,
-    /// Whether others have been asked to ping it.
+    /// Whether other members have been asked to ping the probed member.
     indirect: bool,
     started_at: Micros,
 }
 
-/// A ping on behalf of another node, which is to get the acknowledgement.
+/// A ping on behalf of another node. The acknowledgement is forwarded to the requester.
 struct ForwardedPing {
     requester: SocketAddr,
     sequence_number: u64,
@@ -42,7 +43,7 @@
 }
 
 pub(super) struct FailureDetector {
-    /// Members that the present round still probes, the next one last. Each round has a random order.
+    /// Members that are still to be probed in the current round, in reverse order. Each round has a random order.
     probe_order: Vec<Instance>,
     probe: Option<Probe>,
     forwarded_pings: BTreeMap<u64, ForwardedPing>,
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Ends all probing: no time-out follows.
+    /// Stops all probing. Afterwards there is no deadline.
     pub fn stop(&mut self) {
         self.probe = None;
         self.next_period = Micros::MAX;
     }
 
-    /// When the node is to look at it next.
+    /// When the next timer of the failure detector expires.
     pub fn next_deadline(&self) -> Micros {
         let direct = self.probe.as_ref().filter(|probe| !probe.indirect);
         direct.map_or(self.next_period, |probe| self.next_period.min(probe.started_at + ACK_TIMEOUT))
@@ -78,7 +79,7 @@
         self.last_sequence_number
     }
 
-    /// Whether a period begins, and from then on the time of the next.
+    /// Starts a new period if the current one has ended, and returns whether it did.
     fn start_period(&mut self, now: Micros) -> bool {
         if now < self.next_period {
             return false;
@@ -87,8 +88,8 @@
         true
     }
 
-    /// The probed member that has not acknowledged in time, once for a probe, with the probe's sequence number.
-    fn take_late(&mut self, now: Micros) -> Option<(Instance, u64)> {
+    /// The probed member and the sequence number of the probe, if the acknowledgement is late. Each probe is returned once.
+    fn take_unacknowledged(&mut self, now: Micros) -> Option<(Instance, u64)> {
         let probe = self.probe.as_mut()?;
         if probe.indirect || now < probe.started_at + ACK_TIMEOUT {
             return None;
@@ -97,7 +98,7 @@
         Some((probe.instance, probe.sequence_number))
     }
 
-    /// The live member that comes next in the round; a new round begins where one has ended.
+    /// The next live member of the round. Starts a new round if the current one has ended.
     fn next_target<'a>(&mut self, members: &'a MemberTable, rng: &mut ChaCha8Rng) -> Option<&'a Member> {
         for _ in 0..=members.iter().count() {
             if self.probe_order.is_empty() {
@@ -113,14 +114,14 @@
         None
     }
 
-    /// Notes that a member is being probed, and returns the sequence number of the ping.
+    /// Records that a member is being probed, and returns the sequence number of the ping.
     fn start_probe(&mut self, now: Micros, instance: Instance) -> u64 {
         let sequence_number = self.next_sequence_number();
         self.probe = Some(Probe { instance, sequence_number, indirect: false, started_at: now });
         sequence_number
     }
 
-    /// Notes a ping on behalf of another node and returns its own sequence number, or nothing at the bound.
+    /// Records a ping on behalf of another node and returns the sequence number of the forwarded ping, or `None` at the limit.
     fn forward_ping(&mut self, now: Micros, requester: SocketAddr, sequence_number: u64) -> Option<u64> {
         if self.forwarded_pings.len() >= MAX_FORWARDED_PINGS {
             return None;
@@ -147,7 +148,9 @@
     }
 
     fn probe_indirectly(&mut self, now: Micros) {
-        let Some((instance, sequence_number)) = self.failure_detector.take_late(now) else { return };
+        let Some((instance, sequence_number)) = self.failure_detector.take_unacknowledged(now) else {
+            return;
+        };
         let Some(peer) = self.members.get(instance).map(|member| member.peer.clone()) else { return };
         self.request_pings(&peer, sequence_number, INDIRECT_PROBES);
     }
@@ -164,7 +167,7 @@
         sequence_number
     }
 
-    /// Suspects the member whose probe had no answer, and removes what has expired.
+    /// Suspects the member that did not acknowledge the probe, and removes expired state.
     fn end_period(&mut self, now: Micros) {
         if let Some(probe) = self.failure_detector.probe.take() {
             self.suspect(now, probe.instance);
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Members whose suspicion nobody refuted in time are dead.
+    /// Declares members dead whose suspicion was not refuted in time.
     fn declare_dead(&mut self, now: Micros) {
         let timeout = self.members.suspicion_timeout();
         let suspects = self.members.in_state(MemberState::Suspect);
@@ -202,10 +205,11 @@
         self.send(to, PacketBody::Ping(sequence_number));
     }
 
-    /// Pings some suspects, which thereby learn of the suspicion, and has others ping them.
+    /// Pings some suspects and asks other members to ping them. The pings tell the suspects about the suspicion.
     ///
-    /// Danger: a refutation travels by gossip alone, and where some of it is lost a member may miss it and take a live gateway
-    /// for dead. Other members are sampled each time, as in a divided fleet perhaps only one reaches both sides.
+    /// Refutations travel only by gossip. If datagrams are lost, a member may miss a refutation and declare a live gateway
+    /// dead. The members that are asked to ping are sampled in each period, since in a partitioned fleet perhaps only one
+    /// member reaches both sides.
     fn probe_suspects(&mut self) {
         let suspects: Vec<Peer> =
             self.members.in_state(MemberState::Suspect).map(|member| member.peer.clone()).collect();
@@ -238,13 +242,13 @@
         let Some(probe) = self.failure_detector.probe.take_if(acknowledged) else { return };
         let Some(member) = self.members.get(probe.instance) else { return };
         if member.peer.address == sender.address && member.peer.instance != sender.instance {
-            // Another process answers at its address, so the probed one has ended.
+            // Another process answers at the member's address, so the probed process has ended.
             let update = member.update_to(MemberState::Dead);
             self.apply_update(now, update);
         }
     }
 
-    /// Passes an acknowledgement on. It names the sender, for the requester must know which instance answered.
+    /// Forwards an acknowledgement. It includes the sender, since the requester must know which instance answered.
     fn forward_ack(&mut self, ping: ForwardedPing, sender: &Peer) {
         let incarnation = self.members.get(sender.instance).map_or(0, |member| member.incarnation);
         let alive = MemberUpdate { peer: sender.clone(), incarnation, state: MemberState::Alive };
--- a/crates/membership/src/node/member_updates.rs
+++ b/crates/membership/src/node/member_updates.rs
@@ -1,5 +1,5 @@
-//! Dissemination of membership: which claims about members are still to be sent, and how often. It ends with the choice of
-//! claims for one datagram; whether a claim is true, the member table decides.
+//! Dissemination of membership: the queue of membership updates and their remaining transmissions. It chooses the updates for
+//! each datagram. The member table decides which updates are valid.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,22 +9,22 @@
 use super::members::MemberTable;
 use crate::packet::MemberUpdate;
 
-/// Bytes that a claim takes beside the member's name, at the most.
+/// Maximum encoded size of an update without the member's name.
 const UPDATE_OVERHEAD_BYTES: usize = 48;
 
-/// Members whose state changed lately, with the transmissions that remain of each.
+/// Members whose state changed recently, with the remaining transmissions of each.
 #[derive(Default)]
 pub(super) struct MemberUpdateQueue {
     remaining: BTreeMap<Instance, u32>,
 }
 
 impl MemberUpdateQueue {
-    /// Sends the state of a member so many times from now on.
+    /// Schedules the given number of transmissions of a member's state.
     pub fn enqueue(&mut self, instance: Instance, transmissions: u32) {
         self.remaining.insert(instance, transmissions);
     }
 
-    /// The claims that fit into so many bytes, those that were sent least first; one transmission of each is used up.
+    /// Takes the updates that fit into `free_bytes`, the least often sent first, and uses up one transmission of each.
     pub fn take(&mut self, members: &MemberTable, mut free_bytes: usize) -> Vec<MemberUpdate> {
         let mut queued: Vec<(u32, Instance)> =
             self.remaining.iter().map(|(instance, remaining)| (*remaining, *instance)).collect();
--- a/crates/membership/src/node/members.rs
+++ b/crates/membership/src/node/members.rs
@@ -1,5 +1,5 @@
-//! The members that this node knows and the rule by which a newer claim about one replaces an older. It sends nothing:
-//! what follows from a change is the node's.
+//! The members that this node knows, and the rule by which a newer update about a member replaces an older one. The table
+//! sends nothing: `Node` reacts to the changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,33 +14,33 @@
 use crate::packet::{MemberState, MemberUpdate};
 use crate::peer::Peer;
 
-/// How long a member that is gone stays in the table: by then a partition has healed, or operators know of it.
+/// How long a dead member stays in the table. A partition has healed by then, or operators know about it.
 const DEAD_MEMBER_RETENTION: Micros = 600 * SECOND;
-/// Members in the table, dead ones included. At the bound no unknown member is added.
+/// Maximum number of members in the table, including dead ones. A full table accepts no unknown members.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// Another node, as this one knows it.
+/// What this node knows about another node.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who it is.
+    /// The member's identity.
     pub peer: Peer,
-    /// The highest incarnation that is known.
+    /// The highest known incarnation.
     pub incarnation: u32,
-    /// What it is taken for.
+    /// The member's state according to this node.
     pub state: MemberState,
-    /// When it came to that state, in microseconds of the caller's clock.
+    /// When the state last changed, in microseconds of the caller's clock.
     pub state_since: Micros,
-    /// When a message of its own last arrived, on the same clock.
+    /// When this node last received a message from the member, on the same clock.
     pub last_heard: Micros,
 }
 
 impl Member {
-    /// The claim about this member that gossip carries, with the state as it is here.
+    /// The update about this member that gossip sends, with the state that this node has recorded.
     pub(super) fn update(&self) -> MemberUpdate {
         self.update_to(self.state)
     }
 
-    /// A claim that this member, in its present incarnation, is in another state.
+    /// An update that moves this member, in its current incarnation, to another state.
     pub(super) fn update_to(&self, state: MemberState) -> MemberUpdate {
         MemberUpdate { peer: self.peer.clone(), incarnation: self.incarnation, state }
     }
@@ -76,9 +76,9 @@
     pub replaced: Vec<Member>,
 }
 
-/// What a claim about another member did to the table.
+/// The effect of an update on the table.
 pub(super) enum Applied {
-    /// It was no newer than what is known, or the table is full.
+    /// The update was not newer than the known state, or the table is full.
     Ignored,
     Changed(StateChange),
     Added(Addition),
@@ -122,7 +122,7 @@
         self.iter().filter(move |member| member.state == state)
     }
 
-    /// Addresses of live members, sampled without replacement, without the excluded instance.
+    /// Addresses of random live members, sampled without replacement. The excluded instance is never sampled.
     pub fn sample_live(
         &self,
         rng: &mut ChaCha8Rng,
@@ -152,16 +152,16 @@
         }
     }
 
-    /// Removes members that have been gone for long.
+    /// Removes members that have been dead or gone for `DEAD_MEMBER_RETENTION`.
     pub fn remove_expired(&mut self, now: Micros) {
         self.members
             .retain(|_, member| member.state.is_live() || now < member.state_since + DEAD_MEMBER_RETENTION);
     }
 
-    /// Applies a claim about another member if it is newer than what is known.
+    /// Applies an update about another member if it is newer than the known state.
     ///
-    /// The higher incarnation wins, and within one the worse state, since only the member itself raises its incarnation. A
-    /// member that left stays so.
+    /// The higher incarnation wins. Within one incarnation the worse state wins, since only the member itself raises its
+    /// incarnation. The state `Left` is final.
     pub fn apply(&mut self, now: Micros, update: MemberUpdate) -> Applied {
         let Some(known) = self.members.get_mut(&update.peer.instance) else {
             if !update.state.is_live() || self.members.len() >= MAX_MEMBERS {
@@ -190,7 +190,7 @@
     fn add(&mut self, now: Micros, update: MemberUpdate) -> Addition {
         let MemberUpdate { peer, incarnation, state } = update;
         let addition = Addition {
-            duplicate_name: self.other_of_name(&peer).cloned(),
+            duplicate_name: self.find_duplicate_name(&peer).cloned(),
             replaced: self.live().filter(|member| member.peer.address == peer.address).cloned().collect(),
             peer: peer.clone(),
         };
@@ -200,8 +200,8 @@
         addition
     }
 
-    /// A live node that has this one's name and another address.
-    fn other_of_name(&self, peer: &Peer) -> Option<&Peer> {
+    /// Finds a live node that has the peer's name and another address.
+    fn find_duplicate_name(&self, peer: &Peer) -> Option<&Peer> {
         let nodes = self.live().map(|member| &member.peer).chain(std::iter::once(&self.local));
         nodes.into_iter().find(|node| node.name == peer.name && node.address != peer.address)
     }
--- a/crates/membership/src/node/payloads.rs
+++ b/crates/membership/src/node/payloads.rs
@@ -1,5 +1,5 @@
-//! Payloads that other subsystems send by the membership layer: the choice of receiver and carrier. It keeps nothing of
-//! them, and neither repeats nor orders them.
+//! Payloads that other subsystems send over the membership layer. This module chooses the receiver, and a datagram or a
+//! stream. It stores no payloads, and neither retransmits nor orders them.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 use crate::peer::Peer;
 
 impl Node {
-    /// Sends to the live gateway of this name: if several have it, to the one that last sent a message.
+    /// Sends a payload to the live gateway with this name. If several gateways have the name, the receiver is the one from which
+    /// this node last received a message.
     ///
     /// # Errors
     /// No live gateway has the name, the body is longer than its channel allows, or this node has left.
@@ -22,10 +23,10 @@
         self.send_payload(to, channel, body)
     }
 
-    /// Sends to one process of a gateway and no other.
+    /// Sends a payload to one process of a gateway.
     ///
     /// # Errors
-    /// The process is no live member, the body is longer than its channel allows, or this node has left.
+    /// The process is not a live member, the body is longer than its channel allows, or this node has left.
     pub fn send_to_instance(
         &mut self,
         instance: Instance,
@@ -58,7 +59,7 @@
         Ok(())
     }
 
-    /// A payload has arrived over a stream, from a sender that was authenticated.
+    /// Handles a payload that arrived over a stream. The caller has authenticated the sender.
     pub fn handle_payload(&mut self, now: Micros, sender: Peer, payload: Payload) {
         if !self.accepts(&sender) {
             return;
@@ -67,7 +68,7 @@
         self.receive_payload(sender, payload);
     }
 
-    /// Hands a payload to the caller, unless it is longer than its channel allows.
+    /// Passes a payload to the caller. Drops it if it is longer than its channel allows.
     pub(super) fn receive_payload(&mut self, sender: Peer, payload: Payload) {
         let Payload { channel, body } = payload;
         if body.len() <= channel.max_bytes() {
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -1,5 +1,5 @@
-//! Messages that the membership layer carries for other subsystems, to one gateway at a time. They are neither repeated nor
-//! put in order: the subsystem must tolerate loss, duplication and reordering.
+//! Messages that other subsystems send over the membership layer, each to one gateway. The membership layer neither
+//! retransmits nor orders them, so a subsystem must tolerate loss, duplication and reordering.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,10 +19,10 @@
 }
 
 impl Channel {
-    /// The size limit of one payload in bytes, so that no channel takes the memory or the time of the others.
+    /// The maximum size of a payload in bytes, so that no channel exhausts the memory or the time of the others.
     ///
-    /// A lease payload may hold all promises of an acceptor with their names, one of the endpoint list a fragment, and the
-    /// others as many reports as fit into a datagram, with a margin.
+    /// A lease payload may contain all promises of an acceptor with their names. An endpoint list payload contains a
+    /// fragment of the list. The others contain as many reports as fit into a datagram. All limits include a margin.
     pub fn max_bytes(self) -> usize {
         match self {
             Channel::Lease => 512 * 1024,
@@ -32,40 +32,40 @@
     }
 }
 
-/// Bytes of a payload that still goes by datagram, beside the seal, the sender and claims about members. Longer ones go over
-/// a stream.
+/// Maximum size of a payload that is sent as a datagram, which also contains the seal and the sender. Longer payloads are
+/// sent over a stream.
 pub const MAX_DATAGRAM_PAYLOAD: usize = 900;
 
 /// A message of another subsystem.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payload {
-    /// The subsystem that reads it.
+    /// The subsystem that interprets the payload.
     pub channel: Channel,
     /// Bytes that only that subsystem interprets, at most `Channel::max_bytes`.
     pub body: Vec<u8>,
 }
 
-/// A payload that has arrived.
+/// A payload that was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPayload {
     /// The authenticated sender.
     pub sender: Peer,
-    /// The subsystem that reads it.
+    /// The subsystem that interprets the payload.
     pub channel: Channel,
     /// Bytes that only that subsystem interprets.
     pub body: Vec<u8>,
 }
 
-/// Why a payload was not sent.
+/// The reason why a payload was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No live member has the name or the instance.
-    #[error("no such gateway is known, or it is taken for gone")]
+    /// No live member has this name or instance.
+    #[error("no live gateway has this name or instance")]
     UnknownGateway,
     /// The body is longer than `Channel::max_bytes`.
-    #[error("it is longer than its kind may be")]
+    #[error("the payload is longer than its channel allows")]
     TooLong,
-    /// The node has left and sends nothing any more.
+    /// The node has left the membership and sends no messages.
     #[error("this gateway has left the mesh")]
     NodeLeft,
 }
--- a/crates/membership/src/recent_changes.rs
+++ b/crates/membership/src/recent_changes.rs
@@ -1,5 +1,5 @@
-//! Which contributions changed lately, and when: what is sent again where a transmission may have been lost. It holds no
-//! values and sends nothing.
+//! The contributions that changed recently and the times of their changes, so that they can be resent if a transmission may
+//! have been lost. This module stores no values and sends nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 use fernscale_shared_counter::pn_counter::Instance;
 use fernscale_shared_counter::{Micros, SECOND};
 
-/// A contribution that has not changed for so long is sent once more: the datagrams of both transmissions may have been lost
-/// in one burst. One that keeps changing is sent with each change anyway.
+/// A contribution that has not changed for this time is sent once more, since the datagrams of both transmissions may have been
+/// lost in one burst. A contribution that keeps changing is sent with each change anyway.
 const QUIET_AFTER: Micros = SECOND;
-/// How long a change is retained: longer than an unreachable member stays suspect. A member that was dead exchanges its
+/// How long a change is retained. It is longer than an unreachable member stays suspect; a member that was dead exchanges its
 /// complete state when it returns.
 const RETENTION: Micros = 15 * SECOND;
-/// Contributions that are retained. At the bound the oldest is removed.
+/// Maximum number of retained contributions. At the limit the oldest is removed.
 const MAX_CONTRIBUTIONS: usize = 32_768;
 
-/// What one instance has added to one counter.
+/// Identifies the contribution of one instance to one counter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ContributionKey {
     pub counter: Arc<str>,
@@ -28,27 +28,27 @@
 pub struct RecentChanges {
     changed_at: BTreeMap<ContributionKey, Micros>,
     by_time: BTreeSet<(Micros, ContributionKey)>,
-    /// Those that have not been sent again since they stopped changing.
-    unrepeated: BTreeSet<(Micros, ContributionKey)>,
+    /// The contributions that have not been resent since their last change.
+    not_resent: BTreeSet<(Micros, ContributionKey)>,
 }
 
 impl RecentChanges {
-    /// A contribution changes now, and is being sent.
+    /// Records that a contribution changes now and is queued for transmission.
     pub fn record(&mut self, now: Micros, key: ContributionKey) {
         self.remove(&key);
         self.changed_at.insert(key.clone(), now);
         self.by_time.insert((now, key.clone()));
-        self.unrepeated.insert((now, key));
+        self.not_resent.insert((now, key));
         if self.changed_at.len() > MAX_CONTRIBUTIONS {
             self.remove_oldest();
         }
     }
 
-    /// The contributions that are to be sent again as they stopped changing; each once after a change.
+    /// Takes the contributions that have stopped changing and must be resent. Each is returned once after its last change.
     pub fn take_quiet(&mut self, now: Micros) -> Vec<ContributionKey> {
         let mut quiet = Vec::new();
-        while self.unrepeated.first().is_some_and(|(changed, _)| changed + QUIET_AFTER <= now) {
-            quiet.extend(self.unrepeated.pop_first().map(|(_, key)| key));
+        while self.not_resent.first().is_some_and(|(changed, _)| changed + QUIET_AFTER <= now) {
+            quiet.extend(self.not_resent.pop_first().map(|(_, key)| key));
         }
         quiet
     }
@@ -60,7 +60,7 @@
         self.by_time.range(earliest..).map(|(_, key)| key)
     }
 
-    /// Removes what changed too long ago.
+    /// Removes the contributions whose last change is older than `RETENTION`.
     pub fn remove_expired(&mut self, now: Micros) {
         while self.by_time.first().is_some_and(|(changed, _)| changed + RETENTION <= now) {
             self.remove_oldest();
@@ -77,7 +77,7 @@
         if let Some(changed) = self.changed_at.remove(key) {
             let entry = (changed, key.clone());
             self.by_time.remove(&entry);
-            self.unrepeated.remove(&entry);
+            self.not_resent.remove(&entry);
         }
     }
 }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -1,9 +1,10 @@
-//! Authentication of messages by a shared key, with protection against replay. Contents are not encrypted: counters and
-//! addresses are readable on the way.
+//! Authentication of messages by a shared key, with replay protection. Contents are not encrypted: an observer on the network
+//! can read counters and addresses.
 //!
-//! A sealed message is one byte of version, four of the key's id, eight of the sender's instance, eight of its sequence
-//! number, eight of its time in Unix microseconds, the content by `postcard`, and 16 bytes of SipHash-2-4 (Aumasson,
-//! Bernstein, 2012; 128 bits) over all before it. Numbers are big-endian.
+//! A sealed message consists of the version (one byte), the key id (four bytes), the sender's instance (eight bytes), the
+//! sender's sequence number (eight bytes), the sender's time in Unix microseconds (eight bytes), the content as encoded by
+//! `postcard`, and a tag (16 bytes). The tag is the 128-bit SipHash-2-4 (Aumasson, Bernstein, 2012) of all preceding bytes.
+//! Numbers are big-endian.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -17,27 +18,27 @@
 const VERSION: u8 = 1;
 const HEADER_BYTES: usize = 1 + 4 + 8 + 8 + 8;
 const TAG_BYTES: usize = 16;
-/// How far a message's time may be from the receiver's. Gateways' clocks differ by some tenths of a second; beyond this a
-/// recorded message can't be replayed to a node that has started since.
+/// Maximum difference between a message's time and the receiver's. Gateways' clocks differ by some tenths of a second. The
+/// limit rejects old recorded messages that are replayed to a node that started after they were sent.
 const MAX_TIME_DIFFERENCE: Micros = 10 * SECOND;
-/// Sequence numbers below the highest one that are still told apart, as packets may be reordered.
+/// Number of sequence numbers up to the highest that are tracked individually, since packets may be reordered.
 const REPLAY_WINDOW: u64 = 64;
-/// Senders whose sequence numbers are kept. Only holders of a key get into the table.
+/// Maximum number of senders whose sequence numbers are tracked. Only senders with a valid key are added to the table.
 const MAX_SENDERS: usize = 8_192;
 
-/// A secret of 128 bits that all gateways of an installation share.
+/// A 128-bit secret that all gateways of an installation share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; 16]);
 
 impl std::fmt::Debug for Key {
     fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
-        // A secret must not get into a log.
+        // The secret must not appear in logs.
         write!(to, "Key({:08x})", self.id())
     }
 }
 
 impl Key {
-    /// Reads a key from 32 hexadecimal digits; nothing if the text is anything else.
+    /// Parses a key from 32 hexadecimal digits. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Key> {
         if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
@@ -52,14 +53,14 @@
         hasher.finish128().as_bytes()
     }
 
-    /// Names the key in a message, and reveals nothing of it.
+    /// The id of the key in a message. It does not reveal the key.
     fn id(&self) -> u32 {
         let tag = self.tag(b"which key is this");
         u32::from_be_bytes([tag[0], tag[1], tag[2], tag[3]])
     }
 
     fn verify(&self, bytes: &[u8], tag: &[u8]) -> Result<(), OpenError> {
-        // All bytes are compared whichever differs, so that the time taken does not reveal where.
+        // The comparison covers all bytes, so that its duration does not reveal the position of the first difference.
         let difference = self.tag(bytes).iter().zip(tag).fold(0, |bits, (own, other)| bits | (own ^ other));
         if difference == 0 {
             Ok(())
@@ -69,36 +70,36 @@
     }
 }
 
-/// Why a sealed message was rejected.
+/// The reason why a sealed message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// It has fewer bytes than a header and a tag.
-    #[error("it is too short to be a packet")]
+    /// The message has fewer bytes than a header and a tag.
+    #[error("the message is too short")]
     TooShort,
-    /// It has another version of the format.
-    #[error("it has another version")]
+    /// The message has an unknown format version.
+    #[error("the message has an unknown format version")]
     UnknownVersion,
-    /// Its key is not in the ring.
-    #[error("it is sealed with a key that is not in the ring")]
+    /// The message is sealed with a key that is not configured.
+    #[error("the message is sealed with a key that is not configured")]
     UnknownKey,
-    /// Its tag does not belong to its bytes and the key.
-    #[error("its seal is wrong")]
+    /// The tag does not match the message and the key.
+    #[error("the tag of the message is not valid")]
     InvalidTag,
-    /// Its time is further from the receiver's than clocks differ.
-    #[error("its time is too far off")]
+    /// The message's time differs too much from the receiver's.
+    #[error("the time of the message differs too much from the local time")]
     TimeOutOfRange,
-    /// Its sequence number was received before, or is too old to tell.
-    #[error("it has come before")]
+    /// The sequence number was received before, or is below the replay window.
+    #[error("the message was received before")]
     Replayed,
-    /// It is from a new sender, and the table of senders is full.
-    #[error("there are too many senders")]
+    /// The sender is new, and the table of senders is full.
+    #[error("the table of senders is full")]
     TooManySenders,
-    /// It is authentic, but its content is of another type.
-    #[error("its content can't be read")]
+    /// The message is authentic, but its content cannot be decoded.
+    #[error("the content of the message cannot be decoded")]
     MalformedContent,
 }
 
-/// What a sealed message says before its content.
+/// The header of a sealed message.
 struct Header {
     key_id: u32,
     sender: Instance,
@@ -131,17 +132,17 @@
     }
 }
 
-/// The sequence numbers that one sender has used: the highest, and which of those just below it.
+/// The sequence numbers received from one sender: the highest, and a bitmap of the numbers just below.
 #[derive(Clone, Copy, Debug)]
 struct SenderHistory {
     highest: u64,
-    /// Bit n stands for the number that is n below the highest.
+    /// Bit n is set if `highest - n` was received.
     seen: u64,
     last_heard: Micros,
 }
 
 impl SenderHistory {
-    /// Accepts each number once.
+    /// Accepts each sequence number once.
     fn accept(&mut self, number: u64) -> Result<(), OpenError> {
         if number > self.highest {
             let shift = number - self.highest;
@@ -159,11 +160,12 @@
     }
 }
 
-/// Seals the messages of one node and opens those that it receives.
+/// Seals the messages of one node, and opens the messages that the node receives.
 #[derive(Debug)]
 pub struct Sealer {
-    /// The first one seals, each of them opens. A key is replaced in three steps, each on every gateway before the next: the
-    /// new one is appended, it is put first, the old one is removed. So every gateway can open what another seals.
+    /// The first key seals messages, and every key opens them. A key is replaced in three steps: the new key is appended, it is
+    /// moved to the front, and the old key is removed. Each step is completed on all gateways before the next step begins,
+    /// so that every gateway can open the messages of every other.
     keys: Vec<Key>,
     instance: Instance,
     last_sequence_number: u64,
@@ -171,7 +173,7 @@
 }
 
 impl Sealer {
-    /// A sealer for the node of this instance, or nothing without a key.
+    /// Creates a sealer for the node with this instance, or returns `None` if there is no key.
     pub fn new(keys: Vec<Key>, instance: Instance) -> Option<Self> {
         if keys.is_empty() {
             return None;
@@ -179,14 +181,14 @@
         Some(Sealer { keys, instance, last_sequence_number: 0, senders: BTreeMap::new() })
     }
 
-    /// Replaces the ring of keys, unless the new one is empty. Sequence numbers of senders are retained.
+    /// Replaces the keys, unless the new list is empty. Sequence numbers of senders are retained.
     pub fn set_keys(&mut self, keys: Vec<Key>) {
         if !keys.is_empty() {
             self.keys = keys;
         }
     }
 
-    /// Seals a message with the first key. The time is the sender's, in Unix microseconds.
+    /// Seals a message with the first key. `unix_time` is the sender's time in Unix microseconds.
     pub fn seal(&mut self, unix_time: Micros, content: &impl Serialize) -> Vec<u8> {
         self.last_sequence_number += 1;
         let key = &self.keys[0];
@@ -196,17 +198,17 @@
             sequence_number: self.last_sequence_number,
             unix_time,
         };
-        // The content is plain data without maps or borrowed parts, whose encoding can't fail.
+        // Encoding cannot fail, since the content is plain data without maps or borrowed parts.
         let mut bytes = postcard::to_extend(content, header.encode()).unwrap_or_default();
         let tag = key.tag(&bytes);
         bytes.extend(tag);
         bytes
     }
 
-    /// Opens a sealed message and returns its sender and content. The time is the receiver's, in Unix microseconds.
+    /// Opens a sealed message and returns its sender and content. `unix_time` is the receiver's time in Unix microseconds.
     ///
     /// # Errors
-    /// See [`OpenError`]. Only a message that passes authentication changes what is known of its sender.
+    /// See [`OpenError`]. Only an authentic message changes the history of its sender.
     pub fn open<T: DeserializeOwned>(
         &mut self,
         unix_time: Micros,
@@ -228,20 +230,20 @@
         Ok((header.sender, content))
     }
 
-    /// The history of a sender whose message arrives now.
+    /// Returns the history of a sender from which a message arrives now.
     fn history_of(&mut self, sender: Instance, now: Micros) -> Result<&mut SenderHistory, OpenError> {
         if !self.senders.contains_key(&sender) {
-            self.make_room(now)?;
+            self.remove_silent_senders(now)?;
         }
-        let unheard = SenderHistory { highest: 0, seen: 0, last_heard: now };
-        let history = self.senders.entry(sender).or_insert(unheard);
+        let new_history = SenderHistory { highest: 0, seen: 0, last_heard: now };
+        let history = self.senders.entry(sender).or_insert(new_history);
         history.last_heard = now;
         Ok(history)
     }
 
-    /// Makes room for a sender in the table. One that was silent for long can be removed: its old messages are rejected by
-    /// their time.
-    fn make_room(&mut self, now: Micros) -> Result<(), OpenError> {
+    /// Ensures that the table has room for another sender. Senders that have been silent for a long time can be removed, since
+    /// their old messages are rejected by their time.
+    fn remove_silent_senders(&mut self, now: Micros) -> Result<(), OpenError> {
         if self.senders.len() >= MAX_SENDERS {
             self.senders.retain(|_, history| history.last_heard + 2 * MAX_TIME_DIFFERENCE >= now);
         }
--- a/crates/membership/tests/recorded_run.rs
+++ b/crates/membership/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! A run of seven nodes in virtual time whose every output is part of a recorded hash: the order of draws from the seeded
-//! generator, of outputs and of the bytes on the wire is behaviour that a change of the code's shape must keep.
+//! Runs of seven nodes in virtual time, compared with recorded hashes over every output. A refactoring must keep the order of
+//! random draws, the order of outputs and the bytes on the wire.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     }
 
     fn write_value(&mut self, value: &impl serde::Serialize) {
-        self.write(&postcard::to_stdvec(value).expect("plain data is encoded"));
+        self.write(&postcard::to_stdvec(value).expect("plain data can be encoded"));
     }
 }
 
@@ -69,7 +69,7 @@
     }
 
     fn start(&mut self, number: u16, instance: u64) {
-        // Two of the nodes go by one name.
+        // Two of the nodes have the same name.
         let name = format!("gateway-{}", number.min(NODES - 2));
         let local = Peer { name, instance: Instance(instance), address: address(number) };
         let config = Config { local, seeds: vec![address(0), address(1)] };
@@ -82,26 +82,26 @@
         self.deliveries.insert((at, self.scheduled), delivery);
     }
 
-    fn is_cut(&self, one: SocketAddr, other: SocketAddr) -> bool {
+    fn is_partitioned(&self, one: SocketAddr, other: SocketAddr) -> bool {
         self.partitioned.contains(&one) != self.partitioned.contains(&other)
     }
 
-    fn carry_out_outputs(&mut self) {
+    fn execute_outputs(&mut self) {
         let addresses: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         for from in addresses {
             while let Some(output) = self.nodes.get_mut(&from).and_then(Node::poll_output) {
                 self.outputs += 1;
                 self.hash.write_value(&(self.now, from));
-                self.carry_out(from, output);
+                self.execute(from, output);
             }
         }
     }
 
-    fn carry_out(&mut self, from: SocketAddr, output: Output) {
+    fn execute(&mut self, from: SocketAddr, output: Output) {
         match output {
             Output::SendDatagram { to, packet } => {
                 self.hash.write_value(&(0u8, to, &packet));
-                if !self.rng.gen_bool(0.15) && !self.is_cut(from, to) {
+                if !self.rng.gen_bool(0.15) && !self.is_partitioned(from, to) {
                     self.schedule(Delivery::Datagram { from, to, packet });
                 }
             }
@@ -139,14 +139,17 @@
                 }
             }
             Delivery::Exchange { from, to } => {
-                if self.is_cut(from, to) || !self.nodes.contains_key(&from) || !self.nodes.contains_key(&to) {
+                if self.is_partitioned(from, to)
+                    || !self.nodes.contains_key(&from)
+                    || !self.nodes.contains_key(&to)
+                {
                     return;
                 }
                 let from_state = self.nodes[&from].full_state(self.now);
                 let to_state = self.nodes[&to].full_state(self.now);
                 self.hash.write_value(&(&from_state, &to_state));
-                self.nodes.get_mut(&to).expect("it runs").handle_full_state(self.now, from_state);
-                self.nodes.get_mut(&from).expect("it runs").handle_full_state(self.now, to_state);
+                self.nodes.get_mut(&to).expect("the node is running").handle_full_state(self.now, from_state);
+                self.nodes.get_mut(&from).expect("the node is running").handle_full_state(self.now, to_state);
             }
             Delivery::Stream { sender, to, payload } => {
                 if let Some(node) = self.nodes.get_mut(&to) {
@@ -156,28 +159,28 @@
         }
     }
 
-    /// Runs until a time, with some additions to counters and some payloads on the way.
+    /// Runs until a time, with random additions to counters and random payloads.
     fn run_until(&mut self, end: Micros) {
         while self.now < end {
             let next_timeout = self.nodes.values().map(Node::next_deadline).min().unwrap_or(end);
             let next_delivery = self.deliveries.keys().next().map_or(end, |(at, _)| *at);
             self.now = next_timeout.min(next_delivery).clamp(self.now, end);
             while self.deliveries.keys().next().is_some_and(|(at, _)| *at <= self.now) {
-                let (_, delivery) = self.deliveries.pop_first().expect("one is there");
+                let (_, delivery) = self.deliveries.pop_first().expect("a delivery is due");
                 self.deliver(delivery);
-                self.carry_out_outputs();
+                self.execute_outputs();
             }
             for node in self.nodes.values_mut() {
                 if node.next_deadline() <= self.now {
                     node.handle_timeout(self.now);
                 }
             }
-            self.use_some_node();
-            self.carry_out_outputs();
+            self.call_random_node();
+            self.execute_outputs();
         }
     }
 
-    fn use_some_node(&mut self) {
+    fn call_random_node(&mut self) {
         let number = self.rng.gen_range(0..NODES);
         let key = format!("tenant-{}", self.rng.gen_range(0..40));
         let amount = f64::from(self.rng.gen_range(-5..20)) / 4.0;
@@ -192,19 +195,19 @@
         }
     }
 
-    fn end(mut self) -> u64 {
+    fn finish(mut self) -> u64 {
         for node in self.nodes.values() {
             self.hash.write_value(&node.full_state(self.now));
             self.hash.write_value(&node.counter_totals(self.now));
         }
-        assert!(self.outputs > 10_000, "the run must say something: {} outputs", self.outputs);
+        assert!(self.outputs > 10_000, "the run has only {} outputs", self.outputs);
         self.hash.0
     }
 }
 
 #[test]
 fn every_output_of_a_run_with_loss_partition_crash_restart_and_leave_stays_as_recorded() {
-    let mut found = Vec::new();
+    let mut hashes = Vec::new();
     for (seed, _) in RECORDED_HASHES {
         let mut run = Run::new(seed);
         run.run_until(8 * SECOND);
@@ -219,11 +222,11 @@
         if let Some(node) = run.nodes.get_mut(&address(2)) {
             node.leave(run.now);
         }
-        run.carry_out_outputs();
+        run.execute_outputs();
         run.run_until(32 * SECOND);
         run.nodes.remove(&address(2));
         run.run_until(50 * SECOND);
-        found.push((seed, run.end()));
+        hashes.push((seed, run.finish()));
     }
-    assert_eq!(found, RECORDED_HASHES);
+    assert_eq!(hashes, RECORDED_HASHES);
 }
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,5 +1,5 @@
-//! The outlier detector of one gateway: what it observed, what it reports, how it judges the reports of all, and which servers
-//! it ejects. It neither sends messages nor chooses servers for requests.
+//! The outlier detector of one gateway. It records observations, reports them, evaluates the reports of all gateways and ejects
+//! servers. It neither sends messages nor chooses servers for requests.
 
 mod ejections;
 mod reporting;
@@ -23,67 +23,68 @@
     full_sync_interval: 20 * SECOND,
     reports_per_message: 10,
     messages_per_peer: 2,
-    // Some ten for each server of a large list that is reported at all.
+    // About ten reports for each server of a large list that is reported.
     max_reports: 16_384,
     retention: 30 * SECOND,
 };
-/// A server is not ejected so soon after the first report against it, so that gateways that observe otherwise report first.
+/// Minimum time from the first report against a server to its ejection, so that gateways with contrary observations can report
+/// them.
 const OBJECTION_TIME: Micros = 500 * MILLISECOND;
-/// Reports on a server that arrived until so long after its ejection may rest on what was observed before.
+/// Reports that arrive within this time after a server's ejection may be based on observations from before the ejection.
 const DRAIN_TIME: Micros = SECOND;
-/// Without any report an ejected server is used again after so long, as nobody can try it.
+/// An ejected server without any reports is used again after this time, since apparently no gateway can try it.
 const SILENCE_LIMIT: Micros = 15 * SECOND;
-/// Servers that are observed.
+/// Maximum number of observed servers.
 const MAX_OBSERVED_SERVERS: usize = 16_384;
 
-/// The server and the instance that reports on it.
+/// The name of the server and the reporting instance.
 type ReportKey = (String, u64);
 
 /// A server of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name in the list.
+    /// The server's name in the list.
     pub name: String,
-    /// Its capacity relative to other servers.
+    /// The server's capacity relative to other servers.
     pub weight: f64,
-    /// The name of its zone; empty if unknown.
+    /// The name of the server's zone; empty if unknown.
     pub zone: String,
-    /// When it started, in microseconds of the shared clock, as far as the list says; 0 where that is long past.
+    /// When the server started according to the list, in microseconds of the shared clock; 0 if that is long past.
     pub started: u64,
 }
 
-/// This gateway.
+/// The identity of this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalGateway {
-    /// Its configured name.
+    /// The gateway's configured name.
     pub name: String,
-    /// Its process.
+    /// The gateway's process.
     pub instance: u64,
-    /// The name of its zone; empty if unknown.
+    /// The name of the gateway's zone; empty if unknown.
     pub zone: String,
 }
 
-/// How an attempt at a server ended.
+/// The outcome of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Answered after so long.
+    /// Answered with this latency.
     Answered(Micros),
-    /// Answered with so much data that the latency says nothing.
+    /// Answered with so much data that the latency is not meaningful.
     Forwarded,
-    /// Lost or failed. Not one that the server rejected: where all are overloaded, none is an outlier.
+    /// Lost or failed. Attempts that the server rejected do not count: if all servers are overloaded, none is an outlier.
     Failed,
 }
 
-/// A server is to be ejected or used again.
+/// A change that the caller must apply: a server is ejected or used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EjectionChange {
-    /// Its name in the list.
+    /// The server's name in the list.
     pub server: String,
-    /// Whether no attempt is to go there.
+    /// Whether the server must not receive attempts.
     pub ejected: bool,
 }
 
-/// Which reports an assessment rests on.
+/// The gateways whose reports an assessment uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reporters {
     All,
@@ -97,16 +98,16 @@
     last_version: u32,
     usual_latencies: UsualLatencies,
     observed: BTreeMap<String, ObservedServer>,
-    /// When each report was received first.
+    /// When the current version of each report was received.
     received_at: BTreeMap<ReportKey, Micros>,
-    /// Since when there are reports against a server.
+    /// When the first report against each suspected server arrived.
     suspected_since: BTreeMap<String, Micros>,
     ejections: Ejections,
     /// The number of the interval in which this gateway last tried an ejected server.
     last_trials: BTreeMap<String, u64>,
     /// Ejected servers that this gateway may try now.
     trial_permits: BTreeSet<String>,
-    /// Ejected servers without those that may be tried, as the caller knows them.
+    /// Ejected servers without those that may be tried, as last returned to the caller.
     reported_ejections: BTreeSet<String>,
     servers: Vec<Server>,
     zones: BTreeMap<u64, String>,
@@ -116,7 +117,7 @@
 }
 
 impl OutlierDetector {
-    /// A detector that has observed nothing. The seed determines when and to whom gossip goes.
+    /// Creates a detector without observations. The seed determines the times and the receivers of gossip.
     pub fn new(local: LocalGateway, seed: u64, now: Micros) -> Self {
         OutlierDetector {
             gossip: Gossip::new(local.instance, GOSSIP, seed, now),
@@ -137,8 +138,8 @@
         }
     }
 
-    /// An attempt at a server has ended. One whose end says nothing of the server, such as a cancelled one, is not reported
-    /// here. Request classes are numbered from 0, each with its own usual latency.
+    /// Records the result of an attempt at a server. The caller does not record attempts whose result is not caused by the
+    /// server, such as cancelled ones. Request classes are numbered from 0, and each has its own usual latency.
     pub fn attempt_completed(
         &mut self,
         now: Micros,
@@ -159,25 +160,26 @@
         let is_trial = self.ejections.contains(server) && self.last_trials.contains_key(server);
         let observed = self.observed.entry(server.into()).or_default();
         if is_trial {
-            // What a trial shows replaces what was observed before the ejection.
+            // The result of a trial replaces the observations from before the ejection.
             observed.observation = Observation::default();
             observed.last_report = None;
         }
         observed.observation.record(now, end);
-        self.report_observation(now, server, self.dissents_for(now, server));
+        self.report_observation(now, server, self.represented_dissenters(now, server));
     }
 
-    /// An attempt goes to a server. Returns whether it used up this gateway's permit to try an ejected one.
-    pub fn use_trial_permit(&mut self, shared: Micros, server: &str) -> bool {
-        let was_permitted = self.trial_permits.remove(server);
-        if was_permitted {
-            self.last_trials.insert(server.into(), Interval::at(shared).number);
+    /// Records that an attempt is forwarded to a server. If this gateway has a trial permit for the server, uses up the permit
+    /// and returns true.
+    pub fn use_trial_permit(&mut self, shared_time: Micros, server: &str) -> bool {
+        let had_permit = self.trial_permits.remove(server);
+        if had_permit {
+            self.last_trials.insert(server.into(), Interval::at(shared_time).number);
             self.reported_ejections.insert(server.into());
         }
-        was_permitted
+        had_permit
     }
 
-    /// A message has arrived from the gateway of a name. `observers` is the mean number of gateways that use a server.
+    /// Handles a message from the gateway with the name `from`. `observers` is the mean number of gateways that use a server.
     pub fn handle_message(&mut self, now: Micros, from: &str, message: Message, observers: f64) {
         let new = self.gossip.handle_message(now, from, message);
         self.observers = observers.max(1.0);
@@ -189,23 +191,24 @@
         }
     }
 
-    /// When `handle_timeout` is to be called next.
+    /// When the caller must call `handle_timeout` next.
     pub fn next_deadline(&self) -> Micros {
         self.gossip.next_deadline()
     }
 
-    /// The next message that is to be sent, with the name of the gateway that it goes to.
+    /// The next message to send, with the name of the receiving gateway.
     pub fn poll_message(&mut self) -> Option<(String, Message)> {
         self.gossip.poll_message()
     }
 
-    /// Assesses all servers of the list, and returns what is to change.
+    /// Assesses all servers of the list, and returns the changes that the caller must apply.
     ///
-    /// `shared` is the time of the clock that all gateways share, `live` are the other gateways that are live members.
+    /// `shared_time` is the time of the clock that all gateways share. `live` contains the other gateways that are live
+    /// members.
     pub fn handle_timeout(
         &mut self,
         now: Micros,
-        shared: Micros,
+        shared_time: Micros,
         live: &[LivePeer],
         servers: Vec<Server>,
     ) -> Vec<EjectionChange> {
@@ -214,7 +217,7 @@
         self.set_servers(now, servers);
         self.zones = self.gossip.reports().map(|report| (report.instance, report.zone.clone())).collect();
         self.update_ejections(now);
-        self.update_trial_permits(now, shared);
+        self.update_trial_permits(now, shared_time);
         let ejected: BTreeSet<String> =
             self.ejected().filter(|name| !self.trial_permits.contains(*name)).map(String::from).collect();
         let changed = ejected.symmetric_difference(&self.reported_ejections);
@@ -225,7 +228,7 @@
         changes
     }
 
-    /// Servers that are ejected, in the order of their names.
+    /// The ejected servers, ordered by name.
     pub fn ejected(&self) -> impl Iterator<Item = &str> {
         self.ejections.names()
     }
@@ -234,7 +237,7 @@
         for server in &servers {
             let observed = self.observed.entry(server.name.clone()).or_default();
             if observed.started_at != server.started {
-                // It has started again, so that nothing known before holds.
+                // The server has restarted, so earlier observations are no longer valid.
                 *observed = ObservedServer { started_at: server.started, ..ObservedServer::default() };
                 self.ejections.forget(&server.name);
             }
@@ -245,7 +248,7 @@
         self.ejections.retain_listed(now, &listed);
     }
 
-    /// The evidence on each server by the reports that count: of live instances, about servers since their last start.
+    /// The evidence on each server, from the reports of live instances on servers since their last start.
     fn evidence(&self, now: Micros, reporters: Reporters) -> BTreeMap<String, Evidence> {
         let live: BTreeSet<u64> =
             self.live.iter().map(|peer| peer.instance).chain([self.local.instance]).collect();
@@ -262,14 +265,14 @@
         evidence.map(|(server, evidence)| (server.to_string(), evidence)).collect()
     }
 
-    /// A report as evidence, unless it may rest on what was observed before the server's ejection.
+    /// Converts a report to evidence. Returns `None` if the report may be based on observations from before the server's ejection.
     fn believed<'r>(&self, now: Micros, report: &'r ServerReport) -> Option<BelievedReport<'r>> {
         let received_at = self.received_at.get(&report.key()).copied().unwrap_or(0);
         let ejected_since = self.ejections.since(&report.server);
         if ejected_since.is_some_and(|since| received_at < since + DRAIN_TIME) {
             return None;
         }
-        // No gateway represents more than there are.
+        // The represented gateways of all dissenting reports together cannot exceed the number of gateways.
         let max_represented = (self.live.len() as f64 + 1.0) / DISSENTING_REPORTERS;
         Some(BelievedReport {
             instance: report.instance,
@@ -291,7 +294,7 @@
         let returned = self.ejections.update(now, &self.local.name, &self.servers, outliers);
         for name in returned {
             self.last_trials.remove(&name);
-            // What was observed before the ejection says nothing any more.
+            // Observations from before the ejection are no longer valid.
             if let Some(observed) = self.observed.get_mut(&name) {
                 let started_at = observed.started_at;
                 *observed = ObservedServer { started_at, ..ObservedServer::default() };
@@ -302,7 +305,7 @@
         self.received_at.retain(|key, _| known.contains(key));
     }
 
-    /// Whether a server is an outlier, or still one if it is ejected.
+    /// Assesses whether a server is an outlier. An ejected server stays an outlier until it has recovered.
     fn assess(
         &self,
         now: Micros,
@@ -313,7 +316,7 @@
         let outlier = |severity, scope| Outlier { server: server.name.clone(), severity, scope };
         let ejected = self.ejections.get(&server.name);
         if let Some(ejection) = ejected.filter(|_| by_all.is_none()) {
-            // There are no reports since: it stays ejected for a while.
+            // Without reports since the ejection, the server stays ejected until the silence limit.
             if now < ejection.since + SILENCE_LIMIT {
                 return Some(outlier(1.0, ejection.scope));
             }
@@ -330,7 +333,7 @@
         };
         let has_no_zone = self.local.zone.is_empty();
         let holds_for_all =
-            |evidence: &&Evidence| has_no_zone || is_ejected || evidence.is_seen_from_several_zones();
+            |evidence: &&Evidence| has_no_zone || is_ejected || evidence.is_reported_by_several_zones();
         if let Some(evidence) = by_all.filter(is_outlier).filter(holds_for_all) {
             return Some(outlier(evidence.severity(), EjectionScope::AllZones));
         }
@@ -339,33 +342,33 @@
     }
 
     /// Determines which ejected servers this gateway may try now.
-    fn update_trial_permits(&mut self, now: Micros, shared: Micros) {
-        let interval = Interval::at(shared);
-        let interval_began = now.saturating_sub(shared - interval.started_at);
+    fn update_trial_permits(&mut self, now: Micros, shared_time: Micros) {
+        let interval = Interval::at(shared_time);
+        let interval_start = now.saturating_sub(shared_time - interval.started_at);
         let others: Vec<&str> = self.live.iter().map(|peer| &*peer.name).collect();
         let zones = self.zones_by_gateway();
         let permits = self.servers.iter().filter(|server| {
             let was_tried = self.last_trials.get(&server.name) == Some(&interval.number);
-            let is_near = |gateway: &str| {
+            let is_in_zone_of_server = |gateway: &str| {
                 !server.zone.is_empty() && zones.get(gateway).is_some_and(|zone| *zone == server.zone)
             };
             self.ejections.contains(&server.name)
                 && !was_tried
-                // A gateway that has tried it in this interval has reported that.
-                && !self.is_reported_since(&server.name, interval_began)
-                && trial_permit::is_granted(shared, &self.local.name, &server.name, &others, is_near)
+                // A gateway that tried the server in this interval has reported the result.
+                && !self.is_reported_since(&server.name, interval_start)
+                && trial_permit::is_granted(shared_time, &self.local.name, &server.name, &others, is_in_zone_of_server)
         });
         self.trial_permits = permits.map(|server| server.name.clone()).collect();
     }
 
-    /// The zones of this gateway and of live ones, as far as they are known.
+    /// The known zones of this gateway and of the live ones.
     fn zones_by_gateway(&self) -> BTreeMap<&str, &str> {
         let zone_of = |peer: &LivePeer| self.zones.get(&peer.instance).map(String::as_str);
         let others = self.live.iter().filter_map(|peer| Some((&*peer.name, zone_of(peer)?)));
         others.chain([(&*self.local.name, &*self.local.zone)]).collect()
     }
 
-    /// Whether another gateway has reported on a server since then.
+    /// Whether a report of another gateway on a server has arrived since a time.
     fn is_reported_since(&self, server: &str, since: Micros) -> bool {
         let first = (server.to_string(), 0);
         let last = (server.to_string(), u64::MAX);
--- a/crates/outlier-detection/src/detector/ejections.rs
+++ b/crates/outlier-detection/src/detector/ejections.rs
@@ -1,24 +1,24 @@
-//! The servers that are ejected: the limit on their capacity, how long each stays ejected, and when it returns. Which servers
-//! are outliers is decided elsewhere.
+//! The ejected servers: the limit on their capacity, the duration of each ejection, and the time of each return. The parent
+//! module decides which servers are outliers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Server;
 use crate::{stable_hash, Micros, SECOND};
 
-/// The share of the capacity that may be ejected. Danger: gateways that eject half of the servers overload the rest.
+/// Maximum share of the capacity that may be ejected. Gateways that eject half of the servers would overload the rest.
 pub const MAX_EJECTED_SHARE: f64 = 0.25;
-/// The shortest ejection. It doubles with each relapse, up to a number of doublings.
+/// Minimum duration of an ejection. It doubles with each relapse, at most `MAX_DOUBLINGS` times.
 ///
-/// Danger: a server that is good and bad by turns is otherwise abandoned and taken up by all gateways each time.
+/// Without the doubling, all gateways would repeatedly eject and readmit a server that alternates between healthy and faulty.
 const MIN_EJECTION_TIME: Micros = 2 * SECOND;
 const MAX_DOUBLINGS: u32 = 3;
-/// An ejection so soon after a return is a relapse.
+/// An ejection within this time after a return is a relapse.
 const RELAPSE_TIME: Micros = 30 * SECOND;
-/// Gateways return to a server at times that are spread over so long.
+/// The returns of the gateways to a server are spread over this time.
 const RETURN_SPREAD: Micros = 2 * SECOND;
 
-/// Whose reports a server was ejected by.
+/// The gateways whose reports caused an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionScope {
     OwnZone,
@@ -28,7 +28,7 @@
 /// A server that should be ejected.
 pub(super) struct Outlier {
     pub server: String,
-    /// From 0 to 1; the worst servers are ejected first.
+    /// From 0 to 1. The servers with the highest severity are ejected first.
     pub severity: f64,
     pub scope: EjectionScope,
 }
@@ -37,7 +37,7 @@
 pub(super) struct Ejection {
     pub since: Micros,
     pub scope: EjectionScope,
-    /// When the server is used again, once it has recovered.
+    /// When the server is used again; `None` until it has recovered.
     pub returns_at: Option<Micros>,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Default)]
 pub(super) struct Ejections {
     active: BTreeMap<String, Ejection>,
-    /// Outliers that are used all the same, as no more capacity may be ejected.
+    /// Outliers that stay in use, since no more capacity may be ejected.
     spared: BTreeSet<String>,
     history: BTreeMap<String, EjectionHistory>,
 }
@@ -76,21 +76,21 @@
         self.spared.contains(server)
     }
 
-    /// Forgets a server that has started again.
+    /// Removes all state of a server that has restarted.
     pub fn forget(&mut self, server: &str) {
         self.active.remove(server);
         self.history.remove(server);
     }
 
-    /// Removes servers that are no longer listed, and histories that are too old for a relapse.
+    /// Removes servers that are no longer in the endpoint list, and histories that are too old for a relapse.
     pub fn retain_listed(&mut self, now: Micros, listed: &BTreeSet<&str>) {
         self.active.retain(|name, _| listed.contains(&**name));
         self.history
             .retain(|name, history| listed.contains(&**name) && now < history.last_return + RELAPSE_TIME);
     }
 
-    /// Ejects outliers, the worst first, as far as the limit allows, and lets the others return. Returns the servers that are
-    /// used again from now on.
+    /// Ejects outliers up to the limit, those with the highest severity first, and schedules the return of the others. Returns
+    /// the servers that are in use again from now on.
     pub fn update(
         &mut self,
         now: Micros,
@@ -106,16 +106,16 @@
         self.take_returned(now)
     }
 
-    /// The outliers that the limit allows; the others are spared.
+    /// Selects the outliers to eject within the limit, and marks the others as spared.
     fn select(&mut self, servers: &[Server], mut outliers: Vec<Outlier>) -> BTreeMap<String, EjectionScope> {
         let order = |outlier: &Outlier| stable_hash(&outlier.server, "", 0);
-        outliers.sort_by(|one, other| {
-            other.severity.total_cmp(&one.severity).then_with(|| order(one).cmp(&order(other)))
+        outliers.sort_by(|first, second| {
+            second.severity.total_cmp(&first.severity).then_with(|| order(first).cmp(&order(second)))
         });
         let weights: BTreeMap<&str, f64> =
             servers.iter().map(|server| (&*server.name, server.weight)).collect();
         let limit = ejection_limit(&weights);
-        // Servers that have recovered and not returned are ejected, too.
+        // Servers that have recovered but not yet returned still count as ejected.
         let recovered =
             self.active.keys().filter(|name| !outliers.iter().any(|outlier| outlier.server == **name));
         let mut ejected_weight = recovered.map(|name| weights[&**name]).sum::<f64>();
@@ -145,7 +145,8 @@
         self.active.insert(server.to_string(), Ejection { since: now, scope, returns_at: None });
     }
 
-    /// A spared server is needed at once; the gateways return to the others at different times.
+    /// Schedules the return of all ejected servers that are not confirmed outliers. A spared server returns at once, since its
+    /// capacity is needed. The gateways return to other servers at different times.
     fn schedule_returns(&mut self, now: Micros, gateway: &str, confirmed: &BTreeMap<String, EjectionScope>) {
         let recovered = self.active.iter_mut().filter(|(name, _)| !confirmed.contains_key(*name));
         for (name, ejection) in recovered {
@@ -172,7 +173,8 @@
     }
 }
 
-/// The weight that may be ejected. One of three or more servers always may, as with so few the share is less than one.
+/// Maximum weight that may be ejected. If there are at least three servers, one may always be ejected, although with so few the
+/// maximum share may be less than one server.
 fn ejection_limit(weights: &BTreeMap<&str, f64>) -> f64 {
     let sum: f64 = weights.values().sum();
     let one_server = if weights.len() >= 3 { weights.values().copied().fold(0.0, f64::max) } else { 0.0 };
--- a/crates/outlier-detection/src/detector/reporting.rs
+++ b/crates/outlier-detection/src/detector/reporting.rs
@@ -1,15 +1,15 @@
-//! What this gateway observed at each server, and when it reports that. While all servers are healthy nothing is reported; an
-//! outlier is, and so is a contrary observation where others report one.
+//! This gateway's observations of each server, and the decision when to report them. While all servers are healthy, nothing is
+//! reported. A gateway reports an outlier, and it reports a healthy server if other gateways report that server as an outlier.
 
 use super::OutlierDetector;
 use crate::observation::Observation;
 use crate::{stable_fraction, HealthLevel, Micros, ServerReport, MILLISECOND, SECOND};
 
-/// Gateways that are to report a contrary observation, of all that have one: more would add nothing.
+/// Expected number of gateways that report a contrary observation of a server. More reports would add no information.
 pub(super) const DISSENTING_REPORTERS: f64 = 8.0;
-/// The shortest time between two reports of one gateway on one server.
+/// Minimum time between two reports of one gateway on the same server.
 const MIN_REPORT_INTERVAL: Micros = 200 * MILLISECOND;
-/// How long a report stands without being repeated.
+/// How long a report stays valid without being repeated.
 const REPORT_LIFETIME: Micros = 3 * SECOND;
 
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
     at: Micros,
 }
 
-/// What this gateway knows of a server by itself.
+/// This gateway's own observations of a server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedServer {
     pub observation: Observation,
@@ -27,26 +27,27 @@
 }
 
 impl ObservedServer {
-    /// Whether a level of health differs enough from the last report, or objects to others' reports.
-    fn is_news(&self, now: Micros, health: HealthLevel, objects: bool) -> bool {
-        let standing = self.last_report.filter(|report| now < report.at + REPORT_LIFETIME);
-        let Some(report) = standing else { return health.is_outlier() || objects };
+    /// Whether the health differs enough from the last report to be reported. Without a valid report, this is the case if the
+    /// server is an outlier, or if this gateway dissents from the reports of others.
+    fn is_reportable(&self, now: Micros, health: HealthLevel, dissents: bool) -> bool {
+        let valid_report = self.last_report.filter(|report| now < report.at + REPORT_LIFETIME);
+        let Some(report) = valid_report else { return health.is_outlier() || dissents };
         let last = report.health;
         let has_flipped = last.is_outlier() != health.is_outlier();
-        // One that rests on more samples has more weight.
-        let is_surer = health.is_outlier() && health.samples > last.samples && last.samples < 2;
-        has_flipped || is_surer
+        // A report with more samples has more weight.
+        let gains_confidence = health.is_outlier() && health.samples > last.samples && last.samples < 2;
+        has_flipped || gains_confidence
     }
 
-    /// Whether the last report is too recent for another: a server may alternate with each attempt.
+    /// Whether the last report is too recent for another one. The health of a server may change with each attempt.
     fn is_rate_limited(&self, now: Micros) -> bool {
         self.last_report.is_some_and(|report| now < report.at + MIN_REPORT_INTERVAL)
     }
 }
 
 impl OutlierDetector {
-    /// There is a report against a server. What was observed before does not speak for it: gateways object by what they
-    /// observe from now on.
+    /// Records that there is a report against a server. Unless this gateway has reported on the server, it discards its
+    /// earlier observations, so that only observations from now on can contradict the report.
     pub(super) fn suspect(&mut self, now: Micros, server: &str) {
         if self.suspected_since.contains_key(server) {
             return;
@@ -59,9 +60,9 @@
         }
     }
 
-    /// For how many gateways this one reports a contrary observation, if it is among the few that do. They are sampled anew for
-    /// each lifetime of a report.
-    pub(super) fn dissents_for(&self, now: Micros, server: &str) -> Option<u16> {
+    /// The number of gateways that this one represents with a contrary observation, or `None` if it is not sampled to report
+    /// one. The sample changes with each report lifetime.
+    pub(super) fn represented_dissenters(&self, now: Micros, server: &str) -> Option<u16> {
         if !self.suspected_since.contains_key(server) {
             return None;
         }
@@ -70,8 +71,13 @@
         is_sampled.then_some((1.0 / share) as u16)
     }
 
-    /// Reports what is observed at a server if that is news, or if it is the result of a trial.
-    pub(super) fn report_observation(&mut self, now: Micros, server: &str, dissents_for: Option<u16>) {
+    /// Reports the observed health of a server if it is reportable, or if it is the result of a trial.
+    pub(super) fn report_observation(
+        &mut self,
+        now: Micros,
+        server: &str,
+        represented_dissenters: Option<u16>,
+    ) {
         let Some(observed) = self.observed.get_mut(server) else { return };
         let Some(health) = observed.observation.health(now) else { return };
         if observed.is_rate_limited(now) {
@@ -80,7 +86,7 @@
         let is_trial = self.last_trials.contains_key(server)
             && self.ejections.contains(server)
             && observed.last_report.is_none();
-        if !is_trial && !observed.is_news(now, health, dissents_for.is_some()) {
+        if !is_trial && !observed.is_reportable(now, health, represented_dissenters.is_some()) {
             return;
         }
         observed.last_report = Some(PublishedReport { health, at: now });
@@ -96,7 +102,7 @@
             version: self.last_version,
             zone: self.local.zone.clone(),
             health,
-            represents: if health.is_outlier() { 1 } else { dissents_for.unwrap_or(1).max(1) },
+            represents: if health.is_outlier() { 1 } else { represented_dissenters.unwrap_or(1).max(1) },
         };
         self.received_at.insert((server.into(), self.local.instance), now);
         self.gossip.publish(now, report);
--- a/crates/outlier-detection/src/detector/view.rs
+++ b/crates/outlier-detection/src/detector/view.rs
@@ -1,4 +1,4 @@
-//! The detector's state as operators are shown it. It changes nothing.
+//! The status of the detector for operators. This module only reads the detector's state.
 
 use super::ejections::EjectionScope;
 use super::{OutlierDetector, Reporters, Server, MAX_EJECTED_SHARE};
@@ -8,10 +8,10 @@
 use crate::{stable_hash, HealthLevel, Micros, MILLISECOND};
 
 impl OutlierDetector {
-    /// The state of all servers, for operators. `shared` is the time of the clock that all gateways share.
-    pub fn status(&self, now: Micros, shared: Micros) -> OutlierView {
+    /// The status of all servers, for operators. `shared_time` is the time of the clock that all gateways share.
+    pub fn status(&self, now: Micros, shared_time: Micros) -> OutlierView {
         let evidence = self.evidence(now, Reporters::All);
-        let interval = Interval::at(shared);
+        let interval = Interval::at(shared_time);
         let total_weight: f64 = self.servers.iter().map(|server| server.weight).sum();
         let mut ejected_weight = 0.0;
         let mut servers = Vec::new();
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -1,5 +1,5 @@
-//! The weighing of reports: which servers are outliers by the reports of several gateways, and how far each gateway is
-//! credible. Pure functions of the reports that count; which those are is the detector's.
+//! Evaluation of reports: which servers are outliers according to the reports of several gateways, and how credible each gateway
+//! is. The functions are pure; the detector selects the reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,22 @@
 
 /// The time in which a report loses half of its weight.
 const HALF_LIFE: Micros = 3 * SECOND;
-/// Reports with less weight are ignored.
+/// Minimum weight of a report. Reports below it are ignored.
 const MIN_WEIGHT: f64 = 0.05;
-/// The weight against an outlier: two reports that rest on some attempts, from two gateways at the least.
+/// Minimum weight against an outlier: two reports that each cover several attempts, from at least two gateways.
 const MIN_EVIDENCE_AGAINST: f64 = 1.4;
 const MIN_REPORTERS: usize = 2;
-/// The share of all weight that is against an outlier. Where each gateway has made one attempt, half of them report well of a
-/// server that loses half.
+/// Minimum share of the total weight that is against an outlier. If each gateway made one attempt at a server that fails half of
+/// them, half of the gateways report that the server is healthy.
 const MIN_SHARE_AGAINST: f64 = 0.2;
-/// The weight of reports on an ejected server, and the share against it, with which it has recovered.
+/// An ejected server has recovered if its reports have at least this weight, and the share against it is below the maximum.
 const MIN_EVIDENCE_OF_RECOVERY: f64 = 1.0;
 const MAX_SHARE_AGAINST_RECOVERED: f64 = 0.15;
-/// Servers by which a gateway's credibility is judged. With fewer it may be right alone.
+/// Minimum number of servers for judging a gateway's credibility. With fewer, the gateway may be right although all others
+/// contradict it.
 const MIN_JUDGED_SERVERS: usize = 3;
 
-/// A report that counts.
+/// A report that is used as evidence.
 #[derive(Clone, Debug)]
 pub(crate) struct BelievedReport<'r> {
     pub instance: u64,
@@ -29,14 +30,14 @@
     /// The zone of the reporting gateway.
     pub zone: &'r str,
     pub health: HealthLevel,
-    /// Number of gateways that it stands for.
+    /// Number of gateways that the report represents.
     pub represents: f64,
-    /// Time since it was received.
+    /// Time since the report was received.
     pub age: Micros,
 }
 
 impl BelievedReport<'_> {
-    /// The attempts behind it, as far as they still count.
+    /// The weight of the report by its confidence, its age and the number of represented gateways.
     fn weight(&self) -> f64 {
         let weight = self.health.confidence() * 0.5f64.powf(self.age as f64 / HALF_LIFE as f64);
         if weight < MIN_WEIGHT {
@@ -47,24 +48,24 @@
     }
 }
 
-/// The evidence on one server.
+/// The evidence for and against one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Evidence {
     pub against: f64,
     pub in_favor: f64,
-    /// The weight of confident reports, either way.
+    /// The weight of confident reports for and against the server.
     confident_against: f64,
     confident_in_favor: f64,
-    /// Instances that report it as an outlier.
+    /// Instances that report the server as an outlier.
     pub reporters: BTreeSet<u64>,
-    /// Zones of those gateways.
+    /// Zones of the gateways that report the server as an outlier.
     zones: BTreeSet<String>,
 }
 
 impl Evidence {
     pub fn is_outlier(&self) -> bool {
         let total = self.against + self.in_favor;
-        // Where more are confident that it is healthy, the network path to it is at fault.
+        // If the confident reports mostly say that the server is healthy, the network path from the other gateways is faulty.
         let is_path_fault = self.confident_in_favor > self.confident_against;
         self.against >= MIN_EVIDENCE_AGAINST
             && self.reporters.len() >= MIN_REPORTERS
@@ -72,20 +73,20 @@
             && !is_path_fault
     }
 
-    /// Whether gateways of several zones report it.
+    /// Whether gateways of several zones report the server as an outlier.
     ///
-    /// Danger: all gateways of a zone that is cut off agree that the servers of the others are dead.
-    pub fn is_seen_from_several_zones(&self) -> bool {
+    /// All gateways of a partitioned zone agree that the servers of the other zones are dead, so one zone is not enough.
+    pub fn is_reported_by_several_zones(&self) -> bool {
         self.zones.len() > 1
     }
 
-    /// Whether an ejected server has recovered, by what was observed since.
+    /// Whether an ejected server has recovered according to the observations since its ejection.
     pub fn is_healthy(&self) -> bool {
         let total = self.against + self.in_favor;
         total >= MIN_EVIDENCE_OF_RECOVERY && self.against < MAX_SHARE_AGAINST_RECOVERED * total
     }
 
-    /// The share of the weight that is against it.
+    /// The share of the weight that is against the server.
     pub fn severity(&self) -> f64 {
         self.against / (self.against + self.in_favor).max(f64::MIN_POSITIVE)
     }
@@ -105,7 +106,7 @@
     }
 }
 
-/// The weight of reports on one server, by what they say.
+/// The weight of the reports for and against one server.
 #[derive(Clone, Copy, Default)]
 struct Votes {
     against: f64,
@@ -121,14 +122,14 @@
         }
     }
 
-    /// Whether it is an outlier, if the votes are clear.
+    /// Whether the server is an outlier, or `None` if the votes are not clear.
     fn verdict(&self) -> Option<bool> {
         let is_clear = self.against.max(self.in_favor) >= 1.0 && (self.against - self.in_favor).abs() > 0.5;
         is_clear.then_some(self.against > self.in_favor)
     }
 }
 
-/// How often a gateway's reports were judged by those of the others.
+/// How often a gateway's reports were compared with those of the others, and how often the others contradicted them.
 #[derive(Clone, Copy, Default)]
 struct TrackRecord {
     judged: usize,
@@ -136,7 +137,7 @@
 }
 
 impl TrackRecord {
-    /// From 1, fully credible, to 0 where half of the reports are contradicted.
+    /// The credibility, from 1 without contradictions to 0 if at least half of the reports are contradicted.
     fn credibility(self) -> f64 {
         if self.judged < MIN_JUDGED_SERVERS {
             return 1.0;
@@ -147,7 +148,7 @@
 
 /// The credibility of each gateway, by how often the others together contradict it.
 ///
-/// Danger: a gateway with a bad network path of its own reports all servers as outliers, and confidently.
+/// A gateway with a faulty network path confidently reports all servers as outliers, so confidence alone is not enough.
 fn credibility(reports: &[BelievedReport]) -> BTreeMap<u64, f64> {
     let mut votes: BTreeMap<&str, Votes> = BTreeMap::new();
     for report in reports {
@@ -166,7 +167,7 @@
     records.into_iter().map(|(instance, record)| (instance, record.credibility())).collect()
 }
 
-/// The evidence on each server that is reported.
+/// The evidence on each server that has reports.
 pub(crate) fn evaluate<'r>(reports: &[BelievedReport<'r>]) -> BTreeMap<&'r str, Evidence> {
     let credibility = credibility(reports);
     let mut evidence: BTreeMap<&str, Evidence> = BTreeMap::new();
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,12 +1,12 @@
-//! Outlier detection that gateways share: what one learns of a server serves all, and together they never eject too much.
+//! Outlier detection that gateways share. Every gateway uses the observations of all, and the ejected capacity is limited.
 //!
-//! Each gateway observes its own attempts at each server and reports changes by gossip; while all servers are healthy nothing
-//! is reported. From the reports of all, each gateway determines whether a server is an outlier for all zones, for its own
-//! zone, or for nobody else: one gateway's report decides nothing, and a gateway that the others mostly contradict loses its
-//! weight. Outliers are ejected, never more of them than a share of the capacity, and tried again by one gateway at a time,
-//! whose report serves all.
+//! Each gateway observes its own attempts at each server and reports changes by gossip. While all servers are healthy, it
+//! reports nothing. From the reports of all gateways, each gateway determines whether a server is an outlier for all zones, for
+//! its own zone, or for a single gateway only. The report of a single gateway ejects no server, and a gateway that the others
+//! mostly contradict loses weight. Outliers are ejected up to a share of the capacity. One gateway at a time tries an ejected
+//! server again, and all gateways use its report.
 //!
-//! [`detector`] is the state machine, without clock, socket or thread: the caller passes the time, the messages and the live
+//! [`detector`] is the state machine. It has no clock, socket or thread: the caller passes the time, the messages and the live
 //! members.
 
 #![warn(missing_docs)]
@@ -23,22 +23,22 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// Whole microseconds of a monotonic clock, or of the clock that all gateways share where that is said.
+/// Whole microseconds of a monotonic clock, or of the clock that all gateways share if the documentation says so.
 pub type Micros = u64;
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// Bytes of the name of a server, and of a zone, at the most.
+/// Maximum size of the name of a server or zone.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The health of a server at one gateway, as it is reported.
+/// The health of a server that one gateway observes and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthLevel {
-    /// Attempts that failed, in eighths of all.
+    /// The share of attempts that failed, in eighths.
     pub failures: u8,
-    /// Doublings of the usual latency.
+    /// The mean slowdown, as the number of doublings of the usual latency.
     pub slowness: u8,
-    /// Attempts that this rests on: 0 none, 1 one, 2 two or three, and so on by doublings.
+    /// The number of observed attempts on a logarithmic scale: 0 for none, 1 for one, 2 for two or three, and so on by doublings.
     pub samples: u8,
 }
 
@@ -46,7 +46,7 @@
     const MAX_LEVEL: u8 = 8;
     const MAX_SAMPLES: u8 = 16;
 
-    /// Whether a quarter of the attempts failed, or they took four times the usual latency.
+    /// Whether at least a quarter of the attempts failed, or the latency was at least four times the usual one.
     pub fn is_outlier(self) -> bool {
         self.failures >= 2 || self.slowness >= 2
     }
@@ -60,33 +60,34 @@
         }
     }
 
-    /// The weight of the attempts that it rests on, as far as more of them make it surer.
+    /// The weight of the observation, which grows with the number of attempts up to a limit.
     pub fn confidence(self) -> f64 {
         [0.0, 0.5, 1.0, 2.0][usize::from(self.samples.min(3))]
     }
 
-    /// Whether it rests on enough attempts to hold where it was observed.
+    /// Whether there are enough attempts for the observation to be valid at the observing gateway.
     pub fn is_confident(self) -> bool {
         self.samples >= 3
     }
 }
 
-/// What one process of a gateway reports on a server.
+/// The report of one process of a gateway on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The reporting process.
     pub instance: u64,
     /// The server's name in the endpoint list.
     pub server: String,
-    /// When the server started, in microseconds of the shared clock, as far as the list says; 0 where that is long past.
+    /// When the server started according to the endpoint list, in microseconds of the shared clock; 0 if that is long past.
     pub started_at: u64,
-    /// Rises with each report of the process.
+    /// The version, which increases with each report of the process.
     pub version: u32,
     /// The zone of the gateway; empty if unknown.
     pub zone: String,
-    /// What was observed.
+    /// The observed health.
     pub health: HealthLevel,
-    /// Number of gateways that it stands for, with this one: of those that observe the like only few report.
+    /// Number of gateways that the report represents, including the reporting one. Only a few of the gateways with the same
+    /// observation report it.
     pub represents: u16,
 }
 
@@ -118,16 +119,16 @@
 /// A message between two gateways.
 pub type Message = gossip::GossipMessage<ServerReport>;
 
-/// [`stable_hash`] as a fraction of 1.
-pub(crate) fn stable_fraction(one: &str, other: &str, interval: u64) -> f64 {
-    (stable_hash(one, other, interval) >> 11) as f64 / (1u64 << 53) as f64
+/// [`stable_hash`] as a fraction between 0 and 1.
+pub(crate) fn stable_fraction(first: &str, second: &str, interval: u64) -> f64 {
+    (stable_hash(first, second, interval) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A hash of two names and the number of an interval that is the same at every gateway.
-pub(crate) fn stable_hash(one: &str, other: &str, interval: u64) -> u64 {
+/// A hash of two names and the number of an interval. It is the same at every gateway.
+pub(crate) fn stable_hash(first: &str, second: &str, interval: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7369_676e, interval);
-    hasher.write(one.as_bytes());
+    hasher.write(first.as_bytes());
     hasher.write_u8(0);
-    hasher.write(other.as_bytes());
+    hasher.write(second.as_bytes());
     hasher.finish()
 }
--- a/crates/outlier-detection/src/observation.rs
+++ b/crates/outlier-detection/src/observation.rs
@@ -1,26 +1,26 @@
-//! What one gateway observed at one server: decaying sums of attempts, failures and slowdowns. It knows nothing of other
-//! gateways.
+//! One gateway's observations of one server: decaying sums of attempts, failures and slowdowns. This module does not use the
+//! reports of other gateways.
 
 use crate::{HealthLevel, Micros, SECOND};
 
 /// The time in which an attempt loses half of its weight.
 ///
-/// Danger: what was observed before a server failed speaks for it; in a large fleet each gateway has some such attempts, and
-/// together they would outvote what is true now.
+/// Attempts from before a server failed count in its favor. In a large fleet each gateway has a few such attempts, and with a
+/// longer half-life they would together outvote the current observations.
 const HALF_LIFE: Micros = SECOND;
-/// The greatest weight of all attempts: how a busy gateway was served a second ago must not hide how it is served now.
+/// Maximum weight of all attempts, so that at a busy gateway the attempts of a second ago do not hide the current state.
 const MAX_WEIGHT: f64 = 4.0;
-/// With less weight there is no observation.
+/// Minimum weight of an observation. Below it the health is unknown.
 const MIN_WEIGHT: f64 = 0.3;
 /// The weight of the newest latency in the usual one.
 const LATENCY_SMOOTHING: f64 = 0.02;
-/// Slowdowns are capped here, so that a single extreme one does not make a server slow.
+/// Maximum slowdown that is recorded, so that a single extreme one does not make a server slow.
 const MAX_SLOWDOWN: f64 = 32.0;
 
-/// How an attempt ended, as far as the server had a part in it.
+/// The outcome of an attempt, as far as the server is responsible for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptEnd {
-    /// Answered, in so many times the usual latency of its class.
+    /// Answered. The slowdown is the latency as a multiple of the usual latency of the request class.
     Answered { slowdown: f64 },
     /// Lost or failed.
     Failed,
@@ -31,7 +31,7 @@
 pub(crate) struct Observation {
     answered: f64,
     failed: f64,
-    /// Binary logarithms of the slowdowns of answered attempts, summed.
+    /// The sum of the binary logarithms of the slowdowns of answered attempts.
     log_slowdown: f64,
     updated_at: Micros,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The level of health that is reported; nothing if too little weight is left.
+    /// The observed health, or `None` if the remaining weight is too low.
     pub fn health(&self, now: Micros) -> Option<HealthLevel> {
         let mut current = *self;
         current.decay(now);
@@ -83,13 +83,13 @@
     }
 }
 
-/// The usual latency of each request class at this gateway, over all servers, in microseconds.
+/// The usual latency of each request class at this gateway over all servers, in microseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UsualLatencies(Vec<f64>);
 
 impl UsualLatencies {
-    /// How many times the usual latency an answer took. The usual latency follows the answers by ratios, so that a few slow
-    /// ones hardly raise it.
+    /// Returns the latency of an answer as a multiple of the usual latency, and updates the usual latency. The update is
+    /// multiplicative, so that a few slow answers hardly raise it.
     pub fn slowdown(&mut self, request_class: usize, latency: Micros) -> f64 {
         let latency = latency.max(1) as f64;
         if self.0.len() <= request_class {
--- a/crates/outlier-detection/src/status.rs
+++ b/crates/outlier-detection/src/status.rs
@@ -1,29 +1,29 @@
-//! The view of outlier detection that operators are shown, by one gateway. Data only; its encoding is the order of fields and
-//! variants.
+//! The status of outlier detection at one gateway, as operators' tools show it. This module contains only data. The order of
+//! fields and variants is the encoding.
 
 use serde::{Deserialize, Serialize};
 
 use crate::HealthLevel;
 
-/// Whether a server is used, and why.
+/// Whether a server receives attempts, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerStatus {
-    /// In use.
+    /// The server is in use.
     Healthy,
-    /// In use, and an outlier for this gateway alone.
+    /// The server is in use. It is an outlier for this gateway only.
     OutlierHere,
-    /// Ejected by the reports of this gateway's zone.
+    /// The server is ejected because of the reports of this gateway's zone.
     EjectedForZone,
-    /// Ejected by the reports of all zones.
+    /// The server is ejected because of the reports of several zones.
     EjectedForAll,
-    /// An outlier in use, as no more capacity may be ejected.
+    /// The server is an outlier but in use, since no more capacity may be ejected.
     Spared,
-    /// Ejected and recovered; in use again soon.
+    /// The server is ejected and has recovered. It will be in use again soon.
     Returning,
 }
 
 impl ServerStatus {
-    /// The words that operators are shown.
+    /// The description that operators' tools show.
     pub fn description(self) -> &'static str {
         match self {
             ServerStatus::Healthy => "fine",
@@ -36,28 +36,28 @@
     }
 }
 
-/// One server.
+/// The status of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerView {
-    /// Its name in the endpoint list.
+    /// The server's name in the endpoint list.
     pub server: String,
-    /// Whether it is used, and why.
+    /// Whether the server receives attempts, and why.
     pub status: ServerStatus,
-    /// What this gateway observes there.
+    /// The health that this gateway observes.
     pub observed: Option<HealthLevel>,
-    /// The weight of the reports against it.
+    /// The weight of the reports against the server.
     pub against: f64,
-    /// The weight of the reports in favor of it.
+    /// The weight of the reports in favor of the server.
     pub in_favor: f64,
-    /// Number of gateways that report it as an outlier.
+    /// Number of gateways that report the server as an outlier.
     pub reporters: u32,
-    /// Milliseconds since its ejection.
+    /// Milliseconds since the server was ejected.
     pub ejected_ms: Option<u64>,
-    /// The gateway that may first try it in this interval.
+    /// The gateway that may try the server first in this interval.
     pub next_trial: Option<String>,
 }
 
-/// All servers, as one gateway sees them.
+/// The status of all servers according to one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutlierView {
     /// The gateway's name.
@@ -66,6 +66,6 @@
     pub ejected_share: f64,
     /// The share of the capacity that may be ejected.
     pub max_ejected_share: f64,
-    /// The servers of the endpoint list, in its order.
+    /// The servers, in the order of the endpoint list.
     pub servers: Vec<ServerView>,
 }
--- a/crates/outlier-detection/tests/recorded_run.rs
+++ b/crates/outlier-detection/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! A run of gateways in virtual time whose every message, ejection and status is part of a recorded hash: the order of
-//! floating-point operations, of random draws and of messages is behaviour that a change of the code's shape must keep.
+//! Runs of gateways in virtual time, compared with recorded hashes over every message, ejection and status. A refactoring must
+//! keep the order of floating-point operations, of random draws and of messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -68,17 +68,17 @@
         }
     }
 
-    /// How an attempt ends: some servers are at times bad for all, for one zone, or slow.
+    /// The result of an attempt. At times some servers fail for all gateways, for one zone or for one gateway, or are slow.
     fn attempt(&mut self, now: Micros, gateway: usize, server: usize) -> AttemptResult {
         let phase = now / (5 * SECOND) % 8;
-        let failing: f64 = match (server, phase) {
+        let failure_probability: f64 = match (server, phase) {
             (1, 1) | (2, 1..=2) | (3..=6, 3) => 0.7,
             (7, 2..=3) if gateway.is_multiple_of(self.zones) => 0.9,
             (8, 5) if gateway == 4 => 1.0,
             (9, 1 | 3 | 5 | 7) => 0.5,
             _ => 0.002,
         };
-        if self.rng.gen_bool(failing) {
+        if self.rng.gen_bool(failure_probability) {
             return AttemptResult::Failed;
         }
         let latency = self.rng.gen_range(10..40) * MILLISECOND;
@@ -112,8 +112,8 @@
         }
     }
 
-    fn write_status(&mut self, now: Micros, shared: Micros, gateway: usize) {
-        let view = self.detectors[gateway].status(now, shared);
+    fn write_status(&mut self, now: Micros, shared_time: Micros, gateway: usize) {
+        let view = self.detectors[gateway].status(now, shared_time);
         self.hash.write_u64(view.ejected_share.to_bits());
         for server in view.servers {
             self.hash.write(server.server.as_bytes());
@@ -129,14 +129,14 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, gateway: usize) {
-        let shared = 1_000_000 * SECOND + now;
+    fn advance_gateway(&mut self, now: Micros, gateway: usize) {
+        let shared_time = 1_000_000 * SECOND + now;
         for server in 0..SERVERS {
             let name = self.servers[server].name.clone();
             if self.ejected[gateway].contains(&name) || !self.rng.gen_bool(0.12) {
                 continue;
             }
-            let is_trial = self.detectors[gateway].use_trial_permit(shared, &name);
+            let is_trial = self.detectors[gateway].use_trial_permit(shared_time, &name);
             self.hash.write_u8(is_trial.into());
             if is_trial {
                 self.ejected[gateway].insert(name.clone());
@@ -148,7 +148,7 @@
             .filter(|other| *other != gateway && (*other != 8 || now < 25 * SECOND))
             .map(|other| self.peers[other].clone())
             .collect();
-        let changes = self.detectors[gateway].handle_timeout(now, shared, &live, self.servers.clone());
+        let changes = self.detectors[gateway].handle_timeout(now, shared_time, &live, self.servers.clone());
         for change in changes {
             self.hash.write(change.server.as_bytes());
             self.hash.write_u8(change.ejected.into());
@@ -162,7 +162,8 @@
         self.hash.write_u64(self.detectors[gateway].next_deadline());
         while let Some((to, message)) = self.detectors[gateway].poll_message() {
             self.write_message(&to, &message);
-            let receiver = self.peers.iter().position(|peer| peer.name == to).expect("it is one of them");
+            let receiver =
+                self.peers.iter().position(|peer| peer.name == to).expect("the receiver is a known gateway");
             if self.rng.gen_bool(0.9) {
                 self.sent += 1;
                 let at = now + self.rng.gen_range(1..60) * MILLISECOND;
@@ -170,7 +171,7 @@
             }
         }
         if now.is_multiple_of(25 * STEP) {
-            self.write_status(now, shared, gateway);
+            self.write_status(now, shared_time, gateway);
         }
     }
 
@@ -179,7 +180,7 @@
             let now = SECOND + step * STEP;
             self.deliver(now);
             if step == 700 {
-                // A server starts again, and one leaves the list.
+                // Two servers restart.
                 self.servers[2].started = now;
                 self.servers[11].started = now;
             }
@@ -187,10 +188,10 @@
                 self.servers[10].weight = 0.0;
             }
             for gateway in 0..GATEWAYS {
-                self.turn(now, gateway);
+                self.advance_gateway(now, gateway);
             }
         }
-        assert!(self.ejections > 100, "the run must eject something: {}", self.ejections);
+        assert!(self.ejections > 100, "the run has only {} ejections", self.ejections);
         (self.hash.finish(), self.statuses)
     }
 }
@@ -198,10 +199,10 @@
 #[test]
 fn every_message_ejection_and_status_of_a_run_with_outliers_stays_as_recorded() {
     let mut statuses = BTreeSet::new();
-    let mut found = Vec::new();
+    let mut hashes = Vec::new();
     for (seed, zones) in [(1, 1), (2, 3)] {
         let (hash, seen) = Run::new(seed, zones).run();
-        found.push(hash);
+        hashes.push(hash);
         statuses.extend(seen);
     }
     let all = [
@@ -213,5 +214,5 @@
         ServerStatus::Returning,
     ];
     assert_eq!(statuses, all.iter().map(|status| status.description()).collect());
-    assert_eq!(found, [10_148_187_988_632_981_954, 7_186_488_692_114_690_183]);
+    assert_eq!(hashes, [10_148_187_988_632_981_954, 7_186_488_692_114_690_183]);
 }
--- a/crates/shared-counter/src/expiring_map.rs
+++ b/crates/shared-counter/src/expiring_map.rs
@@ -1,4 +1,4 @@
-//! A map by counter key whose entries expire. It bounds neither keys nor values: its owners do, each by its own rule.
+//! A map from counter keys to values that expire. It limits neither its size nor its values; its users do.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
         self.entries.contains_key(key)
     }
 
-    /// Adds an entry for a key that has none.
+    /// Adds an entry. The map must not contain the key.
     pub fn insert(&mut self, now: Micros, key: &str, lifetime: Micros, value: V) {
         let key: Arc<str> = key.into();
         let expires_at = now.saturating_add(lifetime);
@@ -46,12 +46,12 @@
         self.entries.get_mut(key)
     }
 
-    /// The key as the map holds it, which is cheap to clone.
+    /// The map's own copy of the key, which is cheap to clone.
     pub fn shared_key(&self, key: &str) -> Option<Arc<str>> {
         self.entries.get_key_value(key).map(|(shared, _)| shared.clone())
     }
 
-    /// Entries in the order of their keys.
+    /// All entries, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Expiring<V>)> {
         self.entries.iter()
     }
--- a/crates/shared-counter/src/gossip.rs
+++ b/crates/shared-counter/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Dissemination of small reports to all gateways by gossip: in each round a gateway sends the reports that it has sent least
-//! to a few others. A report has a key and a version, and the later version of a key wins, so that loss, duplication and
-//! reordering do no harm. What a report means, and how messages travel, is the callers'.
+//! Dissemination of small reports to all gateways by gossip. In each round a gateway sends the reports that it has sent least
+//! often to a few other gateways. A report has a key and a version, and the highest version of a key wins, so loss, duplication
+//! and reordering do no harm. The caller interprets the reports and transports the messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,25 +11,25 @@
 
 use crate::Micros;
 
-/// Random gateways that each round of gossip goes to.
+/// Number of random gateways that receive each round of gossip.
 pub const FANOUT: usize = 3;
-/// Transmissions of each report by each gateway that has it, for each doubling of the gateways.
+/// Transmissions of a report by each gateway that has it, for each doubling of the number of gateways.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
-/// Rounds in which a new gateway requests all reports of another.
+/// Number of initial rounds in which a new gateway requests all reports from another one.
 const INITIAL_REQUESTS: u32 = 3;
 
-/// Something that one process of a gateway publishes.
+/// A report that one process of a gateway publishes.
 pub trait Report: Clone {
-    /// What the report is about, and whose it is.
+    /// Identifies the subject and the origin of a report.
     type Key: Clone + Ord;
 
-    /// What the report is about, and whose it is.
+    /// The subject and the origin of the report.
     fn key(&self) -> Self::Key;
-    /// Of two reports with one key the higher version wins.
+    /// The version. The higher one of two reports with the same key wins.
     fn version(&self) -> u64;
-    /// The instance that publishes it; no other does.
+    /// The only instance that publishes this report.
     fn origin(&self) -> u64;
-    /// Whether its values are possible. Reports that are not plausible are ignored.
+    /// Whether the report's values are in range. Implausible reports are ignored.
     fn is_plausible(&self) -> bool;
 }
 
@@ -38,7 +38,7 @@
 pub enum GossipMessage<R> {
     /// Reports, as many as fit into one datagram.
     Reports(Vec<R>),
-    /// Request for all reports.
+    /// A request for all reports.
     RequestAll,
 }
 
@@ -51,38 +51,38 @@
     pub instance: u64,
 }
 
-/// How reports of one kind are disseminated.
+/// Settings for the dissemination of one kind of report.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipConfig {
     /// Time between two rounds.
     pub interval: Micros,
-    /// Mean time between two transmissions of all reports to one gateway, which repair what was lost for good.
+    /// Mean time between two transmissions of all reports to a random gateway. They repair losses that gossip did not.
     pub full_sync_interval: Micros,
-    /// Reports of one message, as many as fit into a datagram.
+    /// Maximum number of reports in a message, as many as fit into a datagram.
     pub reports_per_message: usize,
-    /// Messages to one gateway in each round.
+    /// Maximum number of messages to one gateway in a round.
     pub messages_per_peer: usize,
-    /// Reports that are retained; beyond it a report with a new key is ignored.
+    /// Maximum number of retained reports. At the limit, received reports with a new key are ignored.
     pub max_reports: usize,
-    /// How long a report is retained after its origin was last a live member, as it may become one again.
+    /// How long a report is retained after its origin was last a live member, since the origin may return.
     pub retention: Micros,
 }
 
 struct Entry<R> {
     report: R,
-    /// When its origin was last a live member.
+    /// When the report's origin was last a live member.
     last_live: Micros,
     remaining_transmissions: u32,
 }
 
 impl<R> Entry<R> {
-    /// A report that has not been sent from here. The round's limit applies to its transmissions.
+    /// Creates an entry for a report that this gateway has not sent. Each round caps its remaining transmissions.
     fn new(now: Micros, report: R) -> Self {
         Entry { report, last_live: now, remaining_transmissions: u32::MAX }
     }
 }
 
-/// The reports of one kind that one gateway has.
+/// The state of gossip at one gateway, for one kind of report.
 pub struct Gossip<R: Report> {
     instance: u64,
     config: GossipConfig,
@@ -95,10 +95,10 @@
 }
 
 impl<R: Report> Gossip<R> {
-    /// No reports yet. All random choices come from the seed.
+    /// Creates a state without reports. All random choices come from the seed.
     pub fn new(instance: u64, config: GossipConfig, seed: u64, now: Micros) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Gateways that start together must not all send at the same instants.
+        // Random offsets keep gateways that start together from sending at the same instants.
         let next_round = now + rng.gen_range(1..=config.interval);
         let next_full_sync = now + rng.gen_range(1..=config.full_sync_interval);
         Gossip {
@@ -118,7 +118,7 @@
         self.reports.insert(report.key(), Entry::new(now, report));
     }
 
-    /// A message has arrived from the gateway of a name. Returns the keys of the reports that were new.
+    /// Handles a message from the gateway with the name `from`. Returns the keys of new or updated reports.
     pub fn handle_message(&mut self, now: Micros, from: &str, message: GossipMessage<R>) -> Vec<R::Key> {
         match message {
             GossipMessage::RequestAll => {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes in another gateway's report, and returns its key if it is new.
+    /// Stores another gateway's report, and returns its key if the report is new or has a higher version.
     fn accept(&mut self, now: Micros, report: R) -> Option<R::Key> {
         if !report.is_plausible() || report.origin() == self.instance {
             return None;
@@ -152,17 +152,17 @@
         Some(key)
     }
 
-    /// When `handle_timeout` is to be called next.
+    /// When the caller must call `handle_timeout` next.
     pub fn next_deadline(&self) -> Micros {
         self.next_round.min(self.next_full_sync)
     }
 
-    /// Brings the next round forward to the next call of `handle_timeout`.
+    /// Starts the next round at the next call of `handle_timeout`.
     pub fn schedule_round(&mut self, now: Micros) {
         self.next_round = now;
     }
 
-    /// Does what is due. `live` are the other gateways that are live members.
+    /// Runs all timers that have expired. `live` contains the other gateways that are live members.
     pub fn handle_timeout(&mut self, now: Micros, live: &[LivePeer]) {
         self.remove_expired(now, live);
         if now >= self.next_round {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Removes the reports of processes that have been gone for long.
+    /// Removes the reports of processes that have not been live members for the retention time.
     fn remove_expired(&mut self, now: Micros, live: &[LivePeer]) {
         let live: BTreeSet<u64> = live.iter().map(|peer| peer.instance).chain([self.instance]).collect();
         let retention = self.config.retention;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The reports that go into one round, those that were sent least first; one transmission of each is used up.
+    /// Takes the reports for one round, the least often sent first, and uses up one transmission of each.
     fn take_least_sent(&mut self, other_gateways: usize) -> Vec<R> {
         let limit = transmission_limit(other_gateways);
         let pending = self.reports.iter().filter(|(_, entry)| entry.remaining_transmissions > 0);
@@ -230,24 +230,24 @@
         enqueue(&mut self.outbox, to, &all, self.config.reports_per_message);
     }
 
-    /// The next message that is to be sent, with the name of the gateway that it goes to.
+    /// The next message to send, with the name of the receiving gateway.
     pub fn poll_message(&mut self) -> Option<(String, GossipMessage<R>)> {
         self.outbox.pop_front()
     }
 
-    /// The report of a key.
+    /// The report with this key.
     pub fn report(&self, key: &R::Key) -> Option<&R> {
         self.reports.get(key).map(|entry| &entry.report)
     }
 
-    /// All reports, in the order of their keys.
+    /// All reports, ordered by key.
     pub fn reports(&self) -> impl Iterator<Item = &R> {
         self.reports.values().map(|entry| &entry.report)
     }
 }
 
-/// How often each gateway sends an item of gossip so that it reaches nearly every other, in rounds to [`FANOUT`] of them. It
-/// grows with the logarithm of their number, as in SWIM (Das, Gupta, Motivala, 2002); complete exchanges reach the rest.
+/// How often each gateway sends a gossiped item to [`FANOUT`] others, so that it reaches nearly every gateway. The limit grows
+/// with the logarithm of the number of gateways, as in SWIM (Das, Gupta, Motivala, 2002). Complete exchanges reach the rest.
 pub fn transmission_limit(other_gateways: usize) -> u32 {
     let gateways = other_gateways as u32 + 2;
     (TRANSMISSIONS_PER_DOUBLING * (u32::BITS - gateways.leading_zeros())).div_ceil(FANOUT as u32) + 1
--- a/crates/shared-counter/src/lib.rs
+++ b/crates/shared-counter/src/lib.rs
@@ -1,10 +1,10 @@
-//! What one gateway knows of the counters that all gateways add to: from its own additions, from the shared counter's totals
-//! and from gossip. It does no I/O and has no clock; times are whole microseconds of the caller's one clock, amounts are
-//! units as the decision module weights them.
+//! One gateway's view of the counters that all gateways add to. It combines the gateway's own additions, the shared counter's
+//! totals and gossip. This package does no I/O and has no clock: times are microseconds of a single clock of the caller, and
+//! amounts are units as weighted by the decision module.
 //!
-//! [`pn_counter`] holds what each gateway has added, as state that merges. [`monitor`] stands between the decision module and
-//! the counter: it sees every call and every outcome, tells a healthy counter from one that is lost, reset or partitioned,
-//! and replies with the best total there is. [`gossip`] disseminates reports of any kind to all gateways.
+//! [`pn_counter`] stores the contributions of all gateways as mergeable state. [`monitor`] sits between the decision module and
+//! the shared counter: it sees every call and its outcome, detects that the counter is lost, reset or partitioned, and replies
+//! with the best known total. [`gossip`] disseminates reports of any kind to all gateways.
 
 #![warn(missing_docs)]
 
--- a/crates/shared-counter/src/monitor.rs
+++ b/crates/shared-counter/src/monitor.rs
@@ -1,13 +1,13 @@
-//! The monitor between the decision module and the shared counter. It sees every call and every outcome, knows for each key
-//! what of this gateway's own the counter must hold, and so tells a healthy counter from one that is lost, reset, stale or
-//! partitioned. It makes no calls itself.
+//! The monitor between the decision module and the shared counter. It sees every call and its outcome, and tracks for each key
+//! how much of this gateway's additions the counter must contain. From this it detects that the counter is lost, reset, stale
+//! or partitioned. It makes no calls itself.
 //!
-//! It gives the decision module one total. If the counter replies, that is its total, or more if more is known to have been
-//! added; otherwise it is the total of gossip, if all gateways are in it. What the counter lacks goes with the next call,
-//! unless it may have been added: nothing is added twice.
+//! The monitor gives the decision module one total. If the counter replies, this is the counter's total, or a larger one if more
+//! is known to have been added. Otherwise it is gossip's total, if that includes all gateways. An amount that the counter lacks
+//! is added by the next call, unless it may have been added already: no amount is added twice.
 //!
-//! Callers: `add` before each call and `call_completed` after it, each with what gossip knows of that key, this gateway's
-//! amount included. Amounts are weighted, and a key lives as long, as the decision module says.
+//! Callers call `add` before each call to the counter and `call_completed` after it. Both take gossip's total of the key, which
+//! includes this gateway's amount. The decision module chooses the weight of amounts and the lifetime of keys.
 
 mod reply_statistics;
 mod tracked_counter;
@@ -20,33 +20,33 @@
 use crate::expiring_map::{Expiring, ExpiringMap};
 use crate::{Micros, MILLISECOND, SECOND};
 
-/// How often a lost counter is called all the same, to notice its return.
+/// Interval between calls to a lost counter, which detect its return.
 const LOST_QUERY_INTERVAL: Micros = 200 * MILLISECOND;
-/// A suspicion of a reset counts only if another total confirms it within this time: a single one may be stale.
+/// A suspected reset must be confirmed by another total within this time, since a single total may be stale.
 const CONFIRMATION_TIME: Micros = 2 * SECOND;
-/// A counter whose total is below this part of gossip's for so long is not the one that the other gateways use.
+/// If a counter's total stays below this fraction of gossip's total for this time, the other gateways use another counter.
 const PARTITION_FRACTION: f64 = 0.7;
 const PARTITION_TIME: Micros = 2 * SECOND;
-/// Keys that are tracked. Beyond it, calls for a new key pass unchanged.
+/// Maximum number of tracked keys. At the limit, calls for a new key are forwarded unchanged.
 const MAX_COUNTERS: usize = 65_536;
 
-/// How a call ended.
+/// The outcome of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
     /// The counter's total after the addition.
     Total(f64),
-    /// Certainly not added.
+    /// The amount was certainly not added.
     NotApplied,
-    /// Perhaps added, or perhaps yet to be.
+    /// The amount may have been added, or may still be.
     Unknown,
 }
 
-/// What to do with an amount.
+/// The next step for an amount to be added.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddStep {
-    /// Call the counter to add this much: the amount, and what it lacks of earlier ones.
+    /// Call the counter to add this sum of the amount and of earlier amounts that the counter lacks.
     Forward(f64),
-    /// The counter is lost, and this is the total. There is no call.
+    /// Use this total without a call, since the counter is lost.
     Reply(f64),
 }
 
@@ -55,41 +55,41 @@
 pub enum CounterReply {
     /// The total.
     Total(f64),
-    /// Not added, and not retained: this much is to be taken back wherever else it was counted.
+    /// The amount was not added, and the monitor does not retry it. The caller must subtract this amount wherever it was counted.
     NotApplied(f64),
-    /// Perhaps added.
+    /// The amount may have been added.
     Unknown,
 }
 
-/// What gossip knows of a key.
+/// Gossip's total for a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipTotal {
-    /// The sum of all contributions that are known.
+    /// The sum of all known contributions.
     pub total: f64,
-    /// Whether all configured gateways are members. Those that were seen once are not enough: a partition would double a
-    /// quota.
+    /// Whether all configured gateways are live members. If only the gateways seen so far had to be members, a partition would
+    /// double a quota.
     pub is_complete: bool,
 }
 
-/// The state of the counter, as far as its replies tell.
+/// The health of the counter according to its replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterHealth {
-    /// Nothing is wrong with it.
+    /// The counter works normally.
     Healthy,
-    /// Replies take several times as long as the quickest.
+    /// The mean latency of replies is several times the lowest latency.
     Slow,
-    /// There are no replies.
+    /// The counter does not reply.
     Lost,
-    /// It has lost what was added, or is another one that began empty.
+    /// The counter has lost its content, or was replaced by an empty one.
     Reset,
-    /// Its totals lack even what the same call has added: they are from some time ago.
+    /// The counter's totals are outdated: they lack even the amount that the same call added.
     Stale,
-    /// It knows far less than all gateways together have added: others use another one.
+    /// The counter's totals are far below gossip's: other gateways use another counter.
     Partitioned,
 }
 
 impl CounterHealth {
-    /// The word in logs and operators' views; an encoding, so older than the variants' names.
+    /// The name in logs and operators' views. These are recorded names, so they differ from the variants' names.
     pub fn name(self) -> &'static str {
         match self {
             CounterHealth::Healthy => "good",
@@ -102,21 +102,21 @@
     }
 }
 
-/// Watches one shared counter for one gateway.
+/// Monitors the shared counter for one gateway.
 pub struct CounterMonitor {
     counters: ExpiringMap<TrackedCounter>,
     health: CounterHealth,
     statistics: ReplyStatistics,
-    /// When a call was last made although the counter is lost.
+    /// When a lost counter was last called.
     last_query: Micros,
-    /// Since when the counter's totals are far below gossip's.
+    /// When the counter's totals began to be far below gossip's.
     behind_since: Option<Micros>,
-    /// Recent totals that suggest a reset, by time and key.
+    /// Times and keys of recent totals that suggest a reset.
     recent_suspicions: VecDeque<(Micros, Arc<str>)>,
 }
 
 impl CounterMonitor {
-    /// A monitor that takes the counter for healthy.
+    /// Creates a monitor that initially considers the counter healthy.
     pub fn new(now: Micros) -> Self {
         CounterMonitor {
             counters: ExpiringMap::new(),
@@ -128,12 +128,12 @@
         }
     }
 
-    /// The state of the counter.
+    /// The health of the counter.
     pub fn health(&self) -> CounterHealth {
         self.health
     }
 
-    /// Number of keys that are tracked.
+    /// Number of tracked keys.
     pub fn len(&self) -> usize {
         self.counters.len()
     }
@@ -143,7 +143,7 @@
         self.len() == 0
     }
 
-    /// The decision module adds an amount to a key, which lives so long if it is new.
+    /// Adds an amount of the decision module to a key. A new key expires after `lifetime`.
     pub fn add(
         &mut self,
         now: Micros,
@@ -158,7 +158,7 @@
         let Some(counter) = self.track(now, key, lifetime) else { return AddStep::Forward(amount) };
         let substitute = gossip.filter(|gossip| gossip.is_complete && is_lost);
         if let Some(gossip) = substitute.filter(|_| now < next_query) {
-            // Other gateways learn of it by gossip; the counter gets it with the next call.
+            // Other gateways receive the amount by gossip, and the next call adds it to the counter.
             counter.add_locally(amount);
             return AddStep::Reply(gossip.total);
         }
@@ -169,7 +169,7 @@
         AddStep::Forward(forwarded)
     }
 
-    /// The counter of a key, unless there are too many or it expires at once.
+    /// The tracked counter of a key, or `None` if too many are tracked or the lifetime is zero.
     fn track(&mut self, now: Micros, key: &str, lifetime: Micros) -> Option<&mut TrackedCounter> {
         if !self.counters.contains_key(key) {
             if self.counters.len() >= MAX_COUNTERS {
@@ -185,7 +185,7 @@
         self.counters.get_mut(key).map(|counter| &mut counter.value)
     }
 
-    /// A call has ended, with the time that it took. Calls for one key end in the order in which they were made.
+    /// Records the outcome and the latency of a call. Calls for the same key must complete in the order in which they began.
     pub fn call_completed(
         &mut self,
         now: Micros,
@@ -209,7 +209,7 @@
         CounterReply::Total(gossip.map_or(total, |gossip| total.max(gossip.total)))
     }
 
-    /// The reply to a call that brought no total: that of gossip, if it is complete.
+    /// Settles a call that returned no total. The reply is gossip's total if that is complete.
     fn settle_failure(
         &mut self,
         key: &str,
@@ -223,7 +223,7 @@
             if is_unknown {
                 counter.outcome_unknown(call);
             } else if substitute.is_none() {
-                counter.take_back(call);
+                counter.revert_addition(call);
             }
         }
         match substitute {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// What a total says of the counter's health.
+    /// Updates the health from a reply with a total.
     fn record_reply(
         &mut self,
         now: Micros,
@@ -268,7 +268,7 @@
             CounterHealth::Stale if self.statistics.last_was_current() => CounterHealth::Healthy,
             CounterHealth::Healthy if is_slow => CounterHealth::Slow,
             CounterHealth::Slow if !is_slow => CounterHealth::Healthy,
-            // All that was suspicious has been settled, so it is as good as any.
+            // No key is suspicious any more, so the counter is usable again.
             CounterHealth::Reset if !self.has_suspicion() => CounterHealth::Healthy,
             health => health,
         }
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Settles a call that brought a total, and returns the total with what is known to be missing in it.
+    /// Settles a call that returned a total. Returns the total plus the amounts that are known to be missing from it.
     fn settle(&mut self, now: Micros, key: &str, call: Call, total: f64) -> f64 {
         let Some(shared_key) = self.counters.shared_key(key) else { return total };
         let Some(counter) = self.counters.get_mut(key).map(|counter| &mut counter.value) else {
@@ -302,7 +302,7 @@
         };
         counter.confirm(call);
         match counter.compare(now, total, call.amount) {
-            Comparison::Complete => counter.completed(total),
+            Comparison::Complete => counter.total_with_missing(total),
             Comparison::Explained => counter.at_least_confirmed(total),
             Comparison::Suspicious { is_large, persists, is_repeated } => {
                 let suspicions = &mut self.recent_suspicions;
@@ -318,7 +318,7 @@
                 }
                 counter.reset(total);
                 self.health = CounterHealth::Reset;
-                counter.completed(total)
+                counter.total_with_missing(total)
             }
         }
     }
--- a/crates/shared-counter/src/monitor/reply_statistics.rs
+++ b/crates/shared-counter/src/monitor/reply_statistics.rs
@@ -1,18 +1,18 @@
-//! Statistics of the counter's replies: failures in a row, latency, and totals that are stale. It knows nothing of what the
-//! counters hold.
+//! Statistics of the shared counter's replies: consecutive failures, latency and stale totals. They do not depend on the values
+//! of counters.
 
 use crate::{Micros, MILLISECOND};
 
-/// Failures in a row and the time without a reply after which the counter is lost. One bad connection loses some calls at
-/// once and is replaced sooner.
+/// The counter is lost after this number of consecutive failures and this time without a reply. A single faulty connection fails
+/// several calls at once, but is replaced sooner than that.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 const MAX_SILENCE: Micros = 200 * MILLISECOND;
-/// Replies are slow if their mean latency is above this multiple of the lowest one and above the minimum.
+/// Replies are slow if their mean latency is above this multiple of the lowest latency and above `MIN_SLOW_LATENCY`.
 const SLOW_FACTOR: f64 = 5.0;
 const MIN_SLOW_LATENCY: Micros = 10 * MILLISECOND;
 /// The weight of the newest reply in the mean latency.
 const LATENCY_SMOOTHING: f64 = 0.125;
-/// Replies in a row that lack their own amount, after which totals are stale.
+/// Totals are stale after this number of consecutive replies that lack the amount of their own call.
 const STALE_REPLIES: u32 = 3;
 
 #[derive(Debug)]
@@ -40,7 +40,7 @@
         self.consecutive_failures += 1;
     }
 
-    /// A reply came so long after its call. It is stale if its total lacks the call's own amount.
+    /// Records a reply and its latency. A reply is stale if its total lacks the amount of its own call.
     pub fn record_reply(&mut self, now: Micros, latency: Micros, is_stale: bool) {
         self.consecutive_failures = 0;
         self.last_reply = now;
--- a/crates/shared-counter/src/monitor/tracked_counter.rs
+++ b/crates/shared-counter/src/monitor/tracked_counter.rs
@@ -1,77 +1,77 @@
-//! What the counter must hold of this gateway's own in one key, and whether a total agrees with that. It judges one counter by
-//! itself; whether other counters confirm a suspicion, the monitor knows.
+//! The amounts that the shared counter must contain for one key of this gateway, and the comparison of totals with them. Each
+//! key is compared separately; the monitor combines the suspicions of all keys.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// Totals are exact to seven digits: what is missing by less than this part of a sum is there.
+/// Totals are exact to seven digits. A difference below this fraction of a sum does not count as missing.
 pub(super) const RELATIVE_TOLERANCE: f64 = 1e-6;
-/// Others may have taken off units that this gateway offered. A total is evidence of a reset only below this part of the
-/// largest total before.
+/// A total is evidence of a reset only below this fraction of the highest previous total, since other gateways may have
+/// subtracted units that this gateway added.
 const RESET_FRACTION: f64 = 0.5;
 
-/// A call that has not ended.
+/// A call in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Call {
-    /// What the counter was asked to add.
+    /// The amount that the counter was asked to add.
     pub amount: f64,
-    /// The part of it that the decision module asked for; the rest was owed from before.
+    /// The part of the amount that the decision module requested. The rest was missing from the counter before.
     pub requested: f64,
 }
 
-/// What the counter holds of this gateway's additions.
+/// This gateway's additions that the counter contains.
 #[derive(Clone, Copy, Debug, Default)]
 struct Content {
     confirmed: f64,
-    /// Of calls whose outcome is unknown.
+    /// The sum of calls whose outcome is unknown.
     possible: f64,
 }
 
-/// Totals lack some of what the counter must hold.
+/// Totals lack a part of the amounts that the counter must contain.
 #[derive(Debug)]
 struct Suspicion {
     started_at: Micros,
-    /// What was missing at the start.
+    /// The missing amount at the start.
     missing: f64,
-    /// What was possibly in the counter at the start.
+    /// The amount that was possibly in the counter at the start.
     possible: f64,
-    /// Whether a total was far below the largest one.
+    /// Whether a total was far below the highest total.
     is_large: bool,
 }
 
-/// How a total compares with what the counter must hold.
+/// The result of comparing a total with the amounts that the counter must contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Comparison {
     /// Nothing is missing.
     Complete,
-    /// What is missing is no sign of a reset: the total is an old one, or others took units off.
+    /// An amount is missing, but not because of a reset: the total is stale, or other gateways subtracted units.
     Explained,
     /// The counter may have been reset.
     Suspicious {
         is_large: bool,
-        /// No unknown outcome explains that less is missing than at first.
+        /// Unknown outcomes aside, no less is missing than at first.
         persists: bool,
-        /// An earlier total of this counter was suspicious, too.
+        /// An earlier total of this counter was suspicious as well.
         is_repeated: bool,
     },
 }
 
 #[derive(Debug, Default)]
 pub(super) struct TrackedCounter {
-    /// What this gateway has added, and the decision module takes for added.
+    /// The sum that this gateway has added, according to the decision module.
     added: f64,
     content: Content,
-    /// In the order in which they were made.
+    /// Calls in flight, ordered by start.
     in_flight: VecDeque<Call>,
     highest_total: f64,
-    /// The content when a total last lacked nothing.
+    /// The content when a total was last complete.
     last_complete: Content,
     suspicion: Option<Suspicion>,
 }
 
 impl TrackedCounter {
-    /// What is certainly neither in the counter nor in flight.
+    /// The amount that is certainly neither in the counter nor in flight.
     pub fn missing(&self) -> f64 {
         let in_flight: f64 = self.in_flight.iter().map(|call| call.amount).sum();
         let missing = self.added - self.content.confirmed - self.content.possible - in_flight;
@@ -87,13 +87,13 @@
         self.suspicion.is_some()
     }
 
-    /// Adds an amount that the counter is not asked for, as it is lost.
+    /// Adds an amount without a call, since the counter is lost.
     pub fn add_locally(&mut self, amount: f64) {
         self.added += amount;
     }
 
-    /// Begins a call for an amount and for what is missing, and returns the sum. Nothing that is missing is added while a
-    /// suspicion stands.
+    /// Begins a call for the requested and the missing amount, and returns their sum. The missing amount is left out while there
+    /// is a suspicion.
     pub fn begin_call(&mut self, requested: f64) -> f64 {
         let missing = if self.is_suspicious() { 0.0 } else { self.missing() };
         let amount = requested + missing;
@@ -115,22 +115,22 @@
         self.content.possible += call.amount;
     }
 
-    /// The decision module takes a call's amount for not added, and will add it again.
-    pub fn take_back(&mut self, call: Call) {
+    /// Reverts the addition of a call that was not applied. The decision module will add the amount again.
+    pub fn revert_addition(&mut self, call: Call) {
         self.added -= call.requested;
     }
 
-    /// The total with what is certainly missing in it.
-    pub fn completed(&self, total: f64) -> f64 {
+    /// The total plus the amount that is certainly missing from it.
+    pub fn total_with_missing(&self, total: f64) -> f64 {
         total + self.missing().max(0.0)
     }
 
-    /// The total, or what the counter must hold at the least.
+    /// The total, or the confirmed amount if that is larger.
     pub fn at_least_confirmed(&self, total: f64) -> f64 {
         self.content.confirmed.max(total)
     }
 
-    /// Compares a total with what the counter must hold, given the amount that the replied call has added.
+    /// Compares a total with the amounts that the counter must contain. `amount` is the amount of the call that returned it.
     pub fn compare(&mut self, now: Micros, total: f64, amount: f64) -> Comparison {
         let tolerance = RELATIVE_TOLERANCE * (total.abs() + self.content.confirmed.abs());
         let missing = self.content.confirmed - total;
@@ -140,11 +140,11 @@
             self.highest_total = self.highest_total.max(total);
             return Comparison::Complete;
         }
-        // A total without even what this call has added is a stale one, whatever it lacks.
+        // A total that lacks even the amount of its own call is stale.
         if total + tolerance < amount {
             return Comparison::Explained;
         }
-        // No total was larger: nothing was lost since, whatever others have taken off.
+        // No earlier total was higher, so the counter has lost nothing since. Other gateways subtracted units.
         if total >= self.highest_total {
             self.highest_total = total;
             self.last_complete = self.content;
@@ -166,8 +166,8 @@
         }
     }
 
-    /// The counter has lost all but what was added, or possibly was, since it was last complete. Calls in flight are yet to
-    /// be added.
+    /// Records a reset: the counter contains only the amounts that were added, or possibly added, since its last complete total.
+    /// Calls in flight will still be added.
     pub fn reset(&mut self, total: f64) {
         self.content.confirmed -= self.last_complete.confirmed;
         self.content.possible -= self.last_complete.possible;
--- a/crates/shared-counter/src/pn_counter.rs
+++ b/crates/shared-counter/src/pn_counter.rs
@@ -1,6 +1,6 @@
-//! PN-counters: what each instance has added to and taken off each counter, as two sums that only grow (Shapiro et al., 2011).
-//! Merging takes the larger of each, so that loss, delay, duplication and reordering of messages do no lasting harm. It sends
-//! nothing.
+//! PN-counters (Shapiro et al., 2011): each instance's additions to and subtractions from each counter, as two sums that only
+//! grow. Merging takes the maximum of each sum, so loss, delay, duplication and reordering of messages do no lasting harm. This
+//! module sends nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,21 +10,22 @@
 use crate::expiring_map::{Expiring, ExpiringMap};
 use crate::Micros;
 
-/// One process of one gateway. It is drawn at random at each start, so that what an earlier process added stays its own.
+/// The id of one process of a gateway. It is generated randomly at each start, so that the contributions of an earlier process
+/// stay separate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance(pub u64);
 
-/// What one instance has added to one counter.
+/// The contribution of one instance to one counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Contribution {
-    /// The sum of what was added; never negative.
+    /// The sum of additions; never negative.
     pub increments: f64,
-    /// The sum of what was taken off; never negative.
+    /// The sum of subtractions; never negative.
     pub decrements: f64,
 }
 
 impl Contribution {
-    /// What was added less what was taken off.
+    /// The additions minus the subtractions.
     pub fn net(&self) -> f64 {
         self.increments - self.decrements
     }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes the larger of each sum, and returns whether that changed anything.
+    /// Takes the maximum of each sum, and returns whether a sum changed.
     fn merge(&mut self, other: Contribution) -> bool {
         let before = *self;
         self.increments = self.increments.max(other.increments);
@@ -50,21 +51,23 @@
     }
 }
 
-/// Sums above this are corrupt: the counter takes no amount above a billion, and a key lives a minute.
+/// Maximum plausible sum. The counter accepts no amount above a billion, and a key lives for a minute, so a larger sum is
+/// corrupt.
 const MAX_SUM: f64 = 1e15;
-/// Instances that contribute to one counter. Each start of a gateway is one; no fleet has more within a key's lifetime.
+/// Maximum number of instances that contribute to one counter. Each start of a gateway creates an instance, and no fleet has
+/// more of them within a key's lifetime.
 const MAX_CONTRIBUTORS: usize = 4_096;
-/// Bytes of a counter's key, as the counter itself limits them.
+/// Maximum size of a counter's key, as limited by the shared counter.
 pub const MAX_KEY_BYTES: usize = 64;
 
 type Contributions = BTreeMap<Instance, Contribution>;
 
-/// A contribution has changed.
+/// A change to a contribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The counter's key.
     pub key: Arc<str>,
-    /// Whether the instance had not contributed to the counter before, as far as was known.
+    /// Whether no earlier contribution of the instance to the counter was known.
     pub is_new: bool,
 }
 
@@ -73,15 +76,15 @@
 pub struct KnownContribution<'a> {
     /// The counter's key.
     pub key: &'a Arc<str>,
-    /// How long the counter still lives.
+    /// Time until the counter expires.
     pub expires_in: Micros,
-    /// Who contributed.
+    /// The contributing instance.
     pub instance: Instance,
-    /// What it contributed.
+    /// The contribution of the instance.
     pub contribution: Contribution,
 }
 
-/// The counters that are known, up to a bound at which a further one is ignored.
+/// The known counters. Their number is limited, and further ones are ignored.
 #[derive(Clone, Debug)]
 pub struct PnCounters {
     counters: ExpiringMap<Contributions>,
@@ -89,27 +92,27 @@
 }
 
 impl PnCounters {
-    /// No counters yet, and never more than the bound.
+    /// Creates an empty set that accepts at most `max_counters` counters.
     pub fn new(max_counters: usize) -> Self {
         PnCounters { counters: ExpiringMap::new(), max_counters }
     }
 
-    /// Number of counters that are known.
+    /// Number of known counters.
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
-    /// Whether no counter is known.
+    /// Whether there are no known counters.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Removes the counters that have expired.
+    /// Removes expired counters.
     pub fn remove_expired(&mut self, now: Micros) {
         self.counters.remove_expired(now);
     }
 
-    /// A counter's contributions by its shared key; a new one if the counter is valid and there is room.
+    /// The shared key and the contributions of a counter. Creates the counter if it is valid and the limit is not reached.
     fn contributions(
         &mut self,
         now: Micros,
@@ -129,8 +132,8 @@
         Some((shared_key, &mut counter.value))
     }
 
-    /// An instance adds an amount of its own, or takes it off if it is negative. Nothing changes if the amount is not
-    /// finite, or if the counter is new and invalid or beyond the bound.
+    /// Adds an instance's amount, which is subtracted if it is negative. Returns `None` and changes nothing if the amount is not
+    /// finite, or if the counter is new and either invalid or above the limit.
     pub fn add(
         &mut self,
         now: Micros,
@@ -148,7 +151,7 @@
         Some(Change { key, is_new })
     }
 
-    /// Merges what another gateway reports of an instance's contribution, and returns the change if there is one.
+    /// Merges an instance's contribution as reported by another gateway, and returns the change if there is one.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -169,17 +172,17 @@
         has_changed.then_some(Change { key, is_new })
     }
 
-    /// What an instance has contributed to a counter.
+    /// The contribution of an instance to a counter.
     pub fn contribution(&self, key: &str, instance: Instance) -> Option<Contribution> {
         self.counters.get(key)?.value.get(&instance).copied()
     }
 
-    /// The instances that have contributed to a counter, in their order.
+    /// The instances that have contributed to a counter, in ascending order.
     pub fn contributors(&self, key: &str) -> impl Iterator<Item = Instance> + '_ {
         self.counters.get(key).into_iter().flat_map(|counter| counter.value.keys().copied())
     }
 
-    /// The keys of the counters that an instance has contributed to, in their order.
+    /// The keys of the counters that an instance has contributed to, in ascending order.
     pub fn keys_of_instance(&self, instance: Instance) -> impl Iterator<Item = Arc<str>> + '_ {
         let contributed =
             self.counters.iter().filter(move |(_, counter)| counter.value.contains_key(&instance));
@@ -192,12 +195,12 @@
         Some(counter.value.values().map(Contribution::net).sum())
     }
 
-    /// How long a counter still lives.
+    /// Time until a counter expires.
     pub fn expires_in(&self, now: Micros, key: &str) -> Option<Micros> {
         self.counters.get(key).map(|counter| counter.expires_at.saturating_sub(now))
     }
 
-    /// All contributions to all counters that have not expired, in the order of keys and instances.
+    /// All contributions to all counters that have not expired, ordered by key and instance.
     pub fn entries(&self, now: Micros) -> impl Iterator<Item = KnownContribution<'_>> {
         let live = self.counters.iter().filter(move |(_, counter)| counter.expires_at > now);
         live.flat_map(move |(key, Expiring { expires_at, value })| {
--- a/crates/shared-counter/tests/monitor.rs
+++ b/crates/shared-counter/tests/monitor.rs
@@ -1,4 +1,4 @@
-//! The monitor's judgement of a counter that is lost, reset, partitioned or merely slow; and that it adds nothing twice.
+//! Tests that the monitor detects a lost, reset, partitioned, slow or stale counter, and that it adds no amount twice.
 
 use fernscale_shared_counter::monitor::{
     AddStep, CallOutcome, CounterHealth, CounterMonitor, CounterReply, GossipTotal,
@@ -7,7 +7,7 @@
 use quickcheck::{quickcheck, TestResult};
 
 const LIFETIME: Micros = 60 * SECOND;
-/// How long a call takes, unless a test says otherwise.
+/// The default latency of a call.
 const LATENCY: Micros = 500;
 
 fn reply_with_total(
@@ -41,7 +41,7 @@
     for name in ["a", "b"] {
         reply_with_total(&mut monitor, 1, name, 10.0, 10.0);
     }
-    // One total may be stale; that of another key confirms it.
+    // A single low total may be stale, so the total of another key has to confirm the reset.
     assert_eq!(
         reply_with_total(&mut monitor, SECOND, "a", 1.0, 1.0),
         (AddStep::Forward(1.0), CounterReply::Total(11.0))
@@ -58,7 +58,7 @@
     assert_eq!(
         reply_with_total(&mut monitor, SECOND + 3, "b", 1.0, 13.0).0,
         AddStep::Forward(1.0),
-        "it is added once"
+        "the missing amount is added only once"
     );
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(
         reply_with_total(&mut monitor, 7, "a", 1.0, 12.0).0,
         AddStep::Forward(1.0),
-        "the module adds it again itself"
+        "the decision module itself adds the amount again"
     );
 }
 
@@ -96,14 +96,14 @@
     assert_eq!(monitor.health(), CounterHealth::Healthy);
 }
 
-/// All gateways are members, and the counter rejects calls: additions are still counted, and reach the counter later.
+/// All gateways are members, and the counter rejects calls. Additions are still counted and reach the counter later.
 #[test]
 fn complete_gossip_substitutes_for_a_lost_counter() {
     let mut monitor = CounterMonitor::new(0);
     let gossip = |total| Some(GossipTotal { total, is_complete: true });
     let mut now = SECOND;
     for total in 1..=3 {
-        // What certainly was not added goes with the next call.
+        // The next call includes amounts that were certainly not added.
         assert_eq!(
             monitor.add(now, "a", 1.0, LIFETIME, gossip(f64::from(total))),
             AddStep::Forward(f64::from(total))
@@ -116,7 +116,7 @@
     }
     assert_eq!(monitor.health(), CounterHealth::Lost);
     assert_eq!(monitor.add(now, "a", 1.0, LIFETIME, gossip(40.0)), AddStep::Reply(40.0));
-    // It is called now and then, and given all that it lacks.
+    // The lost counter is called periodically, with all amounts that it lacks.
     now += SECOND;
     assert_eq!(monitor.add(now, "a", 1.0, LIFETIME, gossip(50.0)), AddStep::Forward(5.0));
     assert_eq!(
@@ -134,7 +134,11 @@
     for (step, total) in totals.into_iter().enumerate() {
         let (call, reply) = reply_with_total(&mut monitor, step as Micros * SECOND, "a", 1.0, total);
         assert_eq!(call, AddStep::Forward(1.0), "nothing is added again");
-        assert_eq!(reply, CounterReply::Total(step as f64 + 1.0), "all of its own is certainly there");
+        assert_eq!(
+            reply,
+            CounterReply::Total(step as f64 + 1.0),
+            "the total includes all of the gateway's own additions"
+        );
     }
     assert_eq!(monitor.health(), CounterHealth::Healthy);
 }
@@ -152,7 +156,7 @@
     assert_eq!(
         (slow_replies[0], slow_replies[5]),
         (CounterHealth::Healthy, CounterHealth::Slow),
-        "one reply may be late by chance"
+        "a single slow reply is not enough"
     );
     let quick_replies: Vec<_> = (8..40).map(|total| call(f64::from(total), LATENCY)).collect();
     assert_eq!(quick_replies[31], CounterHealth::Healthy);
@@ -207,16 +211,17 @@
     assert_eq!((monitor.len(), monitor.health()), (1, CounterHealth::Healthy));
 }
 
-/// A counter that is reset at random moments, under random calls of which some are lost: it never holds more than the
-/// decision module was told was added, and no less where the loss was large and calls went on.
-fn additions_are_applied_at_most_once(acts: Vec<u8>) -> TestResult {
+/// Resets the counter at random times, under random calls of which some are lost. The counter must never contain more than the
+/// amounts that were reported to the decision module as added. It must not contain less either after a large loss that is
+/// followed by successful calls.
+fn additions_are_applied_at_most_once(actions: Vec<u8>) -> TestResult {
     let (mut monitor, mut in_counter, mut added, mut possible, mut now) =
         (CounterMonitor::new(0), 0.0, 0.0, 0.0, 0);
-    let mut call = |monitor: &mut CounterMonitor, in_counter: &mut f64, now: Micros, act: u8| {
+    let mut call = |monitor: &mut CounterMonitor, in_counter: &mut f64, now: Micros, action: u8| {
         let AddStep::Forward(amount) = monitor.add(now, "a", 1.0, Micros::MAX / 2, None) else {
-            panic!("there is no gossip")
+            panic!("without gossip every addition is forwarded")
         };
-        let end = match act % 8 {
+        let outcome = match action % 8 {
             0 => CallOutcome::NotApplied,
             1 => CallOutcome::Unknown,
             2 => {
@@ -228,22 +233,23 @@
                 CallOutcome::Total(*in_counter)
             }
         };
-        added += if monitor.call_completed(now, "a", end, LATENCY, None) == CounterReply::NotApplied(1.0) {
+        added += if monitor.call_completed(now, "a", outcome, LATENCY, None) == CounterReply::NotApplied(1.0)
+        {
             0.0
         } else {
             1.0
         };
-        possible += if end == CallOutcome::Unknown { amount } else { 0.0 };
+        possible += if outcome == CallOutcome::Unknown { amount } else { 0.0 };
         (added, possible)
     };
-    let random = acts.len();
+    let random = actions.len();
     let steady = std::iter::repeat_n(7, 20);
-    for (step, act) in acts.into_iter().chain(steady.clone()).chain([255]).chain(steady).enumerate() {
+    for (step, action) in actions.into_iter().chain(steady.clone()).chain([255]).chain(steady).enumerate() {
         now += 10 * MILLISECOND;
-        if act >= 250 {
+        if action >= 250 {
             in_counter = 0.0;
         }
-        let (added, _) = call(&mut monitor, &mut in_counter, now, act);
+        let (added, _) = call(&mut monitor, &mut in_counter, now, action);
         if in_counter > added + 1e-6 {
             return TestResult::error(format!(
                 "step {step} of {random}: {in_counter} in the counter, {added} added"
@@ -251,7 +257,7 @@
         }
     }
     let (added, possible) = call(&mut monitor, &mut in_counter, now, 7);
-    // The last reset lost twenty calls or more, among calls that all had replies.
+    // The last reset lost at least twenty calls, and all calls before and after it had replies.
     TestResult::from_bool(in_counter >= added - possible - random as f64 - 1e-6)
 }
 
--- a/crates/shared-counter/tests/pn_counter.rs
+++ b/crates/shared-counter/tests/pn_counter.rs
@@ -1,4 +1,4 @@
-//! That merged counters are bounded, and the same whatever the order of messages.
+//! Tests that merged counters are bounded and do not depend on the order of messages.
 
 use fernscale_shared_counter::pn_counter::{Contribution, Instance, PnCounters};
 use fernscale_shared_counter::{Micros, SECOND};
@@ -6,24 +6,27 @@
 
 const LIFETIME: Micros = 60 * SECOND;
 
-/// Merging has the same result in any order, and repetition changes nothing.
-fn merging_commutes(parts: Vec<(u8, u8, u8)>, again: Vec<u8>) -> bool {
-    let part = |(of, plus, minus): (u8, u8, u8)| {
-        (Instance(u64::from(of) % 3), Contribution { increments: plus.into(), decrements: minus.into() })
+/// Merging gives the same result in any order, and repeated messages change nothing.
+fn merging_commutes(parts: Vec<(u8, u8, u8)>, repeated: Vec<u8>) -> bool {
+    let part = |(instance, plus, minus): (u8, u8, u8)| {
+        (
+            Instance(u64::from(instance) % 3),
+            Contribution { increments: plus.into(), decrements: minus.into() },
+        )
     };
-    let (mut one, mut other) = (PnCounters::new(10), PnCounters::new(10));
-    for (of, part) in parts.iter().copied().map(part) {
-        one.merge(0, "n", of, part, LIFETIME);
+    let (mut first, mut second) = (PnCounters::new(10), PnCounters::new(10));
+    for (instance, part) in parts.iter().copied().map(part) {
+        first.merge(0, "n", instance, part, LIFETIME);
     }
-    for (of, part) in parts.iter().rev().copied().map(part) {
-        other.merge(0, "n", of, part, LIFETIME);
+    for (instance, part) in parts.iter().rev().copied().map(part) {
+        second.merge(0, "n", instance, part, LIFETIME);
     }
-    for at in again {
-        if let Some((of, part)) = parts.get(at as usize % parts.len().max(1)).copied().map(part) {
-            assert_eq!(other.merge(1, "n", of, part, LIFETIME), None, "no change");
+    for index in repeated {
+        if let Some((instance, part)) = parts.get(index as usize % parts.len().max(1)).copied().map(part) {
+            assert_eq!(second.merge(1, "n", instance, part, LIFETIME), None, "no change");
         }
     }
-    one.total(2, "n") == other.total(2, "n")
+    first.total(2, "n") == second.total(2, "n")
 }
 
 #[test]
@@ -37,7 +40,7 @@
     let own = Instance(1);
     assert!(counters.add(0, own, "a", 1.0, SECOND).is_some());
     assert!(counters.add(0, own, "b", 1.0, 2 * SECOND).is_some());
-    assert!(counters.add(0, own, "c", 1.0, SECOND).is_none(), "full");
+    assert!(counters.add(0, own, "c", 1.0, SECOND).is_none(), "the number of counters is limited");
     assert!(counters.add(SECOND, own, "c", 1.0, SECOND).is_some(), "a key has expired");
     assert!(counters.add(SECOND, own, "b", f64::NAN, SECOND).is_none());
     for part in [
--- a/crates/shared-counter/tests/recorded_run.rs
+++ b/crates/shared-counter/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! Runs of the counter monitor and of gossip whose every reply and message is part of a recorded hash: the order of
-//! floating-point operations, of random draws and of messages is behaviour that a change of the code's shape must keep.
+//! Runs of the counter monitor and of gossip, compared with recorded hashes over every reply and message. A refactoring must
+//! keep the order of floating-point operations, of random draws and of messages.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A counter that loses connections, content and answers by chance.
+/// A counter that randomly loses connections, content and replies.
 struct FaultyCounter {
     totals: [f64; 4],
     connected: bool,
@@ -54,7 +54,7 @@
         }
     }
 
-    fn disturb(&mut self, rng: &mut ChaCha8Rng) {
+    fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
         match rng.gen_range(0..400) {
             0 => self.totals = [0.0; 4],
             1 | 2 => self.connected = false,
@@ -62,7 +62,7 @@
             13 => self.stale = true,
             14..=20 => self.stale = false,
             21..=40 => {
-                // Another gateway adds or takes off.
+                // Another gateway adds or subtracts an amount.
                 let key = rng.gen_range(0..4);
                 self.totals[key] = (self.totals[key] + rng.gen_range(-3.0..9.0)).max(0.0);
             }
@@ -81,7 +81,7 @@
     let mut now: Micros = 0;
     for _ in 0..20_000 {
         now += rng.gen_range(0..20 * MILLISECOND);
-        counter.disturb(&mut rng);
+        counter.inject_fault(&mut rng);
         let key = rng.gen_range(0..4);
         let name = format!("tenant-{key}");
         let gossip = match rng.gen_range(0..10) {
@@ -89,8 +89,8 @@
             1 => Some(GossipTotal { total: known[key], is_complete: false }),
             _ => Some(GossipTotal { total: known[key], is_complete: true }),
         };
-        let ended = in_flight.iter().position(|(_, of, _)| *of == key);
-        match ended.filter(|_| rng.gen_bool(0.55)) {
+        let oldest = in_flight.iter().position(|(_, call_key, _)| *call_key == key);
+        match oldest.filter(|_| rng.gen_bool(0.55)) {
             None => {
                 let amount = rng.gen_range(-1.0..3.0);
                 known[key] += amount;
@@ -106,10 +106,10 @@
                     }
                 }
             }
-            Some(place) => {
-                let (began, _, amount) = in_flight.remove(place);
+            Some(index) => {
+                let (started_at, _, amount) = in_flight.remove(index);
                 let outcome = counter.call(&mut rng, key, amount);
-                match monitor.call_completed(now, &name, outcome, now - began, gossip) {
+                match monitor.call_completed(now, &name, outcome, now - started_at, gossip) {
                     CounterReply::Total(total) => {
                         hash.write(3);
                         hash.write_float(total);
@@ -133,9 +133,9 @@
 #[test]
 fn every_reply_of_the_monitor_to_a_faulty_counter_stays_as_recorded() {
     let mut states = BTreeSet::new();
-    let found: Vec<u64> = (1..=4).map(|seed| monitored_run(seed, &mut states)).collect();
+    let hashes: Vec<u64> = (1..=4).map(|seed| monitored_run(seed, &mut states)).collect();
     assert_eq!(
-        found,
+        hashes,
         [
             7_916_239_682_497_271_465,
             17_363_786_142_780_805_790,
@@ -231,8 +231,8 @@
 
 #[test]
 fn every_message_of_gossip_with_loss_stays_as_recorded() {
-    let found: Vec<u64> = (1..=3).map(gossip_run).collect();
-    assert_eq!(found, [5_780_959_656_495_955_679, 11_714_052_094_270_069_030, 11_343_774_039_326_311_963]);
+    let hashes: Vec<u64> = (1..=3).map(gossip_run).collect();
+    assert_eq!(hashes, [5_780_959_656_495_955_679, 11_714_052_094_270_069_030, 11_343_774_039_326_311_963]);
 }
 
 #[test]
